--- a/tests/scripts/scripts_test.py
+++ b/tests/scripts/scripts_test.py
@@ -4,6 +4,7 @@
 import importlib.util
 import json
 import pathlib
+import re
 import subprocess
 import sys
 import tempfile
@@ -179,5 +180,30 @@
             self.assertEqual(run.returncode, 1, listed)
 
 
+class OuterNamesTest(unittest.TestCase):
+    """A name that other processes, files or operators know must not be renamed
+    by accident."""
+
+    FOLDERS = ["core", "state", "coordination", "protocol", "platform",
+               "transport", "programs", "deploy", "docs/examples"]
+
+    def test_each_listed_name_stands_in_the_source(self):
+        literals = []
+        for folder in self.FOLDERS:
+            for path in sorted((SCRIPTS.parent / folder).rglob("*")):
+                if path.suffix in (".cc", ".h") and ".pb." not in path.name:
+                    literals += re.findall(r'"(?:[^"\\\n]|\\.)*"|R"\(.*?\)"',
+                                           path.read_text(), re.DOTALL)
+                elif path.suffix in (".proto", ".toml", ".template"):
+                    literals.append(path.read_text())
+        outer = "\n".join(literals)
+        listed = SCRIPTS.parent / "docs/reference/outer-names.txt"
+        names = listed.read_text().split()
+        self.assertEqual(names, sorted(set(names)))
+        lost = [name for name in names if not re.search(
+            rf"(?<!\w){re.escape(name)}(?!\w)", outer)]
+        self.assertEqual(lost, [])
+
+
 if __name__ == "__main__":
     unittest.main()
