--- a/coordination/gateway/fleet_keeper.cc
+++ b/coordination/gateway/fleet_keeper.cc
@@ -8,8 +8,8 @@
 namespace gcw {
 namespace {
 
-// Generations of one keeper lie between its fencing number and the next
-// possible one, so that every later keeper's are higher.
+// The generations of a keeper lie between its fencing number and the next
+// possible one, so that those of every later keeper are higher.
 constexpr std::int64_t kGenerationsPerFence = 4096;
 constexpr double kMillisPerSecond = 1000;
 
@@ -33,7 +33,7 @@
   if (is_same) {
     return;
   }
-  // Whatever was known belongs to another term of the role.
+  // All cached state belongs to another term of the role.
   domains_.clear();
   busy_domains_ = 0;
   pending_.clear();
@@ -54,10 +54,10 @@
   changed_.clear();
   takes_all_ = true;
   fenced_off_ = false;
-  // A lease that the key-value service kept through an outage brings the role
-  // back with the same fencing number. Names given anew from the first would
-  // then mean two lists of members: a VM that is ready in the older group would
-  // be taken for a member of the newer one.
+  // If the key-value service keeps a lease through an outage, the role comes
+  // back with the same fencing number. If group numbers then started over, one
+  // name could stand for two lists of members, and a VM that is ready in the
+  // older group would count as a member of the newer one.
   if (role_ && role_->fence != numbered_fence_) {
     numbered_fence_ = role_->fence;
     last_group_ = 0;
@@ -168,7 +168,8 @@
     }
   }
   for (const VmId& id : std::exchange(changed_, {})) {
-    // One that is gone, or is in another domain now, counts where it was.
+    // A VM that is gone, or is in another domain now, is news for its former
+    // domain.
     Touch(id);
     const VmRegistration* vm = view.FindVm(id);
     const auto replaced = replaced_.find(id);
@@ -214,8 +215,8 @@
   it->second.next_review = now;
 }
 
-// The more domains are busy, the less often each is looked at without news: a
-// keeper that is late repeats orders, and so makes more work for itself.
+// The more domains are busy, the less often each is reviewed without news: a
+// keeper that falls behind repeats orders and so adds to its own load.
 void FleetKeeper::ChooseReviewed(Time now) {
   const Duration busy_review =
       std::max(settings_.busy_review,
@@ -249,8 +250,8 @@
 }
 
 // A run that starts again under its id has no group, no weights in its engine
-// and no order to carry out. Were the old ones believed, its group would be
-// waited for without end, and an order to join would not be sent again.
+// and no order to carry out. If the old state were kept, its group would wait
+// for it forever, and an order to join would not be sent again.
 void FleetKeeper::ForgetRun(const VmId& vm) {
   last_orders_.erase(vm);
   const auto pending = pending_of_.find(vm);
@@ -323,7 +324,7 @@
   DomainRecord next = domain.writer.record();
   RemoveOver(now, view, domain, next);
   if (now >= domain.next_regroup) {
-    // Too few of the freed VMs are left.
+    // Too few of the freed VMs are left to form the group.
     domain.regroups_for = ModelId();
   }
   domain.planned = Describe(now, view, domain, next);
@@ -385,17 +386,17 @@
     ending.lost += CountUnusable(view, group);
     if (!run->second.open_seen &&
         now - run->second.ending_since < settings_.settle_time) {
-      // Its members are free as soon as each has said that it left. A group
-      // formed of others meanwhile would be given up for them in turn, and so
-      // on, with a load for each.
+      // The members are free as soon as each has confirmed that it left. A
+      // group formed of other VMs meanwhile would be given up for these members
+      // in turn, and so on, with a load each time.
       planned.unsettled = true;
     }
   }
   planned.regroups_for = domain.regroups_for;
   planned.may_regroup = loads_.has_traffic() && now >= domain.next_regroup;
   const auto appeared = last_appeared_.find(next.domain);
-  // A VM that comes while the domain serves is a spare, or the one that a
-  // repair waits for: there is nothing to wait for before it loads its weights.
+  // A VM that appears while the domain serves is a spare, or the VM that a
+  // repair waits for. It can load its weights at once.
   const bool is_starting = !loads_.has_traffic() || planned.groups.empty();
   planned.filling = is_starting && appeared != last_appeared_.end() &&
                     now - appeared->second < settings_.settle_time;
@@ -419,7 +420,7 @@
     if (taken.contains(id)) {
       continue;
     }
-    // It may be the one that failed its last group.
+    // This VM may be the member that made its last group fail.
     if (IsUnclear(id)) {
       planned.unsettled = true;
       continue;
@@ -441,7 +442,7 @@
   if (!vm.models.empty()) {
     described.last_model = vm.models.front();
   }
-  // Were it not counted, the next plan would mean the VM for another model.
+  // Without this, the next plan would assign the VM to another model.
   const auto staging = staging_.find(vm.id);
   if (staging != staging_.end()) {
     described.loading = staging->second;
@@ -456,8 +457,8 @@
   StandingGroup standing;
   standing.id = group.id;
   standing.model = group.model;
-  // One that was formed just now is left to serve; those of earlier keepers
-  // have served for longer than this one knows them.
+  // A group that was formed only recently keeps serving. Groups of earlier
+  // keepers have served for longer than this keeper has known them.
   const bool is_own =
       group.generation.value() > role_->fence.value() * kGenerationsPerFence;
   standing.may_be_given_up =
--- a/coordination/gateway/fleet_keeper.h
+++ b/coordination/gateway/fleet_keeper.h
@@ -27,49 +27,52 @@
   GroupPlannerSettings planner;
   LoadPacerSettings loads;
   ModelDemandSettings demand;
-  // Between two groups that are asked for their load. One group at a time: the
-  // estimate gets no dearer with the fleet.
+  // Interval between load probes of serving groups. Each probe asks one group,
+  // so that the cost of the estimate does not grow with the fleet.
   Duration demand_interval = Duration::Millis(100);
-  // Domains that are searched for such a group in one turn.
+  // Maximum number of domains searched for a group to probe in one tick.
   std::size_t demand_tries = 8;
-  // No order leaves with less than this left of the role's lease: it must have
-  // arrived, or its connection been given up, before another node may hold it.
+  // No order is sent when less than this remains of the role's lease: the order
+  // has to arrive, or its connection to be given up, before another node can
+  // hold the role.
   Duration order_margin = Duration::Millis(500);
-  // An order without an answer counts as unanswered.
+  // Time after which an order without an answer counts as unanswered.
   Duration order_timeout = Duration::Millis(500);
-  // Between two sends of one order whose effect is not seen.
+  // Interval between two sends of an order whose effect is not visible yet.
   Duration resend_interval = Duration::Millis(1000);
-  // A VM that does not answer a probe for this long is silent: it is put into
-  // no group. Engines answer probes at once, whatever they run.
+  // A VM that does not answer a probe within this time is unresponsive and is
+  // not put into any group. Engines answer probes at once, whatever they run.
   Duration probe_timeout = Duration::Millis(200);
-  // Between two probes of a VM that is silent or slow.
+  // Interval between two probes of a VM that is unresponsive or slow.
   Duration probe_interval = Duration::Millis(1000);
-  // An engine whose own figure for its pace is this or more is slow: its group
-  // runs at its pace, so that it may seem to stand still.
+  // An engine that reports at least this slowdown factor is slow. Its group
+  // runs at the same pace and may therefore seem stalled.
   double slow_pace = 1.8;
-  // A group whose members all answer is given this long to go on.
+  // How long a stalled group whose members all answer may take to make progress
+  // again before it is closed.
   Duration standstill_patience = Duration::Millis(1500);
-  // A group whose streams went on within this time is whole, whatever the
-  // registrations say: one lost member stops them all.
+  // A group that made progress within this time has all its members, whatever
+  // the registrations say: the loss of any member stops all its streams.
   Duration progress_life = Duration::Millis(1200);
-  // Endpoints register within some seconds after a start of the whole fleet; a
-  // domain is settled once none appeared there for this long.
+  // Endpoints register within some seconds after the whole fleet starts. A
+  // domain is settled once no VM has appeared in it for this long.
   Duration settle_time = Duration::Millis(1500);
-  // A group that is not whole by then is given up: the slowest load, behind a
-  // full queue of others.
+  // A group that has not opened within this time is given up. The time covers
+  // the slowest load behind a full queue of others.
   Duration form_limit = Duration::Seconds(60);
-  // How long a group that is closed by plan may run what it has.
+  // How long a group that is closed on purpose may take to finish its requests.
   Duration drain_limit = Duration::Millis(6000);
-  // A group that is given up for another model's may run what it has for so
-  // long: the VMs of both serve nobody new meanwhile.
+  // The same limit for a group that is given up for a group of another model.
+  // It is shorter because the VMs of both groups take no new requests
+  // meanwhile.
   Duration regroup_drain_limit = Duration::Millis(1500);
-  // Between two such changes of one domain.
+  // Minimum interval between two regroupings of one domain.
   Duration regroup_interval = Duration::Millis(6000);
-  // Review interval of a domain in which something is under way; news of a
-  // domain has it reviewed at once.
+  // Review interval of a domain that has work in progress. News about a domain
+  // triggers a review at once.
   Duration busy_review = Duration::Millis(40);
-  // Such reviews of all domains together: with more busy domains the interval
-  // grows, so that the keeper's work does not outgrow its processor.
+  // Maximum rate of these reviews over all domains. With more busy domains the
+  // interval grows, so that the work stays within what one processor can do.
   double busy_reviews_per_second = 200;
   // Review interval of a domain whose groups all serve.
   Duration quiet_review = Duration::Millis(500);
@@ -83,7 +86,7 @@
   Duration timeout;
 };
 
-// Ask whether the VM's engine answers at all.
+// Asks the VM's engine for a sign of life and its load.
 struct ProbeEngine {
   VmId vm;
   Address address;
@@ -93,18 +96,19 @@
 using FleetKeeperAction =
     std::variant<StoreRequest, SendGroupOrder, ProbeEngine>;
 
-// Keeps the replica groups of all fabric domains while this node holds the
+// Controls the replica groups of all fabric domains while this node holds the
 // keeper's role. One record per domain in the key-value service says which VMs
-// form which group; engines are told only what is known to be committed, and
-// what they report is compared with the record until both agree.
+// form which group. Engines receive orders only for committed records, and what
+// they report is reconciled with the record.
 //
 // A VM is put into another group only after its engine, or that of its group's
-// first member, said that it left: so no request runs in a group that lost a
-// member to another one, also where the first member is cut off and goes on.
+// first member, confirmed that it left. No request can then run in a group that
+// lost a member to another one, even if the first member is cut off and
+// continues to serve.
 class FleetKeeper {
  public:
-  // When this node last saw a group make progress, by its first member; the
-  // start of time where it never did.
+  // Returns when this node last saw the group with this first member make
+  // progress, or the start of time if it never did.
   using LastProgress = std::function<Time(const VmId& head, Generation)>;
 
   FleetKeeper(FleetKeeperSettings settings,
@@ -112,16 +116,18 @@
               LastProgress last_progress,
               EventSink events);
 
-  // Absent where the role is not held.
+  // `role` is empty if this node does not hold the role.
   void SetRole(Time now, const std::optional<HeldRole>& role);
-  // Registrations that came, changed or went since the last call.
+  // Reports the registrations that were added, changed or removed since the
+  // last call.
   void OnVmsChanged(const std::set<VmId>& vms);
-  // Requests have begun to come: loads count against the weight store's rate.
+  // Reports the first requests: from then on, loads count against the weight
+  // store's rate.
   void OnTraffic() { loads_.OnTraffic(); }
-  // A group stands still by the word of the nodes that send to it.
+  // Reports that nodes which send requests to the group see it stalled.
   void OnStandstill(const VmId& head, Generation generation);
-  // First members and generations of groups of which that is still to be
-  // judged.
+  // First members and generations of the groups that are reported as stalled
+  // and about which there is no decision yet.
   std::vector<std::pair<VmId, Generation>> StandingStill() const;
 
   std::vector<FleetKeeperAction> Tick(Time now, const FleetView& view);
@@ -131,45 +137,45 @@
   void OnOrderReply(Time now, OrderId id, GroupOrderVerdict verdict);
   void OnProbeReply(Time now, const VmId& vm, const ProbeReport& report);
 
-  // Whether an engine refused an order because another keeper has the role.
+  // Whether an engine refused an order because another keeper holds the role.
   bool is_fenced_off() const { return fenced_off_; }
 
  private:
-  // What this keeper has seen of a group since it has the role.
+  // What this keeper has observed of a group since it took the role.
   struct GroupRun {
     Time since;
     std::set<VmId> joined;
-    // Members that this keeper told to join.
+    // Members to which this keeper sent a join order.
     std::set<VmId> join_sent;
     std::map<VmId, Address> addresses;
     bool open_seen = false;
     bool open_sent = false;
-    // Why it ends; empty while it does not.
+    // Why the group ends; empty while it stays.
     std::string ending;
     Time ending_since;
     bool ends_by_plan = false;
-    // Its VMs are wanted for a group of another model.
+    // The group is given up for a group of another model.
     bool is_regrouped = false;
-    // Since when nodes say that it stands still.
+    // When nodes first reported the group as stalled; empty if it is not.
     std::optional<Time> stands_still_since;
-    // Members whose engines said that they left.
+    // Members whose engines confirmed that they left.
     std::set<VmId> left;
   };
   struct Domain {
     ServiceId service;
     DomainWriter writer;
     std::map<GroupId, GroupRun> runs;
-    // State at the last review, and the loads that it planned.
+    // Planner input of the last review, and the loads planned from it.
     PlannedDomain planned;
     std::vector<PlannedStaging> stagings;
-    // The model that given-up groups' VMs are to serve; empty while none is
+    // The model for which groups were given up; empty if no group of it is
     // awaited.
     ModelId regroups_for;
     Time next_regroup;
     Time next_review;
-    // Reviewed by the present call.
+    // Whether the current tick reviews the domain.
     bool is_reviewed = false;
-    // Something is under way, or waits for a time to pass.
+    // Whether work is in progress or a timer is pending.
     bool is_busy = false;
   };
   struct PendingOrder {
@@ -183,7 +189,7 @@
     GroupId group;
     Time sent;
   };
-  // What probes said of a VM that is in doubt.
+  // Probe state of a VM whose health is in doubt.
   struct Doubt {
     bool silent = false;
     bool slow = false;
@@ -192,17 +198,17 @@
     Address address;
   };
 
-  // Takes up what the registrations say since the last call.
+  // Processes the registrations that changed since the last call.
   void TakeChanges(Time now, const FleetView& view);
   void TakeChange(Time now, const FleetView& view, const VmRegistration& vm);
-  // Has the domain that the VM is in looked at with the next call.
+  // Schedules a review of the VM's domain for the next tick.
   void Touch(const VmId& vm);
-  // Marks the domains that this call looks at: those with news and those that
-  // are due. The others are as they were.
+  // Marks the domains to review in this tick: those with news and those that
+  // are due. The others keep the result of their last review.
   void ChooseReviewed(Time now);
-  // Whether nothing in the domain is under way or waits for a time to pass.
+  // Whether the domain has no work in progress and no pending timer.
   bool IsQuiet(const FleetView& view, const Domain& domain) const;
-  // Forgets what was told to and heard from a VM before it started again.
+  // Discards all state of a VM's previous run.
   void ForgetRun(const VmId& vm);
   void ReviewGroups(Time now, const FleetView& view, Domain& domain);
   std::string FindDamage(Time now,
@@ -210,16 +216,16 @@
                          const Domain& domain,
                          const GroupRecord& group,
                          GroupRun& run) const;
-  // Whether the group's first member says that it is open.
+  // Whether the group's first member reports that the group is open.
   static bool IsOpen(const FleetView& view, const GroupRecord& group);
-  // Whether the member is no part of the group any more.
+  // Whether the member is known to have left the group.
   bool HasLeft(const FleetView& view,
                const GroupRecord& group,
                const GroupRun& run,
                const VmId& member) const;
-  // Whether the group waits for loads, and the domain's free VMs could take the
-  // place of every member that loads. The planner ranks VMs by the same weights
-  // at hand, so that it does not form the group of the same members again.
+  // Whether the group waits for loads although the domain's free VMs could
+  // replace every member that loads. The planner ranks VMs by the same weights
+  // at hand, so it does not form the group of the same members again.
   bool OpensSoonerAnew(const FleetView& view,
                        const Domain& domain,
                        const GroupRecord& group) const;
@@ -230,7 +236,7 @@
                   const FleetView& view,
                   Domain& domain,
                   DomainRecord& next);
-  // What is known of the domain besides its VMs: its groups.
+  // Planner input about the domain's groups, without its free VMs.
   PlannedDomain DescribeGroups(Time now,
                                const FleetView& view,
                                const Domain& domain,
@@ -239,22 +245,21 @@
                          const FleetView& view,
                          const Domain& domain,
                          const DomainRecord& next);
-  // Members that cannot take part in the group that is formed after this one.
+  // Number of members that cannot join the group's successor.
   std::size_t CountUnusable(const FleetView& view,
                             const GroupRecord& group) const;
-  // Whether the VM may take part in a new group although its engine names one
-  // that no record has; has it leave where not.
+  // Whether a VM whose engine reports a group that is in no record may join a
+  // new group. If not, orders it to leave the old one.
   bool IsFreeOfOldGroup(Time now, const VmRegistration& vm);
   void PlanService(Time now, const FleetView& view, const ServiceRule& service);
   void GiveUpGroups(Time now, const Regrouping& change);
-  // The VM as the planner knows it.
   FreeVm DescribeVm(const VmRegistration& vm) const;
   StandingGroup DescribeStanding(Time now,
                                  const FleetView& view,
                                  const GroupRecord& group,
                                  const GroupRun& run) const;
-  // Finds out what became of the domain's groups and which VMs are free; the
-  // record without the groups that are over.
+  // Updates the state of the domain's groups and the list of its free VMs.
+  // Returns the record without the groups that have ended.
   DomainRecord Review(Time now, const FleetView& view, Domain& domain);
   void AddGroup(PlannedGroup formed, DomainRecord& next);
   void Commit(Time now, Domain& domain, DomainRecord next);
@@ -276,8 +281,9 @@
                 const FleetView& view,
                 const GroupRecord& group,
                 GroupRun& run);
-  // Whether a VM without the model's weights may be told to join a group of it
-  // now; has its host load them first.
+  // Whether a VM without the model's weights may be told to join a group now.
+  // If the load limits permit a load and the host accepts it, the host loads
+  // the weights first and the join waits.
   bool MayJoinUnloaded(Time now,
                        const VmRegistration& vm,
                        const ModelProfile& model);
@@ -287,28 +293,29 @@
                            const PlannedStaging& staging);
   void OrderStaging(Time now, const VmRegistration& vm, const ModelId& model);
   void ProbeDoubted(Time now, const FleetView& view);
-  // Asks one serving group for its load, by turns over models and domains.
+  // Asks one serving group for its load, round-robin over models and domains.
   void ProbeDemand(Time now, const FleetView& view);
-  // The first member of a group of the model that serves in the domain; null
-  // where there is none.
+  // Returns the first member of a group of the model that serves in the domain,
+  // or null if there is none.
   const VmRegistration* DrawServing(const FleetView& view,
                                     const Domain& domain,
                                     const ModelId& model);
-  // Has the VM probed at once.
+  // Marks the VM's health as in doubt, so that it is probed at once.
   void Doubtful(Time now, const VmId& vm, const Address& address);
   bool IsSilent(const VmId& vm) const;
   bool IsSlow(const VmId& vm) const;
-  // Whether it is not known yet what became of a VM that is in doubt.
+  // Whether the VM's health is in doubt and no probe has settled it yet.
   bool IsUnclear(const VmId& vm) const;
   void DoubtMembers(Time now, const GroupRecord& group, const GroupRun& run);
-  // Why a group that is said to stand still has to end; empty where it need
-  // not.
+  // Returns why a group that is reported as stalled has to end, or an empty
+  // string if it need not end.
   std::string JudgeStandstill(Time now,
                               const FleetView& view,
                               const Domain& domain,
                               const GroupRecord& group,
                               GroupRun& run) const;
-  // Free VMs of the domain that are sound and can join without a load.
+  // Number of the domain's healthy free VMs that can join a group of the model
+  // without a load.
   std::size_t CountFreeWith(const FleetView& view,
                             const Domain& domain,
                             const ModelId& model) const;
@@ -334,44 +341,45 @@
   ModelDemand demand_;
   Time next_demand_probe_;
   std::size_t demand_turn_ = 0;
-  // The model of each group that was asked for its load.
+  // The model and the request capacity of each group whose load was asked for,
+  // by its first member.
   std::map<VmId, std::pair<ModelId, double>> demand_asked_;
   std::optional<HeldRole> role_;
   bool fenced_off_ = false;
   std::map<FabricDomainId, Domain> domains_;
-  // Changed registrations that were not taken up yet.
+  // Changed registrations that are not processed yet.
   std::set<VmId> changed_;
-  // All registrations have to be taken up: of a new term of the role, or under
-  // a new configuration.
+  // Whether all registrations have to be processed, as after the role was taken
+  // or the configuration changed.
   bool takes_all_ = true;
   std::uint64_t seen_configuration_ = 0;
   std::map<VmId, FabricDomainId> domain_of_;
-  // Domains in which something is under way.
+  // Number of domains with work in progress.
   std::int64_t busy_domains_ = 0;
-  // The models that VMs were told to load onto their hosts.
+  // The models that hosts were ordered to load, by VM.
   std::map<VmId, ModelId> staging_;
-  // VMs that refused to: they load as they join.
+  // VMs whose hosts refused to load weights; they load them as they join.
   std::set<VmId> refused_staging_;
   std::map<OrderId, PendingOrder> pending_;
-  // The order under way of each VM: one at a time.
+  // The pending order of each VM, at most one at a time.
   std::map<VmId, OrderId> pending_of_;
   std::map<VmId, LastOrder> last_orders_;
   std::set<std::pair<VmId, Generation>> standstills_;
-  // Groups whose first member left: the others are free.
+  // Groups whose first member left; the other members are free.
   std::set<GroupId> ended_;
   // The groups that VMs left by order.
   std::set<std::pair<VmId, GroupId>> left_;
   std::map<VmId, Doubt> doubts_;
-  // VMs at whose addresses another run answered an order.
+  // VMs at whose address another run answered an order, with that address.
   std::map<VmId, Address> replaced_;
-  // When each VM was first seen, and the last time in each domain.
+  // When each VM first appeared.
   std::map<VmId, Time> first_seen_;
   std::map<VmId, Incarnation> incarnations_;
   std::map<FabricDomainId, Time> last_appeared_;
   OrderId last_order_;
   StoreCallId last_call_;
   std::map<StoreCallId, FabricDomainId> calls_;
-  // Groups named so far with this fencing number.
+  // Number of groups named so far with this fencing number.
   FencingToken numbered_fence_;
   std::int64_t last_group_ = 0;
   std::int64_t last_change_ = 0;
--- a/coordination/gateway/fleet_keeper_orders.cc
+++ b/coordination/gateway/fleet_keeper_orders.cc
@@ -1,4 +1,4 @@
-// What engines are told, and what their answers mean.
+// Orders to engines and the handling of their answers.
 
 #include "coordination/gateway/fleet_keeper.h"
 
@@ -64,8 +64,8 @@
     return;
   }
   const VmRegistration* vm = view.FindVm(head);
-  // Nobody else checks the members: a group that opened without one of them
-  // would take requests that it cannot run.
+  // Only the keeper checks that all members are ready. A group that opened
+  // without one of them would take requests that it cannot run.
   if (vm->membership->phase != MemberPhase::kReady ||
       !MayOrder(now, head, GroupOrderKind::kOpen, group.id)) {
     return;
@@ -79,13 +79,13 @@
   Send(now, head, vm->address, std::move(order));
 }
 
-// A load that belongs to a join is lost when the group is given up for another
-// member, as happens when VMs are lost one after another: the next join begins
-// it anew, and the weight store still counts the old one. One seen: 26 s
-// instead of 16 s until the group served. A load onto the host goes on whatever
-// becomes of the group; the join waits for it and takes the warm time more.
-// Before the first request loads are quick, and the warm time would be the
-// larger part.
+// A load that is part of a join is lost when the group is given up for another
+// member, as happens when VMs are lost one after another. The next join starts
+// the load again, and the weight store still counts the old one: in one case
+// the group served after 26 s instead of 16 s. A load onto the host continues
+// whatever happens to the group; the join waits for it and then takes the warm
+// start time in addition. Before the first request loads are quick, and the
+// warm start time would be the larger part.
 bool FleetKeeper::MayJoinUnloaded(Time now,
                                   const VmRegistration& vm,
                                   const ModelProfile& model) {
@@ -288,10 +288,9 @@
       verdict == GroupOrderVerdict::kUnreachable) {
     Doubtful(now, pending.vm, pending.address);
   }
-  // Another run has the VM's address: this one is gone, although its last
-  // heartbeats, held up on their way, may keep its registration for seconds. It
-  // would be waited for in group after group. A probe shows nothing of it,
-  // since the other run answers.
+  // Another run has the VM's address, so this run is gone, although delayed
+  // heartbeats may keep its registration for seconds. Group after group would
+  // wait for it. A probe cannot detect this, because the other run answers it.
   if (verdict == GroupOrderVerdict::kOtherVm) {
     replaced_[pending.vm] = pending.address;
   }
@@ -306,9 +305,9 @@
       verdict == GroupOrderVerdict::kRefused) {
     return;
   }
-  // Done, or the engine is in no such group, or another VM has the address.
-  // A load that belonged to the join is over with it; while it counted, the VM
-  // would be given no other one. One onto the host goes on.
+  // The engine has left, is in no such group, or another VM has the address. A
+  // load that was part of the join ended with it; if it still counted, the VM
+  // would get no other load. A load onto the host continues.
   if (!staging_.contains(pending.vm)) {
     loads_.End(pending.vm);
   }
--- a/coordination/gateway/fleet_keeper_probes.cc
+++ b/coordination/gateway/fleet_keeper_probes.cc
@@ -1,4 +1,4 @@
-// Signs of life of VMs that are in doubt.
+// Probes of VMs whose health is in doubt, and of the load of serving groups.
 
 #include "coordination/gateway/fleet_keeper.h"
 
@@ -91,7 +91,7 @@
       continue;
     }
     const auto& models = service->engine->models;
-    // The models take turns once all domains had theirs.
+    // All domains have their turn before the next model does.
     const ModelId& model =
         models[demand_turn_ / domains_.size() % models.size()].model;
     const VmRegistration* head = DrawServing(view, domain->second, model);
--- a/coordination/gateway/fleet_keeper_review.cc
+++ b/coordination/gateway/fleet_keeper_review.cc
@@ -1,4 +1,5 @@
-// Which groups have to end, when they are over, and whose VMs are free again.
+// Decides which groups have to end, when they have ended, and which VMs are
+// free again.
 
 #include "coordination/gateway/fleet_keeper.h"
 
@@ -31,7 +32,7 @@
       }
       run.joined.insert(member);
       const MemberPhase phase = vm->membership->phase;
-      // A load onto its host goes on while it serves.
+      // A load onto the host continues while the VM serves.
       if (phase != MemberPhase::kJoining && !staging_.contains(member)) {
         loads_.End(member);
       }
@@ -55,7 +56,8 @@
       continue;
     }
     run.ending_since = now;
-    // Whichever member is the cause must not go into the next group.
+    // The member that caused the damage must not join the next group, so all
+    // members are probed.
     if (!run.ends_by_plan && !run.stands_still_since) {
       DoubtMembers(now, group, run);
     }
@@ -78,7 +80,8 @@
                                     GroupRun& run) const {
   const VmId& head = group.members.front();
   // A member that is cut off from the key-value service loses its registration
-  // and goes on; closing its group would lose the others' work too.
+  // but continues to run. Closing its group would also lose the work of the
+  // other members.
   const bool goes_on =
       now - last_progress_(head, group.generation) < settings_.progress_life;
   for (const VmId& member : group.members) {
@@ -92,9 +95,8 @@
     if (IsSilent(member)) {
       return "member_silent:" + member.value();
     }
-    // One that leaves by plan stays while its group has work. Without a spare
-    // to take its place, closing the group now would only end its service
-    // sooner.
+    // A member that drains stays while its group has work. Without a spare to
+    // replace it, closing the group now would only end its service sooner.
     if (vm->draining && member != head && run.open_seen &&
         CountFreeWith(view, domain, group.model) == 0) {
       continue;
@@ -104,8 +106,8 @@
       return "member_leaving:" + member.value();
     }
     if (!IsMemberOf(*vm, group)) {
-      // All had joined before the first one opened. Joining an open group again
-      // would not make it whole, and bind the member to it.
+      // All members had joined before the group opened. Joining an open group
+      // again would not make the group whole, and would bind the member to it.
       if (run.joined.contains(member) || IsOpen(view, group)) {
         return "member_elsewhere:" + member.value();
       }
@@ -143,8 +145,9 @@
     }
     slow += IsSlow(member) ? 1 : 0;
   }
-  // A slow group serves, if late. It is closed only for one that is not slow:
-  // forming it anew of the same members would cost its streams for nothing.
+  // A slow group still serves. It is closed only if healthy VMs can replace its
+  // slow members: forming it again of the same members would cut its streams
+  // for nothing.
   if (slow > 0) {
     if (CountFreeWith(view, domain, group.model) >= slow) {
       return "member_slow";
@@ -186,7 +189,7 @@
         const VmRegistration* vm = view.FindVm(member);
         return vm != nullptr && !vm->HasAtHand(group.model);
       }));
-  // VMs of given-up groups are meant for another model.
+  // The VMs of given-up groups are reserved for another model.
   return loading > 0 && domain.regroups_for.empty() &&
          CountFreeWith(view, domain, group.model) >= loading;
 }
@@ -199,12 +202,13 @@
     return true;
   }
   // A registration without the group may be older than the order to join it,
-  // and the member a part of it by now: only its own word counts then.
+  // and the VM may be a member by now. Only its answer to an order to leave
+  // counts then.
   if (run.join_sent.contains(member) && !run.joined.contains(member)) {
     return false;
   }
   const VmRegistration* vm = view.FindVm(member);
-  // A late order for this group finds no such group there.
+  // A delayed order for this group finds no such group at the VM's engine.
   return vm != nullptr && (!IsMemberOf(*vm, group) ||
                            vm->membership->phase == MemberPhase::kBroken);
 }
@@ -215,9 +219,9 @@
   if (HasLeft(view, group, run, group.members.front())) {
     return true;
   }
-  // The first member may be cut off and go on; the others are free of it once
-  // each has left. One that is gone or silent is put into no group, and is told
-  // to leave when it comes back.
+  // The first member may be cut off and still serve; the other members are free
+  // once each has left. A member that is gone or unresponsive is put into no
+  // group, and is ordered to leave when it comes back.
   return std::all_of(
       group.members.begin() + 1, group.members.end(), [&](const VmId& member) {
         return view.FindVm(member) == nullptr || IsSilent(member) ||
--- a/coordination/gateway/group_membership.h
+++ b/coordination/gateway/group_membership.h
@@ -5,12 +5,13 @@
 
 namespace gcw {
 
-// Domains of two services may have one name; their records are apart.
+// Returns the domain's id qualified by its service. Domains of two services may
+// have the same name but have separate records.
 inline FabricDomainId RecordDomain(const VmRegistration& vm) {
   return FabricDomainId(vm.service.value() + "." + vm.domain.value());
 }
 
-// Whether the VM says that it is in the group under its present member list.
+// Whether the VM reports that it is in the group in its current generation.
 inline bool IsMemberOf(const VmRegistration& vm, const GroupRecord& group) {
   return vm.membership && vm.membership->group == group.id &&
          vm.membership->generation == group.generation;
--- a/coordination/gateway/group_planner.cc
+++ b/coordination/gateway/group_planner.cc
@@ -9,14 +9,14 @@
 namespace gcw {
 namespace {
 
-// Whether the VM can join a group of the model without a further load, once the
-// one under way has ended.
+// Whether the VM can join a group of the model without a further load, once its
+// current load has ended.
 bool WillTakeUp(const FreeVm& vm, const ModelId& model) {
   return vm.last_model == model ||
          (vm.loading.empty() ? HasAtHand(vm, model) : vm.loading == model);
 }
 
-// How fast the VM can take up the model; lower is faster.
+// Ranks how fast the VM can start the model; lower is faster.
 int StartupCost(const FreeVm& vm, const ModelId& model) {
   enum Cost { kLast, kAtHand, kLoading, kEmpty, kOtherWeights, kSlow };
   if (vm.slow) {
@@ -31,15 +31,15 @@
   if (vm.loading == model) {
     return kLoading;
   }
-  // Weights that another model needs are lost by a load.
+  // A load evicts weights that another model needs.
   return vm.at_hand.empty() && vm.loading.empty() ? kEmpty : kOtherWeights;
 }
 
-// Expected time that groups are down for want of the spare that would be the
-// next of its model: by how likely they lose a member, and how long a load
-// takes. Squared: the second spare helps only after a second loss. A group that
-// ends counts on: its place is waited for, the load better begins before it has
-// run what it has.
+// Relative expected downtime of a model's groups for want of one more spare:
+// proportional to how likely they lose a member and to how long a load takes.
+// The divisor is squared because a second spare helps only after a second loss.
+// A group that ends still counts: its successor is awaited, and the load should
+// begin before the group has finished its requests.
 double ExpectedDowntime(const PlannedDomain& domain,
                         const ModelProfile& model,
                         std::size_t spares) {
@@ -75,7 +75,7 @@
   Counts counts(profile.models.size(), 0);
   Counts best = counts;
   double best_worth = -1;
-  // Walks through all mixes that fit; models and groups of a domain are few.
+  // Enumerates all mixes that fit; a domain has few models and groups.
   while (true) {
     double worth = 0;
     for (std::size_t i = 0; i < counts.size(); ++i) {
@@ -123,7 +123,7 @@
   fleet.groups.assign(model_count, 0);
   fleet.awaited.assign(model_count, 0);
   fleet.wanted.assign(model_count, 0);
-  // One group of each model is the least to expect of a domain.
+  // A domain is expected to hold at least one group of each model.
   fleet.largest_domain = settings_.reserve_per_domain;
   for (const ModelProfile& model : profile.models) {
     fleet.largest_domain += model.group_size;
@@ -162,7 +162,7 @@
 GroupPlanner::Counts GroupPlanner::MixOfWhole(const EngineProfile& profile,
                                               std::size_t vms) const {
   const std::size_t reserve = std::min(settings_.reserve_per_domain, vms);
-  // Loads are over in the long run, whatever they take.
+  // In the long run all loads have ended, however long they take.
   const Counts all_at_hand(profile.models.size(), vms);
   const std::vector<double> no_fill(profile.models.size(), 0);
   return BestMix(profile, vms - reserve, no_fill, all_at_hand);
@@ -181,8 +181,9 @@
       });
   Counts mix(target.size(), 0);
   std::size_t left = domain.free.size();
-  // Largest first: small groups fit into what is left, but a large one does not
-  // fit any more once small ones have taken the first VMs that appeared.
+  // The largest groups come first: small groups fit into what is left, but a
+  // large one would not fit once small ones have taken the first VMs that
+  // appeared.
   for (const std::size_t i : by_size) {
     const ModelProfile& model = profile.models[i];
     std::size_t have = GroupsOf(domain, model.model);
@@ -210,8 +211,8 @@
         domain.free.begin(), domain.free.end(),
         [&](const FreeVm& vm) { return CanTakeUp(vm, model.model); })));
   }
-  // Where each group has to wait for a load, the waits decide nothing: a model
-  // with large weights would never get its first group.
+  // If every group has to wait for a load, the waiting times are ignored.
+  // Otherwise a model with large weights would never get its first group.
   if (std::all_of(at_hand.begin(), at_hand.end(),
                   [](std::size_t count) { return count == 0; })) {
     at_hand.assign(at_hand.size(), domain.free.size());
@@ -232,8 +233,8 @@
     const ModelProfile& model = profile.models[i];
     for (std::size_t n = 0; n < mix[i]; ++n) {
       const std::size_t left = domain.free.size() - model.group_size;
-      // One more than the fleet is meant to have must not cost the reserve, nor
-      // the VMs that a group which ends here is to be formed again of.
+      // A group beyond the fleet's target must not use the reserve, nor the VMs
+      // with which a group that ends here is to be formed again.
       if (fleet.groups[i] >= fleet.wanted[i] &&
           (left < settings_.reserve_per_domain || !domain.ending.empty())) {
         continue;
@@ -348,7 +349,8 @@
   if (fleet.vms <= 0 || profile.models.empty()) {
     return plan;
   }
-  // Whole domains first: they have the widest choice.
+  // Domains with the most free VMs come first, because they have the widest
+  // choice.
   std::stable_sort(domains.begin(), domains.end(),
                    [](const PlannedDomain& a, const PlannedDomain& b) {
                      return a.free.size() > b.free.size();
--- a/coordination/gateway/group_planner.h
+++ b/coordination/gateway/group_planner.h
@@ -11,43 +11,44 @@
 namespace gcw {
 
 struct GroupPlannerSettings {
-  // VMs of a domain that are better kept free for repairs than put into one
-  // more group: a repair with a staged spare takes seconds, a load many.
+  // Number of VMs of a domain that are kept free for repairs rather than put
+  // into one more group: a repair with a staged spare takes seconds, a load
+  // takes many.
   std::size_t reserve_per_domain = 1;
-  // How long a group is expected to serve as it is planned. One that waits for
-  // a load first is worth that much less.
+  // Expected lifetime of a new group. Time spent waiting for a load reduces the
+  // group's value in proportion.
   Duration expected_life = Duration::Seconds(30);
-  // A spare's weights are replaced by those of a model whose groups would be
-  // down for this many times as long for want of a spare. The load takes their
-  // place for its time, so a small gain is none.
+  // Minimum ratio of the expected downtimes for want of a spare at which a
+  // spare's weights are replaced by another model's. The load itself takes
+  // time, so a small gain does not pay.
   double least_restage_gain = 2;
-  // How long the VMs of a given-up group serve nobody until the next group
+  // How long the VMs of a given-up group serve no requests until the next group
   // opens.
   Duration regroup_time = Duration::Seconds(4);
-  // Part of a group's members that have to be free already before others are
-  // given up for it: the rest of a group that lost a member has them, and a
-  // whole domain is not turned over for a shortage that passes.
+  // Fraction of a group's members that have to be free already before other
+  // groups are given up for it. The rest of a group that lost a member meets
+  // it, while a temporary shortage does not regroup a whole domain.
   double min_free_part = 0.5;
-  // Hosts of VMs that serve get a larger model's weights where the domain has
-  // so many groups of theirs; with fewer, giving one up costs more than the
-  // wait for a load.
+  // Minimum number of a model's groups in a domain before the hosts of their
+  // members get a larger model's weights. With fewer groups, giving one up
+  // costs more than waiting for a load.
   std::int64_t min_standby_groups = 3;
 };
 
-// A VM that a group may be formed of.
+// A VM that can become a member of a group.
 struct FreeVm {
   VmId vm;
-  // Models that it can take up without a load.
+  // Models whose weights its host holds.
   std::vector<ModelId> at_hand;
-  // The model of its last group, which it takes up fastest; may be empty.
+  // The model of its last group, which starts fastest; may be empty.
   ModelId last_model;
-  // The model that is being loaded onto its host; may be empty.
+  // The model that its host is loading; may be empty.
   ModelId loading;
-  // Its group would run at its pace: taken last.
+  // Its group would run at its pace, so it is chosen last.
   bool slow = false;
 };
 
-// A group that serves, with what its members could take up instead.
+// A serving group and its usable members.
 struct StandingGroup {
   GroupId id;
   ModelId model;
@@ -55,46 +56,46 @@
   bool may_be_given_up = true;
 };
 
-// What is known of one fabric domain.
+// Planner input for one fabric domain.
 struct PlannedDomain {
   // Groups of a model that end and are to be formed again.
   struct Ending {
     std::size_t groups = 0;
-    // Their members that cannot take part in that.
+    // Members of these groups that cannot join the new ones.
     std::size_t lost = 0;
   };
 
   FabricDomainId domain;
   std::vector<FreeVm> free;
-  // VMs in groups that are or will be whole, by model.
+  // Groups that are open or being formed, by model.
   std::map<ModelId, std::size_t> groups;
   std::map<ModelId, Ending> ending;
   std::vector<StandingGroup> standing;
-  // The model that VMs of given-up groups were freed for; may be empty.
+  // The model for which groups were given up; may be empty.
   ModelId regroups_for;
-  // Groups that serve may be given up for those of another model.
+  // Whether serving groups may be given up for groups of another model.
   bool may_regroup = false;
-  // All VMs that live, in groups or not.
+  // All usable VMs, in groups or not.
   std::size_t vms = 0;
-  // VMs still appear, as after a start of the whole fleet.
+  // Whether VMs still appear, as after a start of the whole fleet.
   bool filling = false;
-  // Some VMs will be free in a moment: forming groups of the others already
-  // would leave no room for the large ones.
+  // Whether more VMs will be free shortly. Forming groups of the VMs that are
+  // free already could leave too few for a large group.
   bool unsettled = false;
 };
 
 struct PlannedGroup {
   FabricDomainId domain;
   ModelId model;
-  // In rank order.
+  // Members in rank order.
   std::vector<VmId> members;
 };
 
 enum class StagingPurpose {
-  // A spare gets the weights that a repair would need.
+  // A spare loads the weights that a repair would need.
   kSpare,
-  // The host of a VM that serves gets a larger model's weights, so that the VM
-  // can join a group of it without a load.
+  // The host of a serving VM loads a larger model's weights, so that the VM can
+  // join a group of that model without a load.
   kStandby,
 };
 
@@ -105,7 +106,7 @@
   StagingPurpose purpose = StagingPurpose::kSpare;
 };
 
-// Groups of one domain that are to be given up for those of another model.
+// Groups of one domain that are to be given up for a group of another model.
 struct Regrouping {
   FabricDomainId domain;
   ModelId model;
@@ -119,49 +120,53 @@
   std::vector<Regrouping> regroupings;
 };
 
-// Decides which groups to form of VMs that are free, over all domains of one
-// service, and which weights the VMs that stay free should hold. Groups follow
-// the models' parts of the work; a group never leaves its domain.
+// Plans which groups to form of free VMs, over all domains of one service, and
+// which weights the remaining free VMs should hold. The number of groups
+// follows the models' shares of the work; a group never spans domains.
 class GroupPlanner {
  public:
   explicit GroupPlanner(GroupPlannerSettings settings) : settings_(settings) {}
 
-  // Plans `domains`. `others` stay as they are and count only for how many
-  // groups the fleet has: planning costs in proportion to what changed.
+  // Plans `domains`. `others` stay unchanged and count only towards the fleet's
+  // number of groups, so that the cost of planning is proportional to what
+  // changed.
   GroupPlan Plan(const EngineProfile& profile,
                  std::vector<PlannedDomain> domains,
                  const std::vector<const PlannedDomain*>& others = {}) const;
 
  private:
-  // Numbers of groups, or of VMs, by model in the profile's order.
+  // Numbers of groups or VMs, by model in the profile's order.
   using Counts = std::vector<std::size_t>;
-  // What is known of all domains together.
+  // Totals over all domains.
   struct Fleet {
     double vms = 0;
-    // As many VMs as the largest domain has, at least one group of each model.
+    // Number of VMs of the largest domain, and at least enough for one group of
+    // each model and the reserve.
     std::size_t largest_domain = 0;
-    // Groups that there are, and that there would be if every domain were
-    // whole.
+    // Existing groups by model, and below the groups that would exist if every
+    // domain were complete.
     std::vector<double> groups;
-    // Groups that end and are about to be formed again.
+    // Groups that end and are about to be formed again, by model.
     std::vector<double> awaited;
     std::vector<double> wanted;
-    // Of domains that are whole, by their VMs: most domains have as many.
+    // Best mix of a complete domain, by its number of VMs. Most domains have
+    // the same number.
     std::map<std::size_t, Counts> whole_mixes;
   };
 
   Fleet Survey(const EngineProfile& profile,
                const std::vector<const PlannedDomain*>& domains) const;
-  // What a domain with that many VMs would have if they were all free.
+  // Returns the mix of a domain with this number of VMs, all of them free.
   Counts MixOfWhole(const EngineProfile& profile, std::size_t vms) const;
-  // How many groups of each model so many VMs would best form, when the fleet
-  // has `fill` of each model's part already and so many of the VMs have each
-  // model's weights.
+  // Returns the most valuable numbers of groups of each model that `vms` VMs
+  // can form. `fill` is the fraction of each model's share that the fleet
+  // already covers; `at_hand` is the number of the VMs that can start each
+  // model without a load.
   Counts BestMix(const EngineProfile& profile,
                  std::size_t vms,
                  const std::vector<double>& fill,
                  const Counts& at_hand) const;
-  // What to form already while a domain's VMs still appear.
+  // Returns the groups to form while a domain's VMs still appear.
   Counts MixOfFilling(const EngineProfile& profile,
                       const PlannedDomain& domain,
                       const Counts& target) const;
@@ -178,16 +183,16 @@
                         PlannedDomain& domain,
                         Fleet& fleet,
                         GroupPlan& plan);
-  // Forms the group that the domain's VMs were freed for.
+  // Forms the group for which the domain's groups were given up.
   static void FormAwaited(const EngineProfile& profile,
                           PlannedDomain& domain,
                           Fleet& fleet,
                           GroupPlan& plan);
-  // What it takes to form a group of one model by giving up some of another.
+  // Groups of one model to give up for a group of another, and the gain.
   struct RegroupingChoice {
     std::vector<GroupId> given_up;
-    // Part of the fleet's worth, less the interruption; not above zero where
-    // it does not pay.
+    // Gain in the fleet's value, less the cost of the interruption. A
+    // regrouping pays only if this is positive.
     double gain = 0;
   };
   RegroupingChoice WeighRegrouping(const EngineProfile& profile,
@@ -195,20 +200,21 @@
                                    const Fleet& fleet,
                                    std::size_t from,
                                    std::size_t to) const;
-  // The regrouping that serves the fleet most beyond its cost; absent where
-  // none does.
+  // Returns the regrouping with the highest gain, or nothing if none pays.
   std::optional<Regrouping> FindRegrouping(const EngineProfile& profile,
                                            const PlannedDomain& domain,
                                            const Fleet& fleet) const;
-  // Counts the regrouping as carried out.
+  // Updates the fleet's totals as if the regrouping were complete.
   static void CountAsDone(const EngineProfile& profile,
                           const Regrouping& change,
                           Fleet& fleet);
-  // Gives the hosts of VMs that serve the weights of a larger model.
+  // Plans standby loads of a larger model's weights on the hosts of serving
+  // VMs.
   void StageStandby(const EngineProfile& profile,
                     const PlannedDomain& domain,
                     GroupPlan& plan) const;
-  // Has one spare load other weights where those are missed far more.
+  // Plans to replace one spare's weights if another model needs a spare far
+  // more.
   void RestageSpare(const EngineProfile& profile,
                     const PlannedDomain& domain,
                     const Counts& spares,
--- a/coordination/gateway/group_planner_regrouping.cc
+++ b/coordination/gateway/group_planner_regrouping.cc
@@ -1,5 +1,5 @@
-// Which groups are given up for those of another model, and the weights that
-// make such a change quick.
+// Decides which groups are given up for groups of another model, and which
+// weights are loaded in advance to make such a change quick.
 
 #include <algorithm>
 #include <cstdint>
@@ -12,7 +12,7 @@
 namespace gcw {
 namespace {
 
-// Worth of so many groups of the model in a fleet of so many VMs.
+// Value of `groups` groups of the model in a fleet of `vms` VMs.
 double WorthOfGroups(const ModelProfile& model, double groups, double vms) {
   const double share = ShareOf(model);
   return WorthOf(
@@ -25,7 +25,8 @@
       [&](const FreeVm& vm) { return !vm.slow && CanTakeUp(vm, model); }));
 }
 
-// Groups of the model, those whose members can take up `wanted` first.
+// Returns the model's groups that may be given up, sorted by descending number
+// of members that can start `wanted` without a load.
 std::vector<const StandingGroup*> DonorsOf(const PlannedDomain& domain,
                                            const ModelId& model,
                                            const ModelId& wanted) {
@@ -43,8 +44,8 @@
   return donors;
 }
 
-// The model with the fewest holders for its size among those with larger groups
-// than `than`; null where there is none.
+// Returns the model with the fewest holders for its group size among the models
+// with larger groups than `than`, or null if there is none.
 const ModelProfile* ScarcestLarger(
     const EngineProfile& profile,
     const ModelProfile& than,
@@ -63,7 +64,7 @@
   return scarcest;
 }
 
-// VMs in serving groups whose hosts hold each model's weights.
+// Counts the VMs in serving groups whose hosts hold each model's weights.
 std::map<ModelId, std::size_t> CountHolders(const EngineProfile& profile,
                                             const PlannedDomain& domain) {
   std::map<ModelId, std::size_t> holders;
@@ -78,7 +79,7 @@
   return holders;
 }
 
-// Whether its host may load other weights than those that its engine runs.
+// Whether the VM's host may load other weights than those that its engine runs.
 bool MayHoldStandby(const FreeVm& vm, const ModelId& runs) {
   const bool holds_another =
       std::any_of(vm.at_hand.begin(), vm.at_hand.end(),
@@ -103,14 +104,15 @@
 }
 
 // A domain whose large group lost a member has too few free VMs for another
-// one; small groups formed of them would leave the large model without groups
-// for good, while the small one has plenty. The gain is weighed over the whole
-// fleet, against the time that the given-up groups' VMs serve nobody.
+// one. Small groups formed of them would leave the large model permanently
+// without groups, while the small model has plenty. The gain is computed over
+// the whole fleet and compared with the time during which the given-up groups'
+// VMs serve no requests.
 std::optional<Regrouping> GroupPlanner::FindRegrouping(
     const EngineProfile& profile,
     const PlannedDomain& domain,
     const Fleet& fleet) const {
-  // VMs of a group that ends will be free in a moment.
+  // The VMs of a group that ends will be free shortly.
   if (!domain.may_regroup || domain.filling || !domain.ending.empty() ||
       !domain.regroups_for.empty()) {
     return std::nullopt;
@@ -119,7 +121,7 @@
   double best_gain = 0;
   for (std::size_t to = 0; to < profile.models.size(); ++to) {
     for (std::size_t from = 0; from < profile.models.size(); ++from) {
-      // Smaller groups find room in what is left anyway.
+      // Smaller groups fit into the remaining free VMs anyway.
       if (profile.models[to].group_size <= profile.models[from].group_size) {
         continue;
       }
@@ -189,7 +191,7 @@
   return choice;
 }
 
-// Other domains must not do the same for the same shortage.
+// Other domains must not regroup for the same shortage.
 void GroupPlanner::CountAsDone(const EngineProfile& profile,
                                const Regrouping& change,
                                Fleet& fleet) {
@@ -202,9 +204,10 @@
   }
 }
 
-// What an engine runs it takes up again without its host, so a host that holds
-// the same weights helps nobody. Members of large groups keep theirs: small
-// groups formed at once of what a lost large one leaves would take its place.
+// An engine restarts the model that it runs without its host's weights, so the
+// same weights on the host have no use. Members of large groups keep theirs: if
+// a large group is lost, small groups formed at once of the remaining VMs would
+// take its place.
 void GroupPlanner::StageStandby(const EngineProfile& profile,
                                 const PlannedDomain& domain,
                                 GroupPlan& plan) const {
--- a/coordination/gateway/load_pacer.h
+++ b/coordination/gateway/load_pacer.h
@@ -9,47 +9,50 @@
 namespace gcw {
 
 struct LoadPacerSettings {
-  // Part of the weight store's published rate that is used: orders that are
-  // carried out late come together with later ones.
+  // Fraction of the weight store's published rate that is used. The margin
+  // allows for orders that are carried out late and coincide with later ones.
   double rate_share = 0.75;
-  // Loads that may begin together, beyond the rate.
+  // Number of loads that may begin together, beyond the rate.
   double burst = 3;
-  // Loads under way at once, as a multiple of what the weight store serves at
-  // full speed: each further one slows all the others.
+  // Maximum number of concurrent loads, as a multiple of what the weight store
+  // serves at full speed. Each load beyond that slows all the others.
   double most_at_once = 1.25;
-  // A load that has shown no result by this multiple of its time is over.
+  // A load without a result after this multiple of its expected time counts as
+  // ended.
   double patience = 3;
-  // Part of the loads at once beyond which no standby load begins.
+  // Fraction of the maximum number of concurrent loads beyond which no standby
+  // load begins.
   double max_standby_share = 0.5;
 };
 
 enum class LoadNeed {
-  // A group or a spare waits for it.
+  // A group or a spare waits for the load.
   kNow,
-  // Begins only where it holds up no load that is needed now.
+  // The load begins only if it delays no load that is needed now.
   kStandby,
 };
 
-// Spreads loads from the weight store over time: starts beyond its rate are
-// refused or slowed there for everybody.
+// Limits the rate and the concurrency of loads from the weight store, which
+// refuses or slows loads beyond its rate for all VMs.
 class LoadPacer {
  public:
   explicit LoadPacer(const LoadPacerSettings& settings) : settings_(settings) {}
 
   void SetProfile(const EngineProfile& profile);
-  // Before the first request loads are quick and count against no rate.
+  // Starts the limits. Before the first request, loads are quick and do not
+  // count against the rate.
   void OnTraffic() { has_traffic_ = true; }
   bool has_traffic() const { return has_traffic_; }
 
-  // Whether a load on that VM may begin now; notes it where so.
+  // Whether a load on the VM may begin now; if so, records it as running.
   bool Begin(Time now,
              const VmId& vm,
              Duration load_time,
              LoadNeed need = LoadNeed::kNow);
-  // The VM's load ended, or the VM is gone.
+  // Records that the VM's load ended or that the VM is gone.
   void End(const VmId& vm) { running_.erase(vm); }
   bool IsLoading(const VmId& vm) const { return running_.contains(vm); }
-  // VMs whose loads are under way.
+  // Returns the VMs whose loads are running.
   std::vector<VmId> Running() const;
   void Tick(Time now);
 
@@ -60,7 +63,7 @@
   bool has_traffic_ = false;
   double balance_ = 0;
   Time refilled_;
-  // With the time at which each is taken to be over.
+  // When each running load counts as ended, by VM.
   std::map<VmId, Time> running_;
 };
 
--- a/coordination/gateway/model_demand.h
+++ b/coordination/gateway/model_demand.h
@@ -8,31 +8,32 @@
 namespace gcw {
 
 struct ModelDemandSettings {
-  // Time constant of the mean over the loads that engines report: long enough
-  // that a short burst does not move groups between models.
+  // Time constant of the exponential moving average of the loads that engines
+  // report. It is long enough that a short burst does not move groups between
+  // models.
   Duration memory = Duration::Seconds(4);
-  // A model whose engines are this full on average, as a multiple of what they
-  // run at once, is short of groups: its share grows in proportion. Below it
-  // the configured shares hold, since a group that is half empty still gives
-  // its model short waits.
+  // Average utilization, as a multiple of the requests that an engine runs at
+  // once, above which a model is short of groups and its share grows in
+  // proportion. Below it the configured shares apply, since a half-empty group
+  // still keeps its model's waits short.
   double shortage_fill = 0.7;
-  // A share grows to this multiple at most.
+  // Maximum factor by which a share grows before all shares are normalized.
   double max_growth = 4;
 };
 
-// Corrects the models' configured shares of the work where engines show that
-// one is short of groups. The mix of requests changes over the day, and the
-// configured shares are those of the start.
+// Corrects the models' configured shares of the work when engines show that a
+// model is short of groups. The mix of requests changes over the day, while the
+// configured shares describe the start.
 class ModelDemand {
  public:
   explicit ModelDemand(ModelDemandSettings settings) : settings_(settings) {}
 
-  // A group of the model has so many requests, running and waiting, as a
-  // multiple of what its engine runs at once.
+  // Records a group's running and waiting requests, as a multiple of the
+  // requests that its engine runs at once.
   void OnFill(Time now, const ModelId& model, double fill);
 
-  // The profile with corrected shares. A model whose engines were not heard
-  // from keeps its configured one.
+  // Returns the profile with corrected shares that add up to 1. A model without
+  // reports keeps its configured share before the normalization.
   EngineProfile ApplyTo(const EngineProfile& profile) const;
 
  private:
--- a/coordination/gateway/planner_measures.h
+++ b/coordination/gateway/planner_measures.h
@@ -9,12 +9,13 @@
 
 namespace gcw {
 
-// What the planner measures VMs, groups and models by.
+// Measures of VMs, groups and models that the planner uses.
 
-// A model with no work yet still gets a group where there is room.
+// Minimum share of the work, so that a model without work still gets a group if
+// there is room.
 inline constexpr double kMinShare = 0.01;
 
-// Whether its host holds the model's weights.
+// Whether the VM's host holds the model's weights.
 inline bool HasAtHand(const FreeVm& vm, const ModelId& model) {
   return std::find(vm.at_hand.begin(), vm.at_hand.end(), model) !=
          vm.at_hand.end();
@@ -29,8 +30,8 @@
   return std::max(kMinShare, model.work_share);
 }
 
-// Worth of having `fill` times the VMs that a model's part of the work calls
-// for: each further group of one model is worth less than the one before.
+// Value of covering a model's share of the work `fill` times. Each further
+// group of a model is worth less than the one before.
 inline double WorthOf(double share, double fill) {
   return share * (1 - std::exp(-fill));
 }
