--- a/coordination/gateway/group_planner.h
+++ b/coordination/gateway/group_planner.h
@@ -18,9 +18,9 @@
   // Expected lifetime of a new group. Time spent waiting for a load reduces the
   // group's value in proportion.
   Duration expected_life = Duration::Seconds(30);
-  // Minimum ratio of the expected downtimes for want of a spare at which a
-  // spare's weights are replaced by another model's. The load itself takes
-  // time, so a small gain does not pay.
+  // A spare's weights are replaced only if another model's groups would be down
+  // for more than this many times as long for want of a spare. The load itself
+  // takes time, so a small gain does not pay.
   double least_restage_gain = 2;
   // How long the VMs of a given-up group serve no requests until the next group
   // opens.
@@ -146,7 +146,8 @@
     // Existing groups by model, and below the groups that would exist if every
     // domain were complete.
     std::vector<double> groups;
-    // Groups that end and are about to be formed again, by model.
+    // Groups that are about to be formed, by model: successors of groups that
+    // end, or groups for which others were given up.
     std::vector<double> awaited;
     std::vector<double> wanted;
     // Best mix of a complete domain, by its number of VMs. Most domains have
--- a/tests/coordination/gateway/fleet_keeper_terms_test.cc
+++ b/tests/coordination/gateway/fleet_keeper_terms_test.cc
@@ -10,8 +10,8 @@
 namespace gcw {
 namespace {
 
-// One keeper that is given its role and its view by hand, before a store whose
-// answers come at once.
+// A keeper with a manually assigned role and view, and a store that replies at
+// once.
 class FleetKeeperTermsTest : public testing::Test {
  protected:
   FleetKeeperTermsTest()
@@ -114,13 +114,11 @@
   FleetKeeper keeper_;
 };
 
-// Symptom: requests run in a group one of whose members is no part of it: it is
-// ready in a group of the same name and generation with other members.
-// Sequence: the key-value service gives no answer for longer than the keeper's
-// lease reaches; it keeps leases meanwhile, so the keeper has its role again
-// with the same fencing number once it is back, and plans groups. Cause: the
-// numbers of groups began anew with each time that the role was held, not with
-// each fencing number.
+// Guards against two groups with the same name and generation but different
+// members, so that requests run in a group without one of its members. The
+// key-value service is unavailable for longer than the keeper's lease but keeps
+// leases meanwhile, so the keeper gets its role back with the same fencing
+// number. Group numbers start over only with a new fencing number.
 TEST_F(FleetKeeperTermsTest, ARoleThatIsHeldAgainNamesNoGroupTwice) {
   AddDomain("a");
   Run(Duration::Seconds(3), Role());
--- a/tests/coordination/gateway/fleet_keeper_test.cc
+++ b/tests/coordination/gateway/fleet_keeper_test.cc
@@ -10,7 +10,7 @@
 
 constexpr Duration kSecond = Duration::Seconds(1);
 
-// A fleet whose groups are all open, with requests on their way.
+// A fleet whose groups are all open, with requests under way.
 class FleetKeeperTest : public testing::Test {
  protected:
   FleetKeeperTest() : world_(3, 2, 11, 7) {
@@ -18,7 +18,7 @@
       return world_.open_groups("large") == 2 &&
              world_.open_groups("small") == 2;
     }));
-    // Spares take their weights up.
+    // Gives the spares time to load their weights.
     world_.Run(Duration::Seconds(3));
     world_.traffic = true;
     world_.Run(kSecond);
@@ -41,10 +41,9 @@
   ExpectNoViolation();
 }
 
-// Symptom: VMs of a domain all in groups of the small model, the large model
-// with too few. Sequence: VMs of a domain register one after another within two
-// seconds; as soon as three are there, a small group takes them. Cause: the
-// plan was made for the VMs seen so far.
+// Guards against a plan made only for the VMs seen so far: the VMs of a domain
+// register one after another within two seconds, small groups take the first
+// three at once, and the large model gets too few groups.
 TEST(FleetKeeperStartTest, LargeGroupsGetTheirVmsAlthoughSmallOnesFitFirst) {
   GatewayWorld world(3, 1, 3, 11);
   world.Run(Duration::Millis(700));
@@ -58,10 +57,9 @@
   EXPECT_TRUE(world.violations().empty());
 }
 
-// Symptom: a group stands still for seconds after one of its VMs died, while
-// its first member takes requests. Sequence: a member dies; nothing is
-// reported; its registration lapses 3.6 s later. Cause: only the streams show
-// it before.
+// Guards against a group that stalls for seconds after a member died while its
+// first member still takes requests. Nothing reports the death, and the
+// registration lapses only 3.6 s later; until then only the streams show it.
 TEST_F(FleetKeeperTest, RepairsAGroupWithASpareSoonAfterAMembersDeath) {
   const VmId head = world_.OpenHead("large");
   world_.Kill(world_.MembersOf(head)[3]);
@@ -74,9 +72,9 @@
   ExpectNoViolation();
 }
 
-// Symptom: the members of a group whose first one died stay unused. Sequence:
-// the first member dies, so nobody can have it leave. Cause: its members were
-// thought bound to it until its end was certain; each can leave by itself.
+// Guards against members that stay unused after their group's first member
+// died. Nobody can order that one to leave, but each of the others can leave on
+// its own.
 TEST_F(FleetKeeperTest, RepairsAGroupWhoseFirstMemberDied) {
   world_.Kill(world_.OpenHead("large"));
   const Time died = world_.now();
@@ -87,11 +85,11 @@
   ExpectNoViolation();
 }
 
-// Symptom: a VM is in two groups, and requests run in an engine that lost a
-// part. Sequence: the first member of a group is cut off from the key-value
-// service and from all nodes, its registration lapses, the members are given to
-// other groups, the cut heals and the first member is open still. Cause:
-// silence was taken for an end.
+// Guards against a VM in two groups, with requests running in an engine that
+// lost a member: a first member is cut off from the key-value service and all
+// nodes, its registration lapses, the members join other groups, and after the
+// cut heals the first member is still open. Silence does not prove that a group
+// has ended.
 TEST_F(FleetKeeperTest, MembersOfACutOffFirstMemberLeaveBeforeTheyJoinAnother) {
   const VmId head = world_.OpenHead("small");
   world_.Cut(head, true);
@@ -102,10 +100,9 @@
   EXPECT_EQ(world_.open_groups("small"), 2U);
 }
 
-// Symptom: groups that served on are closed, and each waits for a load.
-// Sequence: a member loses its path to the key-value service only; its
-// registration lapses; its group goes on. Cause: a lapsed registration was
-// taken for a lost member.
+// Guards against closing a group that still serves, which costs a load: a
+// member that loses only its path to the key-value service lets its
+// registration lapse, but its group continues.
 TEST_F(FleetKeeperTest, KeepsAGroupThatGoesOnWithoutAMembersRegistration) {
   const VmId head = world_.OpenHead("large");
   const VmId member = world_.MembersOf(head)[2];
@@ -119,13 +116,13 @@
   ExpectNoViolation();
 }
 
-// Symptom: a group of six waits 16 s for one load. Sequence: no spare has the
-// weights; a load is ordered; a VM that has them comes back one second later.
-// Cause: a plan once made was not looked at again.
+// Guards against a group of six that waits 16 s for a load although a VM with
+// the weights comes back one second after the load was ordered. Plans have to
+// be revised.
 TEST_F(FleetKeeperTest, TakesAVmWithTheWeightsInsteadOfWaitingForALoad) {
   const VmId head = world_.OpenHead("large");
   const VmId member = world_.MembersOf(head)[2];
-  // No spare of the domain has the large model's weights.
+  // Leaves the domain without a spare that has the large model's weights.
   for (auto& [id, engine] : world_.engines()) {
     if (engine.self.domain == world_.engine(head).self.domain &&
         !engine.self.membership) {
@@ -147,10 +144,10 @@
   ExpectNoViolation();
 }
 
-// Symptom: a load of 16 s begins anew each time that another member of the
-// group is lost, and the weight store counts both. Sequence: no spare has the
-// weights and a VM loads them; the group is given up for a better member while
-// it does. Cause: the load belonged to the join, and ended with it.
+// Guards against a load of 16 s that starts again each time another member of
+// the group is lost, while the weight store counts both loads. A load that is
+// part of a join ends when the group is given up; a load onto the host
+// continues.
 TEST_F(FleetKeeperTest, ALoadGoesOnWhenItsGroupIsGivenUp) {
   const VmId head = world_.OpenHead("large");
   const FabricDomainId domain = world_.engine(head).self.domain;
@@ -177,9 +174,9 @@
   ExpectNoViolation();
 }
 
-// Symptom: a new VM waits for one and a half seconds before it loads weights.
-// Sequence: it comes to a domain that serves. Cause: each VM that came was
-// taken for the start of a domain, in which the next ones are waited for.
+// Guards against a VM that waits one and a half seconds before it loads
+// weights, because its arrival in a serving domain is taken for the start of
+// the domain.
 TEST_F(FleetKeeperTest, AVmThatComesToADomainThatServesLoadsAtOnce) {
   world_.AddEngine("d0", "fresh");
   EXPECT_TRUE(world_.RunUntil(Duration::Seconds(1), [this] {
@@ -187,9 +184,9 @@
   }));
 }
 
-// Symptom: a group is taken for whole though one member knows nothing of it.
-// Sequence: a member crashes and starts again under its id before its
-// registration lapses. Cause: the id was taken for the run.
+// Guards against treating a restarted VM as the same run: a member crashes and
+// starts again under its id before its registration lapses, and knows nothing
+// of its group.
 TEST_F(FleetKeeperTest, AMemberThatStartsAgainUnderItsIdIsTakenUpAgain) {
   const VmId head = world_.OpenHead("large");
   const VmId member = world_.MembersOf(head)[3];
@@ -201,10 +198,10 @@
   ExpectNoViolation();
 }
 
-// Symptom: group after group waits for a VM that is gone. Sequence: a VM is cut
-// off from the key-value service, crashes and starts again under another id; a
-// heartbeat of the first run, held up until then, puts its registration back.
-// Cause: an order that reached another run was sent again and again.
+// Guards against groups that wait for a VM that is gone: a VM is cut off from
+// the key-value service, crashes and starts again under another id, and a
+// delayed heartbeat of the first run restores its registration. Orders to it
+// reach the new run, and sending them again does not help.
 TEST_F(FleetKeeperTest, AVmWhoseAddressAnotherRunHasIsPutIntoNoGroup) {
   const VmId head = world_.OpenHead("large");
   const std::vector<VmId> members = world_.MembersOf(head);
@@ -232,9 +229,8 @@
   ExpectNoViolation();
 }
 
-// Symptom: a VM serves nobody. Sequence: something writes an entry into its
-// place that cannot be read; later its own heartbeat is back. Cause: one bad
-// entry hid the VM for good, or all others with it.
+// Guards against one unreadable entry in the key-value service that permanently
+// hides a VM, or all other VMs with it.
 TEST_F(FleetKeeperTest, GroupsServeOnBesideEntriesThatCannotBeRead) {
   const VmId head = world_.OpenHead("large");
   world_.WriteEntry("vm/stranger", "no registration");
@@ -246,8 +242,8 @@
   ExpectNoViolation();
 }
 
-// Symptom: no group is repaired any more. Sequence: the keeper's node is
-// killed, then a VM dies. Cause: the role was not taken by another node.
+// Guards against repairs that end with the keeper's node: another node has to
+// take the role.
 TEST_F(FleetKeeperTest, AnotherNodeRepairsAfterTheKeepersDeath) {
   const std::size_t keeper = world_.keeper().value();
   world_.KillNode(keeper);
@@ -259,9 +255,9 @@
   ExpectNoViolation();
 }
 
-// Symptom: a VM is torn out of the group that it serves. Sequence: orders get
-// no answer and are carried out seconds later, after the VM was given to
-// another group. Cause: generations did not grow from order to order.
+// Guards against delayed orders that remove a VM from its current group: orders
+// get no answer and are carried out seconds later, after the VM joined another
+// group. Generations have to grow from order to order.
 TEST_F(FleetKeeperTest, LateOrdersDoNotUndoNewerOnes) {
   const VmId head = world_.OpenHead("large");
   for (const VmId& member : world_.MembersOf(head)) {
@@ -280,9 +276,9 @@
   ExpectNoViolation();
 }
 
-// Symptom: after the whole fleet was killed at once, nothing serves. Sequence:
-// all nodes die and start again; groups are open all the while. Cause: what a
-// keeper knew was lost with it; the records and the registrations say it again.
+// Guards against a fleet that does not serve after all nodes were killed and
+// started again while groups stayed open. A new keeper recovers the state from
+// the records and the registrations.
 TEST_F(FleetKeeperTest, GroupsServeOnAfterAllNodesWereKilled) {
   for (std::size_t i = 0; i < world_.node_count(); ++i) {
     world_.KillNode(i);
@@ -300,17 +296,13 @@
   ExpectNoViolation();
 }
 
-// Symptom: a group is closed and formed anew of the same VMs every second, and
-// its streams are cut each time. Sequence: a member works ten times slower than
-// it should; events come half a second apart; nodes say that the group stands
-// still. Cause: silence was taken for a loss although every member answered.
-// Symptom: a group that is only full is closed, and every stream that it runs
-// is cut. Sequence: a node says that it stands still; the keeper's node has no
-// stream there. Cause: the keeper took what it did not see for what is not.
+// Guards against closing a group that is only full, which cuts all its streams:
+// a node reports it as stalled, and the keeper's node has no stream there that
+// would show its progress.
 TEST_F(FleetKeeperTest, AGroupThatGoesOnForOtherNodesIsNotClosed) {
   const std::size_t keeper = *world_.keeper();
   world_.idle_nodes.insert(keeper);
-  // Its own streams end.
+  // Lets the streams of the keeper's node end.
   world_.Run(Duration::Seconds(3));
   const VmId head = world_.OpenHead("large");
   const Generation before = world_.engine(head).self.membership->generation;
@@ -319,26 +311,25 @@
   ASSERT_TRUE(world_.engine(head).self.membership.has_value());
   EXPECT_EQ(world_.engine(head).self.membership->generation, before);
   EXPECT_GT(world_.progress_questions, 0);
-  // Nobody is asked for ever.
+  // The keeper stops asking once it has decided.
   const int asked = world_.progress_questions;
   world_.Run(Duration::Seconds(2));
   EXPECT_EQ(world_.progress_questions, asked);
   ExpectNoViolation();
 }
 
-// Symptom: VMs join a second group while the first member of their old one, cut
-// off, still serves it. Sequence: the keeper takes that first member for lost
-// and has the others leave, but does not reach the key-value service any more;
-// the next keeper finds the old group in its record. Cause: it had them join
-// the old group again, and then took their registrations, older than that, for
-// a sign that they had left.
+// Guards against VMs that join a second group while the cut-off first member of
+// their old group still serves it. A keeper orders the other members to leave
+// but loses the key-value service. The next keeper finds the old group in the
+// record, orders the members to join it again, and must not take their older
+// registrations as proof that they left.
 TEST_F(FleetKeeperTest, MembersThatAnEarlierKeeperFreedAreNotTakenTwice) {
   const VmId head = world_.OpenHead("large");
   for (const VmId& member : world_.MembersOf(head)) {
     world_.engine(member).report_delay = Duration::Millis(400);
   }
   world_.Cut(head, true);
-  // The keeper has begun to ask the members by then.
+  // By then the keeper has begun to probe the members.
   world_.Run(Duration::Millis(500));
   world_.node(*world_.keeper()).store_cut = true;
   world_.Run(Duration::Seconds(8));
@@ -372,12 +363,11 @@
   ExpectNoViolation();
 }
 
-// Symptom: more loads begin in five seconds than the weight store allows.
-// Sequence: VMs of a domain are replaced one by one; the group of one that
-// leaves is formed of fresh VMs, then given up for members that become free
-// with the weights at hand, and so on by turns, every 20 ms. Cause: the next
-// group was planned before the members of the one just given up had said that
-// they left.
+// Guards against more loads within five seconds than the weight store allows.
+// While VMs of a domain are replaced one by one, a group is formed of fresh VMs
+// and given up for members that become free with the weights at hand, in turns
+// every 20 ms, if it is planned before the members of the previous group
+// confirmed that they left.
 TEST_F(FleetKeeperTest, GroupsAreNotGivenUpForEachOtherByTurns) {
   const VmId head = world_.OpenHead("small");
   const FabricDomainId domain = world_.engine(head).self.domain;
@@ -401,11 +391,16 @@
   for (const auto& [id, engine] : world_.engines()) {
     joins += engine.self.domain == domain ? engine.joins : 0;
   }
-  // Nine at the start; the new group, and once more for better members.
+  // Nine joins at the start, three for the new group, and three more for better
+  // members.
   EXPECT_LE(joins, 9 + 3 + 3);
   ExpectNoViolation();
 }
 
+// Guards against a group that is closed and formed again of the same VMs every
+// second, which cuts its streams each time: a member runs ten times too slowly,
+// its events come half a second apart, and nodes report the group as stalled
+// although every member answers.
 TEST_F(FleetKeeperTest, ASlowGroupIsNotFormedAnewOfTheSameVms) {
   const VmId head = world_.OpenHead("large");
   for (auto& [id, engine] : world_.engines()) {
@@ -432,7 +427,8 @@
   ExpectNoViolation();
 }
 
-// A planned leave closes the group, lets it finish, and forms it anew.
+// A group with a draining member is closed, finishes its requests, and is
+// formed again.
 TEST_F(FleetKeeperTest, AMemberThatLeavesByPlanIsReplaced) {
   const VmId head = world_.OpenHead("small");
   world_.Drain(world_.MembersOf(head)[1]);
@@ -448,9 +444,9 @@
   ExpectNoViolation();
 }
 
-// Kills, cuts, late orders, outages of the service and of nodes in random order
-// never put a VM into a second group while the first one serves, nor open a
-// group without one of its members.
+// Kills, cuts, delayed orders and outages of the key-value service and of
+// nodes, in random order, never put a VM into a second group while the first
+// one serves, and never open a group without one of its members.
 RC_GTEST_PROP(FleetKeeperProperty, OneGroupPerVmAndOnlyWholeGroupsOpen, ()) {
   GatewayWorld world(3, 2, 11, *rc::gen::inRange<std::uint64_t>(1, 1000000));
   world.Run(Duration::Seconds(5));
--- a/tests/coordination/gateway/fleet_size_test.cc
+++ b/tests/coordination/gateway/fleet_size_test.cc
@@ -27,7 +27,7 @@
   GatewayWorld world_;
 };
 
-// Guards against decisions that come late for want of processor time while a
+// Guards against decisions that are late for lack of processor time while a
 // larger node is idle.
 TEST_F(KeeperPlaceTest, TheKeeperHandsItsRoleToALargerNode) {
   const std::size_t larger = OtherThan(world_.keeper().value());
@@ -52,8 +52,8 @@
   EXPECT_EQ(world_.keeper(), largest);
 }
 
-// Guards against a fleet without a keeper because the node that the role is
-// handed to is about to end.
+// Guards against a fleet without a keeper because the node that would take over
+// the role is about to stop.
 TEST_F(KeeperPlaceTest, ARoleIsNotHandedToANodeThatLeaves) {
   const std::size_t keeper = world_.keeper().value();
   const std::size_t larger = OtherThan(keeper);
--- a/tests/coordination/gateway/group_planner_test.cc
+++ b/tests/coordination/gateway/group_planner_test.cc
@@ -51,9 +51,9 @@
   EXPECT_EQ(plan.stagings.size(), 12U);
 }
 
-// Symptom: at the start of a fleet a model with large weights gets no group.
-// Cause: the wait for its load was held against it, though no VM has any
-// weights yet and each group has to wait for some.
+// Guards against a model with large weights that gets no group at the start of
+// a fleet because of its long load, although no VM has any weights yet and
+// every group has to wait for a load.
 TEST(GroupPlannerTest, ALongLoadCostsAModelNoGroupAtTheStart) {
   EngineProfile profile = Profile();
   profile.models[0].load_time = Duration::Seconds(60);
@@ -85,10 +85,9 @@
   EXPECT_EQ(std::count(members.begin(), members.end(), VmId("other")), 0);
 }
 
-// Symptom: a group is formed and given up by turns, some forty times a second.
-// Sequence: a spare loads weights while another holds them; the group is formed
-// with the one that loads, then given up for the one that holds them. Cause: a
-// load under way counted as weights at hand.
+// Guards against a group that is formed and given up in turns, some forty times
+// a second: if a load under way counts as weights at hand, the group is formed
+// with a spare that loads and then given up for a spare that holds the weights.
 TEST(GroupPlannerTest, WeightsAtHandGoBeforeALoadUnderWay) {
   PlannedDomain domain = Domain("a", 5, "large");
   domain.free.push_back({VmId("loads"), {}, ModelId(), ModelId("large")});
@@ -101,9 +100,9 @@
   EXPECT_EQ(std::count(members.begin(), members.end(), VmId("loads")), 0);
 }
 
-// Symptom: a spare is meant for one model and for the other by turns, and taken
-// into a group whose weights it does not get. Cause: the plan did not know of
-// the load that the one before had begun.
+// Guards against a spare that is assigned to the two models in turns and joins
+// a group whose weights it does not load. The plan has to know of loads that an
+// earlier plan began.
 TEST(GroupPlannerTest, ALoadUnderWayIsNotPlannedAgain) {
   PlannedDomain domain = Domain("a", 0);
   domain.free.push_back({VmId("loads"), {}, ModelId(), ModelId("large")});
@@ -116,9 +115,9 @@
   EXPECT_EQ(plan.stagings.front().model, ModelId("small"));
 }
 
-// Symptom: a large group's members, free for a moment, are loaded anew for two
-// small groups, and serve after seconds rather than at once. Cause: the plan
-// did not count the loads.
+// Guards against a plan that ignores load times: the free members of a large
+// group load weights for two small groups and serve after seconds, although
+// they could form a large group at once.
 TEST(GroupPlannerTest, WeightsAtHandDecideBetweenModels) {
   PlannedDomain domain = Domain("a", 6, "large");
   domain.groups = {{ModelId("small"), 1}};
@@ -131,10 +130,10 @@
   EXPECT_EQ(CountOf(plan, "small"), 0U);
 }
 
-// Symptom: a large group that loses a second member is down for 16 s although
-// its domain has a spare. Sequence: the spare with the large model's weights
-// took a lost member's place; the one that is left holds the small model's.
-// Cause: only hosts without any weights were told to load some.
+// Guards against a large group that is down for 16 s after it loses a second
+// member although its domain has a spare: the spare with the large model's
+// weights replaced the first member, and the remaining spare holds the small
+// model's weights. Such a spare has to replace its weights.
 TEST(GroupPlannerTest, ASpareLoadsTheWeightsThatAreMissedFarMore) {
   PlannedDomain domain = Domain("a", 1, "small");
   domain.groups = {{ModelId("large"), 1}, {ModelId("small"), 1}};
@@ -145,7 +144,8 @@
 }
 
 TEST(GroupPlannerTest, ASpareKeepsWeightsThatAreMissedAsMuch) {
-  // The only spare of the model that loses members more often, and one of each.
+  // Domain a has only a spare for the model that loses members more often;
+  // domain b has one spare for each model.
   PlannedDomain of_large = Domain("a", 1, "large");
   of_large.groups = {{ModelId("large"), 1}, {ModelId("small"), 1}};
   of_large.vms = 10;
@@ -156,10 +156,9 @@
   EXPECT_TRUE(plan.stagings.empty());
 }
 
-// Symptom: a group whose first member leaves by plan is formed again only 16 s
-// after it has ended. Sequence: it ends what it runs for seconds; two empty VMs
-// are there. Cause: a group that ends did not count, so the VMs were told to
-// load what nothing waited for.
+// Guards against a group that is formed again only 16 s after it has ended:
+// while it finishes its requests for seconds, two VMs without weights load what
+// no group waits for, because the group that ends is not counted.
 TEST(GroupPlannerTest, VmsLoadAtOnceWhatAGroupThatEndsWillNeed) {
   PlannedDomain domain = Domain("a", 2);
   domain.groups = {{ModelId("small"), 1}};
@@ -171,9 +170,9 @@
   EXPECT_EQ(plan.stagings[1].model, ModelId("large"));
 }
 
-// Symptom: a large group is not formed again, and a small one more than the
-// fleet needs is. Sequence: the large group ends what it runs; four other VMs
-// are free meanwhile. Cause: they were taken for spares.
+// Guards against a large group that is not formed again because four VMs that
+// are free while it finishes its requests are taken for spares, and form a
+// small group that the fleet does not need.
 TEST(GroupPlannerTest, VmsThatAGroupWhichEndsNeedsMakeNoGroupBeyondItsPart) {
   PlannedDomain domain = Domain("a", 4);
   domain.groups = {{ModelId("small"), 1}};
@@ -189,9 +188,9 @@
   EXPECT_TRUE(GroupPlanner({}).Plan(Profile(), {domain}).groups.empty());
 }
 
-// Symptom: two small groups instead of a large one. Sequence: a member of a
-// large group died; its other members are being asked which one; three of them
-// answer first. Cause: the plan was made for those three.
+// Guards against two small groups in place of a large one: a member of a large
+// group died, the others are being probed, and a plan is made for the three
+// that answered first.
 TEST(GroupPlannerTest, WaitsWhereVmsWillBeFreeInAMoment) {
   PlannedDomain domain = Domain("a", 3, "large");
   domain.unsettled = true;
--- a/tests/coordination/gateway/load_pacer_test.cc
+++ b/tests/coordination/gateway/load_pacer_test.cc
@@ -23,9 +23,9 @@
   return begun;
 }
 
-// Symptom: groups are whole only after the first requests came. Cause: loads
-// before the first request were paced, though the weight store does not count
-// them.
+// Guards against groups that open only after the first requests came because
+// loads before the first request were limited, although the weight store does
+// not count them.
 TEST(LoadPacerTest, DoesNotPaceBeforeTheFirstRequest) {
   LoadPacer pacer({});
   pacer.SetProfile(Profile());
@@ -43,8 +43,8 @@
     pacer.Tick(now);
     begun += BeginAll(pacer, now, begun, begun + 5);
   }
-  // Five seconds at three quarters of four a second would be 15, and the burst;
-  // ten run at once.
+  // Three quarters of four loads a second would allow 15 loads in five seconds,
+  // plus the burst, but only ten may run at once.
   EXPECT_EQ(begun, 10);
   pacer.End(VmId("v0"));
   const Time later = Time::FromMillis(7000);
--- a/tests/coordination/gateway/model_demand_test.cc
+++ b/tests/coordination/gateway/model_demand_test.cc
@@ -37,8 +37,8 @@
   EXPECT_DOUBLE_EQ(ShareOf(demand, 0), 0.5);
 }
 
-// Guards against a model that queues at full engines while another's are half
-// empty: its share of the VMs has to grow.
+// Guards against a model that queues at full engines while those of another
+// model are half empty: its share of the VMs has to grow.
 TEST(ModelDemandTest, AModelWhoseEnginesAreFullGetsMore) {
   ModelDemand demand({});
   demand.OnFill(At(0), kLarge, 0.2);
@@ -53,7 +53,7 @@
   EXPECT_NEAR(ShareOf(demand, 1), 4.0 / 5, 1e-9);
 }
 
-// Guards against groups that change their model at each short burst.
+// Guards against groups that change their model with each short burst.
 TEST(ModelDemandTest, OneFullEngineMovesTheMeanLittle) {
   ModelDemand demand({});
   for (std::int64_t i = 0; i < 40; ++i) {
--- a/tests/coordination/gateway/regrouping_test.cc
+++ b/tests/coordination/gateway/regrouping_test.cc
@@ -1,5 +1,5 @@
-// Which groups are given up for those of another model, and what the hosts of
-// VMs that serve hold meanwhile.
+// Tests which groups are given up for groups of another model, and which
+// weights the hosts of serving VMs hold meanwhile.
 
 #include <gtest/gtest.h>
 
@@ -30,8 +30,9 @@
   return vm;
 }
 
-// A domain of so many serving groups and free VMs. The hosts of VMs that serve
-// hold the other model's weights; free VMs last ran the large model.
+// Returns a domain with these numbers of serving groups and free VMs. The hosts
+// of serving VMs hold the other model's weights; the free VMs last ran the
+// large model.
 PlannedDomain Domain(const std::string& name,
                      std::size_t large,
                      std::size_t small,
@@ -65,8 +66,8 @@
   return domain;
 }
 
-// Guards against a large model that is left without groups for the rest of the
-// day, since small groups take the VMs that each lost large one leaves.
+// Guards against a large model that is permanently left without groups because
+// small groups take the VMs that each lost large group leaves.
 TEST(RegroupingTest, ASmallGroupGivesItsVmsToAMissingLargeOne) {
   std::vector<PlannedDomain> domains = {Domain("a", 0, 5, 14)};
   domains.push_back(Domain("b", 1, 5, 1));
@@ -76,7 +77,7 @@
   EXPECT_EQ(plan.regroupings.front().domain, FabricDomainId("a"));
   EXPECT_EQ(plan.regroupings.front().model, kLarge);
   EXPECT_EQ(plan.regroupings.front().given_up.size(), 1U);
-  // The free VMs wait for those of the group that is given up.
+  // The free VMs wait for the VMs of the group that is given up.
   EXPECT_TRUE(plan.groups.empty());
 }
 
@@ -89,7 +90,7 @@
   EXPECT_TRUE(plan.regroupings.empty());
 }
 
-// Guards against VMs that serve nobody for the 16 s of a load.
+// Guards against VMs that serve no requests for the 16 s of a load.
 TEST(RegroupingTest, NoGroupIsGivenUpForOneThatWouldWaitForALoad) {
   PlannedDomain domain = Domain("a", 0, 5, 14);
   for (StandingGroup& group : domain.standing) {
@@ -106,8 +107,8 @@
   EXPECT_TRUE(GroupPlanner({}).Plan(Profile(), domains).regroupings.empty());
 }
 
-// Guards against domains that are turned over for a shortage of some seconds,
-// after which the other model is short.
+// Guards against regrouping whole domains for a shortage of some seconds, which
+// leaves the other model short.
 TEST(RegroupingTest, ADomainIsNotTurnedOverForAModelThatIsShort) {
   EXPECT_TRUE(GroupPlanner({})
                   .Plan(Profile(), {Domain("a", 0, 8, 3), Domain("b", 0, 8, 3)})
@@ -120,8 +121,8 @@
   EXPECT_TRUE(GroupPlanner({}).Plan(Profile(), {domain}).regroupings.empty());
 }
 
-// The host of a VM that serves holds its engine's weights, which it needs no
-// more, or those of a larger model.
+// Counts the standby loads that are planned if each host holds only the weights
+// that its engine runs, and therefore does not need them.
 std::size_t CountStandby(std::size_t large, std::size_t small) {
   PlannedDomain domain = Domain("a", large, small, 0);
   for (StandingGroup& group : domain.standing) {
@@ -145,7 +146,7 @@
   EXPECT_EQ(CountStandby(1, 2), 0U);
 }
 
-// Guards against domains that change their mind: once a regrouping is carried
+// Guards against regroupings that are reversed: after a regrouping is carried
 // out, the next plan has none for the same domain.
 RC_GTEST_PROP(RegroupingProperty, ACarriedOutRegroupingIsNotTakenBack, ()) {
   std::vector<PlannedDomain> domains;
@@ -177,8 +178,8 @@
   }
 }
 
-// The same in a fleet with its engines: a large group lost a member, and no
-// spare is left.
+// A large group lost a member and no spare is left, in a fleet with simulated
+// engines.
 TEST(RegroupingFleetTest, ALargeGroupServesAgainWithoutASpare) {
   GatewayWorld world(3, 1, 23, 5);
   ASSERT_TRUE(world.RunUntil(Duration::Seconds(12), [&] {
--- a/tests/support/played_engines.h
+++ b/tests/support/played_engines.h
@@ -14,8 +14,8 @@
 
 namespace gcw {
 
-// Engines that keep to the platform's rules for orders and groups. Each moment
-// at which a promise about groups is broken is noted.
+// Simulated engines that follow the platform's rules for orders and groups.
+// Each violation of a guarantee about groups is recorded.
 class PlayedEngines {
  public:
   struct Engine {
@@ -23,39 +23,38 @@
     bool alive = true;
     // Another run has its address; only its registration is left.
     bool replaced = false;
-    // No path to the key-value service.
+    // Cut off from the key-value service.
     bool store_cut = false;
-    // No path to the nodes either.
+    // Cut off from the nodes as well.
     bool node_cut = false;
-    // Orders get no answer and are carried out this much later.
+    // If not zero, orders get no answer and are carried out after this delay.
     Duration order_delay;
-    // From a change to its registration.
+    // Delay until a change to its registration is published.
     Duration report_delay;
     Generation seen_generation;
     FencingToken seen_fence;
-    // Factor on its times; a slow one gives an event only now and then.
+    // Slowdown factor; a slow engine emits events only rarely.
     double pace = 1;
     Time silent_since;
     std::vector<VmId> group_members;
     std::int64_t joins = 0;
-    // The model that is being loaded onto its host, and the join that waits for
-    // it.
+    // The model that its host is loading, and the join that waits for the load.
     ModelId staging;
     std::optional<GroupOrder> waiting_join;
   };
   using Publish = std::function<void(const Engine&)>;
   using After = std::function<void(Duration, std::function<void()>)>;
 
-  // `publish` writes an engine's registration anew; `after` runs what takes
-  // time.
+  // `publish` writes an engine's registration; `after` runs a callback after a
+  // delay.
   PlayedEngines(Publish publish, After after)
       : publish_(std::move(publish)), after_(std::move(after)) {}
 
   std::map<VmId, Engine>& engines() { return engines_; }
   const std::vector<std::string>& violations() const { return violations_; }
 
-  // Carries an order out. Loads take a tenth of their time before the first
-  // request.
+  // Carries out an order. Before the first request, loads take one
+  // second.
   GroupOrderVerdict Apply(const VmId& vm,
                           const GroupOrder& order,
                           bool loads_take_long) {
@@ -105,7 +104,7 @@
     return GroupOrderVerdict::kRefused;
   }
 
-  // What its host holds is kept; all else is new.
+  // Restarts the engine; only the weights on its host are kept.
   void Restart(const VmId& vm, Incarnation incarnation) {
     Engine& engine = engines_.at(vm);
     Engine fresh;
@@ -170,7 +169,7 @@
     return GroupOrderVerdict::kBegun;
   }
 
-  // A join waits for the load onto the host that is under way.
+  // Ends a load onto the host and continues the join that waits for it.
   void FinishStaging(const VmId& vm, const ModelId& model) {
     Engine& engine = engines_.at(vm);
     engine.staging = ModelId();
@@ -197,8 +196,8 @@
     });
   }
 
-  // A VM that joins another group while its group's first member still serves
-  // takes away a part of a running engine.
+  // Records a violation if a VM joins another group while its group's first
+  // member still serves, since that removes a member from a running engine.
   void CheckNotServed(const Engine& engine) {
     const auto& old = *engine.self.membership;
     const auto head = engines_.find(engine.group_members.front());
