--- a/coordination/gateway/fleet_keeper.cc
+++ b/coordination/gateway/fleet_keeper.cc
@@ -24,8 +24,8 @@
       last_progress_(std::move(last_progress)),
       events_(std::move(events)),
       planner_(settings.planner),
-      loads_(settings.loads),
-      demand_(settings.demand) {}
+      load_pacer_(settings.loads),
+      model_demand_(settings.demand) {}
 
 void FleetKeeper::SetRole(Time now, const std::optional<HeldRole>& role) {
   const bool is_same = role_ && role && role_->fence == role->fence;
@@ -35,48 +35,48 @@
   }
   // All cached state belongs to another term of the role.
   domains_.clear();
-  busy_domains_ = 0;
-  pending_.clear();
-  pending_of_.clear();
+  busy_domain_count_ = 0;
+  pending_orders_.clear();
+  pending_order_ids_.clear();
   last_orders_.clear();
-  calls_.clear();
-  staging_.clear();
-  refused_staging_.clear();
-  doubts_.clear();
-  demand_asked_.clear();
-  replaced_.clear();
-  ended_.clear();
-  left_.clear();
+  pending_calls_.clear();
+  staging_models_.clear();
+  refused_staging_vms_.clear();
+  suspects_.clear();
+  pending_demand_probes_.clear();
+  replaced_vms_.clear();
+  ended_groups_.clear();
+  left_groups_.clear();
   first_seen_.clear();
   incarnations_.clear();
-  last_appeared_.clear();
-  domain_of_.clear();
-  changed_.clear();
-  takes_all_ = true;
+  last_appearances_.clear();
+  vm_domains_.clear();
+  changed_vms_.clear();
+  all_vms_changed_ = true;
   fenced_off_ = false;
   // If the key-value service keeps a lease through an outage, the role comes
   // back with the same fencing number. If group numbers then started over, one
   // name could stand for two lists of members, and a VM that is ready in the
   // older group would count as a member of the newer one.
-  if (role_ && role_->fence != numbered_fence_) {
-    numbered_fence_ = role_->fence;
-    last_group_ = 0;
+  if (role_ && role_->fence != group_number_fence_) {
+    group_number_fence_ = role_->fence;
+    last_group_number_ = 0;
   }
-  loads_.Tick(now);
+  load_pacer_.Tick(now);
 }
 
 void FleetKeeper::OnStandstill(const VmId& head, Generation generation) {
-  standstills_.emplace(head, generation);
-  Touch(head);
+  stalled_groups_.emplace(head, generation);
+  ScheduleReview(head);
 }
 
 std::vector<std::pair<VmId, Generation>> FleetKeeper::StandingStill() const {
   std::vector<std::pair<VmId, Generation>> groups;
   for (const auto& [id, domain] : domains_) {
     for (const GroupRecord& group : domain.writer.record().groups) {
-      const auto run = domain.runs.find(group.id);
-      if (run != domain.runs.end() && run->second.stands_still_since &&
-          run->second.ending.empty()) {
+      const auto status = domain.group_statuses.find(group.id);
+      if (status != domain.group_statuses.end() &&
+          status->second.stalled_since && status->second.end_reason.empty()) {
         groups.emplace_back(group.members.front(), group.generation);
       }
     }
@@ -88,16 +88,16 @@
                                                  const FleetView& view) {
   actions_.clear();
   if (!role_ || fenced_off_ || !view.routes() ||
-      now + settings_.order_margin >= role_->valid_until) {
+      now + settings_.min_remaining_lease >= role_->valid_until) {
     return {};
   }
-  loads_.Tick(now);
+  load_pacer_.Tick(now);
   ExpireOrders(now);
-  TakeChanges(now, view);
-  ChooseReviewed(now);
+  ProcessVmChanges(now, view);
+  SelectDueDomains(now);
   for (const ServiceRule& service : view.routes()->configuration().services) {
     if (service.engine) {
-      loads_.SetProfile(*service.engine);
+      load_pacer_.SetProfile(*service.engine);
       PlanService(now, view, service);
     }
   }
@@ -109,14 +109,14 @@
     }
   }
   OrderStagings(now, view);
-  ProbeDoubted(now, view);
+  ProbeSuspects(now, view);
   ProbeDemand(now, view);
   for (auto& [id, domain] : domains_) {
     if (std::optional<StoreCall> call = domain.writer.Tick(now)) {
-      ++last_call_;
-      domain.writer.OnCallSent(now, last_call_);
-      calls_[last_call_] = id;
-      actions_.emplace_back(StoreRequest{last_call_, *std::move(call)});
+      ++last_call_id_;
+      domain.writer.OnCallSent(now, last_call_id_);
+      pending_calls_[last_call_id_] = id;
+      actions_.emplace_back(StoreRequest{last_call_id_, *std::move(call)});
     }
   }
   return std::exchange(actions_, {});
@@ -124,12 +124,12 @@
 
 std::vector<FleetKeeperAction>
 FleetKeeper::OnStoreReply(Time now, StoreCallId id, const StoreReply& reply) {
-  const auto call = calls_.find(id);
-  if (call == calls_.end()) {
+  const auto call = pending_calls_.find(id);
+  if (call == pending_calls_.end()) {
     return {};
   }
   const auto domain = domains_.find(call->second);
-  calls_.erase(call);
+  pending_calls_.erase(call);
   if (domain != domains_.end()) {
     domain->second.writer.OnReply(now, id, reply);
     domain->second.next_review = now;
@@ -139,13 +139,13 @@
 
 void FleetKeeper::OnVmsChanged(const std::set<VmId>& vms) {
   if (role_) {
-    changed_.insert(vms.begin(), vms.end());
+    changed_vms_.insert(vms.begin(), vms.end());
   }
 }
 
-void FleetKeeper::Touch(const VmId& vm) {
-  const auto known = domain_of_.find(vm);
-  if (known == domain_of_.end()) {
+void FleetKeeper::ScheduleReview(const VmId& vm) {
+  const auto known = vm_domains_.find(vm);
+  if (known == vm_domains_.end()) {
     return;
   }
   const auto domain = domains_.find(known->second);
@@ -154,38 +154,38 @@
   }
 }
 
-void FleetKeeper::TakeChanges(Time now, const FleetView& view) {
+void FleetKeeper::ProcessVmChanges(Time now, const FleetView& view) {
   if (seen_configuration_ != view.configuration_changes()) {
     seen_configuration_ = view.configuration_changes();
-    takes_all_ = true;
+    all_vms_changed_ = true;
   }
-  if (std::exchange(takes_all_, false)) {
+  if (std::exchange(all_vms_changed_, false)) {
     for (const auto& [id, vm] : view.vms()) {
-      TakeChange(now, view, vm);
+      ProcessVm(now, view, vm);
     }
     for (auto& [id, domain] : domains_) {
       domain.next_review = now;
     }
   }
-  for (const VmId& id : std::exchange(changed_, {})) {
-    // A VM that is gone, or is in another domain now, is news for its former
-    // domain.
-    Touch(id);
+  for (const VmId& id : std::exchange(changed_vms_, {})) {
+    // A VM that is gone, or is now in another domain, triggers a review of its
+    // former domain.
+    ScheduleReview(id);
     const VmRegistration* vm = view.FindVm(id);
-    const auto replaced = replaced_.find(id);
-    if (replaced != replaced_.end() &&
+    const auto replaced = replaced_vms_.find(id);
+    if (replaced != replaced_vms_.end() &&
         (vm == nullptr || vm->address != replaced->second)) {
-      replaced_.erase(replaced);
+      replaced_vms_.erase(replaced);
     }
     if (vm != nullptr) {
-      TakeChange(now, view, *vm);
+      ProcessVm(now, view, *vm);
     }
   }
 }
 
-void FleetKeeper::TakeChange(Time now,
-                             const FleetView& view,
-                             const VmRegistration& vm) {
+void FleetKeeper::ProcessVm(Time now,
+                            const FleetView& view,
+                            const VmRegistration& vm) {
   const ServiceRule* service = view.routes()->FindService(vm.service);
   if (vm.domain.empty() || service == nullptr || !service->engine) {
     return;
@@ -193,12 +193,12 @@
   const auto [known, is_new] = incarnations_.emplace(vm.id, vm.incarnation);
   if (!is_new && known->second != vm.incarnation) {
     known->second = vm.incarnation;
-    ForgetRun(vm.id);
+    ResetVmState(vm.id);
   }
   const FabricDomainId domain = RecordDomain(vm);
-  domain_of_[vm.id] = domain;
+  vm_domains_[vm.id] = domain;
   if (first_seen_.emplace(vm.id, now).second) {
-    last_appeared_[domain] = now;
+    last_appearances_[domain] = now;
   }
   const auto [it, is_new_domain] = domains_.try_emplace(
       domain, Domain{vm.service,
@@ -217,30 +217,31 @@
 
 // The more domains are busy, the less often each is reviewed without news: a
 // keeper that falls behind repeats orders and so adds to its own load.
-void FleetKeeper::ChooseReviewed(Time now) {
-  const Duration busy_review =
-      std::max(settings_.busy_review,
+void FleetKeeper::SelectDueDomains(Time now) {
+  const Duration busy_review_interval =
+      std::max(settings_.busy_review_interval,
                Duration::Millis(static_cast<std::int64_t>(
-                   kMillisPerSecond * static_cast<double>(busy_domains_) /
+                   kMillisPerSecond * static_cast<double>(busy_domain_count_) /
                    settings_.busy_reviews_per_second)));
   for (auto& [id, domain] : domains_) {
     domain.is_reviewed = now >= domain.next_review;
     if (domain.is_reviewed) {
-      domain.next_review = now + busy_review;
+      domain.next_review = now + busy_review_interval;
     }
   }
 }
 
-bool FleetKeeper::IsQuiet(const FleetView& view, const Domain& domain) const {
-  if (domain.planned.filling || domain.planned.unsettled) {
+bool FleetKeeper::IsIdle(const FleetView& view, const Domain& domain) const {
+  if (domain.snapshot.is_populating || domain.snapshot.awaits_free_vms) {
     return false;
   }
   const auto& groups = domain.writer.record().groups;
   return std::all_of(
       groups.begin(), groups.end(), [&](const GroupRecord& group) {
-        const auto run = domain.runs.find(group.id);
-        return run != domain.runs.end() && run->second.open_seen &&
-               run->second.ending.empty() && !run->second.stands_still_since &&
+        const auto status = domain.group_statuses.find(group.id);
+        return status != domain.group_statuses.end() &&
+               status->second.has_opened && status->second.end_reason.empty() &&
+               !status->second.stalled_since &&
                std::all_of(group.members.begin(), group.members.end(),
                            [&](const VmId& member) {
                              const VmRegistration* vm = view.FindVm(member);
@@ -252,22 +253,23 @@
 // A run that starts again under its id has no group, no weights in its engine
 // and no order to carry out. If the old state were kept, its group would wait
 // for it forever, and an order to join would not be sent again.
-void FleetKeeper::ForgetRun(const VmId& vm) {
+void FleetKeeper::ResetVmState(const VmId& vm) {
   last_orders_.erase(vm);
-  const auto pending = pending_of_.find(vm);
-  if (pending != pending_of_.end()) {
-    pending_.erase(pending->second);
-    pending_of_.erase(pending);
-  }
-  loads_.End(vm);
-  staging_.erase(vm);
-  refused_staging_.erase(vm);
-  doubts_.erase(vm);
-  replaced_.erase(vm);
-  std::erase_if(left_, [&](const auto& left) { return left.first == vm; });
+  const auto pending = pending_order_ids_.find(vm);
+  if (pending != pending_order_ids_.end()) {
+    pending_orders_.erase(pending->second);
+    pending_order_ids_.erase(pending);
+  }
+  load_pacer_.End(vm);
+  staging_models_.erase(vm);
+  refused_staging_vms_.erase(vm);
+  suspects_.erase(vm);
+  replaced_vms_.erase(vm);
+  std::erase_if(left_groups_,
+                [&](const auto& left) { return left.first == vm; });
   for (auto& [id, domain] : domains_) {
-    for (auto& [group, run] : domain.runs) {
-      run.join_sent.erase(vm);
+    for (auto& [group, status] : domain.group_statuses) {
+      status.join_ordered.erase(vm);
     }
   }
 }
@@ -275,234 +277,242 @@
 void FleetKeeper::PlanService(Time now,
                               const FleetView& view,
                               const ServiceRule& service) {
-  std::map<FabricDomainId, DomainRecord> nexts;
+  std::map<FabricDomainId, DomainRecord> next_records;
   for (auto& [id, domain] : domains_) {
     if (domain.service == service.id && domain.is_reviewed &&
         domain.writer.state() == WriterState::kReady) {
-      nexts.emplace(id, Review(now, view, domain));
+      next_records.emplace(id, ReviewDomain(now, view, domain));
     }
   }
-  if (nexts.empty()) {
+  if (next_records.empty()) {
     return;
   }
-  std::vector<PlannedDomain> reviewed;
-  std::vector<const PlannedDomain*> others;
+  std::vector<DomainSnapshot> reviewed;
+  std::vector<const DomainSnapshot*> others;
   for (auto& [id, domain] : domains_) {
-    if (nexts.contains(id)) {
-      reviewed.push_back(domain.planned);
+    if (next_records.contains(id)) {
+      reviewed.push_back(domain.snapshot);
       domain.stagings.clear();
     } else if (domain.service == service.id &&
                domain.writer.state() == WriterState::kReady) {
-      others.push_back(&domain.planned);
+      others.push_back(&domain.snapshot);
     }
   }
-  GroupPlan plan = planner_.Plan(demand_.ApplyTo(*service.engine),
+  GroupPlan plan = planner_.Plan(model_demand_.ApplyTo(*service.engine),
                                  std::move(reviewed), others);
   for (PlannedStaging& staging : plan.stagings) {
     domains_.at(staging.domain).stagings.push_back(std::move(staging));
   }
-  for (const Regrouping& change : plan.regroupings) {
-    GiveUpGroups(now, change);
+  for (const Regrouping& regrouping : plan.regroupings) {
+    GiveUpGroups(now, regrouping);
   }
-  for (PlannedGroup& formed : plan.groups) {
-    domains_.at(formed.domain).regroups_for = ModelId();
-    DomainRecord& next = nexts.at(formed.domain);
-    AddGroup(std::move(formed), next);
+  for (PlannedGroup& planned_group : plan.groups) {
+    domains_.at(planned_group.domain).regroup_target = ModelId();
+    DomainRecord& next_record = next_records.at(planned_group.domain);
+    AddGroup(std::move(planned_group), next_record);
   }
-  for (auto& [id, next] : nexts) {
+  for (auto& [id, next_record] : next_records) {
     Domain& domain = domains_.at(id);
-    if (next != domain.writer.record()) {
-      Commit(now, domain, std::move(next));
+    if (next_record != domain.writer.record()) {
+      Commit(now, domain, std::move(next_record));
     }
   }
 }
 
-DomainRecord FleetKeeper::Review(Time now,
-                                 const FleetView& view,
-                                 Domain& domain) {
+DomainRecord FleetKeeper::ReviewDomain(Time now,
+                                       const FleetView& view,
+                                       Domain& domain) {
   ReviewGroups(now, view, domain);
-  DomainRecord next = domain.writer.record();
-  RemoveOver(now, view, domain, next);
+  DomainRecord next_record = domain.writer.record();
+  RemoveEnded(now, view, domain, next_record);
   if (now >= domain.next_regroup) {
     // Too few of the freed VMs are left to form the group.
-    domain.regroups_for = ModelId();
+    domain.regroup_target = ModelId();
   }
-  domain.planned = Describe(now, view, domain, next);
-  const bool is_quiet = IsQuiet(view, domain);
-  if (is_quiet) {
-    domain.next_review = now + settings_.quiet_review;
+  domain.snapshot = SnapshotDomain(now, view, domain, next_record);
+  const bool is_idle = IsIdle(view, domain);
+  if (is_idle) {
+    domain.next_review = now + settings_.idle_review_interval;
   }
-  if (domain.is_busy == is_quiet) {
-    domain.is_busy = !is_quiet;
-    busy_domains_ += is_quiet ? -1 : 1;
+  if (domain.is_busy == is_idle) {
+    domain.is_busy = !is_idle;
+    busy_domain_count_ += is_idle ? -1 : 1;
   }
-  return next;
+  return next_record;
 }
 
-void FleetKeeper::AddGroup(PlannedGroup formed, DomainRecord& next) {
+void FleetKeeper::AddGroup(PlannedGroup planned_group,
+                           DomainRecord& next_record) {
   GroupRecord group;
-  ++last_group_;
-  group.generation =
-      Generation(role_->fence.value() * kGenerationsPerFence + last_group_);
+  ++last_group_number_;
+  group.generation = Generation(role_->fence.value() * kGenerationsPerFence +
+                                last_group_number_);
   group.id = GroupId("g" + std::to_string(group.generation.value()));
-  group.model = std::move(formed.model);
-  group.members = std::move(formed.members);
-  Report(EventKind::kGroupPlanned, group,
-         {{"domain", formed.domain.value()},
-          {"model", group.model.value()},
-          {"members", static_cast<std::int64_t>(group.members.size())}});
-  next.groups.push_back(std::move(group));
+  group.model = std::move(planned_group.model);
+  group.members = std::move(planned_group.members);
+  ReportGroupEvent(
+      EventKind::kGroupPlanned, group,
+      {{"domain", planned_group.domain.value()},
+       {"model", group.model.value()},
+       {"members", static_cast<std::int64_t>(group.members.size())}});
+  next_record.groups.push_back(std::move(group));
 }
 
-void FleetKeeper::Commit(Time now, Domain& domain, DomainRecord next) {
-  ++last_change_;
-  domain.writer.Propose(now, std::move(next),
+void FleetKeeper::Commit(Time now, Domain& domain, DomainRecord next_record) {
+  ++last_change_number_;
+  domain.writer.Propose(now, std::move(next_record),
                         ChangeId("k" + std::to_string(role_->fence.value()) +
-                                 "-" + std::to_string(last_change_)));
+                                 "-" + std::to_string(last_change_number_)));
 }
 
-PlannedDomain FleetKeeper::DescribeGroups(Time now,
-                                          const FleetView& view,
-                                          const Domain& domain,
-                                          const DomainRecord& next) const {
-  PlannedDomain planned;
-  planned.domain = next.domain;
-  for (const GroupRecord& group : next.groups) {
-    const auto run = domain.runs.find(group.id);
-    if (run == domain.runs.end() || run->second.ending.empty()) {
-      ++planned.groups[group.model];
-      if (run != domain.runs.end() && run->second.open_seen) {
-        planned.standing.push_back(
-            DescribeStanding(now, view, group, run->second));
+DomainSnapshot FleetKeeper::SnapshotGroups(
+    Time now,
+    const FleetView& view,
+    const Domain& domain,
+    const DomainRecord& next_record) const {
+  DomainSnapshot snapshot;
+  snapshot.domain = next_record.domain;
+  for (const GroupRecord& group : next_record.groups) {
+    const auto status = domain.group_statuses.find(group.id);
+    if (status == domain.group_statuses.end() ||
+        status->second.end_reason.empty()) {
+      ++snapshot.group_counts[group.model];
+      if (status != domain.group_statuses.end() && status->second.has_opened) {
+        snapshot.serving_groups.push_back(
+            DescribeServingGroup(now, view, group, status->second));
       }
       continue;
     }
-    if (run->second.is_regrouped) {
-      planned.unsettled = true;
+    if (status->second.is_regrouped) {
+      snapshot.awaits_free_vms = true;
       continue;
     }
-    PlannedDomain::Ending& ending = planned.ending[group.model];
-    ++ending.groups;
-    ending.lost += CountUnusable(view, group);
-    if (!run->second.open_seen &&
-        now - run->second.ending_since < settings_.settle_time) {
+    DomainSnapshot::EndingGroups& ending = snapshot.ending_groups[group.model];
+    ++ending.count;
+    ending.unusable_members += CountUnusableMembers(view, group);
+    if (!status->second.has_opened &&
+        now - status->second.end_started < settings_.settle_time) {
       // The members are free as soon as each has confirmed that it left. A
       // group formed of other VMs meanwhile would be given up for these members
       // in turn, and so on, with a load each time.
-      planned.unsettled = true;
+      snapshot.awaits_free_vms = true;
     }
   }
-  planned.regroups_for = domain.regroups_for;
-  planned.may_regroup = loads_.has_traffic() && now >= domain.next_regroup;
-  const auto appeared = last_appeared_.find(next.domain);
+  snapshot.regroup_target = domain.regroup_target;
+  snapshot.may_regroup =
+      load_pacer_.has_traffic() && now >= domain.next_regroup;
+  const auto appeared = last_appearances_.find(next_record.domain);
   // A VM that appears while the domain serves is a spare, or the VM that a
   // repair waits for. It can load its weights at once.
-  const bool is_starting = !loads_.has_traffic() || planned.groups.empty();
-  planned.filling = is_starting && appeared != last_appeared_.end() &&
-                    now - appeared->second < settings_.settle_time;
-  return planned;
+  const bool is_starting =
+      !load_pacer_.has_traffic() || snapshot.group_counts.empty();
+  snapshot.is_populating = is_starting && appeared != last_appearances_.end() &&
+                           now - appeared->second < settings_.settle_time;
+  return snapshot;
 }
 
-PlannedDomain FleetKeeper::Describe(Time now,
-                                    const FleetView& view,
-                                    const Domain& domain,
-                                    const DomainRecord& next) {
-  PlannedDomain planned = DescribeGroups(now, view, domain, next);
-  std::set<VmId> taken;
-  for (const GroupRecord& group : next.groups) {
-    taken.insert(group.members.begin(), group.members.end());
-  }
-  for (const auto& [id, vm] : view.VmsOf(next.domain)) {
-    if (vm->draining || IsSilent(id)) {
+DomainSnapshot FleetKeeper::SnapshotDomain(Time now,
+                                           const FleetView& view,
+                                           const Domain& domain,
+                                           const DomainRecord& next_record) {
+  DomainSnapshot snapshot = SnapshotGroups(now, view, domain, next_record);
+  std::set<VmId> assigned;
+  for (const GroupRecord& group : next_record.groups) {
+    assigned.insert(group.members.begin(), group.members.end());
+  }
+  for (const auto& [id, vm] : view.VmsOf(next_record.domain)) {
+    if (vm->draining || IsUnresponsive(id)) {
       continue;
     }
-    ++planned.vms;
-    if (taken.contains(id)) {
+    ++snapshot.vm_count;
+    if (assigned.contains(id)) {
       continue;
     }
     // This VM may be the member that made its last group fail.
-    if (IsUnclear(id)) {
-      planned.unsettled = true;
+    if (AwaitsProbeVerdict(id)) {
+      snapshot.awaits_free_vms = true;
       continue;
     }
-    if (vm->membership && !IsFreeOfOldGroup(now, *vm)) {
-      planned.unsettled = true;
+    if (vm->membership && !MayJoinNewGroup(now, *vm)) {
+      snapshot.awaits_free_vms = true;
       continue;
     }
-    planned.free.push_back(DescribeVm(*vm));
+    snapshot.free_vms.push_back(DescribeCandidate(*vm));
   }
-  return planned;
+  return snapshot;
 }
 
-FreeVm FleetKeeper::DescribeVm(const VmRegistration& vm) const {
-  FreeVm described;
-  described.vm = vm.id;
-  described.at_hand = vm.staged;
-  described.slow = IsSlow(vm.id);
+VmCandidate FleetKeeper::DescribeCandidate(const VmRegistration& vm) const {
+  VmCandidate candidate;
+  candidate.vm = vm.id;
+  candidate.staged = vm.staged;
+  candidate.is_slow = IsSlow(vm.id);
   if (!vm.models.empty()) {
-    described.last_model = vm.models.front();
+    candidate.last_model = vm.models.front();
   }
   // Without this, the next plan would assign the VM to another model.
-  const auto staging = staging_.find(vm.id);
-  if (staging != staging_.end()) {
-    described.loading = staging->second;
+  const auto staging = staging_models_.find(vm.id);
+  if (staging != staging_models_.end()) {
+    candidate.loading_model = staging->second;
   }
-  return described;
+  return candidate;
 }
 
-StandingGroup FleetKeeper::DescribeStanding(Time now,
-                                            const FleetView& view,
-                                            const GroupRecord& group,
-                                            const GroupRun& run) const {
-  StandingGroup standing;
-  standing.id = group.id;
-  standing.model = group.model;
+ServingGroup FleetKeeper::DescribeServingGroup(
+    Time now,
+    const FleetView& view,
+    const GroupRecord& group,
+    const GroupStatus& status) const {
+  ServingGroup serving_group;
+  serving_group.id = group.id;
+  serving_group.model = group.model;
   // A group that was formed only recently keeps serving. Groups of earlier
   // keepers have served for longer than this keeper has known them.
   const bool is_own =
       group.generation.value() > role_->fence.value() * kGenerationsPerFence;
-  standing.may_be_given_up =
-      !is_own || now - run.since >= settings_.regroup_interval;
+  serving_group.may_be_given_up =
+      !is_own || now - status.observed_since >= settings_.regroup_interval;
   for (const VmId& member : group.members) {
     const VmRegistration* vm = view.FindVm(member);
-    if (vm != nullptr && !vm->draining && !IsSilent(member)) {
-      standing.members.push_back(DescribeVm(*vm));
+    if (vm != nullptr && !vm->draining && !IsUnresponsive(member)) {
+      serving_group.members.push_back(DescribeCandidate(*vm));
     }
   }
-  return standing;
+  return serving_group;
 }
 
-void FleetKeeper::GiveUpGroups(Time now, const Regrouping& change) {
-  Domain& domain = domains_.at(change.domain);
-  domain.regroups_for = change.model;
+void FleetKeeper::GiveUpGroups(Time now, const Regrouping& regrouping) {
+  Domain& domain = domains_.at(regrouping.domain);
+  domain.regroup_target = regrouping.model;
   domain.next_regroup = now + settings_.regroup_interval;
   domain.next_review = now;
   for (const GroupRecord& group : domain.writer.record().groups) {
-    if (std::find(change.given_up.begin(), change.given_up.end(), group.id) ==
-        change.given_up.end()) {
+    if (std::find(regrouping.given_up.begin(), regrouping.given_up.end(),
+                  group.id) == regrouping.given_up.end()) {
       continue;
     }
-    GroupRun& run = domain.runs[group.id];
-    run.ending = "regrouped:" + change.model.value();
-    run.ending_since = now;
-    run.ends_by_plan = true;
-    run.is_regrouped = true;
-    Report(EventKind::kGroupClosed, group, {{"reason", run.ending}});
+    GroupStatus& status = domain.group_statuses[group.id];
+    status.end_reason = "regrouped:" + regrouping.model.value();
+    status.end_started = now;
+    status.is_planned_end = true;
+    status.is_regrouped = true;
+    ReportGroupEvent(EventKind::kGroupClosed, group,
+                     {{"reason", status.end_reason}});
   }
 }
 
-std::size_t FleetKeeper::CountUnusable(const FleetView& view,
-                                       const GroupRecord& group) const {
+std::size_t FleetKeeper::CountUnusableMembers(const FleetView& view,
+                                              const GroupRecord& group) const {
   return static_cast<std::size_t>(std::count_if(
       group.members.begin(), group.members.end(), [&](const VmId& member) {
         const VmRegistration* vm = view.FindVm(member);
-        return vm == nullptr || vm->draining || IsSilent(member);
+        return vm == nullptr || vm->draining || IsUnresponsive(member);
       }));
 }
 
-const ModelProfile* FleetKeeper::ProfileOf(const FleetView& view,
-                                           const ServiceId& service,
-                                           const ModelId& model) const {
+const ModelProfile* FleetKeeper::FindModelProfile(const FleetView& view,
+                                                  const ServiceId& service,
+                                                  const ModelId& model) const {
   const ServiceRule* rule = view.routes()->FindService(service);
   if (rule == nullptr || !rule->engine) {
     return nullptr;
@@ -515,9 +525,9 @@
   return nullptr;
 }
 
-void FleetKeeper::Report(EventKind kind,
-                         const GroupRecord& group,
-                         std::vector<EventField> fields) {
+void FleetKeeper::ReportGroupEvent(EventKind kind,
+                                   const GroupRecord& group,
+                                   std::vector<EventField> fields) {
   fields.push_back({"generation", group.generation.value()});
   events_({kind, group.id.value(), {}, std::move(fields)});
 }
--- a/coordination/gateway/fleet_keeper.h
+++ b/coordination/gateway/fleet_keeper.h
@@ -31,11 +31,11 @@
   // so that the cost of the estimate does not grow with the fleet.
   Duration demand_interval = Duration::Millis(100);
   // Maximum number of domains searched for a group to probe in one tick.
-  std::size_t demand_tries = 8;
+  std::size_t max_searched_domains = 8;
   // No order is sent when less than this remains of the role's lease: the order
   // has to arrive, or its connection to be given up, before another node can
   // hold the role.
-  Duration order_margin = Duration::Millis(500);
+  Duration min_remaining_lease = Duration::Millis(500);
   // Time after which an order without an answer counts as unanswered.
   Duration order_timeout = Duration::Millis(500);
   // Interval between two sends of an order whose effect is not visible yet.
@@ -47,13 +47,13 @@
   Duration probe_interval = Duration::Millis(1000);
   // An engine that reports at least this slowdown factor is slow. Its group
   // runs at the same pace and may therefore seem stalled.
-  double slow_pace = 1.8;
+  double slow_pace_threshold = 1.8;
   // How long a stalled group whose members all answer may take to make progress
   // again before it is closed.
-  Duration standstill_patience = Duration::Millis(1500);
+  Duration stall_timeout = Duration::Millis(1500);
   // A group that made progress within this time has all its members, whatever
   // the registrations say: the loss of any member stops all its streams.
-  Duration progress_life = Duration::Millis(1200);
+  Duration progress_ttl = Duration::Millis(1200);
   // Endpoints register within some seconds after the whole fleet starts. A
   // domain is settled once no VM has appeared in it for this long.
   Duration settle_time = Duration::Millis(1500);
@@ -70,12 +70,12 @@
   Duration regroup_interval = Duration::Millis(6000);
   // Review interval of a domain that has work in progress. News about a domain
   // triggers a review at once.
-  Duration busy_review = Duration::Millis(40);
+  Duration busy_review_interval = Duration::Millis(40);
   // Maximum rate of these reviews over all domains. With more busy domains the
   // interval grows, so that the work stays within what one processor can do.
   double busy_reviews_per_second = 200;
   // Review interval of a domain whose groups all serve.
-  Duration quiet_review = Duration::Millis(500);
+  Duration idle_review_interval = Duration::Millis(500);
 };
 
 struct SendGroupOrder {
@@ -123,7 +123,7 @@
   void OnVmsChanged(const std::set<VmId>& vms);
   // Reports the first requests: from then on, loads count against the weight
   // store's rate.
-  void OnTraffic() { loads_.OnTraffic(); }
+  void OnTraffic() { load_pacer_.OnTraffic(); }
   // Reports that nodes which send requests to the group see it stalled.
   void OnStandstill(const VmId& head, Generation generation);
   // First members and generations of the groups that are reported as stalled
@@ -142,35 +142,35 @@
 
  private:
   // What this keeper has observed of a group since it took the role.
-  struct GroupRun {
-    Time since;
+  struct GroupStatus {
+    Time observed_since;
     std::set<VmId> joined;
     // Members to which this keeper sent a join order.
-    std::set<VmId> join_sent;
+    std::set<VmId> join_ordered;
     std::map<VmId, Address> addresses;
-    bool open_seen = false;
-    bool open_sent = false;
+    bool has_opened = false;
+    bool open_ordered = false;
     // Why the group ends; empty while it stays.
-    std::string ending;
-    Time ending_since;
-    bool ends_by_plan = false;
+    std::string end_reason;
+    Time end_started;
+    bool is_planned_end = false;
     // The group is given up for a group of another model.
     bool is_regrouped = false;
     // When nodes first reported the group as stalled; empty if it is not.
-    std::optional<Time> stands_still_since;
+    std::optional<Time> stalled_since;
     // Members whose engines confirmed that they left.
-    std::set<VmId> left;
+    std::set<VmId> left_members;
   };
   struct Domain {
     ServiceId service;
     DomainWriter writer;
-    std::map<GroupId, GroupRun> runs;
+    std::map<GroupId, GroupStatus> group_statuses;
     // Planner input of the last review, and the loads planned from it.
-    PlannedDomain planned;
+    DomainSnapshot snapshot;
     std::vector<PlannedStaging> stagings;
     // The model for which groups were given up; empty if no group of it is
     // awaited.
-    ModelId regroups_for;
+    ModelId regroup_target;
     Time next_regroup;
     Time next_review;
     // Whether the current tick reviews the domain.
@@ -190,79 +190,79 @@
     Time sent;
   };
   // Probe state of a VM whose health is in doubt.
-  struct Doubt {
-    bool silent = false;
-    bool slow = false;
-    bool probing = false;
+  struct Suspect {
+    bool is_unresponsive = false;
+    bool is_slow = false;
+    bool probe_pending = false;
     Time next_probe;
     Address address;
   };
 
   // Processes the registrations that changed since the last call.
-  void TakeChanges(Time now, const FleetView& view);
-  void TakeChange(Time now, const FleetView& view, const VmRegistration& vm);
+  void ProcessVmChanges(Time now, const FleetView& view);
+  void ProcessVm(Time now, const FleetView& view, const VmRegistration& vm);
   // Schedules a review of the VM's domain for the next tick.
-  void Touch(const VmId& vm);
+  void ScheduleReview(const VmId& vm);
   // Marks the domains to review in this tick: those with news and those that
   // are due. The others keep the result of their last review.
-  void ChooseReviewed(Time now);
+  void SelectDueDomains(Time now);
   // Whether the domain has no work in progress and no pending timer.
-  bool IsQuiet(const FleetView& view, const Domain& domain) const;
+  bool IsIdle(const FleetView& view, const Domain& domain) const;
   // Discards all state of a VM's previous run.
-  void ForgetRun(const VmId& vm);
+  void ResetVmState(const VmId& vm);
   void ReviewGroups(Time now, const FleetView& view, Domain& domain);
-  std::string FindDamage(Time now,
-                         const FleetView& view,
-                         const Domain& domain,
-                         const GroupRecord& group,
-                         GroupRun& run) const;
+  std::string FindEndReason(Time now,
+                            const FleetView& view,
+                            const Domain& domain,
+                            const GroupRecord& group,
+                            GroupStatus& status) const;
   // Whether the group's first member reports that the group is open.
   static bool IsOpen(const FleetView& view, const GroupRecord& group);
   // Whether the member is known to have left the group.
   bool HasLeft(const FleetView& view,
                const GroupRecord& group,
-               const GroupRun& run,
+               const GroupStatus& status,
                const VmId& member) const;
   // Whether the group waits for loads although the domain's free VMs could
   // replace every member that loads. The planner ranks VMs by the same weights
   // at hand, so it does not form the group of the same members again.
-  bool OpensSoonerAnew(const FleetView& view,
-                       const Domain& domain,
-                       const GroupRecord& group) const;
-  bool IsOver(const FleetView& view,
-              const GroupRecord& group,
-              const GroupRun& run) const;
-  void RemoveOver(Time now,
-                  const FleetView& view,
-                  Domain& domain,
-                  DomainRecord& next);
+  bool CanReplaceLoadingMembers(const FleetView& view,
+                                const Domain& domain,
+                                const GroupRecord& group) const;
+  bool HasEnded(const FleetView& view,
+                const GroupRecord& group,
+                const GroupStatus& status) const;
+  void RemoveEnded(Time now,
+                   const FleetView& view,
+                   Domain& domain,
+                   DomainRecord& next_record);
   // Planner input about the domain's groups, without its free VMs.
-  PlannedDomain DescribeGroups(Time now,
-                               const FleetView& view,
-                               const Domain& domain,
-                               const DomainRecord& next) const;
-  PlannedDomain Describe(Time now,
-                         const FleetView& view,
-                         const Domain& domain,
-                         const DomainRecord& next);
+  DomainSnapshot SnapshotGroups(Time now,
+                                const FleetView& view,
+                                const Domain& domain,
+                                const DomainRecord& next_record) const;
+  DomainSnapshot SnapshotDomain(Time now,
+                                const FleetView& view,
+                                const Domain& domain,
+                                const DomainRecord& next_record);
   // Number of members that cannot join the group's successor.
-  std::size_t CountUnusable(const FleetView& view,
-                            const GroupRecord& group) const;
+  std::size_t CountUnusableMembers(const FleetView& view,
+                                   const GroupRecord& group) const;
   // Whether a VM whose engine reports a group that is in no record may join a
   // new group. If not, orders it to leave the old one.
-  bool IsFreeOfOldGroup(Time now, const VmRegistration& vm);
+  bool MayJoinNewGroup(Time now, const VmRegistration& vm);
   void PlanService(Time now, const FleetView& view, const ServiceRule& service);
-  void GiveUpGroups(Time now, const Regrouping& change);
-  FreeVm DescribeVm(const VmRegistration& vm) const;
-  StandingGroup DescribeStanding(Time now,
-                                 const FleetView& view,
-                                 const GroupRecord& group,
-                                 const GroupRun& run) const;
+  void GiveUpGroups(Time now, const Regrouping& regrouping);
+  VmCandidate DescribeCandidate(const VmRegistration& vm) const;
+  ServingGroup DescribeServingGroup(Time now,
+                                    const FleetView& view,
+                                    const GroupRecord& group,
+                                    const GroupStatus& status) const;
   // Updates the state of the domain's groups and the list of its free VMs.
   // Returns the record without the groups that have ended.
-  DomainRecord Review(Time now, const FleetView& view, Domain& domain);
-  void AddGroup(PlannedGroup formed, DomainRecord& next);
-  void Commit(Time now, Domain& domain, DomainRecord next);
+  DomainRecord ReviewDomain(Time now, const FleetView& view, Domain& domain);
+  void AddGroup(PlannedGroup planned_group, DomainRecord& next_record);
+  void Commit(Time now, Domain& domain, DomainRecord next_record);
   void OrderGroup(Time now,
                   const FleetView& view,
                   Domain& domain,
@@ -271,118 +271,123 @@
                   const FleetView& view,
                   const Domain& domain,
                   const GroupRecord& group,
-                  GroupRun& run);
+                  GroupStatus& status);
   void OrderLeave(Time now,
                   const FleetView& view,
                   const GroupRecord& group,
-                  const GroupRun& run,
+                  const GroupStatus& status,
                   const VmId& member);
   void OrderEnd(Time now,
                 const FleetView& view,
                 const GroupRecord& group,
-                GroupRun& run);
+                GroupStatus& status);
   // Whether a VM without the model's weights may be told to join a group now.
   // If the load limits permit a load and the host accepts it, the host loads
   // the weights first and the join waits.
-  bool MayJoinUnloaded(Time now,
-                       const VmRegistration& vm,
-                       const ModelProfile& model);
+  bool MayJoinWithoutWeights(Time now,
+                             const VmRegistration& vm,
+                             const ModelProfile& model);
   void OrderStagings(Time now, const FleetView& view);
   void OrderPlannedStaging(Time now,
                            const FleetView& view,
                            const PlannedStaging& staging);
   void OrderStaging(Time now, const VmRegistration& vm, const ModelId& model);
-  void ProbeDoubted(Time now, const FleetView& view);
+  void ProbeSuspects(Time now, const FleetView& view);
   // Asks one serving group for its load, round-robin over models and domains.
   void ProbeDemand(Time now, const FleetView& view);
   // Returns the first member of a group of the model that serves in the domain,
   // or null if there is none.
-  const VmRegistration* DrawServing(const FleetView& view,
-                                    const Domain& domain,
-                                    const ModelId& model);
+  const VmRegistration* FindServingHead(const FleetView& view,
+                                        const Domain& domain,
+                                        const ModelId& model);
   // Marks the VM's health as in doubt, so that it is probed at once.
-  void Doubtful(Time now, const VmId& vm, const Address& address);
-  bool IsSilent(const VmId& vm) const;
+  void SuspectVm(Time now, const VmId& vm, const Address& address);
+  bool IsUnresponsive(const VmId& vm) const;
   bool IsSlow(const VmId& vm) const;
   // Whether the VM's health is in doubt and no probe has settled it yet.
-  bool IsUnclear(const VmId& vm) const;
-  void DoubtMembers(Time now, const GroupRecord& group, const GroupRun& run);
+  bool AwaitsProbeVerdict(const VmId& vm) const;
+  void SuspectMembers(Time now,
+                      const GroupRecord& group,
+                      const GroupStatus& status);
   // Returns why a group that is reported as stalled has to end, or an empty
   // string if it need not end.
-  std::string JudgeStandstill(Time now,
-                              const FleetView& view,
-                              const Domain& domain,
-                              const GroupRecord& group,
-                              GroupRun& run) const;
+  std::string FindStallEndReason(Time now,
+                                 const FleetView& view,
+                                 const Domain& domain,
+                                 const GroupRecord& group,
+                                 GroupStatus& status) const;
   // Number of the domain's healthy free VMs that can join a group of the model
   // without a load.
-  std::size_t CountFreeWith(const FleetView& view,
-                            const Domain& domain,
-                            const ModelId& model) const;
+  std::size_t CountStartableSpares(const FleetView& view,
+                                   const Domain& domain,
+                                   const ModelId& model) const;
   bool MayOrder(Time now,
                 const VmId& vm,
                 GroupOrderKind kind,
                 const GroupId& group) const;
-  void Send(Time now, const VmId& vm, const Address& address, GroupOrder order);
+  void SendOrder(Time now,
+                 const VmId& vm,
+                 const Address& address,
+                 GroupOrder order);
   void ExpireOrders(Time now);
-  const ModelProfile* ProfileOf(const FleetView& view,
-                                const ServiceId& service,
-                                const ModelId& model) const;
-  void Report(EventKind kind,
-              const GroupRecord& group,
-              std::vector<EventField> fields);
+  const ModelProfile* FindModelProfile(const FleetView& view,
+                                       const ServiceId& service,
+                                       const ModelId& model) const;
+  void ReportGroupEvent(EventKind kind,
+                        const GroupRecord& group,
+                        std::vector<EventField> fields);
 
   FleetKeeperSettings settings_;
   DomainRecordCodec codec_;
   LastProgress last_progress_;
   EventSink events_;
   GroupPlanner planner_;
-  LoadPacer loads_;
-  ModelDemand demand_;
+  LoadPacer load_pacer_;
+  ModelDemand model_demand_;
   Time next_demand_probe_;
-  std::size_t demand_turn_ = 0;
+  std::size_t demand_probe_turn_ = 0;
   // The model and the request capacity of each group whose load was asked for,
   // by its first member.
-  std::map<VmId, std::pair<ModelId, double>> demand_asked_;
+  std::map<VmId, std::pair<ModelId, double>> pending_demand_probes_;
   std::optional<HeldRole> role_;
   bool fenced_off_ = false;
   std::map<FabricDomainId, Domain> domains_;
   // Changed registrations that are not processed yet.
-  std::set<VmId> changed_;
+  std::set<VmId> changed_vms_;
   // Whether all registrations have to be processed, as after the role was taken
   // or the configuration changed.
-  bool takes_all_ = true;
+  bool all_vms_changed_ = true;
   std::uint64_t seen_configuration_ = 0;
-  std::map<VmId, FabricDomainId> domain_of_;
+  std::map<VmId, FabricDomainId> vm_domains_;
   // Number of domains with work in progress.
-  std::int64_t busy_domains_ = 0;
+  std::int64_t busy_domain_count_ = 0;
   // The models that hosts were ordered to load, by VM.
-  std::map<VmId, ModelId> staging_;
+  std::map<VmId, ModelId> staging_models_;
   // VMs whose hosts refused to load weights; they load them as they join.
-  std::set<VmId> refused_staging_;
-  std::map<OrderId, PendingOrder> pending_;
+  std::set<VmId> refused_staging_vms_;
+  std::map<OrderId, PendingOrder> pending_orders_;
   // The pending order of each VM, at most one at a time.
-  std::map<VmId, OrderId> pending_of_;
+  std::map<VmId, OrderId> pending_order_ids_;
   std::map<VmId, LastOrder> last_orders_;
-  std::set<std::pair<VmId, Generation>> standstills_;
+  std::set<std::pair<VmId, Generation>> stalled_groups_;
   // Groups whose first member left; the other members are free.
-  std::set<GroupId> ended_;
+  std::set<GroupId> ended_groups_;
   // The groups that VMs left by order.
-  std::set<std::pair<VmId, GroupId>> left_;
-  std::map<VmId, Doubt> doubts_;
+  std::set<std::pair<VmId, GroupId>> left_groups_;
+  std::map<VmId, Suspect> suspects_;
   // VMs at whose address another run answered an order, with that address.
-  std::map<VmId, Address> replaced_;
+  std::map<VmId, Address> replaced_vms_;
   // When each VM first appeared.
   std::map<VmId, Time> first_seen_;
   std::map<VmId, Incarnation> incarnations_;
-  std::map<FabricDomainId, Time> last_appeared_;
-  OrderId last_order_;
-  StoreCallId last_call_;
-  std::map<StoreCallId, FabricDomainId> calls_;
+  std::map<FabricDomainId, Time> last_appearances_;
+  OrderId last_order_id_;
+  StoreCallId last_call_id_;
+  std::map<StoreCallId, FabricDomainId> pending_calls_;
   // Number of groups named so far with this fencing number.
-  FencingToken numbered_fence_;
-  std::int64_t last_group_ = 0;
-  std::int64_t last_change_ = 0;
+  FencingToken group_number_fence_;
+  std::int64_t last_group_number_ = 0;
+  std::int64_t last_change_number_ = 0;
   std::vector<FleetKeeperAction> actions_;
 };
 
--- a/coordination/gateway/fleet_keeper_orders.cc
+++ b/coordination/gateway/fleet_keeper_orders.cc
@@ -13,24 +13,25 @@
                              const FleetView& view,
                              Domain& domain,
                              const GroupRecord& group) {
-  const auto found = domain.runs.find(group.id);
-  if (found == domain.runs.end()) {
+  const auto found = domain.group_statuses.find(group.id);
+  if (found == domain.group_statuses.end()) {
     return;
   }
-  GroupRun& run = found->second;
-  if (!run.ending.empty()) {
-    OrderEnd(now, view, group, run);
+  GroupStatus& status = found->second;
+  if (!status.end_reason.empty()) {
+    OrderEnd(now, view, group, status);
     return;
   }
-  OrderJoins(now, view, domain, group, run);
+  OrderJoins(now, view, domain, group, status);
 }
 
 void FleetKeeper::OrderJoins(Time now,
                              const FleetView& view,
                              const Domain& domain,
                              const GroupRecord& group,
-                             GroupRun& run) {
-  const ModelProfile* profile = ProfileOf(view, domain.service, group.model);
+                             GroupStatus& status) {
+  const ModelProfile* profile =
+      FindModelProfile(view, domain.service, group.model);
   bool all_ready = true;
   for (const VmId& member : group.members) {
     const VmRegistration* vm = view.FindVm(member);
@@ -47,7 +48,7 @@
       continue;
     }
     if (!vm->HasAtHand(group.model) && profile != nullptr &&
-        !MayJoinUnloaded(now, *vm, *profile)) {
+        !MayJoinWithoutWeights(now, *vm, *profile)) {
       continue;
     }
     GroupOrder order;
@@ -56,8 +57,8 @@
     order.generation = group.generation;
     order.model = group.model;
     order.members = group.members;
-    run.join_sent.insert(member);
-    Send(now, member, vm->address, std::move(order));
+    status.join_ordered.insert(member);
+    SendOrder(now, member, vm->address, std::move(order));
   }
   const VmId& head = group.members.front();
   if (!all_ready) {
@@ -75,8 +76,8 @@
   order.group = group.id;
   order.generation = group.generation;
   order.model = group.model;
-  run.open_sent = true;
-  Send(now, head, vm->address, std::move(order));
+  status.open_ordered = true;
+  SendOrder(now, head, vm->address, std::move(order));
 }
 
 // A load that is part of a join is lost when the group is given up for another
@@ -86,15 +87,15 @@
 // whatever happens to the group; the join waits for it and then takes the warm
 // start time in addition. Before the first request loads are quick, and the
 // warm start time would be the larger part.
-bool FleetKeeper::MayJoinUnloaded(Time now,
-                                  const VmRegistration& vm,
-                                  const ModelProfile& model) {
-  if (!loads_.Begin(now, vm.id, model.load_time)) {
+bool FleetKeeper::MayJoinWithoutWeights(Time now,
+                                        const VmRegistration& vm,
+                                        const ModelProfile& model) {
+  if (!load_pacer_.TryBegin(now, vm.id, model.load_time)) {
     return false;
   }
-  const auto staging = staging_.find(vm.id);
-  if (!loads_.has_traffic() || refused_staging_.contains(vm.id) ||
-      (staging != staging_.end() && staging->second == model.model)) {
+  const auto staging = staging_models_.find(vm.id);
+  if (!load_pacer_.has_traffic() || refused_staging_vms_.contains(vm.id) ||
+      (staging != staging_models_.end() && staging->second == model.model)) {
     return true;
   }
   if (MayOrder(now, vm.id, GroupOrderKind::kStage, GroupId())) {
@@ -106,25 +107,26 @@
 void FleetKeeper::OrderEnd(Time now,
                            const FleetView& view,
                            const GroupRecord& group,
-                           GroupRun& run) {
+                           GroupStatus& status) {
   const VmId& head = group.members.front();
   const VmRegistration* vm = view.FindVm(head);
-  const bool head_reached =
-      vm != nullptr && IsMemberOf(*vm, group) && !IsSilent(head);
-  if (!head_reached) {
+  const bool is_head_reachable =
+      vm != nullptr && IsMemberOf(*vm, group) && !IsUnresponsive(head);
+  if (!is_head_reachable) {
     for (const VmId& member : group.members) {
-      OrderLeave(now, view, group, run, member);
+      OrderLeave(now, view, group, status, member);
     }
     return;
   }
   const MemberPhase phase = vm->membership->phase;
-  const bool let_finish =
-      run.ends_by_plan &&
+  const bool may_drain =
+      status.is_planned_end &&
       (phase == MemberPhase::kOpen || phase == MemberPhase::kClosing) &&
-      now - run.ending_since < (run.is_regrouped ? settings_.regroup_drain_limit
-                                                 : settings_.drain_limit);
-  if (!let_finish) {
-    OrderLeave(now, view, group, run, head);
+      now - status.end_started < (status.is_regrouped
+                                      ? settings_.regroup_drain_limit
+                                      : settings_.drain_limit);
+  if (!may_drain) {
+    OrderLeave(now, view, group, status, head);
     return;
   }
   if (phase == MemberPhase::kOpen &&
@@ -133,17 +135,18 @@
     order.kind = GroupOrderKind::kClose;
     order.group = group.id;
     order.generation = group.generation;
-    Send(now, head, vm->address, std::move(order));
+    SendOrder(now, head, vm->address, std::move(order));
   }
 }
 
 void FleetKeeper::OrderLeave(Time now,
                              const FleetView& view,
                              const GroupRecord& group,
-                             const GroupRun& run,
+                             const GroupStatus& status,
                              const VmId& member) {
   const VmRegistration* vm = view.FindVm(member);
-  if (vm == nullptr || IsSilent(member) || HasLeft(view, group, run, member) ||
+  if (vm == nullptr || IsUnresponsive(member) ||
+      HasLeft(view, group, status, member) ||
       !MayOrder(now, member, GroupOrderKind::kLeave, group.id)) {
     return;
   }
@@ -151,7 +154,7 @@
   order.kind = GroupOrderKind::kLeave;
   order.group = group.id;
   order.generation = group.generation;
-  Send(now, member, vm->address, std::move(order));
+  SendOrder(now, member, vm->address, std::move(order));
 }
 
 void FleetKeeper::OrderStagings(Time now, const FleetView& view) {
@@ -160,21 +163,21 @@
       OrderPlannedStaging(now, view, staging);
     }
   }
-  for (const VmId& id : loads_.Running()) {
+  for (const VmId& id : load_pacer_.RunningLoads()) {
     const VmRegistration* vm = view.FindVm(id);
-    const auto staging = staging_.find(id);
+    const auto staging = staging_models_.find(id);
     if (vm != nullptr &&
-        (staging == staging_.end() ? !vm->staged.empty()
-                                   : vm->HasStaged(staging->second))) {
-      loads_.End(id);
+        (staging == staging_models_.end() ? !vm->staged.empty()
+                                          : vm->HasStaged(staging->second))) {
+      load_pacer_.End(id);
     }
   }
-  std::erase_if(staging_, [&](const auto& staging) {
-    const bool is_over = !loads_.IsLoading(staging.first);
-    if (is_over) {
-      Touch(staging.first);
+  std::erase_if(staging_models_, [&](const auto& staging) {
+    const bool is_expired = !load_pacer_.IsLoading(staging.first);
+    if (is_expired) {
+      ScheduleReview(staging.first);
     }
-    return is_over;
+    return is_expired;
   });
 }
 
@@ -186,12 +189,13 @@
       !MayOrder(now, staging.vm, GroupOrderKind::kStage, GroupId())) {
     return;
   }
-  const ModelProfile* profile = ProfileOf(view, vm->service, staging.model);
-  if (profile == nullptr || loads_.IsLoading(staging.vm) ||
-      !loads_.Begin(now, staging.vm, profile->load_time,
-                    staging.purpose == StagingPurpose::kStandby
-                        ? LoadNeed::kStandby
-                        : LoadNeed::kNow)) {
+  const ModelProfile* profile =
+      FindModelProfile(view, vm->service, staging.model);
+  if (profile == nullptr || load_pacer_.IsLoading(staging.vm) ||
+      !load_pacer_.TryBegin(now, staging.vm, profile->load_time,
+                            staging.purpose == StagingPurpose::kStandby
+                                ? LoadPriority::kStandby
+                                : LoadPriority::kUrgent)) {
     return;
   }
   OrderStaging(now, *vm, staging.model);
@@ -203,16 +207,16 @@
   GroupOrder order;
   order.kind = GroupOrderKind::kStage;
   order.model = model;
-  staging_[vm.id] = model;
-  Touch(vm.id);
-  Send(now, vm.id, vm.address, std::move(order));
+  staging_models_[vm.id] = model;
+  ScheduleReview(vm.id);
+  SendOrder(now, vm.id, vm.address, std::move(order));
 }
 
 bool FleetKeeper::MayOrder(Time now,
                            const VmId& vm,
                            GroupOrderKind kind,
                            const GroupId& group) const {
-  if (pending_of_.contains(vm)) {
+  if (pending_order_ids_.contains(vm)) {
     return false;
   }
   const auto last = last_orders_.find(vm);
@@ -223,15 +227,15 @@
   return now - last->second.sent >= settings_.resend_interval;
 }
 
-void FleetKeeper::Send(Time now,
-                       const VmId& vm,
-                       const Address& address,
-                       GroupOrder order) {
+void FleetKeeper::SendOrder(Time now,
+                            const VmId& vm,
+                            const Address& address,
+                            GroupOrder order) {
   order.fence = role_->fence;
-  ++last_order_;
+  ++last_order_id_;
   last_orders_[vm] = {order.kind, order.group, now};
-  pending_of_[vm] = last_order_;
-  pending_[last_order_] = {vm, address, order, now};
+  pending_order_ids_[vm] = last_order_id_;
+  pending_orders_[last_order_id_] = {vm, address, order, now};
   events_({EventKind::kOrderSent,
            vm.value(),
            {},
@@ -240,31 +244,31 @@
             {"model", order.model.value()},
             {"fence", order.fence.value()}}});
   actions_.emplace_back(SendGroupOrder{
-      last_order_, vm, address, std::move(order), settings_.order_timeout});
+      last_order_id_, vm, address, std::move(order), settings_.order_timeout});
 }
 
 void FleetKeeper::ExpireOrders(Time now) {
-  std::erase_if(pending_, [&](const auto& pending) {
-    const bool is_over =
+  std::erase_if(pending_orders_, [&](const auto& pending) {
+    const bool is_expired =
         now - pending.second.sent >= settings_.order_timeout * 2;
-    if (is_over) {
-      pending_of_.erase(pending.second.vm);
+    if (is_expired) {
+      pending_order_ids_.erase(pending.second.vm);
     }
-    return is_over;
+    return is_expired;
   });
 }
 
 void FleetKeeper::OnOrderReply(Time now,
                                OrderId id,
                                GroupOrderVerdict verdict) {
-  const auto found = pending_.find(id);
-  if (found == pending_.end()) {
+  const auto found = pending_orders_.find(id);
+  if (found == pending_orders_.end()) {
     return;
   }
   const PendingOrder pending = found->second;
-  Touch(pending.vm);
-  pending_.erase(found);
-  pending_of_.erase(pending.vm);
+  ScheduleReview(pending.vm);
+  pending_orders_.erase(found);
+  pending_order_ids_.erase(pending.vm);
   if (verdict != GroupOrderVerdict::kBegun &&
       verdict != GroupOrderVerdict::kDone) {
     events_({EventKind::kOrderRefused,
@@ -276,23 +280,23 @@
               {"after_ms", (now - pending.sent).millis()}}});
     if (pending.order.kind == GroupOrderKind::kJoin ||
         pending.order.kind == GroupOrderKind::kStage) {
-      loads_.End(pending.vm);
+      load_pacer_.End(pending.vm);
     }
     if (pending.order.kind == GroupOrderKind::kStage &&
         verdict != GroupOrderVerdict::kNoAnswer &&
         verdict != GroupOrderVerdict::kUnreachable) {
-      refused_staging_.insert(pending.vm);
+      refused_staging_vms_.insert(pending.vm);
     }
   }
   if (verdict == GroupOrderVerdict::kNoAnswer ||
       verdict == GroupOrderVerdict::kUnreachable) {
-    Doubtful(now, pending.vm, pending.address);
+    SuspectVm(now, pending.vm, pending.address);
   }
   // Another run has the VM's address, so this run is gone, although delayed
   // heartbeats may keep its registration for seconds. Group after group would
   // wait for it. A probe cannot detect this, because the other run answers it.
   if (verdict == GroupOrderVerdict::kOtherVm) {
-    replaced_[pending.vm] = pending.address;
+    replaced_vms_[pending.vm] = pending.address;
   }
   if (verdict == GroupOrderVerdict::kStale &&
       pending.order.kind != GroupOrderKind::kJoin) {
@@ -308,14 +312,14 @@
   // The engine has left, is in no such group, or another VM has the address. A
   // load that was part of the join ended with it; if it still counted, the VM
   // would get no other load. A load onto the host continues.
-  if (!staging_.contains(pending.vm)) {
-    loads_.End(pending.vm);
+  if (!staging_models_.contains(pending.vm)) {
+    load_pacer_.End(pending.vm);
   }
-  left_.emplace(pending.vm, pending.order.group);
+  left_groups_.emplace(pending.vm, pending.order.group);
   for (auto& [domain_id, domain] : domains_) {
-    const auto run = domain.runs.find(pending.order.group);
-    if (run != domain.runs.end()) {
-      run->second.left.insert(pending.vm);
+    const auto status = domain.group_statuses.find(pending.order.group);
+    if (status != domain.group_statuses.end()) {
+      status->second.left_members.insert(pending.vm);
     }
   }
 }
--- a/coordination/gateway/fleet_keeper_probes.cc
+++ b/coordination/gateway/fleet_keeper_probes.cc
@@ -9,66 +9,67 @@
 
 namespace gcw {
 
-void FleetKeeper::Doubtful(Time now, const VmId& vm, const Address& address) {
-  Doubt& doubt = doubts_[vm];
-  doubt.address = address;
-  if (!doubt.probing) {
-    doubt.next_probe = now;
+void FleetKeeper::SuspectVm(Time now, const VmId& vm, const Address& address) {
+  Suspect& suspect = suspects_[vm];
+  suspect.address = address;
+  if (!suspect.probe_pending) {
+    suspect.next_probe = now;
   }
 }
 
-void FleetKeeper::DoubtMembers(Time now,
-                               const GroupRecord& group,
-                               const GroupRun& run) {
+void FleetKeeper::SuspectMembers(Time now,
+                                 const GroupRecord& group,
+                                 const GroupStatus& status) {
   for (const VmId& member : group.members) {
-    const auto address = run.addresses.find(member);
-    if (address != run.addresses.end()) {
-      Doubtful(now, member, address->second);
+    const auto address = status.addresses.find(member);
+    if (address != status.addresses.end()) {
+      SuspectVm(now, member, address->second);
     }
   }
 }
 
-bool FleetKeeper::IsSilent(const VmId& vm) const {
-  const auto found = doubts_.find(vm);
-  return replaced_.contains(vm) ||
-         (found != doubts_.end() && found->second.silent);
+bool FleetKeeper::IsUnresponsive(const VmId& vm) const {
+  const auto found = suspects_.find(vm);
+  return replaced_vms_.contains(vm) ||
+         (found != suspects_.end() && found->second.is_unresponsive);
 }
 
 bool FleetKeeper::IsSlow(const VmId& vm) const {
-  const auto found = doubts_.find(vm);
-  return found != doubts_.end() && found->second.slow;
+  const auto found = suspects_.find(vm);
+  return found != suspects_.end() && found->second.is_slow;
 }
 
-bool FleetKeeper::IsUnclear(const VmId& vm) const {
-  const auto found = doubts_.find(vm);
-  return found != doubts_.end() && !found->second.silent && !found->second.slow;
+bool FleetKeeper::AwaitsProbeVerdict(const VmId& vm) const {
+  const auto found = suspects_.find(vm);
+  return found != suspects_.end() && !found->second.is_unresponsive &&
+         !found->second.is_slow;
 }
 
-void FleetKeeper::ProbeDoubted(Time now, const FleetView& view) {
-  for (auto it = doubts_.begin(); it != doubts_.end();) {
+void FleetKeeper::ProbeSuspects(Time now, const FleetView& view) {
+  for (auto it = suspects_.begin(); it != suspects_.end();) {
     if (view.FindVm(it->first) == nullptr) {
-      it = doubts_.erase(it);
+      it = suspects_.erase(it);
       continue;
     }
-    Doubt& doubt = it->second;
-    if (!doubt.probing && now >= doubt.next_probe) {
-      doubt.probing = true;
+    Suspect& suspect = it->second;
+    if (!suspect.probe_pending && now >= suspect.next_probe) {
+      suspect.probe_pending = true;
       actions_.emplace_back(
-          ProbeEngine{it->first, doubt.address, settings_.probe_timeout});
+          ProbeEngine{it->first, suspect.address, settings_.probe_timeout});
     }
     ++it;
   }
 }
 
-const VmRegistration* FleetKeeper::DrawServing(const FleetView& view,
-                                               const Domain& domain,
-                                               const ModelId& model) {
+const VmRegistration* FleetKeeper::FindServingHead(const FleetView& view,
+                                                   const Domain& domain,
+                                                   const ModelId& model) {
   const auto& groups = domain.writer.record().groups;
   for (std::size_t i = 0; i < groups.size(); ++i) {
-    const GroupRecord& group = groups[(demand_turn_ + i) % groups.size()];
+    const GroupRecord& group = groups[(demand_probe_turn_ + i) % groups.size()];
     const VmRegistration* head = view.FindVm(group.members.front());
     if (group.model == model && head != nullptr && IsOpen(view, group) &&
-        !doubts_.contains(head->id)) {
+        !suspects_.contains(head->id)) {
       return head;
     }
   }
@@ -76,14 +77,15 @@
 }
 
 void FleetKeeper::ProbeDemand(Time now, const FleetView& view) {
-  if (!loads_.has_traffic() || now < next_demand_probe_ || domains_.empty()) {
+  if (!load_pacer_.has_traffic() || now < next_demand_probe_ ||
+      domains_.empty()) {
     return;
   }
   next_demand_probe_ = now + settings_.demand_interval;
-  for (std::size_t tried = 0; tried < settings_.demand_tries; ++tried) {
-    ++demand_turn_;
+  for (std::size_t tried = 0; tried < settings_.max_searched_domains; ++tried) {
+    ++demand_probe_turn_;
     auto domain = domains_.begin();
-    std::advance(domain, demand_turn_ % domains_.size());
+    std::advance(domain, demand_probe_turn_ % domains_.size());
     const ServiceRule* service =
         view.routes()->FindService(domain->second.service);
     if (service == nullptr || !service->engine ||
@@ -93,10 +95,10 @@
     const auto& models = service->engine->models;
     // All domains have their turn before the next model does.
     const ModelId& model =
-        models[demand_turn_ / domains_.size() % models.size()].model;
-    const VmRegistration* head = DrawServing(view, domain->second, model);
+        models[demand_probe_turn_ / domains_.size() % models.size()].model;
+    const VmRegistration* head = FindServingHead(view, domain->second, model);
     if (head != nullptr) {
-      demand_asked_[head->id] = {
+      pending_demand_probes_[head->id] = {
           model, static_cast<double>(service->engine->batch_limit)};
       actions_.emplace_back(
           ProbeEngine{head->id, head->address, settings_.probe_timeout});
@@ -108,36 +110,37 @@
 void FleetKeeper::OnProbeReply(Time now,
                                const VmId& vm,
                                const ProbeReport& report) {
-  const auto asked = demand_asked_.find(vm);
-  if (asked != demand_asked_.end()) {
-    const auto [model, places] = asked->second;
-    demand_asked_.erase(asked);
+  const auto asked = pending_demand_probes_.find(vm);
+  if (asked != pending_demand_probes_.end()) {
+    const auto [model, capacity] = asked->second;
+    pending_demand_probes_.erase(asked);
     if (report.verdict == ProbeVerdict::kAnswered) {
-      demand_.OnFill(now, model, static_cast<double>(report.requests) / places);
+      model_demand_.OnUtilization(
+          now, model, static_cast<double>(report.requests) / capacity);
     }
   }
-  const auto found = doubts_.find(vm);
-  if (found == doubts_.end()) {
+  const auto found = suspects_.find(vm);
+  if (found == suspects_.end()) {
     return;
   }
-  Touch(vm);
+  ScheduleReview(vm);
   const bool answered = report.verdict == ProbeVerdict::kAnswered;
-  if (answered && report.pace < settings_.slow_pace) {
-    doubts_.erase(found);
+  if (answered && report.pace < settings_.slow_pace_threshold) {
+    suspects_.erase(found);
     return;
   }
-  Doubt& doubt = found->second;
-  if (doubt.silent != !answered || doubt.slow != answered) {
+  Suspect& suspect = found->second;
+  if (suspect.is_unresponsive != !answered || suspect.is_slow != answered) {
     events_({EventKind::kVmHeldOff,
              vm.value(),
              {},
              {{"probe", std::string(ProbeVerdictName(report.verdict))},
               {"pace", report.pace}}});
   }
-  doubt.silent = !answered;
-  doubt.slow = answered;
-  doubt.probing = false;
-  doubt.next_probe = now + settings_.probe_interval;
+  suspect.is_unresponsive = !answered;
+  suspect.is_slow = answered;
+  suspect.probe_pending = false;
+  suspect.next_probe = now + settings_.probe_interval;
 }
 
 }  // namespace gcw
--- a/coordination/gateway/fleet_keeper_review.cc
+++ b/coordination/gateway/fleet_keeper_review.cc
@@ -16,55 +16,58 @@
   std::set<GroupId> recorded;
   for (const GroupRecord& group : domain.writer.record().groups) {
     recorded.insert(group.id);
-    const auto [it, is_new] = domain.runs.try_emplace(group.id);
-    GroupRun& run = it->second;
+    const auto [it, is_new] = domain.group_statuses.try_emplace(group.id);
+    GroupStatus& status = it->second;
     if (is_new) {
-      run.since = now;
+      status.observed_since = now;
     }
     for (const VmId& member : group.members) {
       const VmRegistration* vm = view.FindVm(member);
       if (vm == nullptr) {
         continue;
       }
-      run.addresses[member] = vm->address;
+      status.addresses[member] = vm->address;
       if (!IsMemberOf(*vm, group)) {
         continue;
       }
-      run.joined.insert(member);
+      status.joined.insert(member);
       const MemberPhase phase = vm->membership->phase;
       // A load onto the host continues while the VM serves.
-      if (phase != MemberPhase::kJoining && !staging_.contains(member)) {
-        loads_.End(member);
+      if (phase != MemberPhase::kJoining && !staging_models_.contains(member)) {
+        load_pacer_.End(member);
       }
-      if (phase == MemberPhase::kOpen && !run.open_seen) {
-        run.open_seen = true;
-        Report(EventKind::kGroupServing, group,
-               {{"after_ms", (now - run.since).millis()}});
+      if (phase == MemberPhase::kOpen && !status.has_opened) {
+        status.has_opened = true;
+        ReportGroupEvent(
+            EventKind::kGroupServing, group,
+            {{"after_ms", (now - status.observed_since).millis()}});
       }
     }
-    if (!run.ending.empty()) {
+    if (!status.end_reason.empty()) {
       continue;
     }
     const VmId& head = group.members.front();
-    if (standstills_.erase({head, group.generation}) > 0 &&
-        !run.stands_still_since) {
-      run.stands_still_since = now;
-      DoubtMembers(now, group, run);
+    if (stalled_groups_.erase({head, group.generation}) > 0 &&
+        !status.stalled_since) {
+      status.stalled_since = now;
+      SuspectMembers(now, group, status);
     }
-    run.ending = FindDamage(now, view, domain, group, run);
-    if (run.ending.empty()) {
+    status.end_reason = FindEndReason(now, view, domain, group, status);
+    if (status.end_reason.empty()) {
       continue;
     }
-    run.ending_since = now;
+    status.end_started = now;
     // The member that caused the damage must not join the next group, so all
     // members are probed.
-    if (!run.ends_by_plan && !run.stands_still_since) {
-      DoubtMembers(now, group, run);
+    if (!status.is_planned_end && !status.stalled_since) {
+      SuspectMembers(now, group, status);
     }
-    Report(EventKind::kGroupClosed, group, {{"reason", run.ending}});
+    ReportGroupEvent(EventKind::kGroupClosed, group,
+                     {{"reason", status.end_reason}});
   }
-  std::erase_if(domain.runs,
-                [&](const auto& run) { return !recorded.contains(run.first); });
+  std::erase_if(domain.group_statuses, [&](const auto& status) {
+    return !recorded.contains(status.first);
+  });
 }
 
 bool FleetKeeper::IsOpen(const FleetView& view, const GroupRecord& group) {
@@ -73,42 +76,42 @@
          head->membership->phase == MemberPhase::kOpen;
 }
 
-std::string FleetKeeper::FindDamage(Time now,
-                                    const FleetView& view,
-                                    const Domain& domain,
-                                    const GroupRecord& group,
-                                    GroupRun& run) const {
+std::string FleetKeeper::FindEndReason(Time now,
+                                       const FleetView& view,
+                                       const Domain& domain,
+                                       const GroupRecord& group,
+                                       GroupStatus& status) const {
   const VmId& head = group.members.front();
   // A member that is cut off from the key-value service loses its registration
   // but continues to run. Closing its group would also lose the work of the
   // other members.
-  const bool goes_on =
-      now - last_progress_(head, group.generation) < settings_.progress_life;
+  const bool is_progressing =
+      now - last_progress_(head, group.generation) < settings_.progress_ttl;
   for (const VmId& member : group.members) {
     const VmRegistration* vm = view.FindVm(member);
-    if (vm == nullptr && goes_on && member != head) {
+    if (vm == nullptr && is_progressing && member != head) {
       continue;
     }
     if (vm == nullptr) {
       return "member_lost:" + member.value();
     }
-    if (IsSilent(member)) {
+    if (IsUnresponsive(member)) {
       return "member_silent:" + member.value();
     }
     // A member that drains stays while its group has work. Without a spare to
     // replace it, closing the group now would only end its service sooner.
-    if (vm->draining && member != head && run.open_seen &&
-        CountFreeWith(view, domain, group.model) == 0) {
+    if (vm->draining && member != head && status.has_opened &&
+        CountStartableSpares(view, domain, group.model) == 0) {
       continue;
     }
     if (vm->draining) {
-      run.ends_by_plan = true;
+      status.is_planned_end = true;
       return "member_leaving:" + member.value();
     }
     if (!IsMemberOf(*vm, group)) {
       // All members had joined before the group opened. Joining an open group
       // again would not make the group whole, and would bind the member to it.
-      if (run.joined.contains(member) || IsOpen(view, group)) {
+      if (status.joined.contains(member) || IsOpen(view, group)) {
         return "member_elsewhere:" + member.value();
       }
       continue;
@@ -117,30 +120,31 @@
       return "broken:" + member.value();
     }
   }
-  if (!run.open_seen && now - run.since >= settings_.form_limit) {
+  if (!status.has_opened &&
+      now - status.observed_since >= settings_.form_limit) {
     return "not_formed";
   }
-  if (run.stands_still_since) {
-    std::string reason = JudgeStandstill(now, view, domain, group, run);
+  if (status.stalled_since) {
+    std::string reason = FindStallEndReason(now, view, domain, group, status);
     if (!reason.empty()) {
       return reason;
     }
   }
-  if (!run.open_seen && !run.open_sent &&
-      OpensSoonerAnew(view, domain, group)) {
+  if (!status.has_opened && !status.open_ordered &&
+      CanReplaceLoadingMembers(view, domain, group)) {
     return "better_member";
   }
   return {};
 }
 
-std::string FleetKeeper::JudgeStandstill(Time now,
-                                         const FleetView& view,
-                                         const Domain& domain,
-                                         const GroupRecord& group,
-                                         GroupRun& run) const {
+std::string FleetKeeper::FindStallEndReason(Time now,
+                                            const FleetView& view,
+                                            const Domain& domain,
+                                            const GroupRecord& group,
+                                            GroupStatus& status) const {
   std::size_t slow = 0;
   for (const VmId& member : group.members) {
-    if (IsUnclear(member)) {
+    if (AwaitsProbeVerdict(member)) {
       return {};
     }
     slow += IsSlow(member) ? 1 : 0;
@@ -149,62 +153,62 @@
   // slow members: forming it again of the same members would cut its streams
   // for nothing.
   if (slow > 0) {
-    if (CountFreeWith(view, domain, group.model) >= slow) {
+    if (CountStartableSpares(view, domain, group.model) >= slow) {
       return "member_slow";
     }
-    run.stands_still_since.reset();
+    status.stalled_since.reset();
     return {};
   }
   const VmId& head = group.members.front();
-  if (last_progress_(head, group.generation) > *run.stands_still_since) {
-    run.stands_still_since.reset();
+  if (last_progress_(head, group.generation) > *status.stalled_since) {
+    status.stalled_since.reset();
     return {};
   }
-  return now - *run.stands_still_since >= settings_.standstill_patience
-             ? "stands_still"
-             : std::string();
+  return now - *status.stalled_since >= settings_.stall_timeout ? "stands_still"
+                                                                : std::string();
 }
 
-std::size_t FleetKeeper::CountFreeWith(const FleetView& view,
-                                       const Domain& domain,
-                                       const ModelId& model) const {
-  std::set<VmId> taken;
+std::size_t FleetKeeper::CountStartableSpares(const FleetView& view,
+                                              const Domain& domain,
+                                              const ModelId& model) const {
+  std::set<VmId> assigned;
   for (const GroupRecord& group : domain.writer.record().groups) {
-    taken.insert(group.members.begin(), group.members.end());
+    assigned.insert(group.members.begin(), group.members.end());
   }
   const DomainVms& vms = view.VmsOf(domain.writer.record().domain);
   return static_cast<std::size_t>(
       std::count_if(vms.begin(), vms.end(), [&](const auto& entry) {
         const auto& [id, vm] = entry;
-        return !vm->draining && vm->HasAtHand(model) && !taken.contains(id) &&
-               !doubts_.contains(id) && !replaced_.contains(id);
+        return !vm->draining && vm->HasAtHand(model) &&
+               !assigned.contains(id) && !suspects_.contains(id) &&
+               !replaced_vms_.contains(id);
       }));
 }
 
-bool FleetKeeper::OpensSoonerAnew(const FleetView& view,
-                                  const Domain& domain,
-                                  const GroupRecord& group) const {
+bool FleetKeeper::CanReplaceLoadingMembers(const FleetView& view,
+                                           const Domain& domain,
+                                           const GroupRecord& group) const {
   const auto loading = static_cast<std::size_t>(std::count_if(
       group.members.begin(), group.members.end(), [&](const VmId& member) {
         const VmRegistration* vm = view.FindVm(member);
         return vm != nullptr && !vm->HasAtHand(group.model);
       }));
   // The VMs of given-up groups are reserved for another model.
-  return loading > 0 && domain.regroups_for.empty() &&
-         CountFreeWith(view, domain, group.model) >= loading;
+  return loading > 0 && domain.regroup_target.empty() &&
+         CountStartableSpares(view, domain, group.model) >= loading;
 }
 
 bool FleetKeeper::HasLeft(const FleetView& view,
                           const GroupRecord& group,
-                          const GroupRun& run,
+                          const GroupStatus& status,
                           const VmId& member) const {
-  if (run.left.contains(member)) {
+  if (status.left_members.contains(member)) {
     return true;
   }
   // A registration without the group may be older than the order to join it,
   // and the VM may be a member by now. Only its answer to an order to leave
   // counts then.
-  if (run.join_sent.contains(member) && !run.joined.contains(member)) {
+  if (status.join_ordered.contains(member) && !status.joined.contains(member)) {
     return false;
   }
   const VmRegistration* vm = view.FindVm(member);
@@ -213,10 +217,10 @@
                            vm->membership->phase == MemberPhase::kBroken);
 }
 
-bool FleetKeeper::IsOver(const FleetView& view,
-                         const GroupRecord& group,
-                         const GroupRun& run) const {
-  if (HasLeft(view, group, run, group.members.front())) {
+bool FleetKeeper::HasEnded(const FleetView& view,
+                           const GroupRecord& group,
+                           const GroupStatus& status) const {
+  if (HasLeft(view, group, status, group.members.front())) {
     return true;
   }
   // The first member may be cut off and still serve; the other members are free
@@ -224,34 +228,35 @@
   // group, and is ordered to leave when it comes back.
   return std::all_of(
       group.members.begin() + 1, group.members.end(), [&](const VmId& member) {
-        return view.FindVm(member) == nullptr || IsSilent(member) ||
-               HasLeft(view, group, run, member);
+        return view.FindVm(member) == nullptr || IsUnresponsive(member) ||
+               HasLeft(view, group, status, member);
       });
 }
 
-void FleetKeeper::RemoveOver(Time now,
-                             const FleetView& view,
-                             Domain& domain,
-                             DomainRecord& next) {
-  std::erase_if(next.groups, [&](const GroupRecord& group) {
-    GroupRun& run = domain.runs[group.id];
-    if (run.ending.empty() || !IsOver(view, group, run)) {
+void FleetKeeper::RemoveEnded(Time now,
+                              const FleetView& view,
+                              Domain& domain,
+                              DomainRecord& next_record) {
+  std::erase_if(next_record.groups, [&](const GroupRecord& group) {
+    GroupStatus& status = domain.group_statuses[group.id];
+    if (status.end_reason.empty() || !HasEnded(view, group, status)) {
       return false;
     }
-    if (HasLeft(view, group, run, group.members.front())) {
-      ended_.insert(group.id);
+    if (HasLeft(view, group, status, group.members.front())) {
+      ended_groups_.insert(group.id);
     }
-    Report(EventKind::kGroupDissolved, group,
-           {{"reason", run.ending},
-            {"after_ms", (now - run.ending_since).millis()}});
+    ReportGroupEvent(EventKind::kGroupDissolved, group,
+                     {{"reason", status.end_reason},
+                      {"after_ms", (now - status.end_started).millis()}});
     return true;
   });
 }
 
-bool FleetKeeper::IsFreeOfOldGroup(Time now, const VmRegistration& vm) {
+bool FleetKeeper::MayJoinNewGroup(Time now, const VmRegistration& vm) {
   const GroupMembership& old = *vm.membership;
   if (old.phase == MemberPhase::kJoining || old.phase == MemberPhase::kBroken ||
-      ended_.contains(old.group) || left_.contains({vm.id, old.group})) {
+      ended_groups_.contains(old.group) ||
+      left_groups_.contains({vm.id, old.group})) {
     return true;
   }
   if (MayOrder(now, vm.id, GroupOrderKind::kLeave, old.group)) {
@@ -259,7 +264,7 @@
     order.kind = GroupOrderKind::kLeave;
     order.group = old.group;
     order.generation = old.generation;
-    Send(now, vm.id, vm.address, std::move(order));
+    SendOrder(now, vm.id, vm.address, std::move(order));
   }
   return false;
 }
--- a/coordination/gateway/group_planner.h
+++ b/coordination/gateway/group_planner.h
@@ -36,52 +36,52 @@
 };
 
 // A VM that can become a member of a group.
-struct FreeVm {
+struct VmCandidate {
   VmId vm;
   // Models whose weights its host holds.
-  std::vector<ModelId> at_hand;
+  std::vector<ModelId> staged;
   // The model of its last group, which starts fastest; may be empty.
   ModelId last_model;
   // The model that its host is loading; may be empty.
-  ModelId loading;
+  ModelId loading_model;
   // Its group would run at its pace, so it is chosen last.
-  bool slow = false;
+  bool is_slow = false;
 };
 
 // A serving group and its usable members.
-struct StandingGroup {
+struct ServingGroup {
   GroupId id;
   ModelId model;
-  std::vector<FreeVm> members;
+  std::vector<VmCandidate> members;
   bool may_be_given_up = true;
 };
 
 // Planner input for one fabric domain.
-struct PlannedDomain {
+struct DomainSnapshot {
   // Groups of a model that end and are to be formed again.
-  struct Ending {
-    std::size_t groups = 0;
-    // Members of these groups that cannot join the new ones.
-    std::size_t lost = 0;
+  struct EndingGroups {
+    std::size_t count = 0;
+    // Members of these groups that cannot join the new groups.
+    std::size_t unusable_members = 0;
   };
 
   FabricDomainId domain;
-  std::vector<FreeVm> free;
+  std::vector<VmCandidate> free_vms;
   // Groups that are open or being formed, by model.
-  std::map<ModelId, std::size_t> groups;
-  std::map<ModelId, Ending> ending;
-  std::vector<StandingGroup> standing;
+  std::map<ModelId, std::size_t> group_counts;
+  std::map<ModelId, EndingGroups> ending_groups;
+  std::vector<ServingGroup> serving_groups;
   // The model for which groups were given up; may be empty.
-  ModelId regroups_for;
+  ModelId regroup_target;
   // Whether serving groups may be given up for groups of another model.
   bool may_regroup = false;
   // All usable VMs, in groups or not.
-  std::size_t vms = 0;
+  std::size_t vm_count = 0;
   // Whether VMs still appear, as after a start of the whole fleet.
-  bool filling = false;
+  bool is_populating = false;
   // Whether more VMs will be free shortly. Forming groups of the VMs that are
   // free already could leave too few for a large group.
-  bool unsettled = false;
+  bool awaits_free_vms = false;
 };
 
 struct PlannedGroup {
@@ -131,97 +131,98 @@
   // number of groups, so that the cost of planning is proportional to what
   // changed.
   GroupPlan Plan(const EngineProfile& profile,
-                 std::vector<PlannedDomain> domains,
-                 const std::vector<const PlannedDomain*>& others = {}) const;
+                 std::vector<DomainSnapshot> domains,
+                 const std::vector<const DomainSnapshot*>& others = {}) const;
 
  private:
   // Numbers of groups or VMs, by model in the profile's order.
   using Counts = std::vector<std::size_t>;
   // Totals over all domains.
-  struct Fleet {
+  struct FleetTotals {
     double vms = 0;
     // Number of VMs of the largest domain, and at least enough for one group of
     // each model and the reserve.
     std::size_t largest_domain = 0;
-    // Existing groups by model, and below the groups that would exist if every
-    // domain were complete.
+    // Existing groups, by model.
     std::vector<double> groups;
     // Groups that are about to be formed, by model: successors of groups that
     // end, or groups for which others were given up.
     std::vector<double> awaited;
-    std::vector<double> wanted;
+    // Groups that would exist if every domain were complete, by model.
+    std::vector<double> target_groups;
     // Best mix of a complete domain, by its number of VMs. Most domains have
     // the same number.
-    std::map<std::size_t, Counts> whole_mixes;
+    std::map<std::size_t, Counts> complete_mixes;
   };
 
-  Fleet Survey(const EngineProfile& profile,
-               const std::vector<const PlannedDomain*>& domains) const;
+  FleetTotals ComputeTotals(
+      const EngineProfile& profile,
+      const std::vector<const DomainSnapshot*>& domains) const;
   // Returns the mix of a domain with this number of VMs, all of them free.
-  Counts MixOfWhole(const EngineProfile& profile, std::size_t vms) const;
+  Counts CompleteDomainMix(const EngineProfile& profile, std::size_t vms) const;
   // Returns the most valuable numbers of groups of each model that `vms` VMs
-  // can form. `fill` is the fraction of each model's share that the fleet
-  // already covers; `at_hand` is the number of the VMs that can start each
+  // can form. `coverage` is the fraction of each model's share that the fleet
+  // already covers; `startable` is the number of the VMs that can start each
   // model without a load.
-  Counts BestMix(const EngineProfile& profile,
-                 std::size_t vms,
-                 const std::vector<double>& fill,
-                 const Counts& at_hand) const;
+  Counts FindBestMix(const EngineProfile& profile,
+                     std::size_t vms,
+                     const std::vector<double>& coverage,
+                     const Counts& startable) const;
   // Returns the groups to form while a domain's VMs still appear.
-  Counts MixOfFilling(const EngineProfile& profile,
-                      const PlannedDomain& domain,
-                      const Counts& target) const;
-  Counts MixOfSettled(const EngineProfile& profile,
-                      const PlannedDomain& domain,
-                      const Fleet& fleet) const;
+  Counts StartupMix(const EngineProfile& profile,
+                    const DomainSnapshot& domain,
+                    const Counts& target) const;
+  Counts SteadyMix(const EngineProfile& profile,
+                   const DomainSnapshot& domain,
+                   const FleetTotals& fleet) const;
   void FormGroups(const EngineProfile& profile,
                   const Counts& mix,
-                  PlannedDomain& domain,
-                  Fleet& fleet,
+                  DomainSnapshot& domain,
+                  FleetTotals& fleet,
                   GroupPlan& plan) const;
   static void FormGroup(const EngineProfile& profile,
                         std::size_t model_index,
-                        PlannedDomain& domain,
-                        Fleet& fleet,
+                        DomainSnapshot& domain,
+                        FleetTotals& fleet,
                         GroupPlan& plan);
   // Forms the group for which the domain's groups were given up.
-  static void FormAwaited(const EngineProfile& profile,
-                          PlannedDomain& domain,
-                          Fleet& fleet,
-                          GroupPlan& plan);
+  static void FormRegroupedGroup(const EngineProfile& profile,
+                                 DomainSnapshot& domain,
+                                 FleetTotals& fleet,
+                                 GroupPlan& plan);
   // Groups of one model to give up for a group of another, and the gain.
-  struct RegroupingChoice {
+  struct RegroupingOption {
     std::vector<GroupId> given_up;
     // Gain in the fleet's value, less the cost of the interruption. A
     // regrouping pays only if this is positive.
     double gain = 0;
   };
-  RegroupingChoice WeighRegrouping(const EngineProfile& profile,
-                                   const PlannedDomain& domain,
-                                   const Fleet& fleet,
-                                   std::size_t from,
-                                   std::size_t to) const;
+  RegroupingOption EvaluateRegrouping(const EngineProfile& profile,
+                                      const DomainSnapshot& domain,
+                                      const FleetTotals& fleet,
+                                      std::size_t from,
+                                      std::size_t to) const;
   // Returns the regrouping with the highest gain, or nothing if none pays.
   std::optional<Regrouping> FindRegrouping(const EngineProfile& profile,
-                                           const PlannedDomain& domain,
-                                           const Fleet& fleet) const;
+                                           const DomainSnapshot& domain,
+                                           const FleetTotals& fleet) const;
   // Updates the fleet's totals as if the regrouping were complete.
-  static void CountAsDone(const EngineProfile& profile,
-                          const Regrouping& change,
-                          Fleet& fleet);
+  static void ApplyRegrouping(const EngineProfile& profile,
+                              const Regrouping& regrouping,
+                              FleetTotals& fleet);
   // Plans standby loads of a larger model's weights on the hosts of serving
   // VMs.
   void StageStandby(const EngineProfile& profile,
-                    const PlannedDomain& domain,
+                    const DomainSnapshot& domain,
                     GroupPlan& plan) const;
   // Plans to replace one spare's weights if another model needs a spare far
   // more.
   void RestageSpare(const EngineProfile& profile,
-                    const PlannedDomain& domain,
+                    const DomainSnapshot& domain,
                     const Counts& spares,
                     GroupPlan& plan) const;
   void StageSpares(const EngineProfile& profile,
-                   const PlannedDomain& domain,
+                   const DomainSnapshot& domain,
                    GroupPlan& plan) const;
 
   GroupPlannerSettings settings_;
--- a/coordination/gateway/group_planner_regrouping.cc
+++ b/coordination/gateway/group_planner_regrouping.cc
@@ -13,40 +13,42 @@
 namespace {
 
 // Value of `groups` groups of the model in a fleet of `vms` VMs.
-double WorthOfGroups(const ModelProfile& model, double groups, double vms) {
-  const double share = ShareOf(model);
-  return WorthOf(
+double ValueOfGroups(const ModelProfile& model, double groups, double vms) {
+  const double share = EffectiveShare(model);
+  return CoverageValue(
       share, groups * static_cast<double>(model.group_size) / (share * vms));
 }
 
-std::size_t CountReady(const std::vector<FreeVm>& vms, const ModelId& model) {
-  return static_cast<std::size_t>(std::count_if(
-      vms.begin(), vms.end(),
-      [&](const FreeVm& vm) { return !vm.slow && CanTakeUp(vm, model); }));
+std::size_t CountStartable(const std::vector<VmCandidate>& vms,
+                           const ModelId& model) {
+  return static_cast<std::size_t>(
+      std::count_if(vms.begin(), vms.end(), [&](const VmCandidate& vm) {
+        return !vm.is_slow && CanStartWithoutLoad(vm, model);
+      }));
 }
 
 // Returns the model's groups that may be given up, sorted by descending number
 // of members that can start `wanted` without a load.
-std::vector<const StandingGroup*> DonorsOf(const PlannedDomain& domain,
-                                           const ModelId& model,
-                                           const ModelId& wanted) {
-  std::vector<const StandingGroup*> donors;
-  for (const StandingGroup& group : domain.standing) {
+std::vector<const ServingGroup*> FindDonors(const DomainSnapshot& domain,
+                                            const ModelId& model,
+                                            const ModelId& wanted) {
+  std::vector<const ServingGroup*> donors;
+  for (const ServingGroup& group : domain.serving_groups) {
     if (group.model == model && group.may_be_given_up) {
       donors.push_back(&group);
     }
   }
   std::stable_sort(donors.begin(), donors.end(),
-                   [&](const StandingGroup* a, const StandingGroup* b) {
-                     return CountReady(a->members, wanted) >
-                            CountReady(b->members, wanted);
+                   [&](const ServingGroup* a, const ServingGroup* b) {
+                     return CountStartable(a->members, wanted) >
+                            CountStartable(b->members, wanted);
                    });
   return donors;
 }
 
 // Returns the model with the fewest holders for its group size among the models
 // with larger groups than `than`, or null if there is none.
-const ModelProfile* ScarcestLarger(
+const ModelProfile* FindScarcestLargerModel(
     const EngineProfile& profile,
     const ModelProfile& than,
     const std::map<ModelId, std::size_t>& holders) {
@@ -66,37 +68,37 @@
 
 // Counts the VMs in serving groups whose hosts hold each model's weights.
 std::map<ModelId, std::size_t> CountHolders(const EngineProfile& profile,
-                                            const PlannedDomain& domain) {
+                                            const DomainSnapshot& domain) {
   std::map<ModelId, std::size_t> holders;
   for (const ModelProfile& model : profile.models) {
     std::size_t& count = holders[model.model];
-    for (const StandingGroup& group : domain.standing) {
+    for (const ServingGroup& group : domain.serving_groups) {
       count += static_cast<std::size_t>(std::count_if(
           group.members.begin(), group.members.end(),
-          [&](const FreeVm& vm) { return HasAtHand(vm, model.model); }));
+          [&](const VmCandidate& vm) { return HasStaged(vm, model.model); }));
     }
   }
   return holders;
 }
 
 // Whether the VM's host may load other weights than those that its engine runs.
-bool MayHoldStandby(const FreeVm& vm, const ModelId& runs) {
+bool MayLoadStandby(const VmCandidate& vm, const ModelId& running_model) {
   const bool holds_another =
-      std::any_of(vm.at_hand.begin(), vm.at_hand.end(),
-                  [&](const ModelId& model) { return model != runs; });
-  return !holds_another && vm.loading.empty() && !vm.slow;
+      std::any_of(vm.staged.begin(), vm.staged.end(),
+                  [&](const ModelId& model) { return model != running_model; });
+  return !holds_another && vm.loading_model.empty() && !vm.is_slow;
 }
 
 }  // namespace
 
-void GroupPlanner::FormAwaited(const EngineProfile& profile,
-                               PlannedDomain& domain,
-                               Fleet& fleet,
-                               GroupPlan& plan) {
+void GroupPlanner::FormRegroupedGroup(const EngineProfile& profile,
+                                      DomainSnapshot& domain,
+                                      FleetTotals& fleet,
+                                      GroupPlan& plan) {
   for (std::size_t i = 0; i < profile.models.size(); ++i) {
     const ModelProfile& model = profile.models[i];
-    if (domain.regroups_for == model.model &&
-        domain.free.size() >= model.group_size) {
+    if (domain.regroup_target == model.model &&
+        domain.free_vms.size() >= model.group_size) {
       FormGroup(profile, i, domain, fleet, plan);
       return;
     }
@@ -110,11 +112,11 @@
 // VMs serve no requests.
 std::optional<Regrouping> GroupPlanner::FindRegrouping(
     const EngineProfile& profile,
-    const PlannedDomain& domain,
-    const Fleet& fleet) const {
+    const DomainSnapshot& domain,
+    const FleetTotals& fleet) const {
   // The VMs of a group that ends will be free shortly.
-  if (!domain.may_regroup || domain.filling || !domain.ending.empty() ||
-      !domain.regroups_for.empty()) {
+  if (!domain.may_regroup || domain.is_populating ||
+      !domain.ending_groups.empty() || !domain.regroup_target.empty()) {
     return std::nullopt;
   }
   std::optional<Regrouping> best;
@@ -125,81 +127,82 @@
       if (profile.models[to].group_size <= profile.models[from].group_size) {
         continue;
       }
-      const RegroupingChoice choice =
-          WeighRegrouping(profile, domain, fleet, from, to);
-      if (choice.gain > best_gain) {
-        best_gain = choice.gain;
+      const RegroupingOption option =
+          EvaluateRegrouping(profile, domain, fleet, from, to);
+      if (option.gain > best_gain) {
+        best_gain = option.gain;
         best = Regrouping{domain.domain, profile.models[to].model,
-                          profile.models[from].model, choice.given_up};
+                          profile.models[from].model, option.given_up};
       }
     }
   }
   return best;
 }
 
-GroupPlanner::RegroupingChoice GroupPlanner::WeighRegrouping(
+GroupPlanner::RegroupingOption GroupPlanner::EvaluateRegrouping(
     const EngineProfile& profile,
-    const PlannedDomain& domain,
-    const Fleet& fleet,
+    const DomainSnapshot& domain,
+    const FleetTotals& fleet,
     std::size_t from,
     std::size_t to) const {
   const ModelProfile& wanted = profile.models[to];
   const ModelProfile& donor = profile.models[from];
-  const std::size_t free = domain.free.size();
-  RegroupingChoice choice;
-  std::size_t ready = CountReady(domain.free, wanted.model);
-  if (static_cast<double>(ready) <
+  const std::size_t free_count = domain.free_vms.size();
+  RegroupingOption option;
+  std::size_t startable = CountStartable(domain.free_vms, wanted.model);
+  if (static_cast<double>(startable) <
       settings_.min_free_part * static_cast<double>(wanted.group_size)) {
-    return choice;
+    return option;
   }
-  std::size_t vms = free;
-  for (const StandingGroup* group :
-       DonorsOf(domain, donor.model, wanted.model)) {
-    if (ready >= wanted.group_size) {
+  std::size_t vms = free_count;
+  for (const ServingGroup* group :
+       FindDonors(domain, donor.model, wanted.model)) {
+    if (startable >= wanted.group_size) {
       break;
     }
-    ready += CountReady(group->members, wanted.model);
+    startable += CountStartable(group->members, wanted.model);
     vms += group->members.size();
-    choice.given_up.push_back(group->id);
+    option.given_up.push_back(group->id);
   }
-  if (ready < wanted.group_size || choice.given_up.empty()) {
-    return choice;
+  if (startable < wanted.group_size || option.given_up.empty()) {
+    return option;
   }
-  const auto groups_of = [](std::size_t count, const ModelProfile& model) {
+  const auto group_count_of = [](std::size_t count, const ModelProfile& model) {
     const std::size_t whole = count / model.group_size;
     return static_cast<double>(whole);
   };
-  const double have_to = fleet.groups[to] + fleet.awaited[to];
-  const double have_from = fleet.groups[from] + fleet.awaited[from];
-  const double given_up = static_cast<double>(choice.given_up.size());
-  const double stands =
-      WorthOfGroups(wanted, have_to, fleet.vms) +
-      WorthOfGroups(donor, have_from + groups_of(free, donor), fleet.vms);
-  const double regrouped =
-      WorthOfGroups(wanted, have_to + 1, fleet.vms) +
-      WorthOfGroups(
-          donor,
-          have_from - given_up + groups_of(vms - wanted.group_size, donor),
-          fleet.vms);
-  const double interrupted =
-      WorthOfGroups(donor, have_from, fleet.vms) -
-      WorthOfGroups(donor, have_from - given_up, fleet.vms);
-  choice.gain = regrouped - stands -
-                interrupted *
+  const double wanted_groups = fleet.groups[to] + fleet.awaited[to];
+  const double donor_groups = fleet.groups[from] + fleet.awaited[from];
+  const double given_up_count = static_cast<double>(option.given_up.size());
+  const double value_before =
+      ValueOfGroups(wanted, wanted_groups, fleet.vms) +
+      ValueOfGroups(donor, donor_groups + group_count_of(free_count, donor),
+                    fleet.vms);
+  const double value_after =
+      ValueOfGroups(wanted, wanted_groups + 1, fleet.vms) +
+      ValueOfGroups(donor,
+                    donor_groups - given_up_count +
+                        group_count_of(vms - wanted.group_size, donor),
+                    fleet.vms);
+  const double interruption_cost =
+      ValueOfGroups(donor, donor_groups, fleet.vms) -
+      ValueOfGroups(donor, donor_groups - given_up_count, fleet.vms);
+  option.gain = value_after - value_before -
+                interruption_cost *
                     static_cast<double>(settings_.regroup_time.millis()) /
                     static_cast<double>(settings_.expected_life.millis());
-  return choice;
+  return option;
 }
 
 // Other domains must not regroup for the same shortage.
-void GroupPlanner::CountAsDone(const EngineProfile& profile,
-                               const Regrouping& change,
-                               Fleet& fleet) {
+void GroupPlanner::ApplyRegrouping(const EngineProfile& profile,
+                                   const Regrouping& regrouping,
+                                   FleetTotals& fleet) {
   for (std::size_t i = 0; i < profile.models.size(); ++i) {
-    if (profile.models[i].model == change.model) {
+    if (profile.models[i].model == regrouping.model) {
       fleet.awaited[i] += 1;
-    } else if (profile.models[i].model == change.given_up_model) {
-      fleet.groups[i] -= static_cast<double>(change.given_up.size());
+    } else if (profile.models[i].model == regrouping.given_up_model) {
+      fleet.groups[i] -= static_cast<double>(regrouping.given_up.size());
     }
   }
 }
@@ -209,21 +212,22 @@
 // a large group is lost, small groups formed at once of the remaining VMs would
 // take its place.
 void GroupPlanner::StageStandby(const EngineProfile& profile,
-                                const PlannedDomain& domain,
+                                const DomainSnapshot& domain,
                                 GroupPlan& plan) const {
   std::map<ModelId, std::size_t> holders = CountHolders(profile, domain);
-  for (const StandingGroup& group : domain.standing) {
+  for (const ServingGroup& group : domain.serving_groups) {
     const auto own = std::find_if(
         profile.models.begin(), profile.models.end(),
         [&](const ModelProfile& model) { return model.model == group.model; });
     if (own == profile.models.end() ||
-        static_cast<std::int64_t>(GroupsOf(domain, group.model)) <
+        static_cast<std::int64_t>(GroupCountOf(domain, group.model)) <
             settings_.min_standby_groups) {
       continue;
     }
-    for (const FreeVm& vm : group.members) {
-      const ModelProfile* scarcest = ScarcestLarger(profile, *own, holders);
-      if (scarcest == nullptr || !MayHoldStandby(vm, group.model)) {
+    for (const VmCandidate& vm : group.members) {
+      const ModelProfile* scarcest =
+          FindScarcestLargerModel(profile, *own, holders);
+      if (scarcest == nullptr || !MayLoadStandby(vm, group.model)) {
         continue;
       }
       ++holders[scarcest->model];
--- a/coordination/gateway/load_pacer.h
+++ b/coordination/gateway/load_pacer.h
@@ -16,18 +16,18 @@
   double burst = 3;
   // Maximum number of concurrent loads, as a multiple of what the weight store
   // serves at full speed. Each load beyond that slows all the others.
-  double most_at_once = 1.25;
+  double max_concurrency_factor = 1.25;
   // A load without a result after this multiple of its expected time counts as
   // ended.
-  double patience = 3;
+  double timeout_factor = 3;
   // Fraction of the maximum number of concurrent loads beyond which no standby
   // load begins.
   double max_standby_share = 0.5;
 };
 
-enum class LoadNeed {
+enum class LoadPriority {
   // A group or a spare waits for the load.
-  kNow,
+  kUrgent,
   // The load begins only if it delays no load that is needed now.
   kStandby,
 };
@@ -45,24 +45,24 @@
   bool has_traffic() const { return has_traffic_; }
 
   // Whether a load on the VM may begin now; if so, records it as running.
-  bool Begin(Time now,
-             const VmId& vm,
-             Duration load_time,
-             LoadNeed need = LoadNeed::kNow);
+  bool TryBegin(Time now,
+                const VmId& vm,
+                Duration load_time,
+                LoadPriority priority = LoadPriority::kUrgent);
   // Records that the VM's load ended or that the VM is gone.
   void End(const VmId& vm) { running_.erase(vm); }
   bool IsLoading(const VmId& vm) const { return running_.contains(vm); }
   // Returns the VMs whose loads are running.
-  std::vector<VmId> Running() const;
+  std::vector<VmId> RunningLoads() const;
   void Tick(Time now);
 
  private:
   LoadPacerSettings settings_;
   double rate_ = 1;
-  double at_once_ = 1;
+  double max_concurrent_ = 1;
   bool has_traffic_ = false;
-  double balance_ = 0;
-  Time refilled_;
+  double tokens_ = 0;
+  Time last_refill_;
   // When each running load counts as ended, by VM.
   std::map<VmId, Time> running_;
 };
--- a/coordination/gateway/model_demand.cc
+++ b/coordination/gateway/model_demand.cc
@@ -5,17 +5,21 @@
 
 namespace gcw {
 
-void ModelDemand::OnFill(Time now, const ModelId& model, double fill) {
+void ModelDemand::OnUtilization(Time now,
+                                const ModelId& model,
+                                double utilization) {
   const auto [it, is_new] = estimates_.try_emplace(model);
   Estimate& estimate = it->second;
   if (is_new) {
-    estimate = {fill, now};
+    estimate = {utilization, now};
     return;
   }
-  const double passed = static_cast<double>((now - estimate.updated).millis()) /
-                        static_cast<double>(settings_.memory.millis());
-  const double kept = std::exp(-std::max(0.0, passed));
-  estimate.fill = kept * estimate.fill + (1 - kept) * fill;
+  const double elapsed =
+      static_cast<double>((now - estimate.updated).millis()) /
+      static_cast<double>(settings_.memory.millis());
+  const double old_weight = std::exp(-std::max(0.0, elapsed));
+  estimate.utilization =
+      old_weight * estimate.utilization + (1 - old_weight) * utilization;
   estimate.updated = now;
 }
 
@@ -26,8 +30,8 @@
     const auto estimate = estimates_.find(model.model);
     if (estimate != estimates_.end()) {
       model.work_share *=
-          std::clamp(estimate->second.fill / settings_.shortage_fill, 1.0,
-                     settings_.max_growth);
+          std::clamp(estimate->second.utilization / settings_.shortage_fill,
+                     1.0, settings_.max_growth);
     }
     total += model.work_share;
   }
--- a/coordination/gateway/model_demand.h
+++ b/coordination/gateway/model_demand.h
@@ -30,7 +30,7 @@
 
   // Records a group's running and waiting requests, as a multiple of the
   // requests that its engine runs at once.
-  void OnFill(Time now, const ModelId& model, double fill);
+  void OnUtilization(Time now, const ModelId& model, double utilization);
 
   // Returns the profile with corrected shares that add up to 1. A model without
   // reports keeps its configured share before the normalization.
@@ -38,7 +38,7 @@
 
  private:
   struct Estimate {
-    double fill = 0;
+    double utilization = 0;
     Time updated;
   };
 
--- a/coordination/gateway/planner_measures.h
+++ b/coordination/gateway/planner_measures.h
@@ -13,32 +13,33 @@
 
 // Minimum share of the work, so that a model without work still gets a group if
 // there is room.
-inline constexpr double kMinShare = 0.01;
+inline constexpr double kMinWorkShare = 0.01;
 
 // Whether the VM's host holds the model's weights.
-inline bool HasAtHand(const FreeVm& vm, const ModelId& model) {
-  return std::find(vm.at_hand.begin(), vm.at_hand.end(), model) !=
-         vm.at_hand.end();
+inline bool HasStaged(const VmCandidate& vm, const ModelId& model) {
+  return std::find(vm.staged.begin(), vm.staged.end(), model) !=
+         vm.staged.end();
 }
 
 // Whether the VM can join a group of the model without a load.
-inline bool CanTakeUp(const FreeVm& vm, const ModelId& model) {
-  return vm.last_model == model || HasAtHand(vm, model);
+inline bool CanStartWithoutLoad(const VmCandidate& vm, const ModelId& model) {
+  return vm.last_model == model || HasStaged(vm, model);
 }
 
-inline double ShareOf(const ModelProfile& model) {
-  return std::max(kMinShare, model.work_share);
+inline double EffectiveShare(const ModelProfile& model) {
+  return std::max(kMinWorkShare, model.work_share);
 }
 
-// Value of covering a model's share of the work `fill` times. Each further
+// Value of covering a model's share of the work `coverage` times. Each further
 // group of a model is worth less than the one before.
-inline double WorthOf(double share, double fill) {
-  return share * (1 - std::exp(-fill));
+inline double CoverageValue(double share, double coverage) {
+  return share * (1 - std::exp(-coverage));
 }
 
-inline std::size_t GroupsOf(const PlannedDomain& domain, const ModelId& model) {
-  const auto found = domain.groups.find(model);
-  return found == domain.groups.end() ? 0 : found->second;
+inline std::size_t GroupCountOf(const DomainSnapshot& domain,
+                                const ModelId& model) {
+  const auto found = domain.group_counts.find(model);
+  return found == domain.group_counts.end() ? 0 : found->second;
 }
 
 }  // namespace gcw
--- a/tests/coordination/gateway/fleet_keeper_terms_test.cc
+++ b/tests/coordination/gateway/fleet_keeper_terms_test.cc
@@ -119,7 +119,7 @@
 // key-value service is unavailable for longer than the keeper's lease but keeps
 // leases meanwhile, so the keeper gets its role back with the same fencing
 // number. Group numbers start over only with a new fencing number.
-TEST_F(FleetKeeperTermsTest, ARoleThatIsHeldAgainNamesNoGroupTwice) {
+TEST_F(FleetKeeperTermsTest, ARegainedRoleReusesNoGroupName) {
   AddDomain("a");
   Run(Duration::Seconds(3), Role());
   const std::size_t planned_before = planned_.size();
--- a/tests/coordination/gateway/fleet_keeper_test.cc
+++ b/tests/coordination/gateway/fleet_keeper_test.cc
@@ -103,7 +103,7 @@
 // Guards against closing a group that still serves, which costs a load: a
 // member that loses only its path to the key-value service lets its
 // registration lapse, but its group continues.
-TEST_F(FleetKeeperTest, KeepsAGroupThatGoesOnWithoutAMembersRegistration) {
+TEST_F(FleetKeeperTest, KeepsAServingGroupWithoutAMembersRegistration) {
   const VmId head = world_.OpenHead("large");
   const VmId member = world_.MembersOf(head)[2];
   const std::int64_t joins = world_.engine(head).joins;
@@ -148,7 +148,7 @@
 // the group is lost, while the weight store counts both loads. A load that is
 // part of a join ends when the group is given up; a load onto the host
 // continues.
-TEST_F(FleetKeeperTest, ALoadGoesOnWhenItsGroupIsGivenUp) {
+TEST_F(FleetKeeperTest, ALoadContinuesWhenItsGroupIsGivenUp) {
   const VmId head = world_.OpenHead("large");
   const FabricDomainId domain = world_.engine(head).self.domain;
   for (auto& [id, engine] : world_.engines()) {
@@ -177,7 +177,7 @@
 // Guards against a VM that waits one and a half seconds before it loads
 // weights, because its arrival in a serving domain is taken for the start of
 // the domain.
-TEST_F(FleetKeeperTest, AVmThatComesToADomainThatServesLoadsAtOnce) {
+TEST_F(FleetKeeperTest, ANewVmInAServingDomainLoadsAtOnce) {
   world_.AddEngine("d0", "fresh");
   EXPECT_TRUE(world_.RunUntil(Duration::Seconds(1), [this] {
     return !world_.engine(VmId("fresh")).staging.empty();
@@ -187,7 +187,7 @@
 // Guards against treating a restarted VM as the same run: a member crashes and
 // starts again under its id before its registration lapses, and knows nothing
 // of its group.
-TEST_F(FleetKeeperTest, AMemberThatStartsAgainUnderItsIdIsTakenUpAgain) {
+TEST_F(FleetKeeperTest, AMemberThatRestartsUnderItsIdJoinsAgain) {
   const VmId head = world_.OpenHead("large");
   const VmId member = world_.MembersOf(head)[3];
   world_.Restart(member);
@@ -231,7 +231,7 @@
 
 // Guards against one unreadable entry in the key-value service that permanently
 // hides a VM, or all other VMs with it.
-TEST_F(FleetKeeperTest, GroupsServeOnBesideEntriesThatCannotBeRead) {
+TEST_F(FleetKeeperTest, UnreadableEntriesDoNotDisturbGroups) {
   const VmId head = world_.OpenHead("large");
   world_.WriteEntry("vm/stranger", "no registration");
   const int served = world_.served;
@@ -258,7 +258,7 @@
 // Guards against delayed orders that remove a VM from its current group: orders
 // get no answer and are carried out seconds later, after the VM joined another
 // group. Generations have to grow from order to order.
-TEST_F(FleetKeeperTest, LateOrdersDoNotUndoNewerOnes) {
+TEST_F(FleetKeeperTest, DelayedOrdersDoNotUndoNewerOnes) {
   const VmId head = world_.OpenHead("large");
   for (const VmId& member : world_.MembersOf(head)) {
     world_.engine(member).order_delay = Duration::Seconds(5);
@@ -279,7 +279,7 @@
 // Guards against a fleet that does not serve after all nodes were killed and
 // started again while groups stayed open. A new keeper recovers the state from
 // the records and the registrations.
-TEST_F(FleetKeeperTest, GroupsServeOnAfterAllNodesWereKilled) {
+TEST_F(FleetKeeperTest, GroupsKeepServingAfterAllNodesWereKilled) {
   for (std::size_t i = 0; i < world_.node_count(); ++i) {
     world_.KillNode(i);
   }
@@ -299,7 +299,7 @@
 // Guards against closing a group that is only full, which cuts all its streams:
 // a node reports it as stalled, and the keeper's node has no stream there that
 // would show its progress.
-TEST_F(FleetKeeperTest, AGroupThatGoesOnForOtherNodesIsNotClosed) {
+TEST_F(FleetKeeperTest, AGroupThatProgressesForOtherNodesIsNotClosed) {
   const std::size_t keeper = *world_.keeper();
   world_.idle_nodes.insert(keeper);
   // Lets the streams of the keeper's node end.
@@ -323,7 +323,7 @@
 // but loses the key-value service. The next keeper finds the old group in the
 // record, orders the members to join it again, and must not take their older
 // registrations as proof that they left.
-TEST_F(FleetKeeperTest, MembersThatAnEarlierKeeperFreedAreNotTakenTwice) {
+TEST_F(FleetKeeperTest, MembersFreedByAnEarlierKeeperJoinOneGroupOnly) {
   const VmId head = world_.OpenHead("large");
   for (const VmId& member : world_.MembersOf(head)) {
     world_.engine(member).report_delay = Duration::Millis(400);
@@ -368,7 +368,7 @@
 // and given up for members that become free with the weights at hand, in turns
 // every 20 ms, if it is planned before the members of the previous group
 // confirmed that they left.
-TEST_F(FleetKeeperTest, GroupsAreNotGivenUpForEachOtherByTurns) {
+TEST_F(FleetKeeperTest, GroupsAreNotGivenUpForEachOtherInTurns) {
   const VmId head = world_.OpenHead("small");
   const FabricDomainId domain = world_.engine(head).self.domain;
   const std::vector<VmId> members = world_.MembersOf(head);
@@ -401,7 +401,7 @@
 // second, which cuts its streams each time: a member runs ten times too slowly,
 // its events come half a second apart, and nodes report the group as stalled
 // although every member answers.
-TEST_F(FleetKeeperTest, ASlowGroupIsNotFormedAnewOfTheSameVms) {
+TEST_F(FleetKeeperTest, ASlowGroupIsNotFormedAgainOfTheSameVms) {
   const VmId head = world_.OpenHead("large");
   for (auto& [id, engine] : world_.engines()) {
     engine.pace = 10;
@@ -416,7 +416,7 @@
   ExpectNoViolation();
 }
 
-TEST_F(FleetKeeperTest, ASlowMemberIsReplacedByASoundSpare) {
+TEST_F(FleetKeeperTest, ASlowMemberIsReplacedByAHealthySpare) {
   const VmId head = world_.OpenHead("large");
   const VmId slow = world_.MembersOf(head)[3];
   world_.engine(slow).pace = 10;
--- a/tests/coordination/gateway/fleet_size_test.cc
+++ b/tests/coordination/gateway/fleet_size_test.cc
@@ -6,9 +6,9 @@
 namespace gcw {
 namespace {
 
-class KeeperPlaceTest : public testing::Test {
+class KeeperPlacementTest : public testing::Test {
  protected:
-  KeeperPlaceTest() : world_(4, 2, 11, 5) {
+  KeeperPlacementTest() : world_(4, 2, 11, 5) {
     EXPECT_TRUE(world_.RunUntil(Duration::Seconds(12), [this] {
       return world_.open_groups("large") == 2 &&
              world_.open_groups("small") == 2;
@@ -29,7 +29,7 @@
 
 // Guards against decisions that are late for lack of processor time while a
 // larger node is idle.
-TEST_F(KeeperPlaceTest, TheKeeperHandsItsRoleToALargerNode) {
+TEST_F(KeeperPlacementTest, TheKeeperHandsItsRoleToALargerNode) {
   const std::size_t larger = OtherThan(world_.keeper().value());
   RestartWithWeight(larger, 50);
   EXPECT_TRUE(world_.RunUntil(Duration::Seconds(8),
@@ -41,7 +41,7 @@
   EXPECT_TRUE(world_.violations().empty());
 }
 
-TEST_F(KeeperPlaceTest, AFreeRoleGoesToTheLargestNode) {
+TEST_F(KeeperPlacementTest, AFreeRoleGoesToTheLargestNode) {
   const std::size_t keeper = world_.keeper().value();
   const std::size_t largest = OtherThan(keeper);
   RestartWithWeight(largest, 50);
@@ -54,7 +54,7 @@
 
 // Guards against a fleet without a keeper because the node that would take over
 // the role is about to stop.
-TEST_F(KeeperPlaceTest, ARoleIsNotHandedToANodeThatLeaves) {
+TEST_F(KeeperPlacementTest, ARoleIsNotHandedToAStoppingNode) {
   const std::size_t keeper = world_.keeper().value();
   const std::size_t larger = OtherThan(keeper);
   RestartWithWeight(larger, 50);
--- a/tests/coordination/gateway/group_planner_test.cc
+++ b/tests/coordination/gateway/group_planner_test.cc
@@ -14,20 +14,20 @@
   return profile;
 }
 
-PlannedDomain Domain(const std::string& name,
-                     std::size_t free,
-                     const std::string& at_hand = "") {
-  PlannedDomain domain;
+DomainSnapshot Domain(const std::string& name,
+                      std::size_t free,
+                      const std::string& at_hand = "") {
+  DomainSnapshot domain;
   domain.domain = FabricDomainId(name);
   for (std::size_t i = 0; i < free; ++i) {
-    FreeVm vm;
+    VmCandidate vm;
     vm.vm = VmId(name + std::to_string(i));
     if (!at_hand.empty()) {
-      vm.at_hand = {ModelId(at_hand)};
+      vm.staged = {ModelId(at_hand)};
     }
-    domain.free.push_back(vm);
+    domain.free_vms.push_back(vm);
   }
-  domain.vms = free;
+  domain.vm_count = free;
   return domain;
 }
 
@@ -41,7 +41,7 @@
 
 TEST(GroupPlannerTest, GivesEachDomainOneGroupOfEachModelAndStagesTheRest) {
   const GroupPlanner planner({});
-  std::vector<PlannedDomain> domains;
+  std::vector<DomainSnapshot> domains;
   for (const char* name : {"a", "b", "c", "d", "e", "f"}) {
     domains.push_back(Domain(name, 11));
   }
@@ -54,13 +54,13 @@
 // Guards against a model with large weights that gets no group at the start of
 // a fleet because of its long load, although no VM has any weights yet and
 // every group has to wait for a load.
-TEST(GroupPlannerTest, ALongLoadCostsAModelNoGroupAtTheStart) {
+TEST(GroupPlannerTest, ALongLoadCostsAModelNoGroupAtStartup) {
   EngineProfile profile = Profile();
   profile.models[0].load_time = Duration::Seconds(60);
   const GroupPlanner planner({});
-  PlannedDomain domain = Domain("a", 11);
+  DomainSnapshot domain = Domain("a", 11);
   EXPECT_EQ(CountOf(planner.Plan(profile, {domain}), "large"), 1U);
-  domain.filling = true;
+  domain.is_populating = true;
   EXPECT_EQ(CountOf(planner.Plan(profile, {domain}), "large"), 1U);
 }
 
@@ -70,14 +70,14 @@
   EXPECT_NE(plan.stagings[0].model, plan.stagings[1].model);
 }
 
-TEST(GroupPlannerTest, TakesVmsWithTheWeightsAtHandFirst) {
-  PlannedDomain domain = Domain("a", 5, "large");
-  domain.free.push_back(
+TEST(GroupPlannerTest, TakesVmsWithStagedWeightsFirst) {
+  DomainSnapshot domain = Domain("a", 5, "large");
+  domain.free_vms.push_back(
       {VmId("other"), {ModelId("small")}, ModelId(), ModelId()});
-  domain.free.push_back(
+  domain.free_vms.push_back(
       {VmId("same"), {ModelId("large")}, ModelId("large"), ModelId()});
-  domain.groups = {{ModelId("small"), 1}};
-  domain.vms = 10;
+  domain.group_counts = {{ModelId("small"), 1}};
+  domain.vm_count = 10;
   const GroupPlan plan = GroupPlanner({}).Plan(Profile(), {domain});
   ASSERT_EQ(CountOf(plan, "large"), 1U);
   const auto& members = plan.groups.front().members;
@@ -88,12 +88,12 @@
 // Guards against a group that is formed and given up in turns, some forty times
 // a second: if a load under way counts as weights at hand, the group is formed
 // with a spare that loads and then given up for a spare that holds the weights.
-TEST(GroupPlannerTest, WeightsAtHandGoBeforeALoadUnderWay) {
-  PlannedDomain domain = Domain("a", 5, "large");
-  domain.free.push_back({VmId("loads"), {}, ModelId(), ModelId("large")});
-  domain.free.push_back({VmId("holds"), {ModelId("large")}, {}, {}});
-  domain.groups = {{ModelId("small"), 1}};
-  domain.vms = 10;
+TEST(GroupPlannerTest, StagedWeightsRankAboveALoadUnderWay) {
+  DomainSnapshot domain = Domain("a", 5, "large");
+  domain.free_vms.push_back({VmId("loads"), {}, ModelId(), ModelId("large")});
+  domain.free_vms.push_back({VmId("holds"), {ModelId("large")}, {}, {}});
+  domain.group_counts = {{ModelId("small"), 1}};
+  domain.vm_count = 10;
   const GroupPlan plan = GroupPlanner({}).Plan(Profile(), {domain});
   ASSERT_EQ(CountOf(plan, "large"), 1U);
   const auto& members = plan.groups.front().members;
@@ -104,11 +104,11 @@
 // a group whose weights it does not load. The plan has to know of loads that an
 // earlier plan began.
 TEST(GroupPlannerTest, ALoadUnderWayIsNotPlannedAgain) {
-  PlannedDomain domain = Domain("a", 0);
-  domain.free.push_back({VmId("loads"), {}, ModelId(), ModelId("large")});
-  domain.free.push_back({VmId("empty"), {}, ModelId(), ModelId()});
-  domain.groups = {{ModelId("large"), 1}, {ModelId("small"), 1}};
-  domain.vms = 11;
+  DomainSnapshot domain = Domain("a", 0);
+  domain.free_vms.push_back({VmId("loads"), {}, ModelId(), ModelId("large")});
+  domain.free_vms.push_back({VmId("empty"), {}, ModelId(), ModelId()});
+  domain.group_counts = {{ModelId("large"), 1}, {ModelId("small"), 1}};
+  domain.vm_count = 11;
   const GroupPlan plan = GroupPlanner({}).Plan(Profile(), {domain});
   ASSERT_EQ(plan.stagings.size(), 1U);
   EXPECT_EQ(plan.stagings.front().vm, VmId("empty"));
@@ -118,13 +118,13 @@
 // Guards against a plan that ignores load times: the free members of a large
 // group load weights for two small groups and serve after seconds, although
 // they could form a large group at once.
-TEST(GroupPlannerTest, WeightsAtHandDecideBetweenModels) {
-  PlannedDomain domain = Domain("a", 6, "large");
-  domain.groups = {{ModelId("small"), 1}};
-  domain.vms = 11;
-  PlannedDomain other = Domain("b", 0);
-  other.groups = {{ModelId("large"), 4}};
-  other.vms = 40;
+TEST(GroupPlannerTest, StagedWeightsDecideBetweenModels) {
+  DomainSnapshot domain = Domain("a", 6, "large");
+  domain.group_counts = {{ModelId("small"), 1}};
+  domain.vm_count = 11;
+  DomainSnapshot other = Domain("b", 0);
+  other.group_counts = {{ModelId("large"), 4}};
+  other.vm_count = 40;
   const GroupPlan plan = GroupPlanner({}).Plan(Profile(), {domain, other});
   EXPECT_EQ(CountOf(plan, "large"), 1U);
   EXPECT_EQ(CountOf(plan, "small"), 0U);
@@ -134,36 +134,38 @@
 // member although its domain has a spare: the spare with the large model's
 // weights replaced the first member, and the remaining spare holds the small
 // model's weights. Such a spare has to replace its weights.
-TEST(GroupPlannerTest, ASpareLoadsTheWeightsThatAreMissedFarMore) {
-  PlannedDomain domain = Domain("a", 1, "small");
-  domain.groups = {{ModelId("large"), 1}, {ModelId("small"), 1}};
-  domain.vms = 10;
+TEST(GroupPlannerTest, ASpareLoadsWeightsThatAreNeededFarMore) {
+  DomainSnapshot domain = Domain("a", 1, "small");
+  domain.group_counts = {{ModelId("large"), 1}, {ModelId("small"), 1}};
+  domain.vm_count = 10;
   const GroupPlan plan = GroupPlanner({}).Plan(Profile(), {domain});
   ASSERT_EQ(plan.stagings.size(), 1U);
   EXPECT_EQ(plan.stagings.front().model, ModelId("large"));
 }
 
-TEST(GroupPlannerTest, ASpareKeepsWeightsThatAreMissedAsMuch) {
+TEST(GroupPlannerTest, ASpareKeepsWeightsThatAreNeededAsMuch) {
   // Domain a has only a spare for the model that loses members more often;
   // domain b has one spare for each model.
-  PlannedDomain of_large = Domain("a", 1, "large");
-  of_large.groups = {{ModelId("large"), 1}, {ModelId("small"), 1}};
-  of_large.vms = 10;
-  PlannedDomain of_both = of_large;
-  of_both.domain = FabricDomainId("b");
-  of_both.free.push_back({VmId("b1"), {ModelId("small")}, {}, {}});
-  const GroupPlan plan = GroupPlanner({}).Plan(Profile(), {of_large, of_both});
+  DomainSnapshot with_large_spare = Domain("a", 1, "large");
+  with_large_spare.group_counts = {{ModelId("large"), 1},
+                                   {ModelId("small"), 1}};
+  with_large_spare.vm_count = 10;
+  DomainSnapshot with_both_spares = with_large_spare;
+  with_both_spares.domain = FabricDomainId("b");
+  with_both_spares.free_vms.push_back({VmId("b1"), {ModelId("small")}, {}, {}});
+  const GroupPlan plan =
+      GroupPlanner({}).Plan(Profile(), {with_large_spare, with_both_spares});
   EXPECT_TRUE(plan.stagings.empty());
 }
 
 // Guards against a group that is formed again only 16 s after it has ended:
 // while it finishes its requests for seconds, two VMs without weights load what
 // no group waits for, because the group that ends is not counted.
-TEST(GroupPlannerTest, VmsLoadAtOnceWhatAGroupThatEndsWillNeed) {
-  PlannedDomain domain = Domain("a", 2);
-  domain.groups = {{ModelId("small"), 1}};
-  domain.ending = {{ModelId("large"), {1, 2}}};
-  domain.vms = 10;
+TEST(GroupPlannerTest, VmsLoadAtOnceWhatAnEndingGroupWillNeed) {
+  DomainSnapshot domain = Domain("a", 2);
+  domain.group_counts = {{ModelId("small"), 1}};
+  domain.ending_groups = {{ModelId("large"), {1, 2}}};
+  domain.vm_count = 10;
   const GroupPlan plan = GroupPlanner({}).Plan(Profile(), {domain});
   ASSERT_EQ(plan.stagings.size(), 2U);
   EXPECT_EQ(plan.stagings[0].model, ModelId("large"));
@@ -173,36 +175,36 @@
 // Guards against a large group that is not formed again because four VMs that
 // are free while it finishes its requests are taken for spares, and form a
 // small group that the fleet does not need.
-TEST(GroupPlannerTest, VmsThatAGroupWhichEndsNeedsMakeNoGroupBeyondItsPart) {
-  PlannedDomain domain = Domain("a", 4);
-  domain.groups = {{ModelId("small"), 1}};
-  domain.ending = {{ModelId("large"), {1, 1}}};
-  domain.vms = 10;
+TEST(GroupPlannerTest, VmsNeededByAnEndingGroupFormNoSurplusGroup) {
+  DomainSnapshot domain = Domain("a", 4);
+  domain.group_counts = {{ModelId("small"), 1}};
+  domain.ending_groups = {{ModelId("large"), {1, 1}}};
+  domain.vm_count = 10;
   EXPECT_TRUE(GroupPlanner({}).Plan(Profile(), {domain}).groups.empty());
 }
 
-TEST(GroupPlannerTest, KeepsTheReserveWhereNoGroupIsMissing) {
-  PlannedDomain domain = Domain("a", 3);
-  domain.groups = {{ModelId("large"), 1}, {ModelId("small"), 1}};
-  domain.vms = 12;
+TEST(GroupPlannerTest, KeepsTheReserveIfNoGroupIsMissing) {
+  DomainSnapshot domain = Domain("a", 3);
+  domain.group_counts = {{ModelId("large"), 1}, {ModelId("small"), 1}};
+  domain.vm_count = 12;
   EXPECT_TRUE(GroupPlanner({}).Plan(Profile(), {domain}).groups.empty());
 }
 
 // Guards against two small groups in place of a large one: a member of a large
 // group died, the others are being probed, and a plan is made for the three
 // that answered first.
-TEST(GroupPlannerTest, WaitsWhereVmsWillBeFreeInAMoment) {
-  PlannedDomain domain = Domain("a", 3, "large");
-  domain.unsettled = true;
+TEST(GroupPlannerTest, WaitsIfMoreVmsWillBeFreeShortly) {
+  DomainSnapshot domain = Domain("a", 3, "large");
+  domain.awaits_free_vms = true;
   EXPECT_TRUE(GroupPlanner({}).Plan(Profile(), {domain}).groups.empty());
 }
 
 TEST(GroupPlannerTest, FormsTheLargeGroupFirstWhileVmsAppear) {
-  PlannedDomain domain = Domain("a", 5);
-  domain.filling = true;
+  DomainSnapshot domain = Domain("a", 5);
+  domain.is_populating = true;
   EXPECT_TRUE(GroupPlanner({}).Plan(Profile(), {domain}).groups.empty());
   domain = Domain("a", 6);
-  domain.filling = true;
+  domain.is_populating = true;
   EXPECT_EQ(CountOf(GroupPlanner({}).Plan(Profile(), {domain}), "large"), 1U);
 }
 
--- a/tests/coordination/gateway/load_pacer_test.cc
+++ b/tests/coordination/gateway/load_pacer_test.cc
@@ -12,13 +12,13 @@
   return profile;
 }
 
-int BeginAll(LoadPacer& pacer, Time now, int from, int to) {
+int BeginLoads(LoadPacer& pacer, Time now, int from, int to) {
   int begun = 0;
   for (int i = from; i < to; ++i) {
-    begun +=
-        pacer.Begin(now, VmId("v" + std::to_string(i)), Duration::Seconds(16))
-            ? 1
-            : 0;
+    begun += pacer.TryBegin(now, VmId("v" + std::to_string(i)),
+                            Duration::Seconds(16))
+                 ? 1
+                 : 0;
   }
   return begun;
 }
@@ -26,14 +26,14 @@
 // Guards against groups that open only after the first requests came because
 // loads before the first request were limited, although the weight store does
 // not count them.
-TEST(LoadPacerTest, DoesNotPaceBeforeTheFirstRequest) {
+TEST(LoadPacerTest, DoesNotLimitLoadsBeforeTheFirstRequest) {
   LoadPacer pacer({});
   pacer.SetProfile(Profile());
   pacer.Tick(Time::FromMillis(1000));
-  EXPECT_EQ(BeginAll(pacer, Time::FromMillis(1000), 0, 60), 60);
+  EXPECT_EQ(BeginLoads(pacer, Time::FromMillis(1000), 0, 60), 60);
 }
 
-TEST(LoadPacerTest, KeepsBelowTheRateAndTheLoadsAtOnceAfterIt) {
+TEST(LoadPacerTest, LimitsRateAndConcurrencyAfterTheFirstRequest) {
   LoadPacer pacer({});
   pacer.SetProfile(Profile());
   pacer.OnTraffic();
@@ -41,7 +41,7 @@
   for (int tick = 0; tick < 50; ++tick) {
     const Time now = Time::FromMillis(1000 + tick * 100);
     pacer.Tick(now);
-    begun += BeginAll(pacer, now, begun, begun + 5);
+    begun += BeginLoads(pacer, now, begun, begun + 5);
   }
   // Three quarters of four loads a second would allow 15 loads in five seconds,
   // plus the burst, but only ten may run at once.
@@ -49,7 +49,7 @@
   pacer.End(VmId("v0"));
   const Time later = Time::FromMillis(7000);
   pacer.Tick(later);
-  EXPECT_EQ(BeginAll(pacer, later, 100, 110), 1);
+  EXPECT_EQ(BeginLoads(pacer, later, 100, 110), 1);
 }
 
 }  // namespace
--- a/tests/coordination/gateway/model_demand_test.cc
+++ b/tests/coordination/gateway/model_demand_test.cc
@@ -24,7 +24,7 @@
   return Time::FromMillis(1000 + millis);
 }
 
-TEST(ModelDemandTest, KeepsTheConfiguredSharesWhileNoEngineWasHeard) {
+TEST(ModelDemandTest, KeepsTheConfiguredSharesWithoutReports) {
   const ModelDemand demand({});
   EXPECT_DOUBLE_EQ(ShareOf(demand, 0), 0.5);
   EXPECT_DOUBLE_EQ(ShareOf(demand, 1), 0.5);
@@ -32,24 +32,24 @@
 
 TEST(ModelDemandTest, KeepsTheConfiguredSharesWhileNoModelIsShort) {
   ModelDemand demand({});
-  demand.OnFill(At(0), kLarge, 0.2);
-  demand.OnFill(At(0), kSmall, 0.5);
+  demand.OnUtilization(At(0), kLarge, 0.2);
+  demand.OnUtilization(At(0), kSmall, 0.5);
   EXPECT_DOUBLE_EQ(ShareOf(demand, 0), 0.5);
 }
 
 // Guards against a model that queues at full engines while those of another
 // model are half empty: its share of the VMs has to grow.
-TEST(ModelDemandTest, AModelWhoseEnginesAreFullGetsMore) {
+TEST(ModelDemandTest, AModelWhoseEnginesAreFullGetsALargerShare) {
   ModelDemand demand({});
-  demand.OnFill(At(0), kLarge, 0.2);
-  demand.OnFill(At(0), kSmall, 1.4);
+  demand.OnUtilization(At(0), kLarge, 0.2);
+  demand.OnUtilization(At(0), kSmall, 1.4);
   EXPECT_NEAR(ShareOf(demand, 1), 2.0 / 3, 1e-9);
   EXPECT_NEAR(ShareOf(demand, 0), 1.0 / 3, 1e-9);
 }
 
 TEST(ModelDemandTest, TheShareGrowsToALimit) {
   ModelDemand demand({});
-  demand.OnFill(At(0), kSmall, 1000);
+  demand.OnUtilization(At(0), kSmall, 1000);
   EXPECT_NEAR(ShareOf(demand, 1), 4.0 / 5, 1e-9);
 }
 
@@ -57,12 +57,12 @@
 TEST(ModelDemandTest, OneFullEngineMovesTheMeanLittle) {
   ModelDemand demand({});
   for (std::int64_t i = 0; i < 40; ++i) {
-    demand.OnFill(At(100 * i), kSmall, 0.4);
+    demand.OnUtilization(At(100 * i), kSmall, 0.4);
   }
-  demand.OnFill(At(4000), kSmall, 3);
+  demand.OnUtilization(At(4000), kSmall, 3);
   EXPECT_DOUBLE_EQ(ShareOf(demand, 1), 0.5);
   for (std::int64_t i = 1; i < 80; ++i) {
-    demand.OnFill(At(4000 + 100 * i), kSmall, 1.4);
+    demand.OnUtilization(At(4000 + 100 * i), kSmall, 1.4);
   }
   EXPECT_GT(ShareOf(demand, 1), 0.6);
 }
--- a/tests/coordination/gateway/regrouping_test.cc
+++ b/tests/coordination/gateway/regrouping_test.cc
@@ -22,54 +22,56 @@
   return profile;
 }
 
-FreeVm Vm(const std::string& name, const ModelId& runs, const ModelId& holds) {
-  FreeVm vm;
+VmCandidate Vm(const std::string& name,
+               const ModelId& runs,
+               const ModelId& holds) {
+  VmCandidate vm;
   vm.vm = VmId(name);
   vm.last_model = runs;
-  vm.at_hand = {holds};
+  vm.staged = {holds};
   return vm;
 }
 
 // Returns a domain with these numbers of serving groups and free VMs. The hosts
 // of serving VMs hold the other model's weights; the free VMs last ran the
 // large model.
-PlannedDomain Domain(const std::string& name,
-                     std::size_t large,
-                     std::size_t small,
-                     std::size_t free) {
-  PlannedDomain domain;
+DomainSnapshot Domain(const std::string& name,
+                      std::size_t large,
+                      std::size_t small,
+                      std::size_t free) {
+  DomainSnapshot domain;
   domain.domain = FabricDomainId(name);
   domain.may_regroup = true;
   int last = 0;
   const auto add_groups = [&](std::size_t count, const ModelId& model,
                               std::size_t size, const ModelId& other) {
     for (std::size_t i = 0; i < count; ++i) {
-      StandingGroup group{GroupId(name + std::to_string(++last)), model, {}};
+      ServingGroup group{GroupId(name + std::to_string(++last)), model, {}};
       for (std::size_t v = 0; v < size; ++v) {
         group.members.push_back(
             Vm(name + "-" + std::to_string(++last), model, other));
       }
-      domain.standing.push_back(std::move(group));
+      domain.serving_groups.push_back(std::move(group));
     }
     if (count > 0) {
-      domain.groups[model] = count;
+      domain.group_counts[model] = count;
     }
-    domain.vms += count * size;
+    domain.vm_count += count * size;
   };
   add_groups(large, kLarge, 16, kSmall);
   add_groups(small, kSmall, 4, kLarge);
   for (std::size_t v = 0; v < free; ++v) {
-    domain.free.push_back(
+    domain.free_vms.push_back(
         Vm(name + "-" + std::to_string(++last), kLarge, kSmall));
   }
-  domain.vms += free;
+  domain.vm_count += free;
   return domain;
 }
 
 // Guards against a large model that is permanently left without groups because
 // small groups take the VMs that each lost large group leaves.
-TEST(RegroupingTest, ASmallGroupGivesItsVmsToAMissingLargeOne) {
-  std::vector<PlannedDomain> domains = {Domain("a", 0, 5, 14)};
+TEST(RegroupingTest, ASmallGroupIsGivenUpForAMissingLargeGroup) {
+  std::vector<DomainSnapshot> domains = {Domain("a", 0, 5, 14)};
   domains.push_back(Domain("b", 1, 5, 1));
   domains.push_back(Domain("c", 1, 5, 1));
   const GroupPlan plan = GroupPlanner({}).Plan(Profile(), domains);
@@ -82,8 +84,8 @@
 }
 
 TEST(RegroupingTest, FreedVmsFormTheGroupTheyWereFreedForFirst) {
-  PlannedDomain domain = Domain("a", 0, 4, 18);
-  domain.regroups_for = kLarge;
+  DomainSnapshot domain = Domain("a", 0, 4, 18);
+  domain.regroup_target = kLarge;
   const GroupPlan plan = GroupPlanner({}).Plan(Profile(), {domain});
   ASSERT_FALSE(plan.groups.empty());
   EXPECT_EQ(plan.groups.front().model, kLarge);
@@ -92,42 +94,42 @@
 
 // Guards against VMs that serve no requests for the 16 s of a load.
 TEST(RegroupingTest, NoGroupIsGivenUpForOneThatWouldWaitForALoad) {
-  PlannedDomain domain = Domain("a", 0, 5, 14);
-  for (StandingGroup& group : domain.standing) {
-    for (FreeVm& vm : group.members) {
-      vm.at_hand = {kSmall};
+  DomainSnapshot domain = Domain("a", 0, 5, 14);
+  for (ServingGroup& group : domain.serving_groups) {
+    for (VmCandidate& vm : group.members) {
+      vm.staged = {kSmall};
     }
   }
   EXPECT_TRUE(GroupPlanner({}).Plan(Profile(), {domain}).regroupings.empty());
 }
 
-TEST(RegroupingTest, NoGroupIsGivenUpWhereTheOtherModelHasItsPart) {
-  std::vector<PlannedDomain> domains = {Domain("a", 1, 5, 1)};
+TEST(RegroupingTest, NoGroupIsGivenUpIfTheOtherModelHasItsShare) {
+  std::vector<DomainSnapshot> domains = {Domain("a", 1, 5, 1)};
   domains.push_back(Domain("b", 1, 5, 1));
   EXPECT_TRUE(GroupPlanner({}).Plan(Profile(), domains).regroupings.empty());
 }
 
 // Guards against regrouping whole domains for a shortage of some seconds, which
 // leaves the other model short.
-TEST(RegroupingTest, ADomainIsNotTurnedOverForAModelThatIsShort) {
+TEST(RegroupingTest, ADomainIsNotRegroupedForATemporaryShortage) {
   EXPECT_TRUE(GroupPlanner({})
                   .Plan(Profile(), {Domain("a", 0, 8, 3), Domain("b", 0, 8, 3)})
                   .regroupings.empty());
 }
 
 TEST(RegroupingTest, NothingIsGivenUpBeforeAllVmsOfAnEndedGroupAreFree) {
-  PlannedDomain domain = Domain("a", 0, 5, 10);
-  domain.ending = {{kLarge, {1, 2}}};
+  DomainSnapshot domain = Domain("a", 0, 5, 10);
+  domain.ending_groups = {{kLarge, {1, 2}}};
   EXPECT_TRUE(GroupPlanner({}).Plan(Profile(), {domain}).regroupings.empty());
 }
 
 // Counts the standby loads that are planned if each host holds only the weights
 // that its engine runs, and therefore does not need them.
 std::size_t CountStandby(std::size_t large, std::size_t small) {
-  PlannedDomain domain = Domain("a", large, small, 0);
-  for (StandingGroup& group : domain.standing) {
-    for (FreeVm& vm : group.members) {
-      vm.at_hand = {group.model};
+  DomainSnapshot domain = Domain("a", large, small, 0);
+  for (ServingGroup& group : domain.serving_groups) {
+    for (VmCandidate& vm : group.members) {
+      vm.staged = {group.model};
     }
   }
   const GroupPlan plan = GroupPlanner({}).Plan(Profile(), {domain});
@@ -142,14 +144,14 @@
   EXPECT_EQ(CountStandby(1, 5), 20U);
 }
 
-TEST(RegroupingTest, HostsKeepTheirWeightsWhereNoGroupCanBeSpared) {
+TEST(RegroupingTest, HostsKeepTheirWeightsIfNoGroupCanBeGivenUp) {
   EXPECT_EQ(CountStandby(1, 2), 0U);
 }
 
 // Guards against regroupings that are reversed: after a regrouping is carried
 // out, the next plan has none for the same domain.
-RC_GTEST_PROP(RegroupingProperty, ACarriedOutRegroupingIsNotTakenBack, ()) {
-  std::vector<PlannedDomain> domains;
+RC_GTEST_PROP(RegroupingProperty, ARegroupingIsNotReversed, ()) {
+  std::vector<DomainSnapshot> domains;
   const std::size_t count = *rc::gen::inRange<std::size_t>(1, 6);
   for (std::size_t d = 0; d < count; ++d) {
     domains.push_back(Domain("d" + std::to_string(d),
@@ -159,21 +161,22 @@
   }
   const GroupPlanner planner({});
   const GroupPlan first = planner.Plan(Profile(), domains);
-  for (const Regrouping& change : first.regroupings) {
-    for (PlannedDomain& domain : domains) {
-      if (domain.domain != change.domain) {
+  for (const Regrouping& regrouping : first.regroupings) {
+    for (DomainSnapshot& domain : domains) {
+      if (domain.domain != regrouping.domain) {
         continue;
       }
-      const std::size_t small = domain.groups[kSmall] - change.given_up.size();
-      const std::size_t large = domain.groups[kLarge] + 1;
+      const std::size_t small =
+          domain.group_counts[kSmall] - regrouping.given_up.size();
+      const std::size_t large = domain.group_counts[kLarge] + 1;
       domain = Domain(domain.domain.value(), large, small,
-                      domain.vms - 16 * large - 4 * small);
+                      domain.vm_count - 16 * large - 4 * small);
     }
   }
   const GroupPlan second = planner.Plan(Profile(), domains);
-  for (const Regrouping& again : second.regroupings) {
-    for (const Regrouping& change : first.regroupings) {
-      RC_ASSERT(again.domain != change.domain);
+  for (const Regrouping& second_regrouping : second.regroupings) {
+    for (const Regrouping& regrouping : first.regroupings) {
+      RC_ASSERT(second_regrouping.domain != regrouping.domain);
     }
   }
 }
--- a/tests/support/played_engines.h
+++ b/tests/support/played_engines.h
@@ -53,11 +53,10 @@
   std::map<VmId, Engine>& engines() { return engines_; }
   const std::vector<std::string>& violations() const { return violations_; }
 
-  // Carries out an order. Before the first request, loads take one
-  // second.
+  // Carries out an order. Before the first request, a load takes one second.
   GroupOrderVerdict Apply(const VmId& vm,
                           const GroupOrder& order,
-                          bool loads_take_long) {
+                          bool has_traffic) {
     Engine& engine = engines_.at(vm);
     if (!engine.alive) {
       return GroupOrderVerdict::kNoAnswer;
@@ -74,7 +73,7 @@
                            membership->generation == order.generation;
     switch (order.kind) {
       case GroupOrderKind::kJoin:
-        return Join(engine, order, loads_take_long);
+        return Join(engine, order, has_traffic);
       case GroupOrderKind::kOpen:
         return Open(engine, order, is_member);
       case GroupOrderKind::kClose:
@@ -97,7 +96,7 @@
           return GroupOrderVerdict::kDone;
         }
         engine.staging = order.model;
-        after_(Duration::Seconds(loads_take_long ? 12 : 1),
+        after_(Duration::Seconds(has_traffic ? 12 : 1),
                [this, vm, order] { FinishStaging(vm, order.model); });
         return GroupOrderVerdict::kBegun;
     }
@@ -133,7 +132,7 @@
  private:
   GroupOrderVerdict Join(Engine& engine,
                          const GroupOrder& order,
-                         bool loads_take_long) {
+                         bool has_traffic) {
     if (order.generation < engine.seen_generation) {
       return GroupOrderVerdict::kStale;
     }
@@ -142,7 +141,7 @@
       return GroupOrderVerdict::kDone;
     }
     if (membership) {
-      CheckNotServed(engine);
+      CheckOldGroupEnded(engine);
     }
     engine.seen_generation = order.generation;
     ++engine.joins;
@@ -153,15 +152,15 @@
                                  MemberPhase::kJoining};
     engine.group_members = order.members;
     Duration time = Duration::Millis(200);
-    const bool ran_last =
+    const bool is_running_model =
         engine.self.models == std::vector<ModelId>{order.model};
-    if (!ran_last) {
+    if (!is_running_model) {
       time = engine.self.HasStaged(order.model)
                  ? Duration::Millis(1600)
-                 : Duration::Seconds(loads_take_long ? 16 : 1);
+                 : Duration::Seconds(has_traffic ? 16 : 1);
     }
     publish_(engine);
-    if (!ran_last && engine.staging == order.model) {
+    if (!is_running_model && engine.staging == order.model) {
       engine.waiting_join = order;
       return GroupOrderVerdict::kBegun;
     }
@@ -184,11 +183,11 @@
   void FinishJoinAfter(Duration time, const VmId& vm, const GroupOrder& order) {
     after_(time, [this, vm, order] {
       Engine& joined = engines_.at(vm);
-      auto& now_in = joined.self.membership;
-      if (!joined.alive || !now_in || now_in->group != order.group) {
+      auto& membership = joined.self.membership;
+      if (!joined.alive || !membership || membership->group != order.group) {
         return;
       }
-      now_in->phase = MemberPhase::kReady;
+      membership->phase = MemberPhase::kReady;
       joined.self.models = {order.model};
       joined.self.staged = {order.model};
       ever_ready_.emplace(vm, order.group);
@@ -198,19 +197,19 @@
 
   // Records a violation if a VM joins another group while its group's first
   // member still serves, since that removes a member from a running engine.
-  void CheckNotServed(const Engine& engine) {
-    const auto& old = *engine.self.membership;
+  void CheckOldGroupEnded(const Engine& engine) {
+    const auto& old_membership = *engine.self.membership;
     const auto head = engines_.find(engine.group_members.front());
     if (head == engines_.end() || !head->second.alive) {
       return;
     }
-    const auto& at_head = head->second.self.membership;
-    if (at_head && at_head->group == old.group &&
-        at_head->generation == old.generation &&
-        (at_head->phase == MemberPhase::kOpen ||
-         at_head->phase == MemberPhase::kClosing)) {
+    const auto& head_membership = head->second.self.membership;
+    if (head_membership && head_membership->group == old_membership.group &&
+        head_membership->generation == old_membership.generation &&
+        (head_membership->phase == MemberPhase::kOpen ||
+         head_membership->phase == MemberPhase::kClosing)) {
       violations_.push_back(engine.self.id.value() + " joins another group, " +
-                            old.group.value() + " is open");
+                            old_membership.group.value() + " is open");
     }
   }
 
