--- a/tests/coordination/gateway/fleet_keeper_test.cc
+++ b/tests/coordination/gateway/fleet_keeper_test.cc
@@ -329,7 +329,7 @@
     world_.engine(member).report_delay = Duration::Millis(400);
   }
   world_.Cut(head, true);
-  // By then the keeper has begun to probe the members.
+  // By then the keeper has begun to contact the members.
   world_.Run(Duration::Millis(500));
   world_.node(*world_.keeper()).store_cut = true;
   world_.Run(Duration::Seconds(8));
@@ -429,7 +429,7 @@
 
 // A group with a draining member is closed, finishes its requests, and is
 // formed again.
-TEST_F(FleetKeeperTest, AMemberThatLeavesByPlanIsReplaced) {
+TEST_F(FleetKeeperTest, ADrainingMemberIsReplaced) {
   const VmId head = world_.OpenHead("small");
   world_.Drain(world_.MembersOf(head)[1]);
   EXPECT_TRUE(world_.RunUntil(Duration::Seconds(12), [&] {
--- a/tests/coordination/gateway/group_planner_test.cc
+++ b/tests/coordination/gateway/group_planner_test.cc
@@ -16,14 +16,14 @@
 
 DomainSnapshot Domain(const std::string& name,
                       std::size_t free,
-                      const std::string& at_hand = "") {
+                      const std::string& staged_model = "") {
   DomainSnapshot domain;
   domain.domain = FabricDomainId(name);
   for (std::size_t i = 0; i < free; ++i) {
     VmCandidate vm;
     vm.vm = VmId(name + std::to_string(i));
-    if (!at_hand.empty()) {
-      vm.staged = {ModelId(at_hand)};
+    if (!staged_model.empty()) {
+      vm.staged = {ModelId(staged_model)};
     }
     domain.free_vms.push_back(vm);
   }
--- a/tests/support/played_engines.h
+++ b/tests/support/played_engines.h
@@ -152,15 +152,15 @@
                                  MemberPhase::kJoining};
     engine.group_members = order.members;
     Duration time = Duration::Millis(200);
-    const bool is_running_model =
+    const bool has_model_loaded =
         engine.self.models == std::vector<ModelId>{order.model};
-    if (!is_running_model) {
+    if (!has_model_loaded) {
       time = engine.self.HasStaged(order.model)
                  ? Duration::Millis(1600)
                  : Duration::Seconds(has_traffic ? 16 : 1);
     }
     publish_(engine);
-    if (!is_running_model && engine.staging == order.model) {
+    if (!has_model_loaded && engine.staging == order.model) {
       engine.waiting_join = order;
       return GroupOrderVerdict::kBegun;
     }
