--- a/coordination/gateway/planner_measures.h
+++ b/coordination/gateway/planner_measures.h
@@ -9,35 +9,37 @@
 
 namespace gcw {
 
-// What the planner measures VMs, groups and models by.
+// Measures of VMs, groups and models that the planner uses.
 
-// A model with no work yet still gets a group where there is room.
-inline constexpr double kMinShare = 0.01;
+// Minimum share of the work, so that a model without work still gets a group if
+// there is room.
+inline constexpr double kMinWorkShare = 0.01;
 
-// Whether its host holds the model's weights.
-inline bool HasAtHand(const FreeVm& vm, const ModelId& model) {
-  return std::find(vm.at_hand.begin(), vm.at_hand.end(), model) !=
-         vm.at_hand.end();
+// Whether the VM's host holds the model's weights.
+inline bool HasStaged(const VmCandidate& vm, const ModelId& model) {
+  return std::find(vm.staged.begin(), vm.staged.end(), model) !=
+         vm.staged.end();
 }
 
 // Whether the VM can join a group of the model without a load.
-inline bool CanTakeUp(const FreeVm& vm, const ModelId& model) {
-  return vm.last_model == model || HasAtHand(vm, model);
+inline bool CanStartWithoutLoad(const VmCandidate& vm, const ModelId& model) {
+  return vm.last_model == model || HasStaged(vm, model);
 }
 
-inline double ShareOf(const ModelProfile& model) {
-  return std::max(kMinShare, model.work_share);
+inline double EffectiveShare(const ModelProfile& model) {
+  return std::max(kMinWorkShare, model.work_share);
 }
 
-// Worth of having `fill` times the VMs that a model's part of the work calls
-// for: each further group of one model is worth less than the one before.
-inline double WorthOf(double share, double fill) {
-  return share * (1 - std::exp(-fill));
+// Value of covering a model's share of the work `coverage` times. Each further
+// group of a model is worth less than the one before.
+inline double CoverageValue(double share, double coverage) {
+  return share * (1 - std::exp(-coverage));
 }
 
-inline std::size_t GroupsOf(const PlannedDomain& domain, const ModelId& model) {
-  const auto found = domain.groups.find(model);
-  return found == domain.groups.end() ? 0 : found->second;
+inline std::size_t GroupCountOf(const DomainSnapshot& domain,
+                                const ModelId& model) {
+  const auto found = domain.group_counts.find(model);
+  return found == domain.group_counts.end() ? 0 : found->second;
 }
 
 }  // namespace gcw
--- a/tests/support/played_engines.h
+++ b/tests/support/played_engines.h
@@ -14,8 +14,8 @@
 
 namespace gcw {
 
-// Engines that keep to the platform's rules for orders and groups. Each moment
-// at which a promise about groups is broken is noted.
+// Simulated engines that follow the platform's rules for orders and groups.
+// Each violation of a guarantee about groups is recorded.
 class PlayedEngines {
  public:
   struct Engine {
@@ -23,42 +23,40 @@
     bool alive = true;
     // Another run has its address; only its registration is left.
     bool replaced = false;
-    // No path to the key-value service.
+    // Cut off from the key-value service.
     bool store_cut = false;
-    // No path to the nodes either.
+    // Cut off from the nodes as well.
     bool node_cut = false;
-    // Orders get no answer and are carried out this much later.
+    // If not zero, orders get no answer and are carried out after this delay.
     Duration order_delay;
-    // From a change to its registration.
+    // Delay until a change to its registration is published.
     Duration report_delay;
     Generation seen_generation;
     FencingToken seen_fence;
-    // Factor on its times; a slow one gives an event only now and then.
+    // Slowdown factor; a slow engine emits events only rarely.
     double pace = 1;
     Time silent_since;
     std::vector<VmId> group_members;
     std::int64_t joins = 0;
-    // The model that is being loaded onto its host, and the join that waits for
-    // it.
+    // The model that its host is loading, and the join that waits for the load.
     ModelId staging;
     std::optional<GroupOrder> waiting_join;
   };
   using Publish = std::function<void(const Engine&)>;
   using After = std::function<void(Duration, std::function<void()>)>;
 
-  // `publish` writes an engine's registration anew; `after` runs what takes
-  // time.
+  // `publish` writes an engine's registration; `after` runs a callback after a
+  // delay.
   PlayedEngines(Publish publish, After after)
       : publish_(std::move(publish)), after_(std::move(after)) {}
 
   std::map<VmId, Engine>& engines() { return engines_; }
   const std::vector<std::string>& violations() const { return violations_; }
 
-  // Carries an order out. Loads take a tenth of their time before the first
-  // request.
+  // Carries out an order. Before the first request, a load takes one second.
   GroupOrderVerdict Apply(const VmId& vm,
                           const GroupOrder& order,
-                          bool loads_take_long) {
+                          bool has_traffic) {
     Engine& engine = engines_.at(vm);
     if (!engine.alive) {
       return GroupOrderVerdict::kNoAnswer;
@@ -75,7 +73,7 @@
                            membership->generation == order.generation;
     switch (order.kind) {
       case GroupOrderKind::kJoin:
-        return Join(engine, order, loads_take_long);
+        return Join(engine, order, has_traffic);
       case GroupOrderKind::kOpen:
         return Open(engine, order, is_member);
       case GroupOrderKind::kClose:
@@ -98,14 +96,14 @@
           return GroupOrderVerdict::kDone;
         }
         engine.staging = order.model;
-        after_(Duration::Seconds(loads_take_long ? 12 : 1),
+        after_(Duration::Seconds(has_traffic ? 12 : 1),
                [this, vm, order] { FinishStaging(vm, order.model); });
         return GroupOrderVerdict::kBegun;
     }
     return GroupOrderVerdict::kRefused;
   }
 
-  // What its host holds is kept; all else is new.
+  // Restarts the engine; only the weights on its host are kept.
   void Restart(const VmId& vm, Incarnation incarnation) {
     Engine& engine = engines_.at(vm);
     Engine fresh;
@@ -134,7 +132,7 @@
  private:
   GroupOrderVerdict Join(Engine& engine,
                          const GroupOrder& order,
-                         bool loads_take_long) {
+                         bool has_traffic) {
     if (order.generation < engine.seen_generation) {
       return GroupOrderVerdict::kStale;
     }
@@ -143,7 +141,7 @@
       return GroupOrderVerdict::kDone;
     }
     if (membership) {
-      CheckNotServed(engine);
+      CheckOldGroupEnded(engine);
     }
     engine.seen_generation = order.generation;
     ++engine.joins;
@@ -154,15 +152,15 @@
                                  MemberPhase::kJoining};
     engine.group_members = order.members;
     Duration time = Duration::Millis(200);
-    const bool ran_last =
+    const bool has_model_loaded =
         engine.self.models == std::vector<ModelId>{order.model};
-    if (!ran_last) {
+    if (!has_model_loaded) {
       time = engine.self.HasStaged(order.model)
                  ? Duration::Millis(1600)
-                 : Duration::Seconds(loads_take_long ? 16 : 1);
+                 : Duration::Seconds(has_traffic ? 16 : 1);
     }
     publish_(engine);
-    if (!ran_last && engine.staging == order.model) {
+    if (!has_model_loaded && engine.staging == order.model) {
       engine.waiting_join = order;
       return GroupOrderVerdict::kBegun;
     }
@@ -170,7 +168,7 @@
     return GroupOrderVerdict::kBegun;
   }
 
-  // A join waits for the load onto the host that is under way.
+  // Ends a load onto the host and continues the join that waits for it.
   void FinishStaging(const VmId& vm, const ModelId& model) {
     Engine& engine = engines_.at(vm);
     engine.staging = ModelId();
@@ -185,11 +183,11 @@
   void FinishJoinAfter(Duration time, const VmId& vm, const GroupOrder& order) {
     after_(time, [this, vm, order] {
       Engine& joined = engines_.at(vm);
-      auto& now_in = joined.self.membership;
-      if (!joined.alive || !now_in || now_in->group != order.group) {
+      auto& membership = joined.self.membership;
+      if (!joined.alive || !membership || membership->group != order.group) {
         return;
       }
-      now_in->phase = MemberPhase::kReady;
+      membership->phase = MemberPhase::kReady;
       joined.self.models = {order.model};
       joined.self.staged = {order.model};
       ever_ready_.emplace(vm, order.group);
@@ -197,21 +195,21 @@
     });
   }
 
-  // A VM that joins another group while its group's first member still serves
-  // takes away a part of a running engine.
-  void CheckNotServed(const Engine& engine) {
-    const auto& old = *engine.self.membership;
+  // Records a violation if a VM joins another group while its group's first
+  // member still serves, since that removes a member from a running engine.
+  void CheckOldGroupEnded(const Engine& engine) {
+    const auto& old_membership = *engine.self.membership;
     const auto head = engines_.find(engine.group_members.front());
     if (head == engines_.end() || !head->second.alive) {
       return;
     }
-    const auto& at_head = head->second.self.membership;
-    if (at_head && at_head->group == old.group &&
-        at_head->generation == old.generation &&
-        (at_head->phase == MemberPhase::kOpen ||
-         at_head->phase == MemberPhase::kClosing)) {
+    const auto& head_membership = head->second.self.membership;
+    if (head_membership && head_membership->group == old_membership.group &&
+        head_membership->generation == old_membership.generation &&
+        (head_membership->phase == MemberPhase::kOpen ||
+         head_membership->phase == MemberPhase::kClosing)) {
       violations_.push_back(engine.self.id.value() + " joins another group, " +
-                            old.group.value() + " is open");
+                            old_membership.group.value() + " is open");
     }
   }
 
