--- a/coordination/gateway/deferral_policy.cc
+++ b/coordination/gateway/deferral_policy.cc
@@ -9,7 +9,8 @@
                               const ModelId& model,
                               Duration objective) {
   const auto found = waiting_.find({service, model});
-  // Whatever models callers name: only what was sent somewhere is kept.
+  // Callers can name any model, so state is kept only for models whose requests
+  // were sent to an endpoint.
   if (found == waiting_.end()) {
     return Urgency::kOnTime;
   }
--- a/coordination/gateway/deferral_policy.h
+++ b/coordination/gateway/deferral_policy.h
@@ -12,57 +12,59 @@
 namespace gcw {
 
 struct DeferralPolicySettings {
-  // As many requests go first and wait as begin, at this node's present rate,
-  // within this part of the objective. Without a queue streams begin after half
-  // of it. At 1.9 times the usual load 159 requests begin in time in the third
-  // and fourth second rather than 143 with 0.8 or 59 without this policy
-  // (OverloadTest's groups, mean of 20 seeds).
+  // Fraction of the objective that sets the window: as many prioritized
+  // requests may wait as this node starts within that time at its current rate.
+  // Without a queue, streams start after half of the objective. At 1.9 times
+  // the usual load, 159 requests start in time in the third and fourth second,
+  // against 143 with 0.8 and 59 without this policy (groups of OverloadTest,
+  // mean of 20 seeds).
   double window_part = 0.5;
-  // Never fewer: some have to show whether there is room.
+  // Minimum window, because some requests have to show whether there is room.
   double least_window = 1;
-  // Span over which the beginnings are counted.
+  // Interval over which started requests are counted.
   Duration rate_span = Duration::Seconds(1);
 };
 
-// Decides which requests give way while a model has more of them than its
-// groups can begin in time.
+// Decides which requests are deferred while a model has more of them than its
+// groups can start in time.
 //
-// Served in order of arrival, all of them wait in the same long queue, and all
-// are late: with 1.5 times the work that can be done, nobody is served in time.
-// Here a node lets only so many go first as its requests begin within the
-// objective; what arrives beyond them is deferred behind. Who waits is counted
-// while the queue stands, not learnt from requests that began late, and the
-// count follows what the node sees of its own requests, without a message. It
-// takes requests as they come, so no customer, kind or size is left out.
+// If all requests were served in order of arrival, they would wait in one long
+// queue and all be late: with 1.5 times the work that can be done, nobody is
+// served in time. Instead, a node prioritizes only as many waiting requests as
+// start within the objective and defers those that arrive beyond them. It
+// counts the waiting requests while the queue exists, instead of learning from
+// requests that started late. It counts only its own requests and so needs no
+// messages. Requests are taken in order of arrival, so no customer, kind or
+// size is left out.
 class DeferralPolicy {
  public:
   explicit DeferralPolicy(DeferralPolicySettings settings)
       : settings_(settings) {}
 
-  // Of a request that has not waited yet.
+  // Returns the urgency of a request that has not waited yet.
   Urgency Grade(Time now,
                 const ServiceId& service,
                 const ModelId& model,
                 Duration objective);
-  // A request that goes first waits for its beginning from now on.
+  // A prioritized request now waits to start.
   void OnWaits(const ServiceId& service, const ModelId& model);
-  // It waits no more: it began or ended.
+  // A prioritized request no longer waits, because it started or ended.
   void OnWaitOver(const ServiceId& service, const ModelId& model);
-  // A request began, whether it went first or not.
+  // A request started, whether it was prioritized or deferred.
   void OnBegan(Time now, const ServiceId& service, const ModelId& model);
 
-  // How many that go first may wait at a time.
+  // Maximum number of prioritized requests that may wait at a time.
   double Window(Time now,
                 const ServiceId& service,
                 const ModelId& model,
                 Duration objective);
-  // Models of which anything is kept.
+  // Number of models for which state is kept.
   std::size_t models() const { return waiting_.size(); }
 
  private:
   struct Waiting {
     int requests = 0;
-    // Times of the beginnings within the span.
+    // Start times within the rate interval.
     std::deque<Time> begun;
   };
 
--- a/coordination/gateway/forward_desk.cc
+++ b/coordination/gateway/forward_desk.cc
@@ -34,8 +34,8 @@
 }
 
 ForwardStep ForwardDesk::Admit(Time now, Open& open) {
-  // A node that knows no configuration cannot tell an unknown route or key from
-  // one that it has not heard of.
+  // A node without a configuration cannot tell an unknown route or key from one
+  // that it has not received yet.
   if (!open.routes) {
     return Refuse(now, open, RefusalKind::kNotReady);
   }
@@ -132,7 +132,7 @@
   ReplicaDemand demand;
   demand.service = open.service;
   demand.prompt_tokens = open.request.prompt_tokens;
-  // A plain service has no models, whatever the request says.
+  // A plain service has no models, even if the request names one.
   if (HasModels(open)) {
     demand.model = open.request.model;
     demand.urgency = open.urgency;
@@ -187,8 +187,8 @@
       if (end.is_callers_fault || !MayRunAgain(now, open, end)) {
         return PassAnswer{};
       }
-      // Where no other endpoint is to be had, the failure itself is the most
-      // truthful answer.
+      // If no other endpoint is available, the failure itself is the most
+      // accurate answer.
       Result<SendForward, RefusalKind> send = SendAgain(now, open, end, true);
       return IsOk(send) ? ForwardStep(std::move(ValueOf(send)))
                         : ForwardStep(PassAnswer{});
@@ -261,7 +261,8 @@
   if (!IsOk(send)) {
     return ErrorOf(send);
   }
-  // Only sends that may reach an endpoint beyond the first count.
+  // A retry counts against the budget only if the attempt before it may have
+  // reached an endpoint.
   if (arrived_there && !budget_->Spend(now, open.service)) {
     selector_->OnCancelled(open.attempt);
     return RefusalKind::kRetryBudget;
--- a/coordination/gateway/forward_desk.h
+++ b/coordination/gateway/forward_desk.h
@@ -17,47 +17,49 @@
 namespace gcw {
 
 struct ForwardDeskSettings {
-  // A second send with less time left is not made: even a short answer would
+  // A request is not retried with less time left: even a short answer would
   // come too late.
   Duration least_time = Duration::Millis(60);
-  // Endpoints that may refuse one request before the caller is refused.
+  // Number of endpoints that may refuse one request before the caller is
+  // refused.
   int most_refusals = 3;
-  // When refused callers should come back, spread by `retry_spread` either way
-  // so that they do not return together.
+  // Retry delay given to refused callers, varied by `retry_spread` in either
+  // direction so that they do not return together.
   Duration retry_after = Duration::Millis(500);
   double retry_spread = 0.4;
   DeferralPolicySettings deferral;
 };
 
-// An arrived request with what is to be done first.
+// The id of an arrived request and the first step to take for it.
 struct ForwardBegun {
   ForwardId id;
   ForwardStep step;
 };
 
-// Takes each request that is passed on as it is from its arrival through its
+// Drives each request that is forwarded unchanged from its arrival through its
 // attempts to exactly one final step.
 class ForwardDesk {
  public:
-  // All outlive the desk.
+  // The pointers must outlive this object.
   ForwardDesk(ForwardDeskSettings settings,
               ReplicaSelector* selector,
               SharedRetryBudget* budget,
               Random random,
               EventSink events);
 
-  // `routes` is null while no configuration is known.
+  // `routes` is null until a configuration is known.
   ForwardBegun OnArrived(Time now,
                          ForwardRequest request,
                          std::shared_ptr<const RouteTable> routes);
-  // The attempt under way ended. Final steps forget the request.
+  // Returns the step that follows the end of the current attempt. A final step
+  // removes the request.
   ForwardStep OnEnded(Time now, ForwardId id, const ForwardEnd& end);
   void OnProgress(Time now, ForwardId id);
   void OnLoad(Time now, ForwardId id, const LoadReading& load);
   void OnCallerGone(Time now, ForwardId id);
 
-  // Of these attempts, the requests that another endpoint could go on with:
-  // whoever runs them should end the attempt as kSilent.
+  // Returns the requests among the `stuck` attempts that another endpoint could
+  // continue. The caller should end their attempts as kSilent.
   std::vector<ForwardId> MovableOf(Time now,
                                    const std::vector<AttemptNumber>& stuck);
 
@@ -72,36 +74,37 @@
     CustomerId customer;
     Time arrived;
     Time deadline;
-    // Of the last events that the caller was given.
+    // Time of the last events that the caller received.
     Time last_event;
     std::vector<VmId> excluded;
     VmId vm;
     AttemptNumber attempt;
     std::int64_t sends = 0;
-    // Sends that may have run.
+    // Number of sends that may have been executed.
     std::int64_t runs = 0;
     int refusals = 0;
     Rank rank;
     Urgency urgency = Urgency::kOnTime;
     bool has_begun = false;
-    // The policy of deferral counts it among those that go first and wait.
+    // The deferral policy counts this request among the prioritized ones that
+    // wait to start.
     bool is_awaited = false;
   };
 
-  // Whether the service's endpoints run models.
+  // True if the service's endpoints run models.
   static bool HasModels(const Open& open);
   static ReplicaDemand DemandOf(const Open& open);
   void NoteBeginning(Time now, Open& open);
-  // It waits for its beginning no more.
+  // Tells the deferral policy that the request no longer waits to start.
   void EndWait(Open& open);
   ForwardStep Admit(Time now, Open& open);
-  // The next attempt, or why no endpoint can take it.
+  // Returns the next attempt, or the reason why no endpoint can take it.
   Result<SendForward, RefusalKind> Send(Time now,
                                         Open& open,
                                         std::optional<std::int64_t> resume);
   ForwardStep NextStep(Time now, Open& open, const ForwardEnd& end);
-  // The next attempt, or why there is none. `arrived_there`: the one that ended
-  // may have reached its endpoint.
+  // Returns the next attempt, or the reason why there is none. `arrived_there`
+  // is true if the attempt that ended may have reached its endpoint.
   Result<SendForward, RefusalKind> SendAgain(Time now,
                                              Open& open,
                                              const ForwardEnd& end,
--- a/coordination/gateway/forward_request.h
+++ b/coordination/gateway/forward_request.h
@@ -12,62 +12,65 @@
 
 namespace gcw {
 
-// Names an open request within one run of a node.
+// Identifies an open request within one run of a node.
 using ForwardId = StrongNumber<struct ForwardIdTag>;
 
-// What the decisions need of a request that is passed on as it is.
+// The fields of an unchanged forwarded request that the forwarding decisions
+// depend on.
 struct ForwardRequest {
-  // As the caller named this try; endpoints echo it.
+  // The caller's id for this attempt; endpoints echo it.
   RequestId id;
   std::string host;
-  // Without the query.
+  // The path without the query.
   std::string path;
-  // Empty where the caller sent none.
+  // Empty if the caller sent no key.
   std::string key;
-  // How long the caller waits; absent where it did not say.
+  // How long the caller waits; absent if it named no limit.
   std::optional<Duration> patience;
   // Empty for plain services.
   ModelId model;
   TokenCount prompt_tokens;
   TokenCount max_generated_tokens;
-  // The caller has the stream's events up to this one.
+  // Last event of the stream that the caller already has.
   std::optional<std::int64_t> resume_after;
 };
 
-// Send the request to this endpoint.
+// Step: the request is sent to this endpoint.
 struct SendForward {
   VmId vm;
   Address address;
   CustomerId customer;
-  // What is left of the caller's time and the route's.
+  // Remaining time within the caller's limit and the route's.
   Duration time_left;
-  // The stream goes on after this event; absent at its beginning.
+  // The stream resumes after this event; absent if it starts from the
+  // beginning.
   std::optional<std::int64_t> resume_after;
-  // A connection that may have died unseen must not carry it.
+  // The request must not use a pooled connection, which may have been closed
+  // without notice.
   bool fresh_connection = false;
   bool streams = false;
-  // Whose waiting requests the endpoint should begin first: by rank, within one
-  // rank by urgency. Absent for endpoints that take requests as they come.
+  // Position in the endpoint's queue: by rank, and within a rank by urgency.
+  // Absent for endpoints that start requests in order of arrival.
   std::optional<Precedence> precedence;
 };
 
-// The caller gets the endpoint's answer as it is.
+// Step: the caller gets the endpoint's answer unchanged.
 struct PassAnswer {};
 
-// Final: not run, and never will be.
+// Final step: the request was not run and never will be.
 struct ForwardRefused {
   RefusalKind kind = RefusalKind::kNoEndpoint;
-  // Zero where coming back does not help.
+  // Zero if a retry by the caller cannot succeed.
   Duration retry_after;
 };
 
-// Final: it may have run.
+// Final step: the request may have run.
 struct ForwardUnknown {
-  // The time ran out, rather than the endpoint.
+  // True if the deadline passed, false if the endpoint failed.
   bool timed_out = false;
 };
 
-// Final: a stream whose beginning the caller has cannot be finished.
+// Final step: the caller has part of a stream that cannot be completed.
 struct ForwardCut {};
 
 using ForwardStep = std::variant<SendForward,
@@ -77,21 +80,21 @@
                                  ForwardCut>;
 
 enum class ForwardEndKind {
-  // The whole answer was a success.
+  // The endpoint answered in full and with success.
   kSucceeded,
-  // The endpoint's own whole answer is a failure.
+  // The endpoint answered in full with a failure of its own.
   kFailedThere,
-  // The endpoint said that it did not run it.
+  // The endpoint stated that it did not run the request.
   kNotRun,
-  // The endpoint's address belongs to another VM now; it was not run.
+  // The endpoint's address now belongs to another VM; the request was not run.
   kOtherVm,
-  // No byte of it was given to the kernel.
+  // No byte of the request was handed to the kernel.
   kNothingSent,
-  // The connection broke or the answer was no proper one.
+  // The connection broke or the answer was malformed.
   kBroke,
-  // Nothing came for too long.
+  // The endpoint sent nothing for too long.
   kSilent,
-  // The time given to the attempt is over.
+  // The attempt's deadline passed.
   kOutOfTime,
 };
 
@@ -100,17 +103,17 @@
 // How an attempt ended.
 struct ForwardEnd {
   ForwardEndKind kind = ForwardEndKind::kBroke;
-  // The VM that the endpoint says is at fault; empty where it names none.
+  // The VM that the endpoint says is at fault; empty if it names none.
   VmId at_fault;
-  // The caller has bytes of the answer.
+  // The caller has received bytes of the answer.
   bool delivered = false;
-  // The last whole event that the caller has.
+  // Last complete event that the caller has received.
   std::optional<std::int64_t> last_event;
-  // The endpoint's failure asks to be passed on rather than tried again.
+  // The failure was caused by the request, so it is passed on and not retried.
   bool is_callers_fault = false;
 };
 
-// What an endpoint says of its load in an answer.
+// Load that an endpoint reports in an answer.
 struct LoadReading {
   std::int64_t running = 0;
   std::int64_t waiting = 0;
--- a/coordination/gateway/replica_selector.cc
+++ b/coordination/gateway/replica_selector.cc
@@ -6,7 +6,7 @@
 namespace gcw {
 namespace {
 
-// Part of an older estimate that is kept with each new event.
+// Weight of the previous estimate in the moving average of event intervals.
 constexpr double kGapMemory = 0.9;
 
 }  // namespace
@@ -35,7 +35,7 @@
   State& state = it->second;
   if (is_new || state.replica.generation != replica.generation ||
       state.replica.incarnation != replica.incarnation) {
-    // Another group at the same VM, or another run of its endpoint, starts
+    // Another group on the same VM, or another run of its endpoint, starts
     // without load or history.
     state = State(settings_);
     state.last_progress = now;
@@ -104,9 +104,10 @@
   if (in_front > 0) {
     wait += replica.service_ms * in_front / places;
   }
-  // A group with a slow member runs at that member's pace.
+  // A group with a slow member runs at that member's speed.
   if (replica.pass_ms > 0 && state.event_gap_ms > replica.pass_ms) {
-    // Forgotten over time: one that gets nothing shows nothing new.
+    // The measured slowness loses weight over time, because a replica that gets
+    // no requests yields no new measurement.
     const double known =
         1 - static_cast<double>((now - state.last_event).millis()) /
                 static_cast<double>(settings_.load_life.millis());
--- a/coordination/gateway/replica_selector.h
+++ b/coordination/gateway/replica_selector.h
@@ -15,74 +15,76 @@
 namespace gcw {
 
 struct ReplicaSelectorSettings {
-  // A replica whose running streams all give nothing for this long is taken to
-  // stand still: a lost member stops a group with nothing else to show for it,
-  // and the group goes on taking requests. Healthy ones give an event a pass,
-  // 50 to 60 ms at the engines' published times.
+  // A replica is taken to be stalled if none of its running streams sends
+  // anything for this long. A lost member stalls a group without any other
+  // sign, and the group goes on accepting requests. A healthy group sends an
+  // event in each pass, every 50 to 60 ms at the engines' published times.
   Duration silence_limit = Duration::Millis(400);
-  // The same before the first event of a stream, where reading long prompts and
-  // waiting for a place take their time.
+  // The same limit before the first event of a stream, because reading long
+  // prompts and waiting for a slot take time.
   Duration first_event_limit = Duration::Millis(1500);
-  // A node's few streams at a replica may wait in its queue while others' go
-  // on: before it takes the replica for standing still it asks other nodes, and
-  // waits this long for one that saw progress. Answers take a few milliseconds
-  // within a region.
+  // A node's few streams at a replica may wait in its queue while those of
+  // other nodes advance. Before the node takes the replica to be stalled, it
+  // asks other nodes and waits this long for one that saw progress. Answers
+  // take a few milliseconds within a region.
   Duration witness_wait = Duration::Millis(80);
-  // A replica that stood still is left out until it gives something, or for
-  // this long; by then its group has been repaired or taken down.
+  // A stalled replica is excluded until it makes progress or this time has
+  // passed; by then its group has been repaired or dissolved.
   Duration standstill_hold = Duration::Millis(6000);
-  // What a replica of another data centre costs, in expected wait. With 20 ms
-  // rather than 4 ms an eighth less is sent between data centres (9 nodes,
-  // played).
+  // Cost of a replica in another data centre, as expected wait. 20 ms instead
+  // of 4 ms sends an eighth less between data centres (simulation with 9
+  // nodes).
   double other_zone_ms = 20;
-  // Reports are old, and nodes with the same report would all choose the same
-  // replica: this much expected wait is drawn at random for each.
+  // Each replica's expected wait gets a random addition of up to this much.
+  // Load reports are old, and nodes with the same report would otherwise all
+  // choose the same replica.
   double spread_ms = 12;
-  // So many of this node's data centre, and as many of the others, drawn at
-  // random, are compared for a request: with two of all, four requests in ten
-  // saw none that is near, and the price of bytes between data centres was
-  // 0.0109 of the worth rather than 0.0071 (9 nodes, played). A node of a large
-  // fleet hears of a replica's load once in a second or two; were all compared,
-  // each would send whatever comes to the one that last looked emptiest, and
-  // its queue grows unseen. With 64 nodes and a load of 1.7 times the usual
-  // 0.72 of the requests begin in time rather than 0.63
+  // Number of replicas drawn at random from this node's data centre, and again
+  // from the others, that are compared for a request. With two drawn from all
+  // replicas, four requests in ten saw none in their own data centre, and the
+  // cost of bytes between data centres was 0.0109 of the requests' worth
+  // instead of 0.0071 (simulation with 9 nodes). In a large fleet a node learns
+  // a replica's load once in a second or two. If it compared all replicas, each
+  // node would send every request to the replica that last looked least loaded,
+  // whose queue would grow unnoticed. With 64 nodes and 1.7 times the usual
+  // load, 0.72 of the requests start in time instead of 0.63
   // (gateway_deferral_bench).
   std::int64_t choices = 2;
-  // Requests in a replica, running and waiting, beyond which nothing more is
-  // sent there, as a multiple of its places.
+  // Running and waiting requests in a replica, as a multiple of its slots,
+  // above which nothing more is sent to it.
   double most_fill = 1.3;
-  // The same at engines for requests that were deferred. Were all places taken
-  // by them, each request that goes first would wait for one to come free, and
-  // their queue would stand for seconds after a burst: in the four seconds
-  // after 1.9 times the usual load 0.84 of the requests begin in time rather
-  // than 0.61 (9 nodes, played, three seeds). Whoever finds no room is refused
-  // at once, with when to come back.
+  // The same limit at engines for deferred requests. If these took all slots,
+  // each prioritized request would wait for one to become free, and their queue
+  // would last for seconds after a burst: in the four seconds after 1.9 times
+  // the usual load, 0.84 of the requests start in time instead of 0.61
+  // (simulation with 9 nodes, three seeds). A request that finds no room is
+  // refused at once with a retry delay.
   double most_fill_deferred = 0.85;
-  // The same for those that go before the deferred ones.
+  // The same limit at engines for requests that go before the deferred ones.
   double most_fill_ahead = 2.2;
-  // A report of load counts for this long.
+  // A load report is used for this long.
   Duration load_life = Duration::Millis(2500);
   FailureBackoffSettings backoff = {Duration::Millis(300), Duration::Seconds(3),
                                     Duration::Seconds(2)};
 };
 
-// Something that takes requests: a replica group at its first member, or a
+// A target of requests: a replica group, addressed at its first member, or a
 // plain service's process.
 struct Replica {
   VmId vm;
   Incarnation incarnation;
   Address address;
   ServiceId service;
-  // Both empty for plain services.
+  // `model` and `group` are empty for plain services.
   ModelId model;
   GroupId group;
   Generation generation;
   ZoneId zone;
   std::int64_t places = 1;
-  // How long one pass over a full batch takes; zero for plain services.
+  // Duration of one pass over a full batch; zero for plain services.
   double pass_ms = 0;
   double prompt_tokens_per_ms = 0;
-  // How long a request keeps its place.
+  // How long a request occupies its slot.
   double service_ms = 50;
 
   friend bool operator==(const Replica&, const Replica&) = default;
@@ -92,7 +94,7 @@
   ServiceId service;
   ModelId model;
   TokenCount prompt_tokens;
-  // Absent where the replica takes requests as they come.
+  // Absent if the replica starts requests in order of arrival.
   std::optional<Urgency> urgency;
 };
 
@@ -101,12 +103,12 @@
   double expected_ms = 0;
 };
 
-// Names one attempt at one replica.
+// Identifies one attempt at one replica.
 using AttemptNumber = StrongNumber<struct AttemptNumberTag>;
 
-// Chooses the replica for each attempt. It knows what each last reported and
-// what this node sent there since, and leaves out those that fail, stand still
-// or are full.
+// Chooses the replica for each attempt, based on each replica's last load
+// report and on what this node has sent to it since. Replicas that fail, are
+// stalled or are full are left out.
 class ReplicaSelector {
  public:
   ReplicaSelector(ReplicaSelectorSettings settings,
@@ -114,15 +116,15 @@
                   Random random,
                   EventSink events);
 
-  // All replicas that there are now.
+  // Replaces the set of replicas.
   void SetReplicas(Time now, std::vector<Replica> replicas);
-  // One of them is new or changed.
+  // Adds or updates one replica.
   void SetReplica(Time now, Replica replica);
-  // The VM has none.
+  // Removes the VM's replica.
   void RemoveReplica(const VmId& vm) { states_.erase(vm); }
   void SetNodeCount(std::size_t nodes);
 
-  // Absent with the reason: kNoEndpoint or kNoCapacity.
+  // Returns kNoEndpoint or kNoCapacity if no replica can take the request.
   Result<ReplicaChoice, RefusalKind> Choose(
       Time now,
       const ReplicaDemand& demand,
@@ -133,33 +135,35 @@
                        TokenCount prompt_tokens,
                        bool streams);
   void OnLoad(Time now, const VmId& vm, const LoadReading& load);
-  // Something of the answer came.
+  // A part of the answer arrived.
   void OnProgress(Time now, AttemptNumber attempt);
   void OnEnded(Time now, AttemptNumber attempt, ForwardEndKind end);
-  // The caller left.
+  // The attempt was abandoned: the caller left or the send was withdrawn.
   void OnCancelled(AttemptNumber attempt);
 
-  // Attempts at replicas that were just found to stand still.
+  // Detects stalled replicas and returns the attempts that run at them.
   std::vector<AttemptNumber> Tick(Time now);
-  // Replicas that seem to stand still since the last call: other nodes may know
-  // better.
+  // Replicas suspected of being stalled since the last call. Other nodes may
+  // have seen them make progress.
   std::vector<Replica> TakeSuspicions();
-  // Another node saw it make progress that long ago.
+  // Another node reports that the replica made progress `ago` before now.
   void OnProgressHeard(Time now,
                        const VmId& vm,
                        Generation generation,
                        Duration ago);
-  // Another node found it standing still.
+  // Another node found the replica stalled. Returns the attempts that run at
+  // it.
   std::vector<AttemptNumber> OnStandstillHeard(Time now,
                                                const VmId& vm,
                                                Generation generation);
-  // Replicas found standing still since the last call, for other nodes.
+  // Replicas found to be stalled since the last call, to be announced to other
+  // nodes.
   std::vector<Replica> TakeStandstills();
 
-  // When anything last came from that group to this node.
+  // Time at which this node last received anything from the group.
   std::optional<Time> OwnProgress(const VmId& vm, Generation generation) const;
-  // The same to this node or one that told; the start of time where nothing
-  // did.
+  // Time at which this node, or another node that reported it, last received
+  // anything from the group; `Time()` if none did.
   Time LastProgress(const VmId& vm, Generation generation) const;
 
  private:
@@ -175,14 +179,15 @@
     Time load_at;
     std::int64_t sent_since = 0;
     std::int64_t ended_since = 0;
-    // Of the last event, or the time from which there could have been one.
+    // Time of the last event known from any node, or of the group's first
+    // appearance if there was none.
     Time last_progress;
     Time last_event;
-    // Of the last event of another node's streams, as it told.
+    // Time of the last event that another node reported for its own streams.
     Time last_heard;
-    // Since when it seems to stand still.
+    // Time since which the replica is suspected of being stalled.
     std::optional<Time> suspected_since;
-    // Usual time between two events of a stream; 0 until one is known.
+    // Moving average of the time between two events of a stream; 0 until known.
     double event_gap_ms = 0;
     std::optional<Time> stands_still_until;
   };
@@ -192,31 +197,31 @@
     Generation generation;
     double prompt_tokens = 0;
     Time sent;
-    // Of the last event.
+    // Time of the last event.
     std::optional<Time> progress;
     bool streams = false;
   };
 
-  // Replicas that a request can be sent to, with room for it.
+  // Replicas that have room for a request.
   struct Candidates {
     std::vector<const State*> near;
-    // Of other data centres.
+    // Replicas in other data centres.
     std::vector<const State*> far;
-    // Some are there, with room or without.
+    // True if there is any usable replica, with or without room.
     bool any_usable = false;
   };
 
   Candidates FindCandidates(Time now,
                             const ReplicaDemand& demand,
                             std::span<const VmId> excluded) const;
-  // The one with the shortest expected wait of a few drawn at random; absent
-  // where there are none.
+  // Returns the replica with the shortest expected wait among a few drawn at
+  // random; absent if `with_room` is empty.
   std::optional<ReplicaChoice> ChooseOf(
       Time now,
       const ReplicaDemand& demand,
       std::vector<const State*> with_room) const;
   State* Find(const VmId& vm);
-  // Null where the attempt was sent to an earlier run or group of the VM.
+  // Returns null if the attempt was sent to an earlier run or group of the VM.
   State* FindOf(const Attempt& attempt);
   double MostFill(const ReplicaDemand& demand) const;
   bool IsUsable(Time now, const State& state) const;
@@ -225,7 +230,8 @@
                       const State& state,
                       const ReplicaDemand& demand) const;
   void End(const Attempt& attempt);
-  // Replicas whose running streams here are all silent for too long.
+  // Returns the replicas whose running streams from this node have all been
+  // silent for too long.
   std::set<VmId> FindSilent(Time now);
   std::vector<AttemptNumber> MarkStandstill(Time now,
                                             State& state,
--- a/coordination/gateway/replica_selector_standstill.cc
+++ b/coordination/gateway/replica_selector_standstill.cc
@@ -1,4 +1,4 @@
-// Replicas that stand still: how it shows, and what other nodes know of it.
+// Detection of stalled replicas, and exchange of evidence with other nodes.
 
 #include "coordination/gateway/replica_selector.h"
 
@@ -40,7 +40,7 @@
       state.suspected_since = now;
       suspicions_.push_back(state.replica);
     }
-    // Without other nodes there is nobody to know better.
+    // A node without peers has nobody to ask.
     if (nodes_ > 1 && now - *state.suspected_since < settings_.witness_wait) {
       continue;
     }
@@ -77,7 +77,7 @@
       state->stands_still_until) {
     return {};
   }
-  // Streams that go on here say more than another node's word.
+  // Recent progress outweighs another node's report of a stall.
   if (now - state->last_progress < settings_.silence_limit / 2) {
     return {};
   }
--- a/coordination/gateway/shared_retry_budget.cc
+++ b/coordination/gateway/shared_retry_budget.cc
@@ -29,8 +29,8 @@
 bool SharedRetryBudget::Spend(Time now, const ServiceId& service) {
   Account& account = accounts_[service];
   const std::int64_t current = SlotNumber(now);
-  // The window of sends has one slot more than that of requests, so that no
-  // window that begins within a slot holds more.
+  // Retries are counted over one slot more than requests, so that no window
+  // that begins within a slot contains more retries than allowed.
   const std::int64_t oldest = current - static_cast<std::int64_t>(kSlots);
   std::int64_t requests = 0;
   std::int64_t spent = 0;
--- a/coordination/gateway/shared_retry_budget.h
+++ b/coordination/gateway/shared_retry_budget.h
@@ -11,28 +11,28 @@
 namespace gcw {
 
 struct SharedRetryBudgetSettings {
-  // Second sends that all nodes may make to a service in any window: this share
-  // of the requests for it, plus `slack`.
+  // Retries that all nodes together may send to a service in any window: this
+  // ratio of the service's requests, plus `slack`.
   double ratio = 0.2;
   double slack = 100;
   Duration window = Duration::Seconds(10);
-  // Part of the budget that is used. The rest covers nodes that restarted and
-  // forgot what they spent, and views of the fleet that differ for a while.
+  // Fraction of the budget that is used. The rest covers nodes that restarted
+  // and forgot what they spent, and views of the fleet that differ for a while.
   double used_share = 0.8;
 };
 
-// Bounds second sends over all nodes without a message between them: each node
-// may use the ratio of its own requests and an even part of the slack, so the
-// parts add up to less than the whole. Without a bound, endpoints that fail
-// multiply the load on the others, which then fail too.
+// Limits the retries of all nodes without messages between them: each node may
+// use the ratio of its own requests and an equal part of the slack, so that the
+// parts add up to less than the whole. Without a limit, failing endpoints would
+// multiply the load on the others, which would then fail too.
 class SharedRetryBudget {
  public:
   explicit SharedRetryBudget(const SharedRetryBudgetSettings& settings);
 
   void OnRequest(Time now, const ServiceId& service);
-  // Whether one more send may be made; spends it.
+  // Returns true and counts the retry if one more may be sent.
   bool Spend(Time now, const ServiceId& service);
-  // How many nodes share the slack.
+  // Sets the number of nodes that share the slack.
   void SetNodeCount(std::size_t nodes);
 
  private:
--- a/coordination/gateway/urgency.h
+++ b/coordination/gateway/urgency.h
@@ -7,15 +7,15 @@
 
 namespace gcw {
 
-// Which of an endpoint's waiting requests of one rank should begin first; the
-// smaller value goes first.
+// Order in which an endpoint should start its waiting requests of one rank; the
+// smallest value goes first.
 enum class Urgency {
-  // A stream that goes on after events that its caller has: each further
-  // moment of waiting is a pause in it.
+  // The stream resumes after events that its caller already has, so any further
+  // wait is a pause in it.
   kResumed,
-  // It may still begin within its route's latency objective.
+  // The request can still start within its route's latency objective.
   kOnTime,
-  // It runs in the room that the others leave.
+  // The request runs in the capacity that the others leave.
   kDeferred,
 };
 
