--- a/coordination/roles/node_lease.cc
+++ b/coordination/roles/node_lease.cc
@@ -6,7 +6,7 @@
 namespace gcw {
 namespace {
 
-// Late replies of this many renewals are still understood.
+// Number of unanswered calls whose late replies are still recognized.
 constexpr std::size_t kMaxPending = 16;
 
 }  // namespace
@@ -49,8 +49,8 @@
   return {Call(now, CallKind::kRevoke, StoreLeaseRevoke{lease_})};
 }
 
-// The earlier lease is left to lapse: its end must not remove the record before
-// that hangs on the new one.
+// The earlier lease is left to lapse. If it were revoked, the service would
+// delete the record before it is attached to the new lease.
 void NodeLease::SetRelaxed(bool relaxed) {
   if (relaxed == relaxed_) {
     return;
@@ -140,8 +140,9 @@
     next_call_ = now + std::max(busy->retry_after, backoff_.Next(random_));
     return;
   }
-  // No answer to a grant names a lapsed lease; asking again at once would go on
-  // for as long as the service says so.
+  // A grant names no lease that could have lapsed, so any other reply is
+  // unexpected. An immediate retry would repeat for as long as the service
+  // replies so.
   if (pending.kind == CallKind::kGrant &&
       !std::holds_alternative<StoreLeaseReply>(reply)) {
     next_call_ = now + backoff_.Next(random_);
@@ -152,7 +153,8 @@
     OnLeaseReply(pending, *granted);
     return;
   }
-  // Everything else is about one lease; what concerns an earlier one is past.
+  // Each of the other replies concerns one lease; a reply for an earlier lease
+  // is obsolete.
   if (pending.lease != lease_ || phase_ == Phase::kNone) {
     return;
   }
@@ -170,8 +172,8 @@
 void NodeLease::OnLeaseReply(const PendingCall& pending,
                              const StoreLeaseReply& reply) {
   // The service counts the time to live from when it handled the call, which
-  // was not before the call was sent. Counting from the reply instead would
-  // believe in a lease that has lapsed when the reply was slow.
+  // was not before the call was sent. If it were counted from the reply, a slow
+  // reply would make a lapsed lease look valid.
   const Time valid_until = pending.sent +
                            std::min(reply.time_to_live, pending.time_to_live) -
                            settings_.margin;
@@ -201,8 +203,8 @@
 void NodeLease::OnConflict(const PendingCall& pending,
                            const StoreConflict& conflict) {
   key_revision_ = conflict.current ? conflict.current->revision : Revision();
-  // A put whose answer was lost took effect after all: the lease is this
-  // process's own, so nobody else writes under it.
+  // A put whose reply was lost has taken effect, because only this process
+  // writes under its lease.
   if (conflict.current && conflict.current->lease == lease_ &&
       conflict.current->value == encode_(record_)) {
     OnWritten(pending, conflict.current->revision);
@@ -227,7 +229,8 @@
   if (now - it->second.sent < settings_.call_timeout) {
     return;
   }
-  // The entry stays: the reply of a renewal counts also when it is late.
+  // The entry is kept, because a late reply to a renewal still extends the
+  // lease.
   awaited_.reset();
   OnUnanswered(now);
 }
--- a/coordination/roles/node_lease.h
+++ b/coordination/roles/node_lease.h
@@ -15,57 +15,60 @@
 namespace gcw {
 
 struct NodeLeaseSettings {
-  // After this without a renewal the service drops the node's keys.
+  // The service deletes the node's keys after this time without a renewal.
   Duration time_to_live = Duration::Seconds(15);
   Duration renew_interval = Duration::Seconds(5);
-  // Covers the drift between the service's clock and the node's within one
-  // time to live, and the delay between a check and what it allows.
+  // Safety margin for the drift between the service's clock and the node's
+  // within one time to live, and for the delay between a check and the action
+  // that it allows.
   Duration margin = Duration::Seconds(2);
   // A call without a reply for this long counts as unanswered.
   Duration call_timeout = Duration::Seconds(2);
   BackoffSettings backoff;
-  // The same of a relaxed lease: its node's loss may show later, so that it
-  // costs fewer calls.
+  // The same for a relaxed lease, which costs fewer calls because the loss of
+  // its node may be noticed later.
   Duration relaxed_time_to_live = Duration::Seconds(15);
   Duration relaxed_renew_interval = Duration::Seconds(5);
-  // Between two attempts of a relaxed lease at most.
+  // Maximum backoff between two attempts of a relaxed lease.
   Duration relaxed_backoff = Duration::Seconds(8);
 };
 
 using NodeLeaseAction = std::variant<StoreRequest>;
 
-// A lease that the node may believe to hold.
+// A lease that the node may rely on until `valid_until`.
 struct HeldLease {
   LeaseId lease;
   // Revision of the last write of `node/<id>` under this lease.
   Incarnation incarnation;
-  // Time the last successful renewal was sent + time to live - margin.
+  // Send time of the last successful renewal + time to live - margin.
   Time valid_until;
 };
 
-// The node's one lease in the key-value service and the key `node/<id>` that
-// hangs on it. Renewing is one call however many keys hang on the lease.
+// The node's single lease in the key-value service and the key `node/<id>` that
+// is attached to it. A renewal is one call regardless of the number of attached
+// keys.
 class NodeLease {
  public:
   class Builder;
 
-  // Grants, writes, renews and retries as is due.
+  // Requests or renews the lease, writes the record and retries, as each is
+  // due.
   std::vector<NodeLeaseAction> Tick(Time now);
   std::vector<NodeLeaseAction> OnStoreReply(Time now,
                                             StoreCallId id,
                                             const StoreReply& reply);
-  // Writes the record again under the same lease, with a higher incarnation.
+  // Rewrites the record under the same lease, with a higher incarnation.
   std::vector<NodeLeaseAction> SetRecord(Time now, NodeRecord record);
-  // Ends the lease at once: the last step of a planned stop.
+  // Revokes the lease at once, as the last step of a planned stop.
   std::vector<NodeLeaseAction> Release(Time now);
 
-  // Whether the lease may be a relaxed one. A lease that is held is replaced.
+  // Selects a relaxed or a normal lease. A lease that is held is replaced.
   void SetRelaxed(bool relaxed);
 
-  // Absent where the node may not rely on its lease at `now`.
+  // Absent if the node may not rely on its lease at `now`.
   std::optional<HeldLease> Held(Time now) const;
-  // Of the last write of `node/<id>`, also after the lease has lapsed; zero
-  // before the first.
+  // Incarnation of the last write of `node/<id>`, also after the lease has
+  // lapsed; zero before the first write.
   Incarnation incarnation() const { return incarnation_; }
   // Whether the service answered the last call.
   bool store_reachable() const { return store_reachable_; }
@@ -76,9 +79,9 @@
   struct PendingCall {
     CallKind kind;
     Time sent;
-    // The lease that the call is about; zero for a grant.
+    // The lease that the call refers to; zero for a grant.
     LeaseId lease;
-    // That it is asked for.
+    // The time to live that the call requests.
     Duration time_to_live;
     // Version of the record that a put writes.
     std::int64_t record_version;
@@ -117,7 +120,7 @@
   LeaseId lease_;
   Time valid_until_;
   Incarnation incarnation_;
-  // Revision that `node/<id>` is believed to have.
+  // Last known revision of `node/<id>`.
   Revision key_revision_;
   bool record_written_ = false;
   // Counts the changes of `record_`.
@@ -125,9 +128,9 @@
   Time renewal_due_;
   Time next_call_;
   StoreCallId last_id_;
-  // Unanswered calls; late replies of renewals still count.
+  // Unanswered calls. A late reply to a renewal still extends the lease.
   std::map<StoreCallId, PendingCall> pending_;
-  // The call that further calls wait for.
+  // The call in progress; the next call waits for its reply.
   std::optional<StoreCallId> awaited_;
   bool store_reachable_ = true;
   bool reported_valid_ = false;
--- a/coordination/roles/role_assignment.cc
+++ b/coordination/roles/role_assignment.cc
@@ -5,8 +5,8 @@
 namespace gcw {
 namespace {
 
-// Enough preferences that a role finds a node below its limit in nearly every
-// case without sorting the whole fleet for each role.
+// With this many preferences a role finds a node below its limit in nearly
+// every case, without sorting the whole fleet for each role.
 constexpr std::size_t kFirstPreferences = 8;
 
 std::optional<NodeId> FirstWithRoom(const std::vector<NodeId>& order,
@@ -38,7 +38,8 @@
       node = FirstWithRoom(RendezvousOrder(role.value(), nodes, nodes.size()),
                            taken, limit);
     }
-    // The limits add up to at least the number of roles.
+    // A node is always found, because the limits add up to at least the number
+    // of roles.
     ++taken[*node];
     assigned.emplace(role, *node);
   }
--- a/coordination/roles/role_assignment.h
+++ b/coordination/roles/role_assignment.h
@@ -12,13 +12,13 @@
 // Name of a control role, the part of its key after `role/`.
 using RoleName = StrongId<struct RoleNameTag>;
 
-// Which node should take each role: its most preferred node (by rendezvous
-// hashing) that has fewer than ceil(roles / nodes). The result steers only;
-// who holds a role is what the key-value service says.
+// Returns the node that should take each role: the role's most preferred node
+// (by rendezvous hashing) that has fewer than ceil(roles / nodes). The result
+// is only a target; the key-value service decides who holds a role.
 std::map<RoleName, NodeId> AssignRoles(const std::set<RoleName>& roles,
                                        const std::vector<NodeId>& nodes);
 
-// The roles that fall to `self`.
+// Returns the roles that are assigned to `self`.
 std::set<RoleName> RolesOf(const NodeId& self,
                            const std::set<RoleName>& roles,
                            const std::vector<NodeId>& nodes);
--- a/coordination/roles/role_leases.cc
+++ b/coordination/roles/role_leases.cc
@@ -98,8 +98,8 @@
     if (role.call || now < role.next_attempt) {
       continue;
     }
-    // A held role that is no longer wanted is not acted in from here on, even
-    // while the deletion is under way.
+    // The node stops acting in a role that it no longer wants before the
+    // deletion of the key is confirmed.
     if (role.phase == Phase::kHeld && !Wants(name, now)) {
       Report(EventKind::kRoleLost, name, role);
       role.phase = Phase::kReleasing;
@@ -128,9 +128,9 @@
     case Phase::kHeld:
       return std::nullopt;
     case Phase::kTaking:
-      // Also repeats a put whose answer was lost. Its conflict is the read
-      // back: it shows whether the key hangs on this node's lease, and unlike
-      // a plain read it cannot be stale.
+      // This also repeats a put whose reply was lost. The conflict then shows
+      // whether the key is attached to this node's lease and, unlike a plain
+      // read, cannot be stale.
       role.lease = lease.lease;
       return StorePut{.key = KeyOf(name),
                       .value = self_.value(),
@@ -158,7 +158,8 @@
     if (free || role.lease == lease || role.lease == LeaseId()) {
       continue;
     }
-    // The keys on an earlier lease are gone, or go when it lapses.
+    // Keys attached to an earlier lease are deleted when it lapses, if they are
+    // not deleted already.
     if (role.call) {
       pending_.erase(*role.call);
     }
@@ -216,7 +217,7 @@
   }
   const auto* conflict = std::get_if<StoreConflict>(&reply);
   if (conflict && conflict->current && conflict->current->lease == role.lease) {
-    // Written some time since the lease began.
+    // The key was written at some time after the lease was first seen.
     Take(name, role, conflict->current->revision, lease_floor_);
     return;
   }
@@ -236,9 +237,9 @@
     Pause(now, reply);
     return;
   }
-  // Only now may the role be taken again. Were it taken while the outcome of a
-  // deletion is open, the deletion could arrive late and free the key under a
-  // holder that believes in it; one would see two holders at once.
+  // The role may be taken again only now. If it were taken while the outcome of
+  // the deletion is open, the deletion could arrive late and free the key while
+  // this node still relies on it, and two nodes would hold the role at once.
   role = Role();
 }
 
@@ -248,8 +249,9 @@
                       Revision floor) {
   role.revision = revision;
   if (revision <= floor) {
-    // The service was set back: this number is lower than ones that endpoints
-    // and nodes have seen, and an earlier holder may still be at work.
+    // The service was restored to an older state: this token is lower than ones
+    // that endpoints and nodes have seen, and an earlier holder may still be
+    // active.
     sink_(
         {.kind = EventKind::kStoreRewound,
          .subject = name.value(),
--- a/coordination/roles/role_leases.h
+++ b/coordination/roles/role_leases.h
@@ -17,23 +17,25 @@
 namespace gcw {
 
 struct RoleLeasesSettings {
-  // Between attempts to take a role that another node holds.
+  // Mean interval between attempts to take a role that another node holds.
   Duration retry_interval = Duration::Seconds(2);
   Duration call_timeout = Duration::Seconds(2);
-  // Most calls under way at once, so that taking many roles does not spend the
-  // service's rate in one burst.
+  // Maximum number of role calls in flight, so that taking many roles does not
+  // use up the service's rate in one burst.
   std::size_t parallel_calls = 4;
-  // Every node reads who holds the roles once per this long for each node of
-  // the fleet, so that the fleet's reads do not grow with its size.
+  // Every node reads the role holders at an interval of this time multiplied by
+  // the number of nodes, so that the fleet's total read rate does not grow with
+  // its size.
   Duration read_interval_per_node = Duration::Millis(100);
   Duration min_read_interval = Duration::Seconds(10);
-  // Whether a node reads who holds the roles although it neither has nor wants
-  // one. A node that sees the roles' keys in another way need not.
+  // Whether a node that neither holds nor wants a role reads the role holders.
+  // A node that receives the roles' keys in another way does not need to.
   bool reads_idle = true;
-  // A known role that was free in this many reads is taken by whoever sees it:
-  // the node that it falls to may not reach the service.
+  // A known role that was free in this many consecutive reads is taken by any
+  // node that sees it, because the assigned node may be unable to reach the
+  // service.
   int free_reads_before_stand_in = 3;
-  // How long a stand-in keeps a role.
+  // How long a node keeps a role that is assigned to another node.
   Duration stand_in_time = Duration::Seconds(600);
   BackoffSettings backoff;
 };
@@ -41,37 +43,37 @@
 using RoleLeasesAction = std::variant<StoreRequest>;
 
 struct HeldRole {
-  // Goes on every order given in this role. Revision of the role's key.
+  // Fencing token that every order given in this role carries: the revision of
+  // the role's key.
   FencingToken fence;
   Time valid_until;
 };
 
-// The roles that this node holds. Each is a key `role/<name>` that hangs on
-// the node's lease; its revision is the fencing number.
+// The roles that this node holds. Each is a key `role/<name>` that is attached
+// to the node's lease; its revision is the fencing token.
 class RoleLeases {
  public:
   class Builder;
 
-  // Takes the roles in `desired` that are free and gives up the others.
+  // Takes the roles in `desired` that are free and releases all others.
   std::vector<RoleLeasesAction> SetDesired(Time now,
                                            std::set<RoleName> desired);
-  // All roles of the fleet and the number of its nodes.
+  // Sets all roles of the fleet and the number of its nodes.
   void SetFleet(std::set<RoleName> roles, std::size_t nodes);
   std::vector<RoleLeasesAction> Tick(Time now);
   std::vector<RoleLeasesAction> OnStoreReply(Time now,
                                              StoreCallId id,
                                              const StoreReply& reply);
 
-  // Absent where the node may not act in this role at `now`.
+  // Absent if the node may not act in this role at `now`.
   std::optional<HeldRole> Held(const RoleName& role, Time now) const;
-  // All roles that are held at `now`.
   std::vector<RoleName> HeldRoles(Time now) const;
 
  private:
   enum class Phase { kFree, kTaking, kHeld, kReleasing };
   struct Role {
     Phase phase = Phase::kFree;
-    // The lease that the key hangs on, or is to hang on.
+    // The lease that the key is, or will be, attached to.
     LeaseId lease;
     Revision revision;
     // The highest known revision when the first put was sent.
@@ -131,10 +133,11 @@
 
   std::set<RoleName> desired_;
   std::map<RoleName, Role> roles_;
-  // The lease seen last, and the highest known revision when it was new.
+  // The last seen lease, and the highest known revision when it was first seen.
   LeaseId lease_seen_;
   Revision lease_floor_;
-  // No call is sent before then, after one was refused or unanswered.
+  // No call is sent before this time, which is set when a call is refused or
+  // unanswered.
   Time next_call_;
   std::map<StoreCallId, PendingCall> pending_;
   StoreCallId last_id_;
@@ -144,9 +147,10 @@
   std::optional<StoreCallId> read_;
   Time read_sent_;
   Time next_read_;
-  // In how many reads in a row a known role was free.
+  // Number of consecutive reads in which a known role was free.
   std::map<RoleName, int> free_reads_;
-  // Roles taken although they fall to another node, and until when.
+  // Roles taken although they are assigned to another node, with the time until
+  // which they are kept.
   std::map<RoleName, Time> stand_ins_;
 };
 
@@ -154,10 +158,12 @@
  public:
   Builder& SetSettings(RoleLeasesSettings settings);
   Builder& SetSelf(NodeId self);
-  // Tells the node's lease at a time; usually `NodeLease::Held`.
+  // Sets the function that returns the node's lease at a time; usually
+  // `NodeLease::Held`.
   Builder& SetLease(std::function<std::optional<HeldLease>(Time)> lease);
-  // The highest revision that this node knows to have existed. A role taken
-  // at or below it comes from a service that was set back.
+  // Sets the function that returns the highest revision that this node knows to
+  // have existed. A role taken at or below it comes from a service that was
+  // restored to an older state.
   Builder& SetRevisionFloor(std::function<Revision()> floor);
   Builder& SetRandom(Random random);
   Builder& SetEventSink(EventSink sink);
--- a/coordination/roles/role_leases_read.cc
+++ b/coordination/roles/role_leases_read.cc
@@ -1,6 +1,6 @@
-// The periodic read of who holds the roles. It finds keys that hang on this
-// node's lease without its knowledge, holds that ended without its knowledge,
-// and roles that nobody takes.
+// The periodic read of the role holders. It finds keys that are attached to
+// this node's lease without the node's knowledge, held roles whose keys are
+// gone or were replaced, and roles that nobody takes.
 
 #include <algorithm>
 #include <string_view>
@@ -22,7 +22,7 @@
   const Duration interval = std::max(
       settings_.min_read_interval, settings_.read_interval_per_node *
                                        static_cast<std::int64_t>(node_count_));
-  // A random phase keeps the fleet's reads apart.
+  // A random phase spreads the reads of the fleet's nodes over time.
   next_read_ = now + interval / 2 +
                Duration::Millis(static_cast<std::int64_t>(DrawBelow(
                    random_, static_cast<std::uint64_t>(interval.millis()))));
@@ -44,7 +44,7 @@
                                  const std::map<RoleName, StoreEntry>& read,
                                  Revision revision) {
   for (auto& [name, role] : roles_) {
-    // An older state of the service says nothing about this hold.
+    // A read of an older state says nothing about this role's key.
     if (role.phase != Phase::kHeld || revision < role.revision) {
       continue;
     }
@@ -58,9 +58,9 @@
     if (!lease || entry.lease != lease->lease || roles_.contains(name)) {
       continue;
     }
-    // A put that was given up on arrived late: the key blocks the role for
-    // everybody while nobody acts in it. Deleting by revision harms nothing if
-    // the read was stale.
+    // An abandoned put arrived late: the key blocks the role for all nodes
+    // while no node acts in it. Deletion by revision does no harm if the read
+    // was stale.
     Role& role = roles_[name];
     role.phase = Phase::kReleasing;
     role.lease = entry.lease;
