--- a/tests/coordination/gateway/deferral_policy_test.cc
+++ b/tests/coordination/gateway/deferral_policy_test.cc
@@ -11,7 +11,7 @@
 
 class DeferralPolicyTest : public testing::Test {
  protected:
-  // Requests of this model begin so often for a second.
+  // Starts `times` requests of the model, spread over one second.
   void Begin(int times) {
     for (int i = 0; i < times; ++i) {
       now_ = now_ + Duration::Millis(1000 / times);
@@ -19,7 +19,7 @@
     }
   }
   Urgency Grade() { return policy_.Grade(now_, service_, model_, kObjective); }
-  // How many of so many requests that come at once go first.
+  // Returns how many of `requests` simultaneous requests are prioritized.
   int CountFirst(int requests) {
     int first = 0;
     for (int i = 0; i < requests; ++i) {
@@ -37,18 +37,18 @@
   DeferralPolicy policy_{{}};
 };
 
-// Symptom: with half as many requests again as the groups can begin in time,
-// nobody is served in time. Sequence: all wait in one queue, in order of
-// arrival, and the queue is longer than the objective. Cause: nothing gave way.
+// Guards against a queue in order of arrival that is longer than the objective:
+// with half as many requests again as the groups can start in time, nobody
+// would be served in time unless some requests are deferred.
 TEST_F(DeferralPolicyTest, AsManyGoFirstAsBeginWithinTheObjective) {
   Begin(40);
-  // 40 a second are 10 within the objective of 250 ms; half of that.
+  // 40 a second are 10 within the objective of 250 ms; the window is half of
+  // that.
   EXPECT_EQ(CountFirst(30), 5);
 }
 
-// Symptom: requests go on to be late for seconds after the queue has gone, or
-// are late for seconds until any give way. Cause: the policy learnt from
-// requests when they began, not from those that wait.
+// Guards against a policy that reacts seconds late, in either direction,
+// because it learns from requests when they start and not from those that wait.
 TEST_F(DeferralPolicyTest, EachOneThatBeginsMakesRoomAtOnce) {
   Begin(40);
   CountFirst(30);
@@ -57,9 +57,8 @@
   EXPECT_EQ(Grade(), Urgency::kOnTime);
 }
 
-// Symptom: after a restart into a full fleet all requests are late. Sequence:
-// a node that knows nothing yet sends all that come at once, as do the others.
-// Cause: without a beginning there was no limit.
+// Guards against a restart into a full fleet that makes all requests late:
+// nodes without any started request must not send all that arrive at once.
 TEST_F(DeferralPolicyTest, ANodeThatHasSeenNoBeginningLetsOneGoFirst) {
   EXPECT_EQ(CountFirst(10), 1);
 }
@@ -83,9 +82,9 @@
             Urgency::kOnTime);
 }
 
-// Symptom: a node's memory grows until it is killed. Sequence: a caller names
-// another model in each request; none of them is served anywhere. Cause: what
-// is counted by model began with the question whether a request gives way.
+// Guards against memory that grows without bound when a caller names another
+// unserved model in each request: grading a request must not create state for
+// its model.
 TEST_F(DeferralPolicyTest, ModelsThatCallersMakeUpLeaveNothingBehind) {
   for (int i = 0; i < 1000; ++i) {
     policy_.Grade(now_, service_, ModelId(std::to_string(i)), kObjective);
--- a/tests/coordination/gateway/forward_desk_test.cc
+++ b/tests/coordination/gateway/forward_desk_test.cc
@@ -90,8 +90,9 @@
   ForwardDesk desk_;
 };
 
-// Symptom: a proper request is refused for good by a node that just started.
-// Cause: a node that knows no configuration cannot tell an unknown route.
+// Guards against a permanent refusal of a valid request by a node that has just
+// started: without a configuration it cannot tell an unknown route from one
+// that it has not received.
 TEST_F(ForwardDeskTest, ANodeWithoutConfigurationPromisesToHaveNotRunIt) {
   ForwardRequest request;
   request.host = "h";
@@ -119,8 +120,8 @@
   EXPECT_TRUE(send.fresh_connection);
 }
 
-// Symptom: a reservation is made twice. Sequence: the connection breaks after
-// the request left. Cause: it was sent once more.
+// Guards against a reservation that is made twice because the request is sent
+// again after the connection broke.
 TEST_F(ForwardDeskTest, WhatMayHaveRunAndMayNotRunTwiceIsNeverSentAgain) {
   for (const auto kind : {ForwardEndKind::kBroke, ForwardEndKind::kSilent,
                           ForwardEndKind::kOutOfTime}) {
@@ -171,13 +172,13 @@
   end.last_event = 7;
   const ForwardStep step = desk_.OnEnded(now_, begun.id, end);
   EXPECT_EQ(std::get<SendForward>(step).resume_after, 7);
-  // A third run is not allowed; the caller must see that the stream is cut.
+  // A third run is not allowed, so the caller must see that the stream is cut.
   end.last_event = 9;
   EXPECT_TRUE(
       std::holds_alternative<ForwardCut>(desk_.OnEnded(now_, begun.id, end)));
 }
 
-// A fleet of engines, whose waiting requests have an order.
+// A fleet of engines, which order their waiting requests by precedence.
 class ForwardDeskOrderTest : public ForwardDeskTest {
  protected:
   ForwardDeskOrderTest() {
@@ -232,13 +233,10 @@
   EXPECT_EQ(std::get<SendForward>(step).precedence->urgency, Urgency::kResumed);
 }
 
-// Symptom: a request that is late anyway makes others late. Sequence: its first
-// endpoint stands still for longer than the objective; it is sent to another
-// one, where requests wait. Cause: it went there as if it were new.
-// Symptom: after a loss of many nodes new requests begin late behind streams
-// that are late already. Sequence: callers whose streams broke with the nodes
-// come back together, two seconds later. Cause: whatever goes on after events
-// went first, however long its pause was already.
+// Guards against streams that are late already and delay new requests after a
+// loss of many nodes: callers whose streams broke return together two seconds
+// later, and a resumed stream must not be prioritized if its pause is already
+// too long.
 TEST_F(ForwardDeskOrderTest, AStreamWhosePauseIsTooLongAlreadyHoldsNobodyUp) {
   const ForwardBegun begun = Ask("key");
   desk_.OnProgress(now_, begun.id);
@@ -257,6 +255,9 @@
             Urgency::kDeferred);
 }
 
+// Guards against a late request that makes others late: its first endpoint is
+// stalled for longer than the objective, and it must not go to the next one as
+// if it were new.
 TEST_F(ForwardDeskOrderTest, OneThatIsLateGoesBehindThoseThatAreNot) {
   const ForwardBegun begun = Ask("key");
   now_ = now_ + Duration::Millis(150);
@@ -266,9 +267,9 @@
             Urgency::kDeferred);
 }
 
-// Symptom: a burst makes everybody late. Sequence: requests begin at a steady
-// rate; then five come at once. Cause: all of them went before whatever comes
-// next, though no more than one begins within the objective.
+// Guards against a burst that makes all requests late: after a steady rate five
+// requests arrive at once, and only one of them starts within the objective, so
+// only one may be prioritized.
 TEST_F(ForwardDeskOrderTest, WhatCannotBeginInTimeIsDeferredOnArrival) {
   for (int i = 0; i < 9; ++i) {
     const ForwardBegun begun = Ask("key");
@@ -291,7 +292,8 @@
             (std::vector<Urgency>{Urgency::kOnTime, Urgency::kDeferred,
                                   Urgency::kDeferred, Urgency::kDeferred,
                                   Urgency::kDeferred}));
-  // Whether it begins, ends or its caller leaves: the next one goes first.
+  // The next request is prioritized once the first has started, ended or lost
+  // its caller.
   desk_.OnProgress(now_, asked[0]);
   const ForwardBegun next = Ask("key");
   EXPECT_EQ(std::get<SendForward>(next.step).precedence->urgency,
@@ -305,10 +307,9 @@
             Urgency::kOnTime);
 }
 
-// Symptom: the log says twice that a request was refused, or that it was
-// refused although its outcome is unknown. Sequence: an attempt ends and no
-// other endpoint is there. Cause: the search for one reported a refusal of its
-// own.
+// Guards against two final events for one request, and against a refusal event
+// for a request whose outcome is unknown: the search for another endpoint must
+// not report a refusal of its own.
 TEST_F(ForwardDeskTest, EachRequestHasOneFinalLine) {
   SetReplicas(1);
   ForwardBegun begun = Arrive("/whole/1");
@@ -324,7 +325,7 @@
   events_.clear();
   SetReplicas(0);
   SetReplicas(1);
-  // The endpoint's own failure is passed on: its outcome is known.
+  // The endpoint's own failure is passed on, so the outcome is known.
   begun = Arrive("/whole/1");
   ASSERT_TRUE(std::holds_alternative<SendForward>(begun.step));
   desk_.OnEnded(now_, begun.id, End(ForwardEndKind::kFailedThere));
@@ -353,7 +354,8 @@
 }
 
 // Whatever the endpoints do, a request that may not be repeated is sent at most
-// once in a way that may have run, and is told "not run" only if it never was.
+// once in a way that may have run, and its caller is told "not run" only if it
+// never ran.
 RC_GTEST_PROP(ForwardDeskProperty, AtMostOnceAndTruthfulRefusals, ()) {
   Time now = kStart;
   ReplicaSelector selector({}, ZoneId("z"),
--- a/tests/coordination/gateway/overload_test.cc
+++ b/tests/coordination/gateway/overload_test.cc
@@ -14,19 +14,19 @@
 constexpr std::size_t kZones = 3;
 constexpr std::size_t kGroups = 6;
 constexpr std::size_t kPlaces = 26;
-// A batch admits and gives events once in a pass; a stream runs for a while.
+// A batch admits requests and sends events once in a pass.
 constexpr Duration kPass = Duration::Millis(50);
 constexpr Duration kStreamTime = Duration::Millis(1100);
-// Without a queue a stream begins after about 160 ms.
+// Without a queue a stream starts after about 160 ms.
 constexpr Duration kReading = Duration::Millis(130);
 constexpr Duration kObjective = Duration::Millis(250);
 constexpr Duration kPatience = Duration::Millis(2000);
 // Two thirds of what the groups can run.
 constexpr double kUsualPerSecond = 95;
 
-// Nodes before a few groups of engines, in virtual time. Each engine begins
-// waiting requests by their precedence as places come free; a node hears of its
-// load when a stream of its own begins.
+// Simulates nodes in front of a few groups of engines, in virtual time. Each
+// engine starts waiting requests by their precedence as slots become free; a
+// node learns an engine's load when one of its own streams starts.
 class OverloadedGroups {
  public:
   explicit OverloadedGroups(std::uint64_t seed) : random_(SeededRandom(seed)) {
@@ -51,8 +51,9 @@
     groups_.resize(kGroups);
   }
 
-  // At that multiple of the usual load, of whose callers a part comes back at
-  // once. Returns how many of those that came first began in time.
+  // Runs at `load` times the usual load; the fraction `abusive` of the callers
+  // returns at once after a refusal. Returns how many requests started in time,
+  // counted from when the caller first asked.
   int Run(Duration time, double load, double abusive) {
     in_time_ = 0;
     const Time end = now_ + time;
@@ -90,7 +91,8 @@
     ForwardId id;
     Urgency urgency = Urgency::kOnTime;
     Time sent;
-    // When the engine has read its prompt, and when it ends.
+    // Times at which the engine has read the prompt and at which the stream
+    // ends.
     Time begins;
     Time ends;
     bool begun = false;
@@ -143,7 +145,7 @@
       groups_[std::stoul(send->vm.value())].waiting.push_back(run);
       return;
     }
-    // Each caller comes back once; an abusive one does not wait.
+    // Each caller returns once; an abusive one does not wait.
     if (asked == now_) {
       const auto& refused = std::get<ForwardRefused>(begun.step);
       returns_.push_back(
@@ -223,13 +225,11 @@
   int in_time_ = 0;
 };
 
-// Symptom: at almost twice the load a third as many requests begin in time as
-// at the usual one, although the engines run more, and for seconds after it
-// half as many. Sequence: the load rises to 1.9 times the usual one for four
-// seconds; of the refused callers a third come back at once. Cause: who gives
-// way was learnt from requests that began late, seconds after the queue stood
-// there, and those that gave way took every place that came free, so that each
-// of the others waited for one.
+// Guards against a collapse under overload. The load rises to 1.9 times the
+// usual one for four seconds and a third of the refused callers return at once.
+// If deferral is learned from requests that started late, or if deferred
+// requests take every free slot, a third as many requests start in time as at
+// the usual load, and half as many for seconds afterwards.
 class OverloadTest : public testing::TestWithParam<std::uint64_t> {};
 
 TEST_P(OverloadTest, MostOfTheUsualNumberBeginInTime) {
--- a/tests/coordination/gateway/replica_selector_test.cc
+++ b/tests/coordination/gateway/replica_selector_test.cc
@@ -45,8 +45,9 @@
   ReplicaSelector selector_;
 };
 
-// Symptom: a fresh group gets every request of every node at once. Cause: all
-// have the same old report. Each node corrects it by what it sent, and draws.
+// Guards against a new group that gets every request of every node at once,
+// because all nodes have the same old report. Each node corrects the report by
+// what it sent and adds a random amount.
 TEST_F(ReplicaSelectorTest, SpreadsOverReplicasWithTheSameReports) {
   std::map<VmId, int> chosen;
   for (int i = 0; i < 60; ++i) {
@@ -59,9 +60,9 @@
   }
 }
 
-// Symptom: a VM that has just started gets nothing. Sequence: it crashes with
-// requests under way and starts again under its id. Cause: what its earlier run
-// had was counted for the new one.
+// Guards against a restarted VM that gets no requests: it crashes with requests
+// in flight and starts again under the same id, and the load of its earlier run
+// must not count for the new one.
 TEST_F(ReplicaSelectorTest, ARunUnderTheSameIdStartsWithoutLoad) {
   Replica replica = Group("a");
   selector_.SetReplicas(now_, {replica});
@@ -81,10 +82,9 @@
   }
 }
 
-// Symptom: with many nodes, one group after the other gets what comes at all of
-// them. Sequence: the loads that a node knows are a second old and more; one
-// group looked emptiest then, to every node. Cause: all were compared, so each
-// node sent everything to that one.
+// Guards against all nodes sending their requests to one group in turn: known
+// loads are a second or more old, so if every node compared all groups, each
+// would choose the one that last looked least loaded.
 TEST_F(ReplicaSelectorTest, TheOneThatLookedEmptiestDoesNotGetEverything) {
   selector_.OnLoad(now_, VmId("a"), {0, 0, 26});
   selector_.OnLoad(now_, VmId("b"), {26, 0, 26});
@@ -109,8 +109,8 @@
             RefusalKind::kNoCapacity);
 }
 
-// Symptom: streams of one group stop, and requests go there on. Cause: a group
-// that lost a member says nothing for seconds.
+// Guards against requests that are still sent to a group whose streams have
+// stopped: a group that lost a member sends nothing for seconds.
 TEST_F(ReplicaSelectorTest, FindsAGroupThatStandsStillByItsStreams) {
   const AttemptNumber stuck = Send("a");
   selector_.OnProgress(now_, stuck);
@@ -129,7 +129,8 @@
   for (int i = 0; i < 20; ++i) {
     EXPECT_NE(ValueOf(Choose()).replica.vm, VmId("a"));
   }
-  // It moves again: it was only slow, which is forgotten after a while.
+  // The group makes progress again: it was only slow, and its measured slowness
+  // expires after a while.
   selector_.OnProgress(now_, stuck);
   EXPECT_NE(ValueOf(Choose()).replica.vm, VmId("a"));
   Wait(2500);
@@ -140,10 +141,11 @@
   EXPECT_TRUE(chosen);
 }
 
-// Symptom: in a fleet of 72 nodes groups that are only full are left out, their
-// streams are moved and prompts are read again elsewhere, which fills the next
-// group. Sequence: the one request of a node waits in a queue for longer than
-// the limit. Cause: a node took its own few streams for all of the group's.
+// Guards against excluding groups that are merely full, which moves their
+// streams and re-reads their prompts elsewhere until the next group is full. In
+// a fleet of 72 nodes the only request of one node can wait in a queue for
+// longer than the limit, so a node must not take its own few streams for all of
+// the group's.
 TEST_F(ReplicaSelectorTest, AskOtherNodesBeforeAGroupIsTakenToStandStill) {
   selector_.SetNodeCount(72);
   Send("a");
@@ -159,7 +161,7 @@
   EXPECT_TRUE(selector_.Tick(now_).empty());
   EXPECT_TRUE(selector_.TakeSuspicions().empty());
   EXPECT_TRUE(selector_.TakeStandstills().empty());
-  // What another node saw is no progress of this one's own.
+  // Progress that another node saw does not count as this node's own.
   EXPECT_FALSE(selector_.OwnProgress(VmId("a"), Generation(1)).has_value());
 }
 
@@ -169,7 +171,7 @@
   selector_.OnProgress(now_, stuck);
   Wait(450);
   EXPECT_TRUE(selector_.Tick(now_).empty());
-  // An old word, or one of an older group, is no sign of life.
+  // An old report, or one of an earlier group, is no evidence of progress.
   selector_.OnProgressHeard(now_, VmId("a"), Generation(1),
                             Duration::Millis(460));
   selector_.OnProgressHeard(now_, VmId("a"), Generation(9), Duration());
@@ -201,7 +203,8 @@
       selector_.OnStandstillHeard(now_, VmId("b"), Generation(9)).empty());
 }
 
-// Symptom: a replica that fails at once draws all requests, as it looks idle.
+// Guards against a replica that fails at once and attracts all requests because
+// it looks idle.
 TEST_F(ReplicaSelectorTest, LeavesOutAReplicaThatFailsAndTriesItAgain) {
   const AttemptNumber failed = Send("a");
   selector_.OnEnded(now_, failed, ForwardEndKind::kFailedThere);
@@ -216,9 +219,9 @@
   EXPECT_TRUE(chosen);
 }
 
-// Symptom: half of the requests cross data centres, and are paid for, although
-// the own one has room. Cause: two of all groups were compared, and in four of
-// ten draws none of them was near.
+// Guards against sending, and paying for, half of the requests across data
+// centres although the node's own one has room: with two drawn from all groups,
+// four of ten draws contain none of the own data centre.
 TEST_F(ReplicaSelectorTest, CrossesDataCentresOnlyWhereTheOwnOneIsBusier) {
   std::vector<Replica> replicas;
   for (const char* vm : {"a", "b", "c", "d", "e", "f"}) {
--- a/tests/coordination/gateway/shared_retry_budget_test.cc
+++ b/tests/coordination/gateway/shared_retry_budget_test.cc
@@ -9,8 +9,8 @@
 namespace gcw {
 namespace {
 
-// Over all nodes and in any window, second sends stay below the ratio of the
-// requests plus the slack, without a word between the nodes.
+// Over all nodes and in any window, retries stay below the ratio of the
+// requests plus the slack, without messages between the nodes.
 RC_GTEST_PROP(SharedRetryBudgetProperty, HoldsInEveryWindowOverAllNodes, ()) {
   const SharedRetryBudgetSettings settings{0.2, 134, Duration::Seconds(10),
                                            0.8};
@@ -29,7 +29,7 @@
       budgets[static_cast<std::size_t>(i) % nodes].OnRequest(now, service);
       requests.push_back(now);
     }
-    // Everything fails: each node spends all that it may.
+    // Every request fails, so each node spends its whole budget.
     for (SharedRetryBudget& budget : budgets) {
       while (budget.Spend(now, service)) {
         spent.push_back(now);
--- a/tests/coordination/roles/node_lease_test.cc
+++ b/tests/coordination/roles/node_lease_test.cc
@@ -7,9 +7,8 @@
 namespace gcw {
 namespace {
 
-// Symptom: a node believes in a lease that has lapsed.
-// Sequence: a renewal is sent; its answer takes eight seconds.
-// Cause: counting the time to live from the answer.
+// Guards against a node that relies on a lapsed lease: the reply to a renewal
+// takes eight seconds, so the time to live must not be counted from the reply.
 TEST(NodeLeaseTest, ValidityCountsFromWhenTheRenewalWasSent) {
   NodeLease lease =
       NodeLease::Builder().SetEncode(TextNodeCodec().encode).Build();
@@ -30,9 +29,8 @@
   EXPECT_EQ(lease.Held(answered)->valid_until, sent + Duration::Seconds(13));
 }
 
-// Symptom: a node that slept through its lease never comes back.
-// Sequence: the lease lapses while the node is paused.
-// Cause: renewing a lease that is gone.
+// Guards against a node that never recovers after it was paused for longer than
+// its lease, because it goes on renewing a lease that no longer exists.
 TEST(NodeLeaseTest, LapsedLeaseIsReplacedUnderAHigherIncarnation) {
   LeaseCluster cluster(1, 1);
   cluster.Run(Duration::Seconds(2));
@@ -45,9 +43,9 @@
   EXPECT_GT(cluster.nodes()[0].lease->incarnation(), first);
 }
 
-// Symptom: roles are lost although the service came back in time.
-// Sequence: an outage shorter than the time to live, then a busy service.
-// Cause: waiting for longer and longer, or giving the lease up.
+// Guards against roles that are lost in an outage shorter than the time to
+// live, followed by a busy service: the backoff must not grow too long, and the
+// lease must not be given up.
 TEST(NodeLeaseTest, LeaseOutlivesAShortOutageAndABusyService) {
   LeaseCluster cluster(1, 2);
   cluster.Run(Duration::Seconds(4));
@@ -62,8 +60,8 @@
   EXPECT_EQ(cluster.nodes()[0].lease->incarnation(), first);
 }
 
-// Guards against a record that vanishes when its lease is replaced by a longer
-// one.
+// Guards against a record that disappears when its lease is replaced by a
+// relaxed one.
 TEST(NodeLeaseTest, ARelaxedLeaseTakesTheRecordOver) {
   LeaseCluster cluster(1, 4);
   cluster.Run(Duration::Seconds(2));
--- a/tests/coordination/roles/role_leases_test.cc
+++ b/tests/coordination/roles/role_leases_test.cc
@@ -12,7 +12,7 @@
 const std::set<RoleName> kRoles = {RoleName("keeper/d1"), RoleName("keeper/d2"),
                                    RoleName("once/1")};
 
-// One random fault or recovery.
+// Applies one random fault or recovery.
 void Disturb(LeaseCluster& cluster) {
   const Random& random = cluster.random();
   const std::size_t index = DrawBelow(random, cluster.nodes().size());
@@ -37,7 +37,7 @@
       faults.busy = DrawUnit(random) / 2;
       break;
     case 6:
-      // Calls overtake each other by more than their time-out.
+      // Calls overtake each other by more than their timeout.
       faults.max_delay = Duration::Millis(
           static_cast<std::int64_t>(DrawBelow(random, 8000)) + 1);
       break;
@@ -52,13 +52,12 @@
   }
 }
 
-// Symptom: two nodes give orders in one role at once.
-// Sequence: any mix of pauses longer than a lease, restarts, outages, lost and
-// overtaking calls, stale reads, clocks that are off and drift, and views that
-// make several nodes want one role.
-// Cause: a hold believed past the lease; an answer lost or late that is taken
-// for something it is not; a deletion that arrives after the role was taken
-// again.
+// Guards against two nodes that give orders in one role at once, under any mix
+// of pauses longer than a lease, restarts, outages, lost and overtaking calls,
+// stale reads, wrong and drifting clocks, and views that make several nodes
+// want one role. It would come from a hold that outlives the lease, a
+// misinterpreted lost or late reply, or a deletion that arrives after the role
+// was taken again.
 RC_GTEST_PROP(RoleLeasesProperty, HoldsAreAlwaysTrue, (std::uint64_t seed)) {
   LeaseCluster cluster(3, seed);
   for (LeaseCluster::Node& node : cluster.nodes()) {
@@ -79,10 +78,9 @@
   }
 }
 
-// Symptom: nobody keeps a role once the faults are over.
-// Sequence: as above, then a quiet minute.
-// Cause: a call that is waited for forever, or a key that an abandoned put left
-// behind.
+// Guards against roles that stay unheld after the faults have ended, because a
+// call is awaited forever or an abandoned put left a key behind. The same
+// faults are followed by a minute without any.
 RC_GTEST_PROP(RoleLeasesProperty,
               RolesAreTakenAfterFaults,
               (std::uint64_t seed)) {
@@ -108,11 +106,9 @@
   }
 }
 
-// Symptom: a paused keeper wakes and goes on giving orders beside its
-// successor.
-// Sequence: n0 holds the role and is paused; its lease lapses; n1 takes the
-// role; n0 wakes and looks at its clock before anything else reaches it.
-// Cause: a hold that lasts until the node hears that its lease is gone.
+// Guards against a paused holder that wakes and gives orders beside its
+// successor. n0 is paused, its lease lapses and n1 takes the role; n0 must see
+// from its clock alone that its hold has ended.
 TEST(RoleLeasesTest, PausedHolderDoesNotBelieveItsLapsedLease) {
   LeaseCluster cluster(2, 1);
   cluster.SetDesired(0, {kRole});
@@ -128,10 +124,9 @@
   EXPECT_GT(cluster.nodes()[1].roles->Held(kRole, cluster.now())->fence, first);
 }
 
-// Symptom: a node that took a role does not know it, and nobody else can take
-// it until the node goes.
-// Sequence: the put takes effect; its answer is lost.
-// Cause: an unanswered put taken for one that failed.
+// Guards against a role that nobody can take until a node leaves: the node's
+// put takes effect, its reply is lost, and the node takes the put for a failed
+// one.
 TEST(RoleLeasesTest, LostAnswerOfTakingIsSettled) {
   LeaseCluster cluster(1, 2);
   cluster.Run(Duration::Seconds(2));
@@ -144,10 +139,9 @@
   EXPECT_TRUE(cluster.HoldsAreTrue({kRole}));
 }
 
-// Symptom: two nodes give orders in one role.
-// Sequence: a node gives up the role; the deletion of the key is slow; the node
-// is to take the role again; the deletion arrives.
-// Cause: taking the key as still held while its deletion is under way.
+// Guards against two holders after a slow deletion: a node releases a role and
+// is to take it again, and the deletion arrives afterwards. The key must not
+// count as held while its deletion is pending.
 TEST(RoleLeasesTest, LateDeletionDoesNotFreeARoleTakenAgain) {
   LeaseCluster cluster(1, 6);
   cluster.SetDesired(0, {kRole});
@@ -169,10 +163,9 @@
   EXPECT_TRUE(held);
 }
 
-// Symptom: nobody holds a role, and nobody can take it, while all nodes run.
-// Sequence: n0's put is slow; its second put takes the role; n0 gives it up;
-// the first put arrives and writes the key again; n1 wants the role.
-// Cause: a key on n0's lease that n0 does not know of.
+// Guards against a role that nobody can take while all nodes run. n0's put is
+// slow, its second put takes the role and n0 releases it; then the first put
+// writes the key again, on n0's lease but without n0's knowledge.
 TEST(RoleLeasesTest, KeyLeftByALatePutIsRemoved) {
   LeaseCluster cluster(2, 7);
   cluster.Run(Duration::Seconds(2));
@@ -192,10 +185,9 @@
   EXPECT_EQ(cluster.Holds(kRole).size(), 1U);
 }
 
-// Symptom: a node acts in a role that it lost with an earlier lease.
-// Sequence: the lease lapses and the node is granted another, before the roles
-// are next looked at.
-// Cause: asking whether the node has a lease, not whether the role hangs on it.
+// Guards against a node that acts in a role that it lost with an earlier lease.
+// The lease lapses and is replaced before the roles are next checked, so a hold
+// must compare leases instead of asking whether there is one.
 TEST(RoleLeasesTest, HoldEndsWithItsOwnLease) {
   LeaseId lease(1);
   RoleLeases roles =
@@ -214,11 +206,10 @@
   EXPECT_FALSE(roles.Held(kRole, now));
 }
 
-// Symptom: a new keeper gives orders with a lower fencing number than its
-// predecessor, and endpoints that check numbers refuse them for good.
-// Sequence: nodes know revision 1000; the service is restored from a backup at
-// revision 3; a node takes a role there.
-// Cause: trusting a number because the service gave it.
+// Guards against a role holder with a lower fencing token than its predecessor,
+// whose orders endpoints would refuse forever: nodes know revision 1000, the
+// service is restored from a backup at revision 3, and a node takes a role
+// there.
 TEST(RoleLeasesTest, RoleBelowAKnownRevisionIsNotHeld) {
   LeaseCluster cluster(1, 3);
   cluster.SetFloor(Revision(1000));
@@ -227,10 +218,8 @@
   EXPECT_TRUE(cluster.Holds(kRole).empty());
 }
 
-// Symptom: a role stays without a holder although nodes are well.
-// Sequence: the role falls to a node that peers see alive but that cannot reach
-// the service.
-// Cause: waiting for the one node that the view names.
+// Guards against a role that stays without a holder although nodes are healthy:
+// its assigned node looks alive to its peers but cannot reach the service.
 TEST(RoleLeasesTest, StandInTakesARoleThatStaysFree) {
   LeaseCluster cluster(2, 4);
   cluster.link().SetReaches(
@@ -252,7 +241,7 @@
   ASSERT_EQ(cluster.nodes()[0].roles->HeldRoles(cluster.now()).size(), 100U);
   const std::int64_t before = cluster.link().calls();
   cluster.Run(Duration::Seconds(60));
-  // Twelve renewals and the reads of who holds the roles.
+  // Twelve renewals and the reads of the role holders.
   EXPECT_LE(cluster.link().calls() - before, 12 + 13);
 }
 
@@ -274,7 +263,7 @@
   for (const auto& [node, count] : counts) {
     EXPECT_LE(count, 13);
   }
-  // Without one node most roles stay where they are.
+  // After the loss of one node most roles stay where they are.
   nodes.pop_back();
   int moved = 0;
   for (const auto& [role, node] : AssignRoles(roles, nodes)) {
--- a/tests/support/lease_cluster.h
+++ b/tests/support/lease_cluster.h
@@ -27,7 +27,7 @@
     std::int64_t process = 0;
     std::unique_ptr<NodeLease> lease;
     std::unique_ptr<RoleLeases> roles;
-    // Replies that wait for the node to wake.
+    // Replies that are delivered when the node is no longer paused.
     std::vector<FakeStoreLink::Delivery> inbox;
 
     Time Clock(Time now) const {
@@ -46,7 +46,7 @@
     }
   }
 
-  // A new process under the same id.
+  // Starts a new process under the same id.
   void Restart(std::size_t index) {
     Node& node = nodes_[index];
     node.inbox.clear();
@@ -98,8 +98,8 @@
     }
   }
 
-  // Nodes that would act in the role if they looked at their clock now, paused
-  // ones included.
+  // Returns the holds of all nodes that would act in the role if they checked
+  // their clocks now, including paused nodes.
   std::vector<HeldRole> Holds(const RoleName& role) const {
     std::vector<HeldRole> holds;
     for (const Node& node : nodes_) {
@@ -110,8 +110,9 @@
     return holds;
   }
 
-  // Every hold that a node believes in is what the service says: so there are
-  // never two, and endpoints see numbers that only grow.
+  // True if every hold that a node relies on matches the service. Then there
+  // are never two holds of a role, and endpoints see only increasing fencing
+  // tokens.
   bool HoldsAreTrue(const std::set<RoleName>& roles) {
     link_.store().DropLapsed(now_);
     const auto& entries = link_.store().entries();
@@ -142,7 +143,7 @@
     Node& node = nodes_[index];
     const Time clock = node.Clock(now_);
     for (const auto& delivery : std::exchange(node.inbox, {})) {
-      // Replies to an earlier process under this id go nowhere.
+      // Replies to an earlier process under this id are dropped.
       if (delivery.caller == CallerOf(index, "lease")) {
         Send(index, "lease",
              node.lease->OnStoreReply(clock, delivery.id, delivery.reply));
