--- a/coordination/gateway/deferral_policy.cc
+++ b/coordination/gateway/deferral_policy.cc
@@ -4,18 +4,18 @@
 
 namespace gcw {
 
-Urgency DeferralPolicy::Grade(Time now,
-                              const ServiceId& service,
-                              const ModelId& model,
-                              Duration objective) {
-  const auto found = waiting_.find({service, model});
+Urgency DeferralPolicy::Classify(Time now,
+                                 const ServiceId& service,
+                                 const ModelId& model,
+                                 Duration objective) {
+  const auto found = models_.find({service, model});
   // Callers can name any model, so state is kept only for models whose requests
   // were sent to an endpoint.
-  if (found == waiting_.end()) {
+  if (found == models_.end()) {
     return Urgency::kOnTime;
   }
-  const Waiting& waiting = found->second;
-  return waiting.requests < Window(now, service, model, objective)
+  const ModelState& state = found->second;
+  return state.waiting < Window(now, service, model, objective)
              ? Urgency::kOnTime
              : Urgency::kDeferred;
 }
@@ -24,31 +24,33 @@
                               const ServiceId& service,
                               const ModelId& model,
                               Duration objective) {
-  std::deque<Time>& begun = At(service, model).begun;
-  while (!begun.empty() && now - begun.front() > settings_.rate_span) {
-    begun.pop_front();
+  std::deque<Time>& start_times = StateFor(service, model).start_times;
+  while (!start_times.empty() &&
+         now - start_times.front() > settings_.rate_span) {
+    start_times.pop_front();
   }
   const double objectives = static_cast<double>(objective.millis()) /
                             static_cast<double>(settings_.rate_span.millis());
-  return std::max(
-      settings_.least_window,
-      static_cast<double>(begun.size()) * objectives * settings_.window_part);
+  return std::max(settings_.least_window,
+                  static_cast<double>(start_times.size()) * objectives *
+                      settings_.window_part);
 }
 
-void DeferralPolicy::OnWaits(const ServiceId& service, const ModelId& model) {
-  ++At(service, model).requests;
+void DeferralPolicy::OnWaitStarted(const ServiceId& service,
+                                   const ModelId& model) {
+  ++StateFor(service, model).waiting;
 }
 
-void DeferralPolicy::OnWaitOver(const ServiceId& service,
-                                const ModelId& model) {
-  Waiting& waiting = At(service, model);
-  waiting.requests = std::max(0, waiting.requests - 1);
+void DeferralPolicy::OnWaitEnded(const ServiceId& service,
+                                 const ModelId& model) {
+  ModelState& state = StateFor(service, model);
+  state.waiting = std::max(0, state.waiting - 1);
 }
 
-void DeferralPolicy::OnBegan(Time now,
-                             const ServiceId& service,
-                             const ModelId& model) {
-  At(service, model).begun.push_back(now);
+void DeferralPolicy::OnStarted(Time now,
+                               const ServiceId& service,
+                               const ModelId& model) {
+  StateFor(service, model).start_times.push_back(now);
 }
 
 }  // namespace gcw
--- a/coordination/gateway/deferral_policy.h
+++ b/coordination/gateway/deferral_policy.h
@@ -42,16 +42,16 @@
       : settings_(settings) {}
 
   // Returns the urgency of a request that has not waited yet.
-  Urgency Grade(Time now,
-                const ServiceId& service,
-                const ModelId& model,
-                Duration objective);
+  Urgency Classify(Time now,
+                   const ServiceId& service,
+                   const ModelId& model,
+                   Duration objective);
   // A prioritized request now waits to start.
-  void OnWaits(const ServiceId& service, const ModelId& model);
+  void OnWaitStarted(const ServiceId& service, const ModelId& model);
   // A prioritized request no longer waits, because it started or ended.
-  void OnWaitOver(const ServiceId& service, const ModelId& model);
+  void OnWaitEnded(const ServiceId& service, const ModelId& model);
   // A request started, whether it was prioritized or deferred.
-  void OnBegan(Time now, const ServiceId& service, const ModelId& model);
+  void OnStarted(Time now, const ServiceId& service, const ModelId& model);
 
   // Maximum number of prioritized requests that may wait at a time.
   double Window(Time now,
@@ -59,21 +59,21 @@
                 const ModelId& model,
                 Duration objective);
   // Number of models for which state is kept.
-  std::size_t models() const { return waiting_.size(); }
+  std::size_t model_count() const { return models_.size(); }
 
  private:
-  struct Waiting {
-    int requests = 0;
+  struct ModelState {
+    int waiting = 0;
     // Start times within the rate interval.
-    std::deque<Time> begun;
+    std::deque<Time> start_times;
   };
 
-  Waiting& At(const ServiceId& service, const ModelId& model) {
-    return waiting_[{service, model}];
+  ModelState& StateFor(const ServiceId& service, const ModelId& model) {
+    return models_[{service, model}];
   }
 
   DeferralPolicySettings settings_;
-  std::map<std::pair<ServiceId, ModelId>, Waiting> waiting_;
+  std::map<std::pair<ServiceId, ModelId>, ModelState> models_;
 };
 
 }  // namespace gcw
--- a/coordination/gateway/forward_desk.cc
+++ b/coordination/gateway/forward_desk.cc
@@ -15,65 +15,70 @@
       budget_(budget),
       random_(std::move(random)),
       events_(std::move(events)),
-      deferral_(settings.deferral) {}
+      deferral_policy_(settings.deferral) {}
 
 ForwardBegun ForwardDesk::OnArrived(Time now,
                                     ForwardRequest request,
                                     std::shared_ptr<const RouteTable> routes) {
   ++last_id_;
-  Open open;
-  open.request = std::move(request);
-  open.routes = std::move(routes);
-  open.arrived = now;
-  ForwardStep step = Admit(now, open);
+  OpenRequest open_request;
+  open_request.request = std::move(request);
+  open_request.routes = std::move(routes);
+  open_request.arrived = now;
+  ForwardStep step = Admit(now, open_request);
   if (std::holds_alternative<SendForward>(step)) {
-    by_attempt_[open.attempt] = last_id_;
-    open_.emplace(last_id_, std::move(open));
+    by_attempt_[open_request.attempt] = last_id_;
+    open_requests_.emplace(last_id_, std::move(open_request));
   }
   return {last_id_, std::move(step)};
 }
 
-ForwardStep ForwardDesk::Admit(Time now, Open& open) {
+ForwardStep ForwardDesk::Admit(Time now, OpenRequest& open_request) {
   // A node without a configuration cannot tell an unknown route or key from one
   // that it has not received yet.
-  if (!open.routes) {
-    return Refuse(now, open, RefusalKind::kNotReady);
+  if (!open_request.routes) {
+    return Refuse(now, open_request, RefusalKind::kNotReady);
   }
-  open.route = open.routes->Find(open.request.host, open.request.path);
-  if (open.route == nullptr) {
-    return Refuse(now, open, RefusalKind::kUnknownService);
+  open_request.route = open_request.routes->Find(open_request.request.host,
+                                                 open_request.request.path);
+  if (open_request.route == nullptr) {
+    return Refuse(now, open_request, RefusalKind::kUnknownService);
   }
   const CustomerMatch* customer =
-      open.request.key.empty() ? nullptr
-                               : open.routes->FindCustomer(open.request.key);
-  if (customer == nullptr && open.routes->needs_keys() &&
-      !open.route->open_to_all) {
-    return Refuse(now, open, RefusalKind::kUnknownKey);
-  }
-  open.rank = open.route->rank;
+      open_request.request.key.empty()
+          ? nullptr
+          : open_request.routes->FindCustomer(open_request.request.key);
+  if (customer == nullptr && open_request.routes->needs_keys() &&
+      !open_request.route->open_to_all) {
+    return Refuse(now, open_request, RefusalKind::kUnknownKey);
+  }
+  open_request.rank = open_request.route->rank;
   if (customer != nullptr) {
-    open.customer = customer->customer;
-    open.rank = customer->rank.value_or(open.rank);
-  }
-  open.deadline =
-      now + std::min(open.request.patience.value_or(open.route->time_limit),
-                     open.route->time_limit);
-  open.service = ChooseService(*open.route);
-  if (HasModels(open)) {
-    open.urgency = open.request.resume_after
-                       ? Urgency::kDeferred
-                       : deferral_.Grade(now, open.service, open.request.model,
-                                         open.route->latency_objective);
-  }
-  budget_->OnRequest(now, open.service);
+    open_request.customer = customer->customer;
+    open_request.rank = customer->rank.value_or(open_request.rank);
+  }
+  open_request.deadline = now + std::min(open_request.request.patience.value_or(
+                                             open_request.route->time_limit),
+                                         open_request.route->time_limit);
+  open_request.service = ChooseService(*open_request.route);
+  if (HasModels(open_request)) {
+    open_request.urgency =
+        open_request.request.resume_after
+            ? Urgency::kDeferred
+            : deferral_policy_.Classify(now, open_request.service,
+                                        open_request.request.model,
+                                        open_request.route->latency_objective);
+  }
+  budget_->OnRequest(now, open_request.service);
   Result<SendForward, RefusalKind> send =
-      Send(now, open, open.request.resume_after);
+      Dispatch(now, open_request, open_request.request.resume_after);
   if (!IsOk(send)) {
-    return Refuse(now, open, ErrorOf(send));
+    return Refuse(now, open_request, ErrorOf(send));
   }
-  if (HasModels(open) && open.urgency == Urgency::kOnTime) {
-    open.is_awaited = true;
-    deferral_.OnWaits(open.service, open.request.model);
+  if (HasModels(open_request) && open_request.urgency == Urgency::kOnTime) {
+    open_request.is_waiting = true;
+    deferral_policy_.OnWaitStarted(open_request.service,
+                                   open_request.request.model);
   }
   return std::move(ValueOf(send));
 }
@@ -97,284 +102,303 @@
   return route.shares.back().service;
 }
 
-Result<SendForward, RefusalKind>
-ForwardDesk::Send(Time now, Open& open, std::optional<std::int64_t> resume) {
+Result<SendForward, RefusalKind> ForwardDesk::Dispatch(
+    Time now,
+    OpenRequest& open_request,
+    std::optional<std::int64_t> resume) {
   const Result<ReplicaChoice, RefusalKind> choice =
-      selector_->Choose(now, DemandOf(open), open.excluded);
+      selector_->Choose(now, MakeDemand(open_request), open_request.excluded);
   if (!IsOk(choice)) {
     return ErrorOf(choice);
   }
   const Replica& replica = ValueOf(choice).replica;
-  open.vm = replica.vm;
-  open.attempt = selector_->OnSent(now, replica.vm, open.request.prompt_tokens,
-                                   open.route->streams);
-  ++open.sends;
+  open_request.vm = replica.vm;
+  open_request.attempt =
+      selector_->OnSent(now, replica.vm, open_request.request.prompt_tokens,
+                        open_request.route->streams);
+  ++open_request.sends;
   SendForward send;
   send.vm = replica.vm;
   send.address = replica.address;
-  send.customer = open.customer;
-  send.time_left = open.deadline - now;
+  send.customer = open_request.customer;
+  send.time_left = open_request.deadline - now;
   send.resume_after = resume;
-  send.fresh_connection = open.route->repetition == Repetition::kNever;
-  send.streams = open.route->streams;
-  if (HasModels(open)) {
-    send.precedence = Precedence{open.rank, open.urgency};
+  send.fresh_connection = open_request.route->repetition == Repetition::kNever;
+  send.streams = open_request.route->streams;
+  if (HasModels(open_request)) {
+    send.precedence = Precedence{open_request.rank, open_request.urgency};
   }
   return send;
 }
 
-bool ForwardDesk::HasModels(const Open& open) {
-  const ServiceRule* service = open.routes->FindService(open.service);
+bool ForwardDesk::HasModels(const OpenRequest& open_request) {
+  const ServiceRule* service =
+      open_request.routes->FindService(open_request.service);
   return service != nullptr && service->engine.has_value();
 }
 
-ReplicaDemand ForwardDesk::DemandOf(const Open& open) {
+ReplicaDemand ForwardDesk::MakeDemand(const OpenRequest& open_request) {
   ReplicaDemand demand;
-  demand.service = open.service;
-  demand.prompt_tokens = open.request.prompt_tokens;
+  demand.service = open_request.service;
+  demand.prompt_tokens = open_request.request.prompt_tokens;
   // A plain service has no models, even if the request names one.
-  if (HasModels(open)) {
-    demand.model = open.request.model;
-    demand.urgency = open.urgency;
+  if (HasModels(open_request)) {
+    demand.model = open_request.request.model;
+    demand.urgency = open_request.urgency;
   }
   return demand;
 }
 
-void ForwardDesk::NoteBeginning(Time now, Open& open) {
-  EndWait(open);
-  if (!open.has_begun && HasModels(open)) {
-    deferral_.OnBegan(now, open.service, open.request.model);
+void ForwardDesk::RecordStart(Time now, OpenRequest& open_request) {
+  StopWaiting(open_request);
+  if (!open_request.has_started && HasModels(open_request)) {
+    deferral_policy_.OnStarted(now, open_request.service,
+                               open_request.request.model);
   }
-  open.has_begun = true;
+  open_request.has_started = true;
 }
 
-void ForwardDesk::EndWait(Open& open) {
-  if (std::exchange(open.is_awaited, false)) {
-    deferral_.OnWaitOver(open.service, open.request.model);
+void ForwardDesk::StopWaiting(OpenRequest& open_request) {
+  if (std::exchange(open_request.is_waiting, false)) {
+    deferral_policy_.OnWaitEnded(open_request.service,
+                                 open_request.request.model);
   }
 }
 
 ForwardStep ForwardDesk::OnEnded(Time now,
                                  ForwardId id,
                                  const ForwardEnd& end) {
-  const auto found = open_.find(id);
-  if (found == open_.end()) {
-    return ForwardCut{};
-  }
-  Open& open = found->second;
-  selector_->OnEnded(now, open.attempt, end.kind);
-  by_attempt_.erase(open.attempt);
-  open.excluded.push_back(open.vm);
-  if (!end.at_fault.empty() && end.at_fault != open.vm) {
-    open.excluded.push_back(end.at_fault);
-  }
-  ForwardStep step = NextStep(now, open, end);
+  const auto found = open_requests_.find(id);
+  if (found == open_requests_.end()) {
+    return ForwardTruncated{};
+  }
+  OpenRequest& open_request = found->second;
+  selector_->OnEnded(now, open_request.attempt, end.kind);
+  by_attempt_.erase(open_request.attempt);
+  open_request.excluded.push_back(open_request.vm);
+  if (!end.at_fault.empty() && end.at_fault != open_request.vm) {
+    open_request.excluded.push_back(end.at_fault);
+  }
+  ForwardStep step = NextStep(now, open_request, end);
   if (std::holds_alternative<SendForward>(step)) {
-    by_attempt_[open.attempt] = id;
+    by_attempt_[open_request.attempt] = id;
     return step;
   }
-  EndWait(open);
-  open_.erase(found);
+  StopWaiting(open_request);
+  open_requests_.erase(found);
   return step;
 }
 
-ForwardStep ForwardDesk::NextStep(Time now, Open& open, const ForwardEnd& end) {
+ForwardStep ForwardDesk::NextStep(Time now,
+                                  OpenRequest& open_request,
+                                  const ForwardEnd& end) {
   switch (end.kind) {
     case ForwardEndKind::kSucceeded:
       return PassAnswer{};
     case ForwardEndKind::kFailedThere: {
-      ++open.runs;
-      if (end.is_callers_fault || !MayRunAgain(now, open, end)) {
+      ++open_request.possible_runs;
+      if (end.is_callers_fault || !MayRunAgain(now, open_request, end)) {
         return PassAnswer{};
       }
       // If no other endpoint is available, the failure itself is the most
       // accurate answer.
-      Result<SendForward, RefusalKind> send = SendAgain(now, open, end, true);
+      Result<SendForward, RefusalKind> send =
+          Retry(now, open_request, end, true);
       return IsOk(send) ? ForwardStep(std::move(ValueOf(send)))
                         : ForwardStep(PassAnswer{});
     }
     case ForwardEndKind::kNotRun:
     case ForwardEndKind::kOtherVm:
-      return SendAgainOrGiveUp(now, open, end, true);
+      return RetryOrGiveUp(now, open_request, end, true);
     case ForwardEndKind::kNothingSent:
-      return SendAgainOrGiveUp(now, open, end, false);
+      return RetryOrGiveUp(now, open_request, end, false);
     case ForwardEndKind::kBroke:
     case ForwardEndKind::kSilent:
-      ++open.runs;
-      return MayRunAgain(now, open, end)
-                 ? SendAgainOrGiveUp(now, open, end, true)
-                 : GiveUp(now, open, end, RefusalKind::kNoEndpoint);
+      ++open_request.possible_runs;
+      return MayRunAgain(now, open_request, end)
+                 ? RetryOrGiveUp(now, open_request, end, true)
+                 : GiveUp(now, open_request, end, RefusalKind::kNoEndpoint);
     case ForwardEndKind::kOutOfTime:
-      ++open.runs;
-      return GiveUp(now, open, end, RefusalKind::kDeadline);
+      ++open_request.possible_runs;
+      return GiveUp(now, open_request, end, RefusalKind::kDeadline);
   }
-  return ForwardCut{};
+  return ForwardTruncated{};
 }
 
-ForwardStep ForwardDesk::SendAgainOrGiveUp(Time now,
-                                           Open& open,
-                                           const ForwardEnd& end,
-                                           bool arrived_there) {
+ForwardStep ForwardDesk::RetryOrGiveUp(Time now,
+                                       OpenRequest& open_request,
+                                       const ForwardEnd& end,
+                                       bool may_have_reached_endpoint) {
   Result<SendForward, RefusalKind> send =
-      SendAgain(now, open, end, arrived_there);
+      Retry(now, open_request, end, may_have_reached_endpoint);
   if (!IsOk(send)) {
-    return GiveUp(now, open, end, ErrorOf(send));
+    return GiveUp(now, open_request, end, ErrorOf(send));
   }
   return std::move(ValueOf(send));
 }
 
 bool ForwardDesk::MayRunAgain(Time now,
-                              const Open& open,
+                              const OpenRequest& open_request,
                               const ForwardEnd& end) const {
-  if (open.route->repetition == Repetition::kNever ||
-      open.runs >= open.route->most_attempts ||
-      now + settings_.least_time >= open.deadline) {
+  if (open_request.route->repetition == Repetition::kNever ||
+      open_request.possible_runs >= open_request.route->most_attempts ||
+      now + settings_.min_time_left >= open_request.deadline) {
     return false;
   }
   return !end.delivered ||
-         (open.route->repetition == Repetition::kResume && end.last_event);
+         (open_request.route->repetition == Repetition::kResume &&
+          end.last_event);
 }
 
-Result<SendForward, RefusalKind> ForwardDesk::SendAgain(Time now,
-                                                        Open& open,
-                                                        const ForwardEnd& end,
-                                                        bool arrived_there) {
+Result<SendForward, RefusalKind> ForwardDesk::Retry(
+    Time now,
+    OpenRequest& open_request,
+    const ForwardEnd& end,
+    bool may_have_reached_endpoint) {
   const bool refused = end.kind == ForwardEndKind::kNotRun ||
                        end.kind == ForwardEndKind::kOtherVm ||
                        end.kind == ForwardEndKind::kNothingSent;
-  if (refused && ++open.refusals > settings_.most_refusals) {
+  if (refused && ++open_request.refusals > settings_.max_refusals) {
     return RefusalKind::kEndpointRefused;
   }
-  if (now + settings_.least_time >= open.deadline) {
+  if (now + settings_.min_time_left >= open_request.deadline) {
     return RefusalKind::kDeadline;
   }
   const std::optional<std::int64_t> resume =
-      end.delivered ? end.last_event : open.request.resume_after;
+      end.delivered ? end.last_event : open_request.request.resume_after;
   if (end.delivered) {
-    open.urgency = now - open.last_event < open.route->pause_objective
-                       ? Urgency::kResumed
-                       : Urgency::kDeferred;
-  } else if (now - open.arrived >= open.route->latency_objective) {
-    open.urgency = Urgency::kDeferred;
-  }
-  Result<SendForward, RefusalKind> send = Send(now, open, resume);
+    open_request.urgency =
+        now - open_request.last_event < open_request.route->pause_objective
+            ? Urgency::kResumed
+            : Urgency::kDeferred;
+  } else if (now - open_request.arrived >=
+             open_request.route->latency_objective) {
+    open_request.urgency = Urgency::kDeferred;
+  }
+  Result<SendForward, RefusalKind> send = Dispatch(now, open_request, resume);
   if (!IsOk(send)) {
     return ErrorOf(send);
   }
   // A retry counts against the budget only if the attempt before it may have
   // reached an endpoint.
-  if (arrived_there && !budget_->Spend(now, open.service)) {
-    selector_->OnCancelled(open.attempt);
+  if (may_have_reached_endpoint &&
+      !budget_->TrySpend(now, open_request.service)) {
+    selector_->OnCancelled(open_request.attempt);
     return RefusalKind::kRetryBudget;
   }
-  Report(EventKind::kRequestRetried, open,
-         {{"after", std::string(ForwardEndKindName(end.kind))},
-          {"vm", open.vm.value()},
-          {"sends", open.sends},
-          {"resume_after", resume.value_or(-1)}});
+  EmitEvent(EventKind::kRequestRetried, open_request,
+            {{"after", std::string(ForwardEndKindName(end.kind))},
+             {"vm", open_request.vm.value()},
+             {"sends", open_request.sends},
+             {"resume_after", resume.value_or(-1)}});
   return send;
 }
 
 ForwardStep ForwardDesk::GiveUp(Time now,
-                                const Open& open,
+                                const OpenRequest& open_request,
                                 const ForwardEnd& end,
                                 RefusalKind reason) {
   if (end.delivered) {
-    Report(EventKind::kRequestOutcomeUnknown, open,
-           {{"end", std::string(ForwardEndKindName(end.kind))},
-            {"reason", std::string(RefusalKindName(reason))},
-            {"vm", open.vm.value()},
-            {"sends", open.sends},
-            {"answer", std::string("cut")}});
-    return ForwardCut{};
-  }
-  if (open.runs == 0) {
-    return Refuse(now, open, reason);
-  }
-  Report(EventKind::kRequestOutcomeUnknown, open,
-         {{"end", std::string(ForwardEndKindName(end.kind))},
-          {"reason", std::string(RefusalKindName(reason))},
-          {"vm", open.vm.value()},
-          {"sends", open.sends},
-          {"waited_ms", (now - open.arrived).millis()}});
+    EmitEvent(EventKind::kRequestOutcomeUnknown, open_request,
+              {{"end", std::string(ForwardEndKindName(end.kind))},
+               {"reason", std::string(RefusalKindName(reason))},
+               {"vm", open_request.vm.value()},
+               {"sends", open_request.sends},
+               {"answer", std::string("cut")}});
+    return ForwardTruncated{};
+  }
+  if (open_request.possible_runs == 0) {
+    return Refuse(now, open_request, reason);
+  }
+  EmitEvent(EventKind::kRequestOutcomeUnknown, open_request,
+            {{"end", std::string(ForwardEndKindName(end.kind))},
+             {"reason", std::string(RefusalKindName(reason))},
+             {"vm", open_request.vm.value()},
+             {"sends", open_request.sends},
+             {"waited_ms", (now - open_request.arrived).millis()}});
   return ForwardUnknown{end.kind == ForwardEndKind::kOutOfTime};
 }
 
-ForwardStep ForwardDesk::Refuse(Time now, const Open& open, RefusalKind kind) {
-  const bool helps =
+ForwardStep ForwardDesk::Refuse(Time now,
+                                const OpenRequest& open_request,
+                                RefusalKind kind) {
+  const bool retry_helps =
       kind != RefusalKind::kUnknownKey && kind != RefusalKind::kUnknownService;
-  const Duration retry_after = helps ? RetryAfter() : Duration();
-  Report(EventKind::kRequestRefused, open,
-         {{"reason", std::string(RefusalKindName(kind))},
-          {"sends", open.sends},
-          {"waited_ms", (now - open.arrived).millis()},
-          {"retry_after_ms", retry_after.millis()}});
+  const Duration retry_after = retry_helps ? RetryAfter() : Duration();
+  EmitEvent(EventKind::kRequestRefused, open_request,
+            {{"reason", std::string(RefusalKindName(kind))},
+             {"sends", open_request.sends},
+             {"waited_ms", (now - open_request.arrived).millis()},
+             {"retry_after_ms", retry_after.millis()}});
   return ForwardRefused{kind, retry_after};
 }
 
 Duration ForwardDesk::RetryAfter() {
-  const double spread =
-      1 + settings_.retry_spread * (2 * DrawUnit(random_) - 1);
+  const double factor =
+      1 + settings_.retry_jitter * (2 * DrawUnit(random_) - 1);
   return Duration::Millis(static_cast<std::int64_t>(
-      static_cast<double>(settings_.retry_after.millis()) * spread));
+      static_cast<double>(settings_.retry_after.millis()) * factor));
 }
 
 void ForwardDesk::OnProgress(Time now, ForwardId id) {
-  const auto found = open_.find(id);
-  if (found != open_.end()) {
-    NoteBeginning(now, found->second);
+  const auto found = open_requests_.find(id);
+  if (found != open_requests_.end()) {
+    RecordStart(now, found->second);
     found->second.last_event = now;
     selector_->OnProgress(now, found->second.attempt);
   }
 }
 
 void ForwardDesk::OnLoad(Time now, ForwardId id, const LoadReading& load) {
-  const auto found = open_.find(id);
-  if (found != open_.end()) {
+  const auto found = open_requests_.find(id);
+  if (found != open_requests_.end()) {
     selector_->OnLoad(now, found->second.vm, load);
   }
 }
 
 void ForwardDesk::OnCallerGone(Time, ForwardId id) {
-  const auto found = open_.find(id);
-  if (found == open_.end()) {
+  const auto found = open_requests_.find(id);
+  if (found == open_requests_.end()) {
     return;
   }
-  EndWait(found->second);
+  StopWaiting(found->second);
   selector_->OnCancelled(found->second.attempt);
   by_attempt_.erase(found->second.attempt);
-  open_.erase(found);
+  open_requests_.erase(found);
 }
 
 std::vector<ForwardId> ForwardDesk::MovableOf(
     Time now,
-    const std::vector<AttemptNumber>& stuck) {
+    const std::vector<AttemptNumber>& stalled) {
   std::vector<ForwardId> movable;
-  for (const AttemptNumber attempt : stuck) {
+  for (const AttemptNumber attempt : stalled) {
     const auto found = by_attempt_.find(attempt);
     if (found == by_attempt_.end()) {
       continue;
     }
-    const Open& open = open_.at(found->second);
-    const bool may_repeat = open.route->repetition != Repetition::kNever &&
-                            open.runs + 1 < open.route->most_attempts &&
-                            now + settings_.least_time < open.deadline;
-    const std::vector<VmId> excluded = {open.vm};
-    if (may_repeat && IsOk(selector_->Choose(now, DemandOf(open), excluded))) {
+    const OpenRequest& open_request = open_requests_.at(found->second);
+    const bool may_repeat =
+        open_request.route->repetition != Repetition::kNever &&
+        open_request.possible_runs + 1 < open_request.route->most_attempts &&
+        now + settings_.min_time_left < open_request.deadline;
+    const std::vector<VmId> excluded = {open_request.vm};
+    if (may_repeat &&
+        IsOk(selector_->Choose(now, MakeDemand(open_request), excluded))) {
       movable.push_back(found->second);
     }
   }
   return movable;
 }
 
-void ForwardDesk::Report(EventKind kind,
-                         const Open& open,
-                         std::vector<EventField> fields) {
-  if (open.route != nullptr) {
-    fields.push_back({"route", open.route->name});
-    fields.push_back({"version", open.routes->configuration().version.value()});
-  }
-  events_({kind, open.request.id.value(), {}, std::move(fields)});
+void ForwardDesk::EmitEvent(EventKind kind,
+                            const OpenRequest& open_request,
+                            std::vector<EventField> fields) {
+  if (open_request.route != nullptr) {
+    fields.push_back({"route", open_request.route->name});
+    fields.push_back(
+        {"version", open_request.routes->configuration().version.value()});
+  }
+  events_({kind, open_request.request.id.value(), {}, std::move(fields)});
 }
 
 }  // namespace gcw
--- a/coordination/gateway/forward_desk.h
+++ b/coordination/gateway/forward_desk.h
@@ -19,14 +19,14 @@
 struct ForwardDeskSettings {
   // A request is not retried with less time left: even a short answer would
   // come too late.
-  Duration least_time = Duration::Millis(60);
+  Duration min_time_left = Duration::Millis(60);
   // Number of endpoints that may refuse one request before the caller is
   // refused.
-  int most_refusals = 3;
-  // Retry delay given to refused callers, varied by `retry_spread` in either
+  int max_refusals = 3;
+  // Retry delay given to refused callers, varied by `retry_jitter` in either
   // direction so that they do not return together.
   Duration retry_after = Duration::Millis(500);
-  double retry_spread = 0.4;
+  double retry_jitter = 0.4;
   DeferralPolicySettings deferral;
 };
 
@@ -58,15 +58,15 @@
   void OnLoad(Time now, ForwardId id, const LoadReading& load);
   void OnCallerGone(Time now, ForwardId id);
 
-  // Returns the requests among the `stuck` attempts that another endpoint could
-  // continue. The caller should end their attempts as kSilent.
+  // Returns the requests among the `stalled` attempts that another endpoint
+  // could continue. The caller should end their attempts as kSilent.
   std::vector<ForwardId> MovableOf(Time now,
-                                   const std::vector<AttemptNumber>& stuck);
+                                   const std::vector<AttemptNumber>& stalled);
 
-  std::size_t open_requests() const { return open_.size(); }
+  std::size_t open_requests() const { return open_requests_.size(); }
 
  private:
-  struct Open {
+  struct OpenRequest {
     ForwardRequest request;
     std::shared_ptr<const RouteTable> routes;
     const RouteRule* route = nullptr;
@@ -81,55 +81,64 @@
     AttemptNumber attempt;
     std::int64_t sends = 0;
     // Number of sends that may have been executed.
-    std::int64_t runs = 0;
+    std::int64_t possible_runs = 0;
     int refusals = 0;
     Rank rank;
     Urgency urgency = Urgency::kOnTime;
-    bool has_begun = false;
+    bool has_started = false;
     // The deferral policy counts this request among the prioritized ones that
     // wait to start.
-    bool is_awaited = false;
+    bool is_waiting = false;
   };
 
   // True if the service's endpoints run models.
-  static bool HasModels(const Open& open);
-  static ReplicaDemand DemandOf(const Open& open);
-  void NoteBeginning(Time now, Open& open);
+  static bool HasModels(const OpenRequest& open_request);
+  static ReplicaDemand MakeDemand(const OpenRequest& open_request);
+  void RecordStart(Time now, OpenRequest& open_request);
   // Tells the deferral policy that the request no longer waits to start.
-  void EndWait(Open& open);
-  ForwardStep Admit(Time now, Open& open);
+  void StopWaiting(OpenRequest& open_request);
+  ForwardStep Admit(Time now, OpenRequest& open_request);
   // Returns the next attempt, or the reason why no endpoint can take it.
-  Result<SendForward, RefusalKind> Send(Time now,
-                                        Open& open,
-                                        std::optional<std::int64_t> resume);
-  ForwardStep NextStep(Time now, Open& open, const ForwardEnd& end);
-  // Returns the next attempt, or the reason why there is none. `arrived_there`
-  // is true if the attempt that ended may have reached its endpoint.
-  Result<SendForward, RefusalKind> SendAgain(Time now,
-                                             Open& open,
-                                             const ForwardEnd& end,
-                                             bool arrived_there);
-  ForwardStep SendAgainOrGiveUp(Time now,
-                                Open& open,
-                                const ForwardEnd& end,
-                                bool arrived_there);
-  bool MayRunAgain(Time now, const Open& open, const ForwardEnd& end) const;
+  Result<SendForward, RefusalKind> Dispatch(Time now,
+                                            OpenRequest& open_request,
+                                            std::optional<std::int64_t> resume);
+  ForwardStep NextStep(Time now,
+                       OpenRequest& open_request,
+                       const ForwardEnd& end);
+  // Returns the next attempt, or the reason why there is none.
+  // `may_have_reached_endpoint` is true if the attempt that ended may have
+  // reached its endpoint.
+  Result<SendForward, RefusalKind> Retry(Time now,
+                                         OpenRequest& open_request,
+                                         const ForwardEnd& end,
+                                         bool may_have_reached_endpoint);
+  ForwardStep RetryOrGiveUp(Time now,
+                            OpenRequest& open_request,
+                            const ForwardEnd& end,
+                            bool may_have_reached_endpoint);
+  bool MayRunAgain(Time now,
+                   const OpenRequest& open_request,
+                   const ForwardEnd& end) const;
   ForwardStep GiveUp(Time now,
-                     const Open& open,
+                     const OpenRequest& open_request,
                      const ForwardEnd& end,
                      RefusalKind reason);
-  ForwardStep Refuse(Time now, const Open& open, RefusalKind kind);
+  ForwardStep Refuse(Time now,
+                     const OpenRequest& open_request,
+                     RefusalKind kind);
   Duration RetryAfter();
   ServiceId ChooseService(const RouteRule& route);
-  void Report(EventKind kind, const Open& open, std::vector<EventField> fields);
+  void EmitEvent(EventKind kind,
+                 const OpenRequest& open_request,
+                 std::vector<EventField> fields);
 
   ForwardDeskSettings settings_;
   ReplicaSelector* selector_;
   SharedRetryBudget* budget_;
   Random random_;
   EventSink events_;
-  DeferralPolicy deferral_;
-  std::unordered_map<ForwardId, Open> open_;
+  DeferralPolicy deferral_policy_;
+  std::unordered_map<ForwardId, OpenRequest> open_requests_;
   std::map<AttemptNumber, ForwardId> by_attempt_;
   ForwardId last_id_;
 };
--- a/coordination/gateway/forward_request.h
+++ b/coordination/gateway/forward_request.h
@@ -71,13 +71,13 @@
 };
 
 // Final step: the caller has part of a stream that cannot be completed.
-struct ForwardCut {};
+struct ForwardTruncated {};
 
 using ForwardStep = std::variant<SendForward,
                                  PassAnswer,
                                  ForwardRefused,
                                  ForwardUnknown,
-                                 ForwardCut>;
+                                 ForwardTruncated>;
 
 enum class ForwardEndKind {
   // The endpoint answered in full and with success.
--- a/coordination/gateway/replica_selector.cc
+++ b/coordination/gateway/replica_selector.cc
@@ -7,7 +7,7 @@
 namespace {
 
 // Weight of the previous estimate in the moving average of event intervals.
-constexpr double kGapMemory = 0.9;
+constexpr double kIntervalSmoothing = 0.9;
 
 }  // namespace
 
@@ -44,7 +44,7 @@
 }
 
 void ReplicaSelector::SetNodeCount(std::size_t nodes) {
-  nodes_ = static_cast<double>(std::max<std::size_t>(1, nodes));
+  node_count_ = static_cast<double>(std::max<std::size_t>(1, nodes));
 }
 
 ReplicaSelector::State* ReplicaSelector::Find(const VmId& vm) {
@@ -52,7 +52,7 @@
   return found == states_.end() ? nullptr : &found->second;
 }
 
-ReplicaSelector::State* ReplicaSelector::FindOf(const Attempt& attempt) {
+ReplicaSelector::State* ReplicaSelector::FindTarget(const Attempt& attempt) {
   State* state = Find(attempt.vm);
   return state != nullptr && state->replica.generation == attempt.generation &&
                  state->replica.incarnation == attempt.incarnation
@@ -60,7 +60,7 @@
              : nullptr;
 }
 
-double ReplicaSelector::MostFill(const ReplicaDemand& demand) const {
+double ReplicaSelector::MaxFill(const ReplicaDemand& demand) const {
   if (!demand.urgency) {
     return settings_.most_fill;
   }
@@ -69,21 +69,22 @@
 }
 
 bool ReplicaSelector::IsUsable(Time now, const State& state) const {
-  if (state.stands_still_until && now < *state.stands_still_until) {
+  if (state.stalled_until && now < *state.stalled_until) {
     return false;
   }
   return state.backoff.IsOpen(now);
 }
 
 double ReplicaSelector::ExpectedRequests(Time now, const State& state) const {
-  const auto own = static_cast<double>(state.in_flight);
-  if (state.load_at == Time() || now - state.load_at > settings_.load_life) {
-    return own * std::min(nodes_, 4.0);
+  const auto local_requests = static_cast<double>(state.in_flight);
+  if (state.load_reported_at == Time() ||
+      now - state.load_reported_at > settings_.load_report_ttl) {
+    return local_requests * std::min(node_count_, 4.0);
   }
   const auto reported =
       static_cast<double>(state.load.running + state.load.waiting +
-                          state.sent_since - state.ended_since);
-  return std::max(own, reported);
+                          state.sent_since_report - state.ended_since_report);
+  return std::max(local_requests, reported);
 }
 
 double ReplicaSelector::ExpectedWait(Time now,
@@ -100,19 +101,19 @@
   } else {
     wait += replica.service_ms * requests / places;
   }
-  const double in_front = requests + 1 - places;
-  if (in_front > 0) {
-    wait += replica.service_ms * in_front / places;
+  const double queued = requests + 1 - places;
+  if (queued > 0) {
+    wait += replica.service_ms * queued / places;
   }
   // A group with a slow member runs at that member's speed.
-  if (replica.pass_ms > 0 && state.event_gap_ms > replica.pass_ms) {
+  if (replica.pass_ms > 0 && state.event_interval_ms > replica.pass_ms) {
     // The measured slowness loses weight over time, because a replica that gets
     // no requests yields no new measurement.
-    const double known =
+    const double confidence =
         1 - static_cast<double>((now - state.last_event).millis()) /
-                static_cast<double>(settings_.load_life.millis());
-    const double excess = state.event_gap_ms / replica.pass_ms - 1;
-    wait *= 1 + excess * std::max(0.0, known);
+                static_cast<double>(settings_.load_report_ttl.millis());
+    const double excess = state.event_interval_ms / replica.pass_ms - 1;
+    wait *= 1 + excess * std::max(0.0, confidence);
   }
   if (replica.zone != zone_) {
     wait += settings_.other_zone_ms;
@@ -134,14 +135,14 @@
     }
     found.any_usable = true;
     if (ExpectedRequests(now, state) <
-        MostFill(demand) * static_cast<double>(replica.places)) {
+        MaxFill(demand) * static_cast<double>(replica.places)) {
       (replica.zone == zone_ ? found.near : found.far).push_back(&state);
     }
   }
   return found;
 }
 
-std::optional<ReplicaChoice> ReplicaSelector::ChooseOf(
+std::optional<ReplicaChoice> ReplicaSelector::ChooseFrom(
     Time now,
     const ReplicaDemand& demand,
     std::vector<const State*> with_room) const {
@@ -153,7 +154,7 @@
               with_room[i + DrawBelow(random_, with_room.size() - i)]);
     const double cost = ExpectedWait(now, *with_room[i], demand) +
                         settings_.spread_ms * DrawUnit(random_);
-    if (!best || cost < best->expected_ms) {
+    if (!best || cost < best->expected_wait_ms) {
       best = ReplicaChoice{with_room[i]->replica, cost};
     }
   }
@@ -166,14 +167,14 @@
     std::span<const VmId> excluded) const {
   Candidates candidates = FindCandidates(now, demand, excluded);
   std::optional<ReplicaChoice> near =
-      ChooseOf(now, demand, std::move(candidates.near));
+      ChooseFrom(now, demand, std::move(candidates.near));
   std::optional<ReplicaChoice> far =
-      ChooseOf(now, demand, std::move(candidates.far));
+      ChooseFrom(now, demand, std::move(candidates.far));
   if (!near && !far) {
     return candidates.any_usable ? RefusalKind::kNoCapacity
                                  : RefusalKind::kNoEndpoint;
   }
-  if (!near || (far && far->expected_ms < near->expected_ms)) {
+  if (!near || (far && far->expected_wait_ms < near->expected_wait_ms)) {
     return *std::move(far);
   }
   return *std::move(near);
@@ -194,7 +195,7 @@
     attempt.incarnation = state->replica.incarnation;
     state->backoff.OnSent(now);
     ++state->in_flight;
-    ++state->sent_since;
+    ++state->sent_since_report;
     state->pending_prompt_tokens += attempt.prompt_tokens;
   }
   attempts_.emplace(last_attempt_, std::move(attempt));
@@ -206,9 +207,9 @@
                              const LoadReading& load) {
   if (State* state = Find(vm)) {
     state->load = load;
-    state->load_at = now;
-    state->sent_since = 0;
-    state->ended_since = 0;
+    state->load_reported_at = now;
+    state->sent_since_report = 0;
+    state->ended_since_report = 0;
   }
 }
 
@@ -218,9 +219,9 @@
     return;
   }
   Attempt& running = found->second;
-  State* state = FindOf(running);
+  State* state = FindTarget(running);
   const bool is_first = !running.progress.has_value();
-  const double gap =
+  const double interval =
       is_first ? 0 : static_cast<double>((now - *running.progress).millis());
   running.progress = now;
   if (state == nullptr) {
@@ -229,28 +230,29 @@
   state->last_progress = now;
   state->last_event = now;
   if (!is_first) {
-    state->event_gap_ms =
-        state->event_gap_ms == 0
-            ? gap
-            : kGapMemory * state->event_gap_ms + (1 - kGapMemory) * gap;
+    state->event_interval_ms =
+        state->event_interval_ms == 0
+            ? interval
+            : kIntervalSmoothing * state->event_interval_ms +
+                  (1 - kIntervalSmoothing) * interval;
   }
   if (is_first) {
     state->pending_prompt_tokens =
         std::max(0.0, state->pending_prompt_tokens - running.prompt_tokens);
   }
-  if (state->stands_still_until) {
-    state->stands_still_until.reset();
+  if (state->stalled_until) {
+    state->stalled_until.reset();
     events_({EventKind::kEndpointRestored, running.vm.value(), {}, {}});
   }
 }
 
-void ReplicaSelector::End(const Attempt& attempt) {
-  State* state = FindOf(attempt);
+void ReplicaSelector::RemoveLoad(const Attempt& attempt) {
+  State* state = FindTarget(attempt);
   if (state == nullptr) {
     return;
   }
   state->in_flight = std::max<std::int64_t>(0, state->in_flight - 1);
-  ++state->ended_since;
+  ++state->ended_since_report;
   if (!attempt.progress) {
     state->pending_prompt_tokens =
         std::max(0.0, state->pending_prompt_tokens - attempt.prompt_tokens);
@@ -266,8 +268,8 @@
   }
   const Attempt ended = found->second;
   attempts_.erase(found);
-  End(ended);
-  State* state = FindOf(ended);
+  RemoveLoad(ended);
+  State* state = FindTarget(ended);
   if (state == nullptr) {
     return;
   }
@@ -305,8 +307,8 @@
   }
   const Attempt ended = found->second;
   attempts_.erase(found);
-  End(ended);
-  if (State* state = FindOf(ended)) {
+  RemoveLoad(ended);
+  if (State* state = FindTarget(ended)) {
     state->backoff.OnAbandoned();
   }
 }
--- a/coordination/gateway/replica_selector.h
+++ b/coordination/gateway/replica_selector.h
@@ -30,7 +30,7 @@
   Duration witness_wait = Duration::Millis(80);
   // A stalled replica is excluded until it makes progress or this time has
   // passed; by then its group has been repaired or dissolved.
-  Duration standstill_hold = Duration::Millis(6000);
+  Duration stalled_exclusion_time = Duration::Millis(6000);
   // Cost of a replica in another data centre, as expected wait. 20 ms instead
   // of 4 ms sends an eighth less between data centres (simulation with 9
   // nodes).
@@ -63,7 +63,7 @@
   // The same limit at engines for requests that go before the deferred ones.
   double most_fill_ahead = 2.2;
   // A load report is used for this long.
-  Duration load_life = Duration::Millis(2500);
+  Duration load_report_ttl = Duration::Millis(2500);
   FailureBackoffSettings backoff = {Duration::Millis(300), Duration::Seconds(3),
                                     Duration::Seconds(2)};
 };
@@ -100,7 +100,7 @@
 
 struct ReplicaChoice {
   Replica replica;
-  double expected_ms = 0;
+  double expected_wait_ms = 0;
 };
 
 // Identifies one attempt at one replica.
@@ -176,20 +176,20 @@
     std::int64_t in_flight = 0;
     double pending_prompt_tokens = 0;
     LoadReading load;
-    Time load_at;
-    std::int64_t sent_since = 0;
-    std::int64_t ended_since = 0;
+    Time load_reported_at;
+    std::int64_t sent_since_report = 0;
+    std::int64_t ended_since_report = 0;
     // Time of the last event known from any node, or of the group's first
     // appearance if there was none.
     Time last_progress;
     Time last_event;
     // Time of the last event that another node reported for its own streams.
-    Time last_heard;
+    Time last_peer_progress;
     // Time since which the replica is suspected of being stalled.
     std::optional<Time> suspected_since;
     // Moving average of the time between two events of a stream; 0 until known.
-    double event_gap_ms = 0;
-    std::optional<Time> stands_still_until;
+    double event_interval_ms = 0;
+    std::optional<Time> stalled_until;
   };
   struct Attempt {
     VmId vm;
@@ -216,37 +216,37 @@
                             std::span<const VmId> excluded) const;
   // Returns the replica with the shortest expected wait among a few drawn at
   // random; absent if `with_room` is empty.
-  std::optional<ReplicaChoice> ChooseOf(
+  std::optional<ReplicaChoice> ChooseFrom(
       Time now,
       const ReplicaDemand& demand,
       std::vector<const State*> with_room) const;
   State* Find(const VmId& vm);
   // Returns null if the attempt was sent to an earlier run or group of the VM.
-  State* FindOf(const Attempt& attempt);
-  double MostFill(const ReplicaDemand& demand) const;
+  State* FindTarget(const Attempt& attempt);
+  double MaxFill(const ReplicaDemand& demand) const;
   bool IsUsable(Time now, const State& state) const;
   double ExpectedRequests(Time now, const State& state) const;
   double ExpectedWait(Time now,
                       const State& state,
                       const ReplicaDemand& demand) const;
-  void End(const Attempt& attempt);
+  void RemoveLoad(const Attempt& attempt);
   // Returns the replicas whose running streams from this node have all been
   // silent for too long.
   std::set<VmId> FindSilent(Time now);
-  std::vector<AttemptNumber> MarkStandstill(Time now,
-                                            State& state,
-                                            std::string_view evidence);
+  std::vector<AttemptNumber> MarkStalled(Time now,
+                                         State& state,
+                                         std::string_view evidence);
 
   ReplicaSelectorSettings settings_;
   ZoneId zone_;
   Random random_;
   EventSink events_;
-  double nodes_ = 1;
+  double node_count_ = 1;
   std::map<VmId, State> states_;
   std::map<AttemptNumber, Attempt> attempts_;
   AttemptNumber last_attempt_;
-  std::vector<Replica> standstills_;
-  std::vector<Replica> suspicions_;
+  std::vector<Replica> stalled_replicas_;
+  std::vector<Replica> suspected_stalls_;
 };
 
 }  // namespace gcw
--- a/coordination/gateway/replica_selector_standstill.cc
+++ b/coordination/gateway/replica_selector_stall.cc
@@ -13,8 +13,8 @@
     if (!attempt.streams) {
       continue;
     }
-    const State* state = FindOf(attempt);
-    if (state == nullptr || state->stands_still_until) {
+    const State* state = FindTarget(attempt);
+    if (state == nullptr || state->stalled_until) {
       continue;
     }
     const Time last =
@@ -30,7 +30,7 @@
 
 std::vector<AttemptNumber> ReplicaSelector::Tick(Time now) {
   const std::set<VmId> silent = FindSilent(now);
-  std::vector<AttemptNumber> stuck;
+  std::vector<AttemptNumber> stalled;
   for (auto& [vm, state] : states_) {
     if (!silent.contains(vm)) {
       state.suspected_since.reset();
@@ -38,22 +38,23 @@
     }
     if (!state.suspected_since) {
       state.suspected_since = now;
-      suspicions_.push_back(state.replica);
+      suspected_stalls_.push_back(state.replica);
     }
     // A node without peers has nobody to ask.
-    if (nodes_ > 1 && now - *state.suspected_since < settings_.witness_wait) {
+    if (node_count_ > 1 &&
+        now - *state.suspected_since < settings_.witness_wait) {
       continue;
     }
     state.suspected_since.reset();
-    standstills_.push_back(state.replica);
-    const auto marked = MarkStandstill(now, state, "own_streams");
-    stuck.insert(stuck.end(), marked.begin(), marked.end());
+    stalled_replicas_.push_back(state.replica);
+    const auto marked = MarkStalled(now, state, "own_streams");
+    stalled.insert(stalled.end(), marked.begin(), marked.end());
   }
-  return stuck;
+  return stalled;
 }
 
 std::vector<Replica> ReplicaSelector::TakeSuspicions() {
-  return std::exchange(suspicions_, {});
+  return std::exchange(suspected_stalls_, {});
 }
 
 void ReplicaSelector::OnProgressHeard(Time now,
@@ -64,7 +65,7 @@
   if (state == nullptr || state->replica.generation != generation) {
     return;
   }
-  state->last_heard = std::max(state->last_heard, now - ago);
+  state->last_peer_progress = std::max(state->last_peer_progress, now - ago);
   state->last_progress = std::max(state->last_progress, now - ago);
 }
 
@@ -74,21 +75,21 @@
     Generation generation) {
   State* state = Find(vm);
   if (state == nullptr || state->replica.generation != generation ||
-      state->stands_still_until) {
+      state->stalled_until) {
     return {};
   }
   // Recent progress outweighs another node's report of a stall.
   if (now - state->last_progress < settings_.silence_limit / 2) {
     return {};
   }
-  return MarkStandstill(now, *state, "other_node");
+  return MarkStalled(now, *state, "other_node");
 }
 
-std::vector<AttemptNumber> ReplicaSelector::MarkStandstill(
+std::vector<AttemptNumber> ReplicaSelector::MarkStalled(
     Time now,
     State& state,
     std::string_view evidence) {
-  state.stands_still_until = now + settings_.standstill_hold;
+  state.stalled_until = now + settings_.stalled_exclusion_time;
   events_({EventKind::kConnectionSilent,
            state.replica.vm.value(),
            {},
@@ -96,18 +97,18 @@
             {"evidence", std::string(evidence)},
             {"silent_ms", (now - state.last_progress).millis()},
             {"in_flight", state.in_flight}}});
-  std::vector<AttemptNumber> stuck;
+  std::vector<AttemptNumber> stalled;
   for (const auto& [number, attempt] : attempts_) {
     if (attempt.vm == state.replica.vm &&
         attempt.generation == state.replica.generation) {
-      stuck.push_back(number);
+      stalled.push_back(number);
     }
   }
-  return stuck;
+  return stalled;
 }
 
 std::vector<Replica> ReplicaSelector::TakeStandstills() {
-  return std::exchange(standstills_, {});
+  return std::exchange(stalled_replicas_, {});
 }
 
 std::optional<Time> ReplicaSelector::OwnProgress(const VmId& vm,
@@ -128,7 +129,7 @@
       found->second.replica.generation != generation) {
     return Time();
   }
-  return std::max(found->second.last_event, found->second.last_heard);
+  return std::max(found->second.last_event, found->second.last_peer_progress);
 }
 
 }  // namespace gcw
--- a/coordination/gateway/shared_retry_budget.cc
+++ b/coordination/gateway/shared_retry_budget.cc
@@ -26,7 +26,7 @@
   ++SlotAt(accounts_[service], SlotNumber(now)).requests;
 }
 
-bool SharedRetryBudget::Spend(Time now, const ServiceId& service) {
+bool SharedRetryBudget::TrySpend(Time now, const ServiceId& service) {
   Account& account = accounts_[service];
   const std::int64_t current = SlotNumber(now);
   // Retries are counted over one slot more than requests, so that no window
@@ -40,9 +40,9 @@
       requests += slot.number > oldest ? slot.requests : 0;
     }
   }
-  const double allowed =
-      settings_.used_share * (settings_.ratio * static_cast<double>(requests) +
-                              settings_.slack / static_cast<double>(nodes_));
+  const double allowed = settings_.usable_fraction *
+                         (settings_.ratio * static_cast<double>(requests) +
+                          settings_.slack / static_cast<double>(node_count_));
   if (static_cast<double>(spent + 1) > allowed) {
     return false;
   }
@@ -51,7 +51,7 @@
 }
 
 void SharedRetryBudget::SetNodeCount(std::size_t nodes) {
-  nodes_ = std::max<std::size_t>(1, nodes);
+  node_count_ = std::max<std::size_t>(1, nodes);
 }
 
 }  // namespace gcw
--- a/coordination/gateway/shared_retry_budget.h
+++ b/coordination/gateway/shared_retry_budget.h
@@ -18,7 +18,7 @@
   Duration window = Duration::Seconds(10);
   // Fraction of the budget that is used. The rest covers nodes that restarted
   // and forgot what they spent, and views of the fleet that differ for a while.
-  double used_share = 0.8;
+  double usable_fraction = 0.8;
 };
 
 // Limits the retries of all nodes without messages between them: each node may
@@ -31,7 +31,7 @@
 
   void OnRequest(Time now, const ServiceId& service);
   // Returns true and counts the retry if one more may be sent.
-  bool Spend(Time now, const ServiceId& service);
+  bool TrySpend(Time now, const ServiceId& service);
   // Sets the number of nodes that share the slack.
   void SetNodeCount(std::size_t nodes);
 
@@ -50,7 +50,7 @@
   Slot& SlotAt(Account& account, std::int64_t number);
 
   SharedRetryBudgetSettings settings_;
-  std::size_t nodes_ = 1;
+  std::size_t node_count_ = 1;
   std::unordered_map<ServiceId, Account> accounts_;
 };
 
--- a/coordination/roles/node_lease.cc
+++ b/coordination/roles/node_lease.cc
@@ -46,7 +46,7 @@
   if (!had_lease) {
     return {};
   }
-  return {Call(now, CallKind::kRevoke, StoreLeaseRevoke{lease_})};
+  return {MakeCall(now, CallKind::kRevoke, StoreLeaseRevoke{lease_})};
 }
 
 // The earlier lease is left to lapse. If it were revoked, the service would
@@ -80,26 +80,26 @@
 }
 
 std::vector<NodeLeaseAction> NodeLease::NextCall(Time now) {
-  if (awaited_ || now < next_call_ || phase_ == Phase::kReleased) {
+  if (awaited_call_ || now < next_call_ || phase_ == Phase::kReleased) {
     return {};
   }
   if (phase_ == Phase::kNone) {
-    return {Call(now, CallKind::kGrant, StoreLeaseGrant{time_to_live()})};
+    return {MakeCall(now, CallKind::kGrant, StoreLeaseGrant{time_to_live()})};
   }
   if (now >= renewal_due_) {
-    return {Call(now, CallKind::kKeepAlive, StoreLeaseKeepAlive{lease_})};
+    return {MakeCall(now, CallKind::kKeepAlive, StoreLeaseKeepAlive{lease_})};
   }
   if (record_written_) {
     return {};
   }
-  return {Call(now, CallKind::kPut,
-               StorePut{.key = "node/" + record_.id.value(),
-                        .value = encode_(record_),
-                        .expected = key_revision_,
-                        .lease = lease_})};
+  return {MakeCall(now, CallKind::kPut,
+                   StorePut{.key = "node/" + record_.id.value(),
+                            .value = encode_(record_),
+                            .expected = key_revision_,
+                            .lease = lease_})};
 }
 
-NodeLeaseAction NodeLease::Call(Time now, CallKind kind, StoreCall call) {
+NodeLeaseAction NodeLease::MakeCall(Time now, CallKind kind, StoreCall call) {
   ++last_id_;
   pending_[last_id_] = {kind, now,
                         kind == CallKind::kGrant ? LeaseId() : lease_,
@@ -107,7 +107,7 @@
   if (pending_.size() > kMaxPending) {
     pending_.erase(pending_.begin());
   }
-  awaited_ = last_id_;
+  awaited_call_ = last_id_;
   return StoreRequest{last_id_, std::move(call)};
 }
 
@@ -120,8 +120,8 @@
   }
   const PendingCall pending = it->second;
   pending_.erase(it);
-  if (awaited_ == id) {
-    awaited_.reset();
+  if (awaited_call_ == id) {
+    awaited_call_.reset();
   }
   HandleReply(now, pending, reply);
   ReportValidity(now);
@@ -159,7 +159,7 @@
     return;
   }
   if (const auto* written = std::get_if<StoreWritten>(&reply)) {
-    OnWritten(pending, written->revision);
+    OnRecordWritten(pending, written->revision);
   } else if (const auto* conflict = std::get_if<StoreConflict>(&reply)) {
     OnConflict(pending, *conflict);
   } else if (std::holds_alternative<StoreLeaseUnknown>(reply) &&
@@ -190,7 +190,7 @@
   }
 }
 
-void NodeLease::OnWritten(const PendingCall& pending, Revision revision) {
+void NodeLease::OnRecordWritten(const PendingCall& pending, Revision revision) {
   if (pending.kind != CallKind::kPut || phase_ == Phase::kReleased) {
     return;
   }
@@ -207,7 +207,7 @@
   // writes under its lease.
   if (conflict.current && conflict.current->lease == lease_ &&
       conflict.current->value == encode_(record_)) {
-    OnWritten(pending, conflict.current->revision);
+    OnRecordWritten(pending, conflict.current->revision);
     record_written_ = true;
   }
 }
@@ -218,12 +218,12 @@
 }
 
 void NodeLease::ExpireCalls(Time now) {
-  if (!awaited_) {
+  if (!awaited_call_) {
     return;
   }
-  const auto it = pending_.find(*awaited_);
+  const auto it = pending_.find(*awaited_call_);
   if (it == pending_.end()) {
-    awaited_.reset();
+    awaited_call_.reset();
     return;
   }
   if (now - it->second.sent < settings_.call_timeout) {
@@ -231,7 +231,7 @@
   }
   // The entry is kept, because a late reply to a renewal still extends the
   // lease.
-  awaited_.reset();
+  awaited_call_.reset();
   OnUnanswered(now);
 }
 
--- a/coordination/roles/node_lease.h
+++ b/coordination/roles/node_lease.h
@@ -93,13 +93,13 @@
             Random random,
             EventSink sink);
 
-  NodeLeaseAction Call(Time now, CallKind kind, StoreCall call);
+  NodeLeaseAction MakeCall(Time now, CallKind kind, StoreCall call);
   std::vector<NodeLeaseAction> NextCall(Time now);
   void HandleReply(Time now,
                    const PendingCall& pending,
                    const StoreReply& reply);
   void OnLeaseReply(const PendingCall& pending, const StoreLeaseReply& reply);
-  void OnWritten(const PendingCall& pending, Revision revision);
+  void OnRecordWritten(const PendingCall& pending, Revision revision);
   void OnConflict(const PendingCall& pending, const StoreConflict& conflict);
   void OnUnanswered(Time now);
   Duration time_to_live() const;
@@ -131,7 +131,7 @@
   // Unanswered calls. A late reply to a renewal still extends the lease.
   std::map<StoreCallId, PendingCall> pending_;
   // The call in progress; the next call waits for its reply.
-  std::optional<StoreCallId> awaited_;
+  std::optional<StoreCallId> awaited_call_;
   bool store_reachable_ = true;
   bool reported_valid_ = false;
 };
--- a/coordination/roles/role_assignment.cc
+++ b/coordination/roles/role_assignment.cc
@@ -7,14 +7,15 @@
 
 // With this many preferences a role finds a node below its limit in nearly
 // every case, without sorting the whole fleet for each role.
-constexpr std::size_t kFirstPreferences = 8;
+constexpr std::size_t kPreferredNodes = 8;
 
-std::optional<NodeId> FirstWithRoom(const std::vector<NodeId>& order,
-                                    const std::map<NodeId, std::size_t>& taken,
-                                    std::size_t limit) {
+std::optional<NodeId> FirstBelowLimit(
+    const std::vector<NodeId>& order,
+    const std::map<NodeId, std::size_t>& role_counts,
+    std::size_t limit) {
   for (const NodeId& node : order) {
-    const auto it = taken.find(node);
-    if (it == taken.end() || it->second < limit) {
+    const auto it = role_counts.find(node);
+    if (it == role_counts.end() || it->second < limit) {
       return node;
     }
   }
@@ -30,17 +31,18 @@
     return assigned;
   }
   const std::size_t limit = (roles.size() + nodes.size() - 1) / nodes.size();
-  std::map<NodeId, std::size_t> taken;
+  std::map<NodeId, std::size_t> role_counts;
   for (const RoleName& role : roles) {
-    std::optional<NodeId> node = FirstWithRoom(
-        RendezvousOrder(role.value(), nodes, kFirstPreferences), taken, limit);
+    std::optional<NodeId> node =
+        FirstBelowLimit(RendezvousOrder(role.value(), nodes, kPreferredNodes),
+                        role_counts, limit);
     if (!node) {
-      node = FirstWithRoom(RendezvousOrder(role.value(), nodes, nodes.size()),
-                           taken, limit);
+      node = FirstBelowLimit(RendezvousOrder(role.value(), nodes, nodes.size()),
+                             role_counts, limit);
     }
     // A node is always found, because the limits add up to at least the number
     // of roles.
-    ++taken[*node];
+    ++role_counts[*node];
     assigned.emplace(role, *node);
   }
   return assigned;
@@ -49,13 +51,13 @@
 std::set<RoleName> RolesOf(const NodeId& self,
                            const std::set<RoleName>& roles,
                            const std::vector<NodeId>& nodes) {
-  std::set<RoleName> mine;
+  std::set<RoleName> own_roles;
   for (const auto& [role, node] : AssignRoles(roles, nodes)) {
     if (node == self) {
-      mine.insert(role);
+      own_roles.insert(role);
     }
   }
-  return mine;
+  return own_roles;
 }
 
 }  // namespace gcw
--- a/coordination/roles/role_leases.cc
+++ b/coordination/roles/role_leases.cc
@@ -8,10 +8,10 @@
 namespace gcw {
 namespace {
 
-constexpr std::string_view kPrefix = "role/";
+constexpr std::string_view kRoleKeyPrefix = "role/";
 
-std::string KeyOf(const RoleName& role) {
-  return std::string(kPrefix) + role.value();
+std::string RoleKey(const RoleName& role) {
+  return std::string(kRoleKeyPrefix) + role.value();
 }
 
 }  // namespace
@@ -38,7 +38,7 @@
 }
 
 void RoleLeases::SetFleet(std::set<RoleName> roles, std::size_t nodes) {
-  known_ = std::move(roles);
+  known_roles_ = std::move(roles);
   node_count_ = std::max<std::size_t>(1, nodes);
 }
 
@@ -70,12 +70,12 @@
   return held;
 }
 
-bool RoleLeases::Wants(const RoleName& name, Time now) const {
+bool RoleLeases::IsWanted(const RoleName& name, Time now) const {
   if (desired_.contains(name)) {
     return true;
   }
-  const auto it = stand_ins_.find(name);
-  return it != stand_ins_.end() && now < it->second;
+  const auto it = takeovers_.find(name);
+  return it != takeovers_.end() && now < it->second;
 }
 
 std::vector<RoleLeasesAction> RoleLeases::NextCalls(Time now) {
@@ -83,7 +83,7 @@
   if (!lease) {
     return {};
   }
-  DropOtherLeases(now, lease->lease);
+  DropRolesOfOtherLeases(now, lease->lease);
   for (const RoleName& name : desired_) {
     roles_.try_emplace(name);
   }
@@ -92,7 +92,7 @@
     return actions;
   }
   for (auto& [name, role] : roles_) {
-    if (pending_.size() >= settings_.parallel_calls) {
+    if (pending_.size() >= settings_.max_parallel_calls) {
       break;
     }
     if (role.call || now < role.next_attempt) {
@@ -100,12 +100,12 @@
     }
     // The node stops acting in a role that it no longer wants before the
     // deletion of the key is confirmed.
-    if (role.phase == Phase::kHeld && !Wants(name, now)) {
-      Report(EventKind::kRoleLost, name, role);
+    if (role.phase == Phase::kHeld && !IsWanted(name, now)) {
+      EmitEvent(EventKind::kRoleLost, name, role);
       role.phase = Phase::kReleasing;
     }
-    if (role.phase == Phase::kFree && Wants(name, now)) {
-      role.phase = Phase::kTaking;
+    if (role.phase == Phase::kFree && IsWanted(name, now)) {
+      role.phase = Phase::kAcquiring;
       role.floor = revision_floor_();
     }
     if (std::optional<StoreCall> call = NextCall(name, role, *lease)) {
@@ -127,22 +127,22 @@
     case Phase::kFree:
     case Phase::kHeld:
       return std::nullopt;
-    case Phase::kTaking:
+    case Phase::kAcquiring:
       // This also repeats a put whose reply was lost. The conflict then shows
       // whether the key is attached to this node's lease and, unlike a plain
       // read, cannot be stale.
       role.lease = lease.lease;
-      return StorePut{.key = KeyOf(name),
+      return StorePut{.key = RoleKey(name),
                       .value = self_.value(),
                       .expected = Revision(),
                       .lease = lease.lease};
     case Phase::kReleasing:
-      return StoreDelete{KeyOf(name), role.revision};
+      return StoreDelete{RoleKey(name), role.revision};
   }
   return std::nullopt;
 }
 
-void RoleLeases::DropOtherLeases(Time now, LeaseId lease) {
+void RoleLeases::DropRolesOfOtherLeases(Time now, LeaseId lease) {
   if (lease_seen_ != lease) {
     lease_seen_ = lease;
     lease_floor_ = revision_floor_();
@@ -151,7 +151,7 @@
     const auto current = it++;
     Role& role = current->second;
     const bool free = role.phase == Phase::kFree;
-    if (free && !role.call && !Wants(current->first, now)) {
+    if (free && !role.call && !IsWanted(current->first, now)) {
       roles_.erase(current);
       continue;
     }
@@ -163,14 +163,14 @@
     if (role.call) {
       pending_.erase(*role.call);
     }
-    Lose(current->first, role);
+    Drop(current->first, role);
   }
 }
 
 std::vector<RoleLeasesAction>
 RoleLeases::OnStoreReply(Time now, StoreCallId id, const StoreReply& reply) {
-  if (read_ == id) {
-    read_.reset();
+  if (read_call_ == id) {
+    read_call_.reset();
     if (const auto* range = std::get_if<StoreRangeReply>(&reply)) {
       OnRead(now, *range);
     }
@@ -196,29 +196,29 @@
                              const StoreReply& reply) {
   if (std::holds_alternative<StoreNoAnswer>(reply) ||
       std::holds_alternative<StoreBusy>(reply)) {
-    Pause(now, reply);
+    BackOff(now, reply);
     return;
   }
   backoff_.Reset();
-  if (role.phase == Phase::kTaking) {
-    OnTakingReply(now, name, role, reply);
+  if (role.phase == Phase::kAcquiring) {
+    OnAcquireReply(now, name, role, reply);
   } else if (role.phase == Phase::kReleasing) {
-    OnReleasingReply(now, role, reply);
+    OnReleaseReply(now, role, reply);
   }
 }
 
-void RoleLeases::OnTakingReply(Time now,
-                               const RoleName& name,
-                               Role& role,
-                               const StoreReply& reply) {
+void RoleLeases::OnAcquireReply(Time now,
+                                const RoleName& name,
+                                Role& role,
+                                const StoreReply& reply) {
   if (const auto* written = std::get_if<StoreWritten>(&reply)) {
-    Take(name, role, written->revision, role.floor);
+    Acquire(name, role, written->revision, role.floor);
     return;
   }
   const auto* conflict = std::get_if<StoreConflict>(&reply);
   if (conflict && conflict->current && conflict->current->lease == role.lease) {
     // The key was written at some time after the lease was first seen.
-    Take(name, role, conflict->current->revision, lease_floor_);
+    Acquire(name, role, conflict->current->revision, lease_floor_);
     return;
   }
   role.phase = Phase::kFree;
@@ -229,12 +229,10 @@
           DrawBelow(random_, static_cast<std::uint64_t>(wait.millis()) + 1)));
 }
 
-void RoleLeases::OnReleasingReply(Time now,
-                                  Role& role,
-                                  const StoreReply& reply) {
+void RoleLeases::OnReleaseReply(Time now, Role& role, const StoreReply& reply) {
   if (!std::holds_alternative<StoreWritten>(reply) &&
       !std::holds_alternative<StoreConflict>(reply)) {
-    Pause(now, reply);
+    BackOff(now, reply);
     return;
   }
   // The role may be taken again only now. If it were taken while the outcome of
@@ -243,10 +241,10 @@
   role = Role();
 }
 
-void RoleLeases::Take(const RoleName& name,
-                      Role& role,
-                      Revision revision,
-                      Revision floor) {
+void RoleLeases::Acquire(const RoleName& name,
+                         Role& role,
+                         Revision revision,
+                         Revision floor) {
   role.revision = revision;
   if (revision <= floor) {
     // The service was restored to an older state: this token is lower than ones
@@ -261,17 +259,17 @@
     return;
   }
   role.phase = Phase::kHeld;
-  Report(EventKind::kRoleAcquired, name, role);
+  EmitEvent(EventKind::kRoleAcquired, name, role);
 }
 
-void RoleLeases::Lose(const RoleName& name, Role& role) {
+void RoleLeases::Drop(const RoleName& name, Role& role) {
   if (role.phase == Phase::kHeld) {
-    Report(EventKind::kRoleLost, name, role);
+    EmitEvent(EventKind::kRoleLost, name, role);
   }
   role = Role();
 }
 
-void RoleLeases::Pause(Time now, const StoreReply& reply) {
+void RoleLeases::BackOff(Time now, const StoreReply& reply) {
   Duration wait = backoff_.Next(random_);
   if (const auto* busy = std::get_if<StoreBusy>(&reply)) {
     wait = std::max(wait, busy->retry_after);
@@ -290,16 +288,16 @@
       role->second.call.reset();
     }
     pending_.erase(current);
-    Pause(now, StoreNoAnswer{});
+    BackOff(now, StoreNoAnswer{});
   }
-  if (read_ && now - read_sent_ >= settings_.call_timeout) {
-    read_.reset();
+  if (read_call_ && now - read_sent_ >= settings_.call_timeout) {
+    read_call_.reset();
   }
 }
 
-void RoleLeases::Report(EventKind kind,
-                        const RoleName& name,
-                        const Role& role) {
+void RoleLeases::EmitEvent(EventKind kind,
+                           const RoleName& name,
+                           const Role& role) {
   sink_({.kind = kind,
          .subject = name.value(),
          .cause = {},
--- a/coordination/roles/role_leases.h
+++ b/coordination/roles/role_leases.h
@@ -22,7 +22,7 @@
   Duration call_timeout = Duration::Seconds(2);
   // Maximum number of role calls in flight, so that taking many roles does not
   // use up the service's rate in one burst.
-  std::size_t parallel_calls = 4;
+  std::size_t max_parallel_calls = 4;
   // Every node reads the role holders at an interval of this time multiplied by
   // the number of nodes, so that the fleet's total read rate does not grow with
   // its size.
@@ -34,9 +34,9 @@
   // A known role that was free in this many consecutive reads is taken by any
   // node that sees it, because the assigned node may be unable to reach the
   // service.
-  int free_reads_before_stand_in = 3;
+  int free_reads_before_takeover = 3;
   // How long a node keeps a role that is assigned to another node.
-  Duration stand_in_time = Duration::Seconds(600);
+  Duration takeover_duration = Duration::Seconds(600);
   BackoffSettings backoff;
 };
 
@@ -70,7 +70,7 @@
   std::vector<RoleName> HeldRoles(Time now) const;
 
  private:
-  enum class Phase { kFree, kTaking, kHeld, kReleasing };
+  enum class Phase { kFree, kAcquiring, kHeld, kReleasing };
   struct Role {
     Phase phase = Phase::kFree;
     // The lease that the key is, or will be, attached to.
@@ -97,31 +97,31 @@
   std::optional<StoreCall> NextCall(const RoleName& name,
                                     Role& role,
                                     const HeldLease& lease);
-  bool Wants(const RoleName& name, Time now) const;
-  void DropOtherLeases(Time now, LeaseId lease);
+  bool IsWanted(const RoleName& name, Time now) const;
+  void DropRolesOfOtherLeases(Time now, LeaseId lease);
   void ExpireCalls(Time now);
   void OnRoleReply(Time now,
                    const RoleName& name,
                    Role& role,
                    const StoreReply& reply);
-  void OnTakingReply(Time now,
-                     const RoleName& name,
-                     Role& role,
-                     const StoreReply& reply);
-  void OnReleasingReply(Time now, Role& role, const StoreReply& reply);
-  void Take(const RoleName& name,
-            Role& role,
-            Revision revision,
-            Revision floor);
-  void Lose(const RoleName& name, Role& role);
-  void Pause(Time now, const StoreReply& reply);
+  void OnAcquireReply(Time now,
+                      const RoleName& name,
+                      Role& role,
+                      const StoreReply& reply);
+  void OnReleaseReply(Time now, Role& role, const StoreReply& reply);
+  void Acquire(const RoleName& name,
+               Role& role,
+               Revision revision,
+               Revision floor);
+  void Drop(const RoleName& name, Role& role);
+  void BackOff(Time now, const StoreReply& reply);
   std::optional<StoreRequest> NextRead(Time now);
   void OnRead(Time now, const StoreRangeReply& reply);
   void CompareWithRead(Time now,
                        const std::map<RoleName, StoreEntry>& read,
                        Revision revision);
-  void CountFree(Time now, const std::map<RoleName, StoreEntry>& read);
-  void Report(EventKind kind, const RoleName& name, const Role& role);
+  void CountFreeReads(Time now, const std::map<RoleName, StoreEntry>& read);
+  void EmitEvent(EventKind kind, const RoleName& name, const Role& role);
 
   RoleLeasesSettings settings_;
   NodeId self_;
@@ -142,16 +142,16 @@
   std::map<StoreCallId, PendingCall> pending_;
   StoreCallId last_id_;
 
-  std::set<RoleName> known_;
+  std::set<RoleName> known_roles_;
   std::size_t node_count_ = 1;
-  std::optional<StoreCallId> read_;
+  std::optional<StoreCallId> read_call_;
   Time read_sent_;
   Time next_read_;
   // Number of consecutive reads in which a known role was free.
   std::map<RoleName, int> free_reads_;
   // Roles taken although they are assigned to another node, with the time until
   // which they are kept.
-  std::map<RoleName, Time> stand_ins_;
+  std::map<RoleName, Time> takeovers_;
 };
 
 class RoleLeases::Builder {
--- a/coordination/roles/role_leases_read.cc
+++ b/coordination/roles/role_leases_read.cc
@@ -10,13 +10,13 @@
 namespace gcw {
 namespace {
 
-constexpr std::string_view kPrefix = "role/";
+constexpr std::string_view kRoleKeyPrefix = "role/";
 
 }  // namespace
 
 std::optional<StoreRequest> RoleLeases::NextRead(Time now) {
   const bool idle = roles_.empty() && desired_.empty();
-  if (read_ || now < next_read_ || (idle && !settings_.reads_idle)) {
+  if (read_call_ || now < next_read_ || (idle && !settings_.reads_idle)) {
     return std::nullopt;
   }
   const Duration interval = std::max(
@@ -26,18 +26,18 @@
   next_read_ = now + interval / 2 +
                Duration::Millis(static_cast<std::int64_t>(DrawBelow(
                    random_, static_cast<std::uint64_t>(interval.millis()))));
-  read_ = ++last_id_;
+  read_call_ = ++last_id_;
   read_sent_ = now;
-  return StoreRequest{last_id_, StoreRange{std::string(kPrefix)}};
+  return StoreRequest{last_id_, StoreRange{std::string(kRoleKeyPrefix)}};
 }
 
 void RoleLeases::OnRead(Time now, const StoreRangeReply& reply) {
   std::map<RoleName, StoreEntry> read;
   for (const StoreEntry& entry : reply.entries) {
-    read.emplace(RoleName(entry.key.substr(kPrefix.size())), entry);
+    read.emplace(RoleName(entry.key.substr(kRoleKeyPrefix.size())), entry);
   }
   CompareWithRead(now, read, reply.revision);
-  CountFree(now, read);
+  CountFreeReads(now, read);
 }
 
 void RoleLeases::CompareWithRead(Time now,
@@ -50,7 +50,7 @@
     }
     const auto it = read.find(name);
     if (it == read.end() || it->second.revision != role.revision) {
-      Lose(name, role);
+      Drop(name, role);
     }
   }
   const std::optional<HeldLease> lease = lease_(now);
@@ -68,23 +68,23 @@
   }
 }
 
-void RoleLeases::CountFree(Time now,
-                           const std::map<RoleName, StoreEntry>& read) {
-  std::erase_if(stand_ins_,
-                [&](const auto& stand_in) { return stand_in.second <= now; });
+void RoleLeases::CountFreeReads(Time now,
+                                const std::map<RoleName, StoreEntry>& read) {
+  std::erase_if(takeovers_,
+                [&](const auto& takeover) { return takeover.second <= now; });
   std::erase_if(free_reads_, [&](const auto& counted) {
-    return !known_.contains(counted.first);
+    return !known_roles_.contains(counted.first);
   });
-  for (const RoleName& name : known_) {
+  for (const RoleName& name : known_roles_) {
     if (read.contains(name) || desired_.contains(name)) {
       free_reads_.erase(name);
       continue;
     }
-    if (++free_reads_[name] < settings_.free_reads_before_stand_in) {
+    if (++free_reads_[name] < settings_.free_reads_before_takeover) {
       continue;
     }
     free_reads_.erase(name);
-    stand_ins_[name] = now + settings_.stand_in_time;
+    takeovers_[name] = now + settings_.takeover_duration;
     roles_.try_emplace(name);
   }
 }
--- a/tests/coordination/gateway/forward_desk_test.cc
+++ b/tests/coordination/gateway/forward_desk_test.cc
@@ -11,7 +11,7 @@
 
 constexpr Time kStart = Time::FromMillis(1000000);
 
-RouteRule Route(const std::string& prefix, Repetition repetition) {
+RouteRule MakeRoute(const std::string& prefix, Repetition repetition) {
   RouteRule route;
   route.name = prefix;
   route.host = "h";
@@ -24,13 +24,13 @@
   return route;
 }
 
-std::shared_ptr<const RouteTable> Routes() {
+std::shared_ptr<const RouteTable> MakeRoutes() {
   FleetConfiguration configuration;
   configuration.version = ConfigurationVersion(1);
-  configuration.routes = {Route("/once/", Repetition::kNever),
-                          Route("/whole/", Repetition::kWhole),
-                          Route("/stream/", Repetition::kResume)};
-  configuration.routes.push_back(Route("/open/", Repetition::kWhole));
+  configuration.routes = {MakeRoute("/once/", Repetition::kNever),
+                          MakeRoute("/whole/", Repetition::kWhole),
+                          MakeRoute("/stream/", Repetition::kResume)};
+  configuration.routes.push_back(MakeRoute("/open/", Repetition::kWhole));
   configuration.routes.back().open_to_all = true;
   configuration.services = {{ServiceId("s"), 100, std::nullopt}};
   configuration.customers = {{CustomerId("c"), {"key"}, std::nullopt}};
@@ -74,7 +74,7 @@
     request.path = path;
     request.key = key;
     request.patience = Duration::Seconds(1);
-    return desk_.OnArrived(now_, std::move(request), Routes());
+    return desk_.OnArrived(now_, std::move(request), MakeRoutes());
   }
 
   static ForwardEnd End(ForwardEndKind kind) {
@@ -93,17 +93,17 @@
 // Guards against a permanent refusal of a valid request by a node that has just
 // started: without a configuration it cannot tell an unknown route from one
 // that it has not received.
-TEST_F(ForwardDeskTest, ANodeWithoutConfigurationPromisesToHaveNotRunIt) {
+TEST_F(ForwardDeskTest, NodeWithoutConfigurationRefusesAsNotReady) {
   ForwardRequest request;
   request.host = "h";
   request.path = "/once/1";
-  const ForwardBegun begun = desk_.OnArrived(now_, request, nullptr);
-  const auto& refused = std::get<ForwardRefused>(begun.step);
+  const ForwardBegun admission = desk_.OnArrived(now_, request, nullptr);
+  const auto& refused = std::get<ForwardRefused>(admission.step);
   EXPECT_EQ(refused.kind, RefusalKind::kNotReady);
   EXPECT_GT(refused.retry_after, Duration());
 }
 
-TEST_F(ForwardDeskTest, UnknownRoutesAndKeysAreRefusedForGood) {
+TEST_F(ForwardDeskTest, UnknownRoutesAndKeysAreRefusedWithoutRetryDelay) {
   EXPECT_EQ(std::get<ForwardRefused>(Arrive("/none/1").step).kind,
             RefusalKind::kUnknownService);
   EXPECT_EQ(std::get<ForwardRefused>(Arrive("/once/1", "bad").step).kind,
@@ -113,7 +113,7 @@
   EXPECT_TRUE(std::holds_alternative<SendForward>(Arrive("/open/1", "").step));
 }
 
-TEST_F(ForwardDeskTest, TheCustomerOfTheKeyGoesWithTheRequest) {
+TEST_F(ForwardDeskTest, SendCarriesTheCustomerOfTheKey) {
   const auto send = std::get<SendForward>(Arrive("/once/1").step);
   EXPECT_EQ(send.customer, CustomerId("c"));
   EXPECT_EQ(send.time_left, Duration::Seconds(1));
@@ -122,70 +122,70 @@
 
 // Guards against a reservation that is made twice because the request is sent
 // again after the connection broke.
-TEST_F(ForwardDeskTest, WhatMayHaveRunAndMayNotRunTwiceIsNeverSentAgain) {
+TEST_F(ForwardDeskTest, NonRepeatableRequestThatMayHaveRunIsNotRetried) {
   for (const auto kind : {ForwardEndKind::kBroke, ForwardEndKind::kSilent,
                           ForwardEndKind::kOutOfTime}) {
-    const ForwardBegun begun = Arrive("/once/1");
+    const ForwardBegun admission = Arrive("/once/1");
     EXPECT_TRUE(std::holds_alternative<ForwardUnknown>(
-        desk_.OnEnded(now_, begun.id, End(kind))));
+        desk_.OnEnded(now_, admission.id, End(kind))));
   }
-  const ForwardBegun begun = Arrive("/once/1");
+  const ForwardBegun admission = Arrive("/once/1");
   EXPECT_TRUE(std::holds_alternative<PassAnswer>(
-      desk_.OnEnded(now_, begun.id, End(ForwardEndKind::kFailedThere))));
+      desk_.OnEnded(now_, admission.id, End(ForwardEndKind::kFailedThere))));
 }
 
-TEST_F(ForwardDeskTest, WhatCertainlyDidNotRunIsSentElsewhere) {
+TEST_F(ForwardDeskTest, RequestThatDidNotRunIsRetriedElsewhere) {
   for (const auto kind : {ForwardEndKind::kNotRun, ForwardEndKind::kOtherVm,
                           ForwardEndKind::kNothingSent}) {
     SetReplicas(3);
-    const ForwardBegun begun = Arrive("/once/1");
-    const VmId first = std::get<SendForward>(begun.step).vm;
-    const ForwardStep step = desk_.OnEnded(now_, begun.id, End(kind));
+    const ForwardBegun admission = Arrive("/once/1");
+    const VmId first = std::get<SendForward>(admission.step).vm;
+    const ForwardStep step = desk_.OnEnded(now_, admission.id, End(kind));
     ASSERT_TRUE(std::holds_alternative<SendForward>(step));
     EXPECT_NE(std::get<SendForward>(step).vm, first);
-    desk_.OnCallerGone(now_, begun.id);
+    desk_.OnCallerGone(now_, admission.id);
     now_ = now_ + Duration::Seconds(10);
   }
 }
 
-TEST_F(ForwardDeskTest, ARefusalAfterARunThatBrokeIsNoPromise) {
+TEST_F(ForwardDeskTest, RefusalAfterABrokenRunLeavesTheOutcomeUnknown) {
   SetReplicas(2);
-  const ForwardBegun begun = Arrive("/whole/1");
+  const ForwardBegun admission = Arrive("/whole/1");
   ASSERT_TRUE(std::holds_alternative<SendForward>(
-      desk_.OnEnded(now_, begun.id, End(ForwardEndKind::kBroke))));
+      desk_.OnEnded(now_, admission.id, End(ForwardEndKind::kBroke))));
   EXPECT_TRUE(std::holds_alternative<ForwardUnknown>(
-      desk_.OnEnded(now_, begun.id, End(ForwardEndKind::kNotRun))));
+      desk_.OnEnded(now_, admission.id, End(ForwardEndKind::kNotRun))));
 }
 
-TEST_F(ForwardDeskTest, AFailureOfTheEndpointIsTriedElsewhereThenPassedOn) {
-  const ForwardBegun begun = Arrive("/whole/1");
+TEST_F(ForwardDeskTest, EndpointFailureIsRetriedElsewhereThenPassedOn) {
+  const ForwardBegun admission = Arrive("/whole/1");
   ASSERT_TRUE(std::holds_alternative<SendForward>(
-      desk_.OnEnded(now_, begun.id, End(ForwardEndKind::kFailedThere))));
+      desk_.OnEnded(now_, admission.id, End(ForwardEndKind::kFailedThere))));
   EXPECT_TRUE(std::holds_alternative<PassAnswer>(
-      desk_.OnEnded(now_, begun.id, End(ForwardEndKind::kFailedThere))));
+      desk_.OnEnded(now_, admission.id, End(ForwardEndKind::kFailedThere))));
 }
 
-TEST_F(ForwardDeskTest, AStreamGoesOnAfterTheLastEventThatTheCallerHas) {
-  const ForwardBegun begun = Arrive("/stream/1");
+TEST_F(ForwardDeskTest, StreamResumesAfterTheLastDeliveredEvent) {
+  const ForwardBegun admission = Arrive("/stream/1");
   ForwardEnd end = End(ForwardEndKind::kBroke);
   end.delivered = true;
   end.last_event = 7;
-  const ForwardStep step = desk_.OnEnded(now_, begun.id, end);
+  const ForwardStep step = desk_.OnEnded(now_, admission.id, end);
   EXPECT_EQ(std::get<SendForward>(step).resume_after, 7);
   // A third run is not allowed, so the caller must see that the stream is cut.
   end.last_event = 9;
-  EXPECT_TRUE(
-      std::holds_alternative<ForwardCut>(desk_.OnEnded(now_, begun.id, end)));
+  EXPECT_TRUE(std::holds_alternative<ForwardTruncated>(
+      desk_.OnEnded(now_, admission.id, end)));
 }
 
 // A fleet of engines, which order their waiting requests by precedence.
-class ForwardDeskOrderTest : public ForwardDeskTest {
+class ForwardDeskPrecedenceTest : public ForwardDeskTest {
  protected:
-  ForwardDeskOrderTest() {
+  ForwardDeskPrecedenceTest() {
     EngineProfile profile;
     profile.models = {{ModelId("m"), 1, 1, 1, Duration(), Duration()}};
     configuration_.version = ConfigurationVersion(1);
-    configuration_.routes = {Route("/stream/", Repetition::kResume)};
+    configuration_.routes = {MakeRoute("/stream/", Repetition::kResume)};
     configuration_.routes.front().rank = Rank(2);
     configuration_.routes.front().latency_objective = Duration::Millis(100);
     configuration_.services = {{ServiceId("s"), 100, profile}};
@@ -203,8 +203,8 @@
     selector_.SetReplicas(now_, replicas);
   }
 
-  ForwardBegun Ask(const std::string& key,
-                   std::optional<std::int64_t> resume_after = {}) {
+  ForwardBegun ArriveWithKey(const std::string& key,
+                             std::optional<std::int64_t> resume_after = {}) {
     ForwardRequest request;
     request.resume_after = resume_after;
     request.host = "h";
@@ -218,18 +218,20 @@
   FleetConfiguration configuration_;
 };
 
-TEST_F(ForwardDeskOrderTest, TheCustomersRankGoesBeforeTheRoutes) {
-  EXPECT_EQ(std::get<SendForward>(Ask("key").step).precedence->rank, Rank(2));
-  EXPECT_EQ(std::get<SendForward>(Ask("first").step).precedence->rank, Rank(1));
+TEST_F(ForwardDeskPrecedenceTest, CustomerRankOverridesRouteRank) {
+  EXPECT_EQ(std::get<SendForward>(ArriveWithKey("key").step).precedence->rank,
+            Rank(2));
+  EXPECT_EQ(std::get<SendForward>(ArriveWithKey("first").step).precedence->rank,
+            Rank(1));
 }
 
-TEST_F(ForwardDeskOrderTest, AStreamThatGoesOnWaitsForNobody) {
-  const ForwardBegun begun = Ask("key");
-  desk_.OnProgress(now_, begun.id);
+TEST_F(ForwardDeskPrecedenceTest, ResumedStreamHasTheHighestUrgency) {
+  const ForwardBegun admission = ArriveWithKey("key");
+  desk_.OnProgress(now_, admission.id);
   ForwardEnd end = End(ForwardEndKind::kSilent);
   end.delivered = true;
   end.last_event = 3;
-  const ForwardStep step = desk_.OnEnded(now_, begun.id, end);
+  const ForwardStep step = desk_.OnEnded(now_, admission.id, end);
   EXPECT_EQ(std::get<SendForward>(step).precedence->urgency, Urgency::kResumed);
 }
 
@@ -237,32 +239,32 @@
 // loss of many nodes: callers whose streams broke return together two seconds
 // later, and a resumed stream must not be prioritized if its pause is already
 // too long.
-TEST_F(ForwardDeskOrderTest, AStreamWhosePauseIsTooLongAlreadyHoldsNobodyUp) {
-  const ForwardBegun begun = Ask("key");
-  desk_.OnProgress(now_, begun.id);
+TEST_F(ForwardDeskPrecedenceTest, ResumedStreamWithALongPauseIsDeferred) {
+  const ForwardBegun admission = ArriveWithKey("key");
+  desk_.OnProgress(now_, admission.id);
   now_ = now_ + Duration::Seconds(1);
   ForwardEnd end = End(ForwardEndKind::kSilent);
   end.delivered = true;
   end.last_event = 3;
-  const ForwardStep step = desk_.OnEnded(now_, begun.id, end);
+  const ForwardStep step = desk_.OnEnded(now_, admission.id, end);
   EXPECT_EQ(std::get<SendForward>(step).precedence->urgency,
             Urgency::kDeferred);
 }
 
-TEST_F(ForwardDeskOrderTest, ACallerThatComesBackForTheRestHoldsNobodyUp) {
-  const ForwardBegun begun = Ask("key", 3);
-  EXPECT_EQ(std::get<SendForward>(begun.step).precedence->urgency,
+TEST_F(ForwardDeskPrecedenceTest, RequestToResumeIsDeferred) {
+  const ForwardBegun admission = ArriveWithKey("key", 3);
+  EXPECT_EQ(std::get<SendForward>(admission.step).precedence->urgency,
             Urgency::kDeferred);
 }
 
 // Guards against a late request that makes others late: its first endpoint is
 // stalled for longer than the objective, and it must not go to the next one as
 // if it were new.
-TEST_F(ForwardDeskOrderTest, OneThatIsLateGoesBehindThoseThatAreNot) {
-  const ForwardBegun begun = Ask("key");
+TEST_F(ForwardDeskPrecedenceTest, LateRequestIsDeferred) {
+  const ForwardBegun admission = ArriveWithKey("key");
   now_ = now_ + Duration::Millis(150);
   const ForwardStep step =
-      desk_.OnEnded(now_, begun.id, End(ForwardEndKind::kNotRun));
+      desk_.OnEnded(now_, admission.id, End(ForwardEndKind::kNotRun));
   EXPECT_EQ(std::get<SendForward>(step).precedence->urgency,
             Urgency::kDeferred);
 }
@@ -270,23 +272,24 @@
 // Guards against a burst that makes all requests late: after a steady rate five
 // requests arrive at once, and only one of them starts within the objective, so
 // only one may be prioritized.
-TEST_F(ForwardDeskOrderTest, WhatCannotBeginInTimeIsDeferredOnArrival) {
+TEST_F(ForwardDeskPrecedenceTest, RequestsBeyondTheWindowAreDeferredOnArrival) {
   for (int i = 0; i < 9; ++i) {
-    const ForwardBegun begun = Ask("key");
-    ASSERT_EQ(std::get<SendForward>(begun.step).precedence->urgency,
+    const ForwardBegun admission = ArriveWithKey("key");
+    ASSERT_EQ(std::get<SendForward>(admission.step).precedence->urgency,
               Urgency::kOnTime);
     now_ = now_ + Duration::Millis(150);
-    desk_.OnProgress(now_, begun.id);
+    desk_.OnProgress(now_, admission.id);
     ForwardEnd end = End(ForwardEndKind::kSucceeded);
     end.delivered = true;
-    desk_.OnEnded(now_, begun.id, end);
+    desk_.OnEnded(now_, admission.id, end);
   }
   std::vector<Urgency> urgencies;
-  std::vector<ForwardId> asked;
+  std::vector<ForwardId> ids;
   for (int i = 0; i < 5; ++i) {
-    const ForwardBegun begun = Ask("key");
-    urgencies.push_back(std::get<SendForward>(begun.step).precedence->urgency);
-    asked.push_back(begun.id);
+    const ForwardBegun admission = ArriveWithKey("key");
+    urgencies.push_back(
+        std::get<SendForward>(admission.step).precedence->urgency);
+    ids.push_back(admission.id);
   }
   EXPECT_EQ(urgencies,
             (std::vector<Urgency>{Urgency::kOnTime, Urgency::kDeferred,
@@ -294,57 +297,58 @@
                                   Urgency::kDeferred}));
   // The next request is prioritized once the first has started, ended or lost
   // its caller.
-  desk_.OnProgress(now_, asked[0]);
-  const ForwardBegun next = Ask("key");
+  desk_.OnProgress(now_, ids[0]);
+  const ForwardBegun next = ArriveWithKey("key");
   EXPECT_EQ(std::get<SendForward>(next.step).precedence->urgency,
             Urgency::kOnTime);
   desk_.OnCallerGone(now_, next.id);
-  const ForwardBegun last = Ask("key");
+  const ForwardBegun last = ArriveWithKey("key");
   EXPECT_EQ(std::get<SendForward>(last.step).precedence->urgency,
             Urgency::kOnTime);
   desk_.OnEnded(now_, last.id, End(ForwardEndKind::kOutOfTime));
-  EXPECT_EQ(std::get<SendForward>(Ask("key").step).precedence->urgency,
-            Urgency::kOnTime);
+  EXPECT_EQ(
+      std::get<SendForward>(ArriveWithKey("key").step).precedence->urgency,
+      Urgency::kOnTime);
 }
 
 // Guards against two final events for one request, and against a refusal event
 // for a request whose outcome is unknown: the search for another endpoint must
 // not report a refusal of its own.
-TEST_F(ForwardDeskTest, EachRequestHasOneFinalLine) {
+TEST_F(ForwardDeskTest, EachRequestHasOneFinalEvent) {
   SetReplicas(1);
-  ForwardBegun begun = Arrive("/whole/1");
-  desk_.OnEnded(now_, begun.id, End(ForwardEndKind::kNotRun));
+  ForwardBegun admission = Arrive("/whole/1");
+  desk_.OnEnded(now_, admission.id, End(ForwardEndKind::kNotRun));
   EXPECT_EQ(events_, std::vector<EventKind>{EventKind::kRequestRefused});
   events_.clear();
   SetReplicas(0);
   SetReplicas(1);
-  begun = Arrive("/whole/1");
-  ASSERT_TRUE(std::holds_alternative<SendForward>(begun.step));
-  desk_.OnEnded(now_, begun.id, End(ForwardEndKind::kBroke));
+  admission = Arrive("/whole/1");
+  ASSERT_TRUE(std::holds_alternative<SendForward>(admission.step));
+  desk_.OnEnded(now_, admission.id, End(ForwardEndKind::kBroke));
   EXPECT_EQ(events_, std::vector<EventKind>{EventKind::kRequestOutcomeUnknown});
   events_.clear();
   SetReplicas(0);
   SetReplicas(1);
   // The endpoint's own failure is passed on, so the outcome is known.
-  begun = Arrive("/whole/1");
-  ASSERT_TRUE(std::holds_alternative<SendForward>(begun.step));
-  desk_.OnEnded(now_, begun.id, End(ForwardEndKind::kFailedThere));
+  admission = Arrive("/whole/1");
+  ASSERT_TRUE(std::holds_alternative<SendForward>(admission.step));
+  desk_.OnEnded(now_, admission.id, End(ForwardEndKind::kFailedThere));
   EXPECT_TRUE(events_.empty());
 }
 
-TEST_F(ForwardDeskTest, NothingIsSentWithoutTimeLeft) {
-  const ForwardBegun begun = Arrive("/whole/1");
+TEST_F(ForwardDeskTest, RequestIsNotRetriedWithoutTimeLeft) {
+  const ForwardBegun admission = Arrive("/whole/1");
   now_ = now_ + Duration::Millis(980);
   EXPECT_TRUE(std::holds_alternative<ForwardUnknown>(
-      desk_.OnEnded(now_, begun.id, End(ForwardEndKind::kBroke))));
+      desk_.OnEnded(now_, admission.id, End(ForwardEndKind::kBroke))));
 }
 
-TEST_F(ForwardDeskTest, RefusesAtOnceWhereThereIsNoRoom) {
+TEST_F(ForwardDeskTest, RefusesAtOnceIfThereIsNoCapacity) {
   SetReplicas(1);
   int refused = 0;
   for (int i = 0; i < 12; ++i) {
-    const ForwardBegun begun = Arrive("/whole/1");
-    if (const auto* refusal = std::get_if<ForwardRefused>(&begun.step)) {
+    const ForwardBegun admission = Arrive("/whole/1");
+    if (const auto* refusal = std::get_if<ForwardRefused>(&admission.step)) {
       ++refused;
       EXPECT_EQ(refusal->kind, RefusalKind::kNoCapacity);
       EXPECT_GT(refusal->retry_after, Duration());
@@ -377,8 +381,8 @@
   request.host = "h";
   request.path = may_repeat ? "/whole/1" : "/once/1";
   request.key = "key";
-  ForwardBegun begun = desk.OnArrived(now, request, Routes());
-  ForwardStep step = begun.step;
+  ForwardBegun admission = desk.OnArrived(now, request, MakeRoutes());
+  ForwardStep step = admission.step;
   int may_have_run = 0;
   int sends = 0;
   while (std::holds_alternative<SendForward>(step)) {
@@ -394,7 +398,7 @@
     now = now + Duration::Millis(*rc::gen::inRange(1, 400));
     ForwardEnd end;
     end.kind = kind;
-    step = desk.OnEnded(now, begun.id, end);
+    step = desk.OnEnded(now, admission.id, end);
   }
   if (!may_repeat) {
     RC_ASSERT(may_have_run <= 1);
--- a/tests/coordination/gateway/overload_test.cc
+++ b/tests/coordination/gateway/overload_test.cc
@@ -18,18 +18,19 @@
 constexpr Duration kPass = Duration::Millis(50);
 constexpr Duration kStreamTime = Duration::Millis(1100);
 // Without a queue a stream starts after about 160 ms.
-constexpr Duration kReading = Duration::Millis(130);
+constexpr Duration kPromptTime = Duration::Millis(130);
 constexpr Duration kObjective = Duration::Millis(250);
-constexpr Duration kPatience = Duration::Millis(2000);
+constexpr Duration kCallerTimeout = Duration::Millis(2000);
 // Two thirds of what the groups can run.
 constexpr double kUsualPerSecond = 95;
 
 // Simulates nodes in front of a few groups of engines, in virtual time. Each
 // engine starts waiting requests by their precedence as slots become free; a
 // node learns an engine's load when one of its own streams starts.
-class OverloadedGroups {
+class OverloadSimulation {
  public:
-  explicit OverloadedGroups(std::uint64_t seed) : random_(SeededRandom(seed)) {
+  explicit OverloadSimulation(std::uint64_t seed)
+      : random_(SeededRandom(seed)) {
     std::vector<Replica> replicas;
     for (std::size_t i = 0; i < kGroups; ++i) {
       Replica replica;
@@ -59,11 +60,11 @@
     const Time end = now_ + time;
     while (now_ < end) {
       now_ = now_ + Duration::Millis(10);
-      due_ += kUsualPerSecond * load / 100;
-      for (; due_ >= 1; due_ -= 1) {
-        Ask(DrawBelow(random_, kNodes), now_, DrawUnit(random_) < abusive);
+      due_requests_ += kUsualPerSecond * load / 100;
+      for (; due_requests_ >= 1; due_requests_ -= 1) {
+        Submit(DrawBelow(random_, kNodes), now_, DrawUnit(random_) < abusive);
       }
-      ReturnCallers();
+      SubmitDueReturns();
       for (std::size_t i = 0; i < kGroups; ++i) {
         if ((now_.millis() + static_cast<std::int64_t>(i) * 10) %
                 kPass.millis() ==
@@ -93,15 +94,15 @@
     Time sent;
     // Times at which the engine has read the prompt and at which the stream
     // ends.
-    Time begins;
+    Time starts;
     Time ends;
-    bool begun = false;
+    bool started = false;
   };
   struct Group {
     std::vector<Request> running;
     std::vector<Request> waiting;
   };
-  struct Return {
+  struct ReturningCaller {
     Time at;
     std::size_t node = 0;
     Time asked;
@@ -127,19 +128,19 @@
     return std::make_shared<const RouteTable>(std::move(configuration));
   }
 
-  void Ask(std::size_t node, Time asked, bool repeats) {
+  void Submit(std::size_t node, Time asked, bool is_abusive) {
     ForwardRequest request;
     request.host = "h";
     request.path = "/x";
     request.model = ModelId("m");
     request.prompt_tokens = TokenCount(700);
-    const ForwardBegun begun =
+    const ForwardBegun admission =
         nodes_[node]->desk.OnArrived(now_, std::move(request), routes_);
-    if (const auto* send = std::get_if<SendForward>(&begun.step)) {
+    if (const auto* send = std::get_if<SendForward>(&admission.step)) {
       Request run;
       run.node = node;
       run.asked = asked;
-      run.id = begun.id;
+      run.id = admission.id;
       run.urgency = send->precedence->urgency;
       run.sent = now_;
       groups_[std::stoul(send->vm.value())].waiting.push_back(run);
@@ -147,36 +148,36 @@
     }
     // Each caller returns once; an abusive one does not wait.
     if (asked == now_) {
-      const auto& refused = std::get<ForwardRefused>(begun.step);
-      returns_.push_back(
-          {repeats ? now_ + Duration::Millis(10) : now_ + refused.retry_after,
-           DrawBelow(random_, kNodes), asked});
+      const auto& refused = std::get<ForwardRefused>(admission.step);
+      returns_.push_back({is_abusive ? now_ + Duration::Millis(10)
+                                     : now_ + refused.retry_after,
+                          DrawBelow(random_, kNodes), asked});
     }
   }
 
-  void ReturnCallers() {
-    std::vector<Return> due;
-    std::erase_if(returns_, [&](const Return& back) {
-      if (back.at > now_) {
+  void SubmitDueReturns() {
+    std::vector<ReturningCaller> due;
+    std::erase_if(returns_, [&](const ReturningCaller& caller) {
+      if (caller.at > now_) {
         return false;
       }
-      due.push_back(back);
+      due.push_back(caller);
       return true;
     });
-    for (const Return& back : due) {
-      Ask(back.node, back.asked, false);
+    for (const ReturningCaller& caller : due) {
+      Submit(caller.node, caller.asked, false);
     }
   }
 
   void RunPass(std::size_t index) {
     Group& group = groups_[index];
     for (Request& request : group.running) {
-      if (!request.begun && now_ >= request.begins) {
-        Begin(group, request);
+      if (!request.started && now_ >= request.starts) {
+        StartStream(group, request);
       }
     }
     std::erase_if(group.running, [&](const Request& request) {
-      if (request.begun && now_ >= request.ends) {
+      if (request.started && now_ >= request.ends) {
         ForwardEnd end;
         end.kind = ForwardEndKind::kSucceeded;
         end.delivered = true;
@@ -186,7 +187,7 @@
       return false;
     });
     std::erase_if(group.waiting, [&](const Request& request) {
-      if (now_ - request.sent < kPatience) {
+      if (now_ - request.sent < kCallerTimeout) {
         return false;
       }
       nodes_[request.node]->desk.OnCallerGone(now_, request.id);
@@ -199,14 +200,14 @@
     while (!group.waiting.empty() && group.running.size() < kPlaces) {
       Request request = group.waiting.front();
       group.waiting.erase(group.waiting.begin());
-      request.begins = now_ + kReading;
-      request.ends = request.begins + kStreamTime;
+      request.starts = now_ + kPromptTime;
+      request.ends = request.starts + kStreamTime;
       group.running.push_back(request);
     }
   }
 
-  void Begin(const Group& group, Request& request) {
-    request.begun = true;
+  void StartStream(const Group& group, Request& request) {
+    request.started = true;
     ForwardDesk& desk = nodes_[request.node]->desk;
     desk.OnLoad(now_, request.id,
                 {static_cast<std::int64_t>(group.running.size()),
@@ -219,9 +220,9 @@
   Time now_ = Time::FromMillis(1'000'000);
   std::vector<std::unique_ptr<Node>> nodes_;
   std::vector<Group> groups_;
-  std::vector<Return> returns_;
+  std::vector<ReturningCaller> returns_;
   const std::shared_ptr<const RouteTable> routes_ = Routes();
-  double due_ = 0;
+  double due_requests_ = 0;
   int in_time_ = 0;
 };
 
@@ -229,18 +230,19 @@
 // usual one for four seconds and a third of the refused callers return at once.
 // If deferral is learned from requests that started late, or if deferred
 // requests take every free slot, a third as many requests start in time as at
-// the usual load, and half as many for seconds afterwards.
+// the usual load although the engines run more of them, and half as many for
+// seconds afterwards.
 class OverloadTest : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(OverloadTest, MostOfTheUsualNumberBeginInTime) {
-  OverloadedGroups groups(GetParam());
-  groups.Run(Duration::Seconds(4), 1, 0);
-  const int usual = groups.Run(Duration::Seconds(2), 1, 0);
+TEST_P(OverloadTest, MostRequestsStartInTimeUnderOverload) {
+  OverloadSimulation simulation(GetParam());
+  simulation.Run(Duration::Seconds(4), 1, 0);
+  const int usual = simulation.Run(Duration::Seconds(2), 1, 0);
   EXPECT_GE(usual, 180);
-  EXPECT_GE(groups.Run(Duration::Seconds(2), 1.9, 0.3), usual * 0.85);
-  EXPECT_GE(groups.Run(Duration::Seconds(2), 1.9, 0.3), usual * 0.7);
-  groups.Run(Duration::Seconds(1), 1, 0);
-  EXPECT_GE(groups.Run(Duration::Seconds(2), 1, 0), usual * 0.65);
+  EXPECT_GE(simulation.Run(Duration::Seconds(2), 1.9, 0.3), usual * 0.85);
+  EXPECT_GE(simulation.Run(Duration::Seconds(2), 1.9, 0.3), usual * 0.7);
+  simulation.Run(Duration::Seconds(1), 1, 0);
+  EXPECT_GE(simulation.Run(Duration::Seconds(2), 1, 0), usual * 0.65);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, OverloadTest, testing::Values(1, 2, 3, 4));
--- a/tests/coordination/gateway/replica_selector_test.cc
+++ b/tests/coordination/gateway/replica_selector_test.cc
@@ -9,7 +9,7 @@
 
 constexpr Time kStart = Time::FromMillis(1000000);
 
-Replica Group(const std::string& vm) {
+Replica MakeGroup(const std::string& vm) {
   Replica replica;
   replica.vm = VmId(vm);
   replica.service = ServiceId("llm");
@@ -28,7 +28,8 @@
  protected:
   ReplicaSelectorTest()
       : selector_({}, ZoneId("z"), SeededRandom(5), DiscardEvents()) {
-    selector_.SetReplicas(now_, {Group("a"), Group("b"), Group("c")});
+    selector_.SetReplicas(now_,
+                          {MakeGroup("a"), MakeGroup("b"), MakeGroup("c")});
   }
 
   Result<ReplicaChoice, RefusalKind> Choose(std::vector<VmId> excluded = {}) {
@@ -39,7 +40,7 @@
   AttemptNumber Send(const std::string& vm) {
     return selector_.OnSent(now_, VmId(vm), TokenCount(1000), true);
   }
-  void Wait(std::int64_t millis) { now_ = now_ + Duration::Millis(millis); }
+  void Advance(std::int64_t millis) { now_ = now_ + Duration::Millis(millis); }
 
   Time now_ = kStart;
   ReplicaSelector selector_;
@@ -63,8 +64,8 @@
 // Guards against a restarted VM that gets no requests: it crashes with requests
 // in flight and starts again under the same id, and the load of its earlier run
 // must not count for the new one.
-TEST_F(ReplicaSelectorTest, ARunUnderTheSameIdStartsWithoutLoad) {
-  Replica replica = Group("a");
+TEST_F(ReplicaSelectorTest, RestartedVmStartsWithoutLoad) {
+  Replica replica = MakeGroup("a");
   selector_.SetReplicas(now_, {replica});
   for (int i = 0; i < 100; ++i) {
     selector_.OnSent(now_, VmId("a"), TokenCount(100), true);
@@ -85,7 +86,7 @@
 // Guards against all nodes sending their requests to one group in turn: known
 // loads are a second or more old, so if every node compared all groups, each
 // would choose the one that last looked least loaded.
-TEST_F(ReplicaSelectorTest, TheOneThatLookedEmptiestDoesNotGetEverything) {
+TEST_F(ReplicaSelectorTest, LeastLoadedReplicaDoesNotGetAllRequests) {
   selector_.OnLoad(now_, VmId("a"), {0, 0, 26});
   selector_.OnLoad(now_, VmId("b"), {26, 0, 26});
   selector_.OnLoad(now_, VmId("c"), {26, 0, 26});
@@ -97,7 +98,7 @@
   EXPECT_LT(chosen[VmId("a")], 250);
 }
 
-TEST_F(ReplicaSelectorTest, WhatWaitsBehindARequestLeavesRoomForIt) {
+TEST_F(ReplicaSelectorTest, DeferredRequestsLeaveRoomForPrioritizedOnes) {
   for (const char* vm : {"a", "b", "c"}) {
     selector_.OnLoad(now_, VmId(vm), {26, 24, 26});
   }
@@ -111,18 +112,18 @@
 
 // Guards against requests that are still sent to a group whose streams have
 // stopped: a group that lost a member sends nothing for seconds.
-TEST_F(ReplicaSelectorTest, FindsAGroupThatStandsStillByItsStreams) {
-  const AttemptNumber stuck = Send("a");
-  selector_.OnProgress(now_, stuck);
-  const AttemptNumber going = Send("b");
+TEST_F(ReplicaSelectorTest, DetectsAStalledGroupByItsStreams) {
+  const AttemptNumber stalled = Send("a");
+  selector_.OnProgress(now_, stalled);
+  const AttemptNumber active = Send("b");
   for (int i = 0; i < 9; ++i) {
-    Wait(50);
-    selector_.OnProgress(now_, going);
+    Advance(50);
+    selector_.OnProgress(now_, active);
     if (i < 8) {
       EXPECT_TRUE(selector_.Tick(now_).empty()) << i;
     }
   }
-  EXPECT_EQ(selector_.Tick(now_), std::vector<AttemptNumber>{stuck});
+  EXPECT_EQ(selector_.Tick(now_), std::vector<AttemptNumber>{stalled});
   const std::vector<Replica> found = selector_.TakeStandstills();
   ASSERT_EQ(found.size(), 1U);
   EXPECT_EQ(found.front().vm, VmId("a"));
@@ -131,9 +132,9 @@
   }
   // The group makes progress again: it was only slow, and its measured slowness
   // expires after a while.
-  selector_.OnProgress(now_, stuck);
+  selector_.OnProgress(now_, stalled);
   EXPECT_NE(ValueOf(Choose()).replica.vm, VmId("a"));
-  Wait(2500);
+  Advance(2500);
   bool chosen = false;
   for (int i = 0; i < 50; ++i) {
     chosen = chosen || ValueOf(Choose()).replica.vm == VmId("a");
@@ -146,18 +147,18 @@
 // a fleet of 72 nodes the only request of one node can wait in a queue for
 // longer than the limit, so a node must not take its own few streams for all of
 // the group's.
-TEST_F(ReplicaSelectorTest, AskOtherNodesBeforeAGroupIsTakenToStandStill) {
+TEST_F(ReplicaSelectorTest, AsksOtherNodesBeforeAGroupCountsAsStalled) {
   selector_.SetNodeCount(72);
   Send("a");
-  Wait(1600);
+  Advance(1600);
   EXPECT_TRUE(selector_.Tick(now_).empty());
   const std::vector<Replica> suspected = selector_.TakeSuspicions();
   ASSERT_EQ(suspected.size(), 1U);
   EXPECT_EQ(suspected.front().vm, VmId("a"));
-  Wait(20);
+  Advance(20);
   selector_.OnProgressHeard(now_, VmId("a"), Generation(1),
                             Duration::Millis(60));
-  Wait(400);
+  Advance(400);
   EXPECT_TRUE(selector_.Tick(now_).empty());
   EXPECT_TRUE(selector_.TakeSuspicions().empty());
   EXPECT_TRUE(selector_.TakeStandstills().empty());
@@ -165,38 +166,38 @@
   EXPECT_FALSE(selector_.OwnProgress(VmId("a"), Generation(1)).has_value());
 }
 
-TEST_F(ReplicaSelectorTest, WithoutAWitnessAGroupStandsStillSoonAfter) {
+TEST_F(ReplicaSelectorTest, GroupCountsAsStalledIfNoOtherNodeSawProgress) {
   selector_.SetNodeCount(72);
-  const AttemptNumber stuck = Send("a");
-  selector_.OnProgress(now_, stuck);
-  Wait(450);
+  const AttemptNumber stalled = Send("a");
+  selector_.OnProgress(now_, stalled);
+  Advance(450);
   EXPECT_TRUE(selector_.Tick(now_).empty());
   // An old report, or one of an earlier group, is no evidence of progress.
   selector_.OnProgressHeard(now_, VmId("a"), Generation(1),
                             Duration::Millis(460));
   selector_.OnProgressHeard(now_, VmId("a"), Generation(9), Duration());
-  Wait(80);
-  EXPECT_EQ(selector_.Tick(now_), std::vector<AttemptNumber>{stuck});
+  Advance(80);
+  EXPECT_EQ(selector_.Tick(now_), std::vector<AttemptNumber>{stalled});
   EXPECT_EQ(selector_.TakeStandstills().size(), 1U);
 }
 
-TEST_F(ReplicaSelectorTest, ANewGenerationStartsWithoutHistory) {
-  const AttemptNumber stuck = Send("a");
-  selector_.OnProgress(now_, stuck);
-  Wait(600);
+TEST_F(ReplicaSelectorTest, NewGenerationStartsWithoutHistory) {
+  const AttemptNumber stalled = Send("a");
+  selector_.OnProgress(now_, stalled);
+  Advance(600);
   selector_.Tick(now_);
-  Replica again = Group("a");
-  again.generation = Generation(2);
-  selector_.SetReplicas(now_, {again});
+  Replica regrouped = MakeGroup("a");
+  regrouped.generation = Generation(2);
+  selector_.SetReplicas(now_, {regrouped});
   EXPECT_TRUE(IsOk(Choose()));
   // The old attempt's end says nothing about the new group.
-  selector_.OnEnded(now_, stuck, ForwardEndKind::kBroke);
+  selector_.OnEnded(now_, stalled, ForwardEndKind::kBroke);
   EXPECT_TRUE(IsOk(Choose()));
 }
 
-TEST_F(ReplicaSelectorTest, OwnStreamsSayMoreThanAnotherNodesWord) {
-  const AttemptNumber going = Send("a");
-  selector_.OnProgress(now_, going);
+TEST_F(ReplicaSelectorTest, RecentProgressOutweighsAnotherNodesReport) {
+  const AttemptNumber active = Send("a");
+  selector_.OnProgress(now_, active);
   EXPECT_TRUE(
       selector_.OnStandstillHeard(now_, VmId("a"), Generation(1)).empty());
   EXPECT_TRUE(
@@ -205,13 +206,13 @@
 
 // Guards against a replica that fails at once and attracts all requests because
 // it looks idle.
-TEST_F(ReplicaSelectorTest, LeavesOutAReplicaThatFailsAndTriesItAgain) {
+TEST_F(ReplicaSelectorTest, LeavesOutAFailingReplicaAndRetriesItLater) {
   const AttemptNumber failed = Send("a");
   selector_.OnEnded(now_, failed, ForwardEndKind::kFailedThere);
   for (int i = 0; i < 20; ++i) {
     EXPECT_NE(ValueOf(Choose()).replica.vm, VmId("a"));
   }
-  Wait(400);
+  Advance(400);
   bool chosen = false;
   for (int i = 0; i < 50; ++i) {
     chosen = chosen || ValueOf(Choose()).replica.vm == VmId("a");
@@ -222,10 +223,10 @@
 // Guards against sending, and paying for, half of the requests across data
 // centres although the node's own one has room: with two drawn from all groups,
 // four of ten draws contain none of the own data centre.
-TEST_F(ReplicaSelectorTest, CrossesDataCentresOnlyWhereTheOwnOneIsBusier) {
+TEST_F(ReplicaSelectorTest, UsesOtherDataCentresOnlyIfTheOwnOneIsBusier) {
   std::vector<Replica> replicas;
   for (const char* vm : {"a", "b", "c", "d", "e", "f"}) {
-    replicas.push_back(Group(vm));
+    replicas.push_back(MakeGroup(vm));
     replicas.back().zone = ZoneId(vm < std::string("c") ? "z" : "other");
   }
   selector_.SetReplicas(now_, replicas);
@@ -241,7 +242,7 @@
   }
 }
 
-TEST_F(ReplicaSelectorTest, TellsNoReplicaFromNoRoom) {
+TEST_F(ReplicaSelectorTest, DistinguishesNoReplicaFromNoCapacity) {
   EXPECT_EQ(ErrorOf(Choose({VmId("a"), VmId("b"), VmId("c")})),
             RefusalKind::kNoEndpoint);
   for (const char* vm : {"a", "b", "c"}) {
--- a/tests/coordination/gateway/shared_retry_budget_test.cc
+++ b/tests/coordination/gateway/shared_retry_budget_test.cc
@@ -11,7 +11,9 @@
 
 // Over all nodes and in any window, retries stay below the ratio of the
 // requests plus the slack, without messages between the nodes.
-RC_GTEST_PROP(SharedRetryBudgetProperty, HoldsInEveryWindowOverAllNodes, ()) {
+RC_GTEST_PROP(SharedRetryBudgetProperty,
+              LimitHoldsInEveryWindowOverAllNodes,
+              ()) {
   const SharedRetryBudgetSettings settings{0.2, 134, Duration::Seconds(10),
                                            0.8};
   const auto nodes = *rc::gen::inRange<std::size_t>(1, 9);
@@ -31,7 +33,7 @@
     }
     // Every request fails, so each node spends its whole budget.
     for (SharedRetryBudget& budget : budgets) {
-      while (budget.Spend(now, service)) {
+      while (budget.TrySpend(now, service)) {
         spent.push_back(now);
       }
     }
@@ -47,12 +49,12 @@
   }
 }
 
-TEST(SharedRetryBudgetTest, ServicesHaveAccountsOfTheirOwn) {
+TEST(SharedRetryBudgetTest, ServicesHaveSeparateBudgets) {
   SharedRetryBudget budget({0, 10, Duration::Seconds(10), 1});
   const Time now = Time::FromMillis(1000000);
-  while (budget.Spend(now, ServiceId("a"))) {
+  while (budget.TrySpend(now, ServiceId("a"))) {
   }
-  EXPECT_TRUE(budget.Spend(now, ServiceId("b")));
+  EXPECT_TRUE(budget.TrySpend(now, ServiceId("b")));
 }
 
 }  // namespace
--- a/tests/coordination/roles/node_lease_test.cc
+++ b/tests/coordination/roles/node_lease_test.cc
@@ -62,7 +62,7 @@
 
 // Guards against a record that disappears when its lease is replaced by a
 // relaxed one.
-TEST(NodeLeaseTest, ARelaxedLeaseTakesTheRecordOver) {
+TEST(NodeLeaseTest, RelaxedLeaseTakesOverTheRecord) {
   LeaseCluster cluster(1, 4);
   cluster.Run(Duration::Seconds(2));
   const auto lease_of_record = [&] {
--- a/tests/coordination/roles/role_leases_test.cc
+++ b/tests/coordination/roles/role_leases_test.cc
@@ -13,7 +13,7 @@
                                    RoleName("once/1")};
 
 // Applies one random fault or recovery.
-void Disturb(LeaseCluster& cluster) {
+void InjectFault(LeaseCluster& cluster) {
   const Random& random = cluster.random();
   const std::size_t index = DrawBelow(random, cluster.nodes().size());
   FakeStoreFaults& faults = cluster.link().faults();
@@ -58,7 +58,7 @@
 // want one role. It would come from a hold that outlives the lease, a
 // misinterpreted lost or late reply, or a deletion that arrives after the role
 // was taken again.
-RC_GTEST_PROP(RoleLeasesProperty, HoldsAreAlwaysTrue, (std::uint64_t seed)) {
+RC_GTEST_PROP(RoleLeasesProperty, HoldsAlwaysMatchStore, (std::uint64_t seed)) {
   LeaseCluster cluster(3, seed);
   for (LeaseCluster::Node& node : cluster.nodes()) {
     node.offset = Duration::Millis(
@@ -71,10 +71,10 @@
   }
   for (int step = 0; step < 2000; ++step) {
     if (DrawBelow(cluster.random(), 20) == 0) {
-      Disturb(cluster);
+      InjectFault(cluster);
     }
     cluster.Step();
-    RC_ASSERT(cluster.HoldsAreTrue(kRoles));
+    RC_ASSERT(cluster.HoldsMatchStore(kRoles));
   }
 }
 
@@ -87,7 +87,7 @@
   LeaseCluster cluster(3, seed);
   for (int step = 0; step < 1000; ++step) {
     if (DrawBelow(cluster.random(), 20) == 0) {
-      Disturb(cluster);
+      InjectFault(cluster);
     }
     cluster.Step();
   }
@@ -102,14 +102,14 @@
   }
   cluster.Run(Duration::Seconds(60));
   for (const RoleName& role : kRoles) {
-    RC_ASSERT(cluster.Holds(role).size() == 1U);
+    RC_ASSERT(cluster.FindHolds(role).size() == 1U);
   }
 }
 
 // Guards against a paused holder that wakes and gives orders beside its
 // successor. n0 is paused, its lease lapses and n1 takes the role; n0 must see
 // from its clock alone that its hold has ended.
-TEST(RoleLeasesTest, PausedHolderDoesNotBelieveItsLapsedLease) {
+TEST(RoleLeasesTest, PausedHolderDoesNotRelyOnItsLapsedLease) {
   LeaseCluster cluster(2, 1);
   cluster.SetDesired(0, {kRole});
   cluster.Run(Duration::Seconds(2));
@@ -127,7 +127,7 @@
 // Guards against a role that nobody can take until a node leaves: the node's
 // put takes effect, its reply is lost, and the node takes the put for a failed
 // one.
-TEST(RoleLeasesTest, LostAnswerOfTakingIsSettled) {
+TEST(RoleLeasesTest, LostReplyToAPutIsResolved) {
   LeaseCluster cluster(1, 2);
   cluster.Run(Duration::Seconds(2));
   cluster.link().faults().reply_lost = 1;
@@ -135,8 +135,8 @@
   cluster.Run(Duration::Seconds(1));
   cluster.link().faults().reply_lost = 0;
   cluster.Run(Duration::Seconds(5));
-  EXPECT_EQ(cluster.Holds(kRole).size(), 1U);
-  EXPECT_TRUE(cluster.HoldsAreTrue({kRole}));
+  EXPECT_EQ(cluster.FindHolds(kRole).size(), 1U);
+  EXPECT_TRUE(cluster.HoldsMatchStore({kRole}));
 }
 
 // Guards against two holders after a slow deletion: a node releases a role and
@@ -146,19 +146,19 @@
   LeaseCluster cluster(1, 6);
   cluster.SetDesired(0, {kRole});
   cluster.Run(Duration::Seconds(2));
-  ASSERT_EQ(cluster.Holds(kRole).size(), 1U);
+  ASSERT_EQ(cluster.FindHolds(kRole).size(), 1U);
   FakeStoreFaults& faults = cluster.link().faults();
   faults.min_delay = faults.max_delay = Duration::Seconds(4);
   cluster.SetDesired(0, {});
-  EXPECT_TRUE(cluster.Holds(kRole).empty());
+  EXPECT_TRUE(cluster.FindHolds(kRole).empty());
   cluster.Run(Duration::Millis(100));
   faults = FakeStoreFaults();
   cluster.SetDesired(0, {kRole});
   bool held = false;
   for (int step = 0; step < 200; ++step) {
     cluster.Step();
-    held |= !cluster.Holds(kRole).empty();
-    ASSERT_TRUE(cluster.HoldsAreTrue({kRole}));
+    held |= !cluster.FindHolds(kRole).empty();
+    ASSERT_TRUE(cluster.HoldsMatchStore({kRole}));
   }
   EXPECT_TRUE(held);
 }
@@ -175,14 +175,14 @@
   cluster.Run(Duration::Millis(100));
   faults = FakeStoreFaults();
   cluster.Run(Duration::Seconds(4));
-  ASSERT_EQ(cluster.Holds(kRole).size(), 1U);
+  ASSERT_EQ(cluster.FindHolds(kRole).size(), 1U);
   cluster.SetDesired(0, {});
   cluster.Run(Duration::Seconds(3));
   ASSERT_TRUE(cluster.link().store().entries().contains("role/keeper/d1"));
-  ASSERT_TRUE(cluster.Holds(kRole).empty());
+  ASSERT_TRUE(cluster.FindHolds(kRole).empty());
   cluster.SetDesired(1, {kRole});
   cluster.Run(Duration::Seconds(25));
-  EXPECT_EQ(cluster.Holds(kRole).size(), 1U);
+  EXPECT_EQ(cluster.FindHolds(kRole).size(), 1U);
 }
 
 // Guards against a node that acts in a role that it lost with an earlier lease.
@@ -215,22 +215,22 @@
   cluster.SetFloor(Revision(1000));
   cluster.SetDesired(0, {kRole});
   cluster.Run(Duration::Seconds(10));
-  EXPECT_TRUE(cluster.Holds(kRole).empty());
+  EXPECT_TRUE(cluster.FindHolds(kRole).empty());
 }
 
 // Guards against a role that stays without a holder although nodes are healthy:
 // its assigned node looks alive to its peers but cannot reach the service.
-TEST(RoleLeasesTest, StandInTakesARoleThatStaysFree) {
+TEST(RoleLeasesTest, UnassignedNodeTakesARoleThatStaysFree) {
   LeaseCluster cluster(2, 4);
   cluster.link().SetReaches(
       [](const std::string& caller) { return !caller.starts_with("0/"); });
   cluster.SetDesired(0, {kRole});
   cluster.nodes()[1].roles->SetFleet({kRole}, 2);
   cluster.Run(Duration::Seconds(60));
-  EXPECT_EQ(cluster.Holds(kRole).size(), 1U);
+  EXPECT_EQ(cluster.FindHolds(kRole).size(), 1U);
 }
 
-TEST(RoleLeasesTest, RenewingCostsTheSameForManyRoles) {
+TEST(RoleLeasesTest, RenewalCostDoesNotGrowWithRoles) {
   std::set<RoleName> many;
   for (int i = 0; i < 100; ++i) {
     many.insert(RoleName("once/" + std::to_string(i)));
--- a/tests/support/lease_cluster.h
+++ b/tests/support/lease_cluster.h
@@ -100,7 +100,7 @@
 
   // Returns the holds of all nodes that would act in the role if they checked
   // their clocks now, including paused nodes.
-  std::vector<HeldRole> Holds(const RoleName& role) const {
+  std::vector<HeldRole> FindHolds(const RoleName& role) const {
     std::vector<HeldRole> holds;
     for (const Node& node : nodes_) {
       if (const auto held = node.roles->Held(role, node.Clock(now_))) {
@@ -113,11 +113,11 @@
   // True if every hold that a node relies on matches the service. Then there
   // are never two holds of a role, and endpoints see only increasing fencing
   // tokens.
-  bool HoldsAreTrue(const std::set<RoleName>& roles) {
+  bool HoldsMatchStore(const std::set<RoleName>& roles) {
     link_.store().DropLapsed(now_);
     const auto& entries = link_.store().entries();
     for (const RoleName& role : roles) {
-      for (const HeldRole& held : Holds(role)) {
+      for (const HeldRole& held : FindHolds(role)) {
         const auto it = entries.find("role/" + role.value());
         if (it == entries.end() ||
             it->second.revision.value() != held.fence.value()) {
