--- a/coordination/gateway/deferral_policy.h
+++ b/coordination/gateway/deferral_policy.h
@@ -30,12 +30,12 @@
 //
 // If all requests were served in order of arrival, they would wait in one long
 // queue and all be late: with 1.5 times the work that can be done, nobody is
-// served in time. Instead, a node prioritizes only as many waiting requests as
-// start within the objective and defers those that arrive beyond them. It
-// counts the waiting requests while the queue exists, instead of learning from
-// requests that started late. It counts only its own requests and so needs no
-// messages. Requests are taken in order of arrival, so no customer, kind or
-// size is left out.
+// served in time. Instead, a node prioritizes (kOnTime) only as many waiting
+// requests as start within the objective and defers those that arrive beyond
+// them. It counts the waiting requests while the queue exists, instead of
+// learning from requests that started late. It counts only its own requests and
+// so needs no messages. Requests are taken in order of arrival, so no customer,
+// kind or size is left out.
 class DeferralPolicy {
  public:
   explicit DeferralPolicy(DeferralPolicySettings settings)
