--- a/coordination/roles/node_lease.cc
+++ b/coordination/roles/node_lease.cc
@@ -6,7 +6,7 @@
 namespace gcw {
 namespace {
 
-// Late replies of this many renewals are still understood.
+// Number of unanswered calls whose late replies are still recognized.
 constexpr std::size_t kMaxPending = 16;
 
 }  // namespace
@@ -46,11 +46,11 @@
   if (!had_lease) {
     return {};
   }
-  return {Call(now, CallKind::kRevoke, StoreLeaseRevoke{lease_})};
+  return {MakeCall(now, CallKind::kRevoke, StoreLeaseRevoke{lease_})};
 }
 
-// The earlier lease is left to lapse: its end must not remove the record before
-// that hangs on the new one.
+// The earlier lease is left to lapse. If it were revoked, the service would
+// delete the record before it is attached to the new lease.
 void NodeLease::SetRelaxed(bool relaxed) {
   if (relaxed == relaxed_) {
     return;
@@ -80,26 +80,26 @@
 }
 
 std::vector<NodeLeaseAction> NodeLease::NextCall(Time now) {
-  if (awaited_ || now < next_call_ || phase_ == Phase::kReleased) {
+  if (awaited_call_ || now < next_call_ || phase_ == Phase::kReleased) {
     return {};
   }
   if (phase_ == Phase::kNone) {
-    return {Call(now, CallKind::kGrant, StoreLeaseGrant{time_to_live()})};
+    return {MakeCall(now, CallKind::kGrant, StoreLeaseGrant{time_to_live()})};
   }
   if (now >= renewal_due_) {
-    return {Call(now, CallKind::kKeepAlive, StoreLeaseKeepAlive{lease_})};
+    return {MakeCall(now, CallKind::kKeepAlive, StoreLeaseKeepAlive{lease_})};
   }
   if (record_written_) {
     return {};
   }
-  return {Call(now, CallKind::kPut,
-               StorePut{.key = "node/" + record_.id.value(),
-                        .value = encode_(record_),
-                        .expected = key_revision_,
-                        .lease = lease_})};
+  return {MakeCall(now, CallKind::kPut,
+                   StorePut{.key = "node/" + record_.id.value(),
+                            .value = encode_(record_),
+                            .expected = key_revision_,
+                            .lease = lease_})};
 }
 
-NodeLeaseAction NodeLease::Call(Time now, CallKind kind, StoreCall call) {
+NodeLeaseAction NodeLease::MakeCall(Time now, CallKind kind, StoreCall call) {
   ++last_id_;
   pending_[last_id_] = {kind, now,
                         kind == CallKind::kGrant ? LeaseId() : lease_,
@@ -107,7 +107,7 @@
   if (pending_.size() > kMaxPending) {
     pending_.erase(pending_.begin());
   }
-  awaited_ = last_id_;
+  awaited_call_ = last_id_;
   return StoreRequest{last_id_, std::move(call)};
 }
 
@@ -120,8 +120,8 @@
   }
   const PendingCall pending = it->second;
   pending_.erase(it);
-  if (awaited_ == id) {
-    awaited_.reset();
+  if (awaited_call_ == id) {
+    awaited_call_.reset();
   }
   HandleReply(now, pending, reply);
   ReportValidity(now);
@@ -140,8 +140,9 @@
     next_call_ = now + std::max(busy->retry_after, backoff_.Next(random_));
     return;
   }
-  // No answer to a grant names a lapsed lease; asking again at once would go on
-  // for as long as the service says so.
+  // A grant names no lease that could have lapsed, so any other reply is
+  // unexpected. An immediate retry would repeat for as long as the service
+  // replies so.
   if (pending.kind == CallKind::kGrant &&
       !std::holds_alternative<StoreLeaseReply>(reply)) {
     next_call_ = now + backoff_.Next(random_);
@@ -152,12 +153,13 @@
     OnLeaseReply(pending, *granted);
     return;
   }
-  // Everything else is about one lease; what concerns an earlier one is past.
+  // Each of the other replies concerns one lease; a reply for an earlier lease
+  // is obsolete.
   if (pending.lease != lease_ || phase_ == Phase::kNone) {
     return;
   }
   if (const auto* written = std::get_if<StoreWritten>(&reply)) {
-    OnWritten(pending, written->revision);
+    OnRecordWritten(pending, written->revision);
   } else if (const auto* conflict = std::get_if<StoreConflict>(&reply)) {
     OnConflict(pending, *conflict);
   } else if (std::holds_alternative<StoreLeaseUnknown>(reply) &&
@@ -170,8 +172,8 @@
 void NodeLease::OnLeaseReply(const PendingCall& pending,
                              const StoreLeaseReply& reply) {
   // The service counts the time to live from when it handled the call, which
-  // was not before the call was sent. Counting from the reply instead would
-  // believe in a lease that has lapsed when the reply was slow.
+  // was not before the call was sent. If it were counted from the reply, a slow
+  // reply would make a lapsed lease look valid.
   const Time valid_until = pending.sent +
                            std::min(reply.time_to_live, pending.time_to_live) -
                            settings_.margin;
@@ -188,7 +190,7 @@
   }
 }
 
-void NodeLease::OnWritten(const PendingCall& pending, Revision revision) {
+void NodeLease::OnRecordWritten(const PendingCall& pending, Revision revision) {
   if (pending.kind != CallKind::kPut || phase_ == Phase::kReleased) {
     return;
   }
@@ -201,11 +203,11 @@
 void NodeLease::OnConflict(const PendingCall& pending,
                            const StoreConflict& conflict) {
   key_revision_ = conflict.current ? conflict.current->revision : Revision();
-  // A put whose answer was lost took effect after all: the lease is this
-  // process's own, so nobody else writes under it.
+  // A put whose reply was lost has taken effect, because only this process
+  // writes under its lease.
   if (conflict.current && conflict.current->lease == lease_ &&
       conflict.current->value == encode_(record_)) {
-    OnWritten(pending, conflict.current->revision);
+    OnRecordWritten(pending, conflict.current->revision);
     record_written_ = true;
   }
 }
@@ -216,19 +218,20 @@
 }
 
 void NodeLease::ExpireCalls(Time now) {
-  if (!awaited_) {
+  if (!awaited_call_) {
     return;
   }
-  const auto it = pending_.find(*awaited_);
+  const auto it = pending_.find(*awaited_call_);
   if (it == pending_.end()) {
-    awaited_.reset();
+    awaited_call_.reset();
     return;
   }
   if (now - it->second.sent < settings_.call_timeout) {
     return;
   }
-  // The entry stays: the reply of a renewal counts also when it is late.
-  awaited_.reset();
+  // The entry is kept, because a late reply to a renewal still extends the
+  // lease.
+  awaited_call_.reset();
   OnUnanswered(now);
 }
 
--- a/tests/coordination/gateway/replica_selector_test.cc
+++ b/tests/coordination/gateway/replica_selector_test.cc
@@ -9,7 +9,7 @@
 
 constexpr Time kStart = Time::FromMillis(1000000);
 
-Replica Group(const std::string& vm) {
+Replica MakeGroup(const std::string& vm) {
   Replica replica;
   replica.vm = VmId(vm);
   replica.service = ServiceId("llm");
@@ -28,7 +28,8 @@
  protected:
   ReplicaSelectorTest()
       : selector_({}, ZoneId("z"), SeededRandom(5), DiscardEvents()) {
-    selector_.SetReplicas(now_, {Group("a"), Group("b"), Group("c")});
+    selector_.SetReplicas(now_,
+                          {MakeGroup("a"), MakeGroup("b"), MakeGroup("c")});
   }
 
   Result<ReplicaChoice, RefusalKind> Choose(std::vector<VmId> excluded = {}) {
@@ -39,14 +40,15 @@
   AttemptNumber Send(const std::string& vm) {
     return selector_.OnSent(now_, VmId(vm), TokenCount(1000), true);
   }
-  void Wait(std::int64_t millis) { now_ = now_ + Duration::Millis(millis); }
+  void Advance(std::int64_t millis) { now_ = now_ + Duration::Millis(millis); }
 
   Time now_ = kStart;
   ReplicaSelector selector_;
 };
 
-// Symptom: a fresh group gets every request of every node at once. Cause: all
-// have the same old report. Each node corrects it by what it sent, and draws.
+// Guards against a new group that gets every request of every node at once,
+// because all nodes have the same old report. Each node corrects the report by
+// what it sent and adds a random amount.
 TEST_F(ReplicaSelectorTest, SpreadsOverReplicasWithTheSameReports) {
   std::map<VmId, int> chosen;
   for (int i = 0; i < 60; ++i) {
@@ -59,11 +61,11 @@
   }
 }
 
-// Symptom: a VM that has just started gets nothing. Sequence: it crashes with
-// requests under way and starts again under its id. Cause: what its earlier run
-// had was counted for the new one.
-TEST_F(ReplicaSelectorTest, ARunUnderTheSameIdStartsWithoutLoad) {
-  Replica replica = Group("a");
+// Guards against a restarted VM that gets no requests: it crashes with requests
+// in flight and starts again under the same id, and the load of its earlier run
+// must not count for the new one.
+TEST_F(ReplicaSelectorTest, RestartedVmStartsWithoutLoad) {
+  Replica replica = MakeGroup("a");
   selector_.SetReplicas(now_, {replica});
   for (int i = 0; i < 100; ++i) {
     selector_.OnSent(now_, VmId("a"), TokenCount(100), true);
@@ -81,11 +83,10 @@
   }
 }
 
-// Symptom: with many nodes, one group after the other gets what comes at all of
-// them. Sequence: the loads that a node knows are a second old and more; one
-// group looked emptiest then, to every node. Cause: all were compared, so each
-// node sent everything to that one.
-TEST_F(ReplicaSelectorTest, TheOneThatLookedEmptiestDoesNotGetEverything) {
+// Guards against all nodes sending their requests to one group in turn: known
+// loads are a second or more old, so if every node compared all groups, each
+// would choose the one that last looked least loaded.
+TEST_F(ReplicaSelectorTest, LeastLoadedReplicaDoesNotGetAllRequests) {
   selector_.OnLoad(now_, VmId("a"), {0, 0, 26});
   selector_.OnLoad(now_, VmId("b"), {26, 0, 26});
   selector_.OnLoad(now_, VmId("c"), {26, 0, 26});
@@ -97,7 +98,7 @@
   EXPECT_LT(chosen[VmId("a")], 250);
 }
 
-TEST_F(ReplicaSelectorTest, WhatWaitsBehindARequestLeavesRoomForIt) {
+TEST_F(ReplicaSelectorTest, DeferredRequestsLeaveRoomForPrioritizedOnes) {
   for (const char* vm : {"a", "b", "c"}) {
     selector_.OnLoad(now_, VmId(vm), {26, 24, 26});
   }
@@ -109,30 +110,31 @@
             RefusalKind::kNoCapacity);
 }
 
-// Symptom: streams of one group stop, and requests go there on. Cause: a group
-// that lost a member says nothing for seconds.
-TEST_F(ReplicaSelectorTest, FindsAGroupThatStandsStillByItsStreams) {
-  const AttemptNumber stuck = Send("a");
-  selector_.OnProgress(now_, stuck);
-  const AttemptNumber going = Send("b");
+// Guards against requests that are still sent to a group whose streams have
+// stopped: a group that lost a member sends nothing for seconds.
+TEST_F(ReplicaSelectorTest, DetectsAStalledGroupByItsStreams) {
+  const AttemptNumber stalled = Send("a");
+  selector_.OnProgress(now_, stalled);
+  const AttemptNumber active = Send("b");
   for (int i = 0; i < 9; ++i) {
-    Wait(50);
-    selector_.OnProgress(now_, going);
+    Advance(50);
+    selector_.OnProgress(now_, active);
     if (i < 8) {
       EXPECT_TRUE(selector_.Tick(now_).empty()) << i;
     }
   }
-  EXPECT_EQ(selector_.Tick(now_), std::vector<AttemptNumber>{stuck});
+  EXPECT_EQ(selector_.Tick(now_), std::vector<AttemptNumber>{stalled});
   const std::vector<Replica> found = selector_.TakeStandstills();
   ASSERT_EQ(found.size(), 1U);
   EXPECT_EQ(found.front().vm, VmId("a"));
   for (int i = 0; i < 20; ++i) {
     EXPECT_NE(ValueOf(Choose()).replica.vm, VmId("a"));
   }
-  // It moves again: it was only slow, which is forgotten after a while.
-  selector_.OnProgress(now_, stuck);
+  // The group makes progress again: it was only slow, and its measured slowness
+  // expires after a while.
+  selector_.OnProgress(now_, stalled);
   EXPECT_NE(ValueOf(Choose()).replica.vm, VmId("a"));
-  Wait(2500);
+  Advance(2500);
   bool chosen = false;
   for (int i = 0; i < 50; ++i) {
     chosen = chosen || ValueOf(Choose()).replica.vm == VmId("a");
@@ -140,75 +142,77 @@
   EXPECT_TRUE(chosen);
 }
 
-// Symptom: in a fleet of 72 nodes groups that are only full are left out, their
-// streams are moved and prompts are read again elsewhere, which fills the next
-// group. Sequence: the one request of a node waits in a queue for longer than
-// the limit. Cause: a node took its own few streams for all of the group's.
-TEST_F(ReplicaSelectorTest, AskOtherNodesBeforeAGroupIsTakenToStandStill) {
+// Guards against excluding groups that are merely full, which moves their
+// streams and re-reads their prompts elsewhere until the next group is full. In
+// a fleet of 72 nodes the only request of one node can wait in a queue for
+// longer than the limit, so a node must not take its own few streams for all of
+// the group's.
+TEST_F(ReplicaSelectorTest, AsksOtherNodesBeforeAGroupCountsAsStalled) {
   selector_.SetNodeCount(72);
   Send("a");
-  Wait(1600);
+  Advance(1600);
   EXPECT_TRUE(selector_.Tick(now_).empty());
   const std::vector<Replica> suspected = selector_.TakeSuspicions();
   ASSERT_EQ(suspected.size(), 1U);
   EXPECT_EQ(suspected.front().vm, VmId("a"));
-  Wait(20);
+  Advance(20);
   selector_.OnProgressHeard(now_, VmId("a"), Generation(1),
                             Duration::Millis(60));
-  Wait(400);
+  Advance(400);
   EXPECT_TRUE(selector_.Tick(now_).empty());
   EXPECT_TRUE(selector_.TakeSuspicions().empty());
   EXPECT_TRUE(selector_.TakeStandstills().empty());
-  // What another node saw is no progress of this one's own.
+  // Progress that another node saw does not count as this node's own.
   EXPECT_FALSE(selector_.OwnProgress(VmId("a"), Generation(1)).has_value());
 }
 
-TEST_F(ReplicaSelectorTest, WithoutAWitnessAGroupStandsStillSoonAfter) {
+TEST_F(ReplicaSelectorTest, GroupCountsAsStalledIfNoOtherNodeSawProgress) {
   selector_.SetNodeCount(72);
-  const AttemptNumber stuck = Send("a");
-  selector_.OnProgress(now_, stuck);
-  Wait(450);
+  const AttemptNumber stalled = Send("a");
+  selector_.OnProgress(now_, stalled);
+  Advance(450);
   EXPECT_TRUE(selector_.Tick(now_).empty());
-  // An old word, or one of an older group, is no sign of life.
+  // An old report, or one of an earlier group, is no evidence of progress.
   selector_.OnProgressHeard(now_, VmId("a"), Generation(1),
                             Duration::Millis(460));
   selector_.OnProgressHeard(now_, VmId("a"), Generation(9), Duration());
-  Wait(80);
-  EXPECT_EQ(selector_.Tick(now_), std::vector<AttemptNumber>{stuck});
+  Advance(80);
+  EXPECT_EQ(selector_.Tick(now_), std::vector<AttemptNumber>{stalled});
   EXPECT_EQ(selector_.TakeStandstills().size(), 1U);
 }
 
-TEST_F(ReplicaSelectorTest, ANewGenerationStartsWithoutHistory) {
-  const AttemptNumber stuck = Send("a");
-  selector_.OnProgress(now_, stuck);
-  Wait(600);
+TEST_F(ReplicaSelectorTest, NewGenerationStartsWithoutHistory) {
+  const AttemptNumber stalled = Send("a");
+  selector_.OnProgress(now_, stalled);
+  Advance(600);
   selector_.Tick(now_);
-  Replica again = Group("a");
-  again.generation = Generation(2);
-  selector_.SetReplicas(now_, {again});
+  Replica regrouped = MakeGroup("a");
+  regrouped.generation = Generation(2);
+  selector_.SetReplicas(now_, {regrouped});
   EXPECT_TRUE(IsOk(Choose()));
   // The old attempt's end says nothing about the new group.
-  selector_.OnEnded(now_, stuck, ForwardEndKind::kBroke);
+  selector_.OnEnded(now_, stalled, ForwardEndKind::kBroke);
   EXPECT_TRUE(IsOk(Choose()));
 }
 
-TEST_F(ReplicaSelectorTest, OwnStreamsSayMoreThanAnotherNodesWord) {
-  const AttemptNumber going = Send("a");
-  selector_.OnProgress(now_, going);
+TEST_F(ReplicaSelectorTest, RecentProgressOutweighsAnotherNodesReport) {
+  const AttemptNumber active = Send("a");
+  selector_.OnProgress(now_, active);
   EXPECT_TRUE(
       selector_.OnStandstillHeard(now_, VmId("a"), Generation(1)).empty());
   EXPECT_TRUE(
       selector_.OnStandstillHeard(now_, VmId("b"), Generation(9)).empty());
 }
 
-// Symptom: a replica that fails at once draws all requests, as it looks idle.
-TEST_F(ReplicaSelectorTest, LeavesOutAReplicaThatFailsAndTriesItAgain) {
+// Guards against a replica that fails at once and attracts all requests because
+// it looks idle.
+TEST_F(ReplicaSelectorTest, LeavesOutAFailingReplicaAndRetriesItLater) {
   const AttemptNumber failed = Send("a");
   selector_.OnEnded(now_, failed, ForwardEndKind::kFailedThere);
   for (int i = 0; i < 20; ++i) {
     EXPECT_NE(ValueOf(Choose()).replica.vm, VmId("a"));
   }
-  Wait(400);
+  Advance(400);
   bool chosen = false;
   for (int i = 0; i < 50; ++i) {
     chosen = chosen || ValueOf(Choose()).replica.vm == VmId("a");
@@ -216,13 +220,13 @@
   EXPECT_TRUE(chosen);
 }
 
-// Symptom: half of the requests cross data centres, and are paid for, although
-// the own one has room. Cause: two of all groups were compared, and in four of
-// ten draws none of them was near.
-TEST_F(ReplicaSelectorTest, CrossesDataCentresOnlyWhereTheOwnOneIsBusier) {
+// Guards against sending, and paying for, half of the requests across data
+// centres although the node's own one has room: with two drawn from all groups,
+// four of ten draws contain none of the own data centre.
+TEST_F(ReplicaSelectorTest, UsesOtherDataCentresOnlyIfTheOwnOneIsBusier) {
   std::vector<Replica> replicas;
   for (const char* vm : {"a", "b", "c", "d", "e", "f"}) {
-    replicas.push_back(Group(vm));
+    replicas.push_back(MakeGroup(vm));
     replicas.back().zone = ZoneId(vm < std::string("c") ? "z" : "other");
   }
   selector_.SetReplicas(now_, replicas);
@@ -238,7 +242,7 @@
   }
 }
 
-TEST_F(ReplicaSelectorTest, TellsNoReplicaFromNoRoom) {
+TEST_F(ReplicaSelectorTest, DistinguishesNoReplicaFromNoCapacity) {
   EXPECT_EQ(ErrorOf(Choose({VmId("a"), VmId("b"), VmId("c")})),
             RefusalKind::kNoEndpoint);
   for (const char* vm : {"a", "b", "c"}) {
