--- a/coordination/gateway/change_feed.cc
+++ b/coordination/gateway/change_feed.cc
@@ -24,8 +24,9 @@
   changes_.insert(changes_.end(), changed.begin(), changed.end());
   changes_.insert(changes_.end(), deleted.begin(), deleted.end());
   while (changes_.size() > most_changes_) {
-    // What came before the dropped one is gone as well: the changes of one
-    // answer of the service stand here in two runs, each in order.
+    // The changes of one answer of the service are stored as two runs, each in
+    // order. Raising the start to the dropped change's revision therefore also
+    // excludes earlier ones in the other run.
     start_ = std::max(*start_, RevisionOf(changes_.front()));
     changes_.pop_front();
   }
--- a/coordination/gateway/change_feed.h
+++ b/coordination/gateway/change_feed.h
@@ -14,49 +14,50 @@
 
 using ChangeQuestionId = StrongNumber<struct ChangeQuestionIdTag>;
 
-// Another node asks for the changes after a revision. The answer may wait for
-// one to happen.
+// Another node's request for the changes after a revision. The reply may wait
+// up to `wait` for a change.
 struct ChangeQuestion {
   ChangeQuestionId id;
   Revision after;
   Duration wait;
 };
 
-// What one node tells another of the key-value service.
+// Changes of the key-value service that one node sends to another.
 struct MirrorChanges {
-  // Everything up to it is told.
+  // All changes up to this revision are included.
   Revision revision;
   std::vector<StoreEntry> changed;
   std::vector<StoreDeletion> deleted;
-  // How long ago the teller's own copy was known to be complete.
+  // How long ago the sender's own copy was known to be complete.
   Duration age;
-  // For how long the teller still holds removals back after an outage.
+  // For how long the sender still defers removals after an outage.
   Duration lapse_left;
 };
 
-// Absent where the node asked cannot tell, so that the asker has to turn to the
-// service itself.
+// Replies to a ChangeQuestion. `changes` is absent if this node cannot tell, so
+// that the asking node has to call the service itself.
 struct AnswerChanges {
   ChangeQuestionId id;
   std::optional<MirrorChanges> changes;
 };
 
-// Keeps the last changes and the questions of other nodes for them, so that one
-// node watches the service for many.
+// Keeps the latest changes and other nodes' pending requests for them, so that
+// one node watches the service for many.
 class ChangeFeed {
  public:
   explicit ChangeFeed(std::size_t most_changes) : most_changes_(most_changes) {}
 
-  // Changes up to this revision cannot be told.
+  // Drops all changes. Changes up to this revision can no longer be told.
   void StartAt(Revision revision);
-  // Changes that follow those added before.
+  // Appends changes that are newer than all added before.
   void Add(const std::vector<StoreEntry>& changed,
            const std::vector<StoreDeletion>& deleted);
 
   void Ask(Time now, const ChangeQuestion& question);
   bool has_questions() const { return !questions_.empty(); }
-  // Answers to the questions that need not wait any longer. `age` is absent
-  // where this node's copy is not known to be fresh: nothing can be told then.
+  // Returns answers to the requests that need not wait any longer. `age` is
+  // absent if this node's copy is not known to be fresh, and then no changes
+  // can be told.
   std::vector<AnswerChanges> TakeAnswers(Time now,
                                          Revision revision,
                                          std::optional<Duration> age,
@@ -73,7 +74,8 @@
 
   std::size_t most_changes_;
   std::deque<Change> changes_;
-  // Absent before the first copy is complete.
+  // The changes after this revision are kept. Absent until the first copy is
+  // complete.
   std::optional<Revision> start_;
   std::vector<Question> questions_;
 };
--- a/coordination/gateway/fleet_view.cc
+++ b/coordination/gateway/fleet_view.cc
@@ -11,8 +11,8 @@
 FleetView::FleetView(FleetCodec codec, EventSink events)
     : codec_(std::move(codec)), events_(std::move(events)) {}
 
-// One line at a start rather than one for each VM: in a large fleet these are
-// most of all lines, and cost processor time just when there is least.
+// Logs one line at a start rather than one for each VM: in a large fleet these
+// would be most of all lines, and cost processor time just when there is least.
 void FleetView::OnLearned(Revision revision) {
   if (std::exchange(learned_, true)) {
     return;
@@ -67,7 +67,7 @@
 void FleetView::OnConfiguration(const StoreEntry& entry) {
   std::optional<FleetConfiguration> read =
       codec_.decode_configuration(entry.value);
-  // A document that cannot be read leaves the last good one in force.
+  // If a document cannot be read, the last good one stays in force.
   if (!read) {
     return;
   }
@@ -134,8 +134,8 @@
   changed_vms_.insert(vm);
 }
 
-// What was known of the VM was true of an entry that is no more. Requests sent
-// by it would reach whatever wrote the new one, if anything.
+// What was known of the VM came from an entry that no longer exists. Requests
+// based on it would reach whatever wrote the new entry, if anything.
 void FleetView::OnUnreadable(const VmId& vm) {
   if (unreadable_vms_.insert(vm).second) {
     events_({EventKind::kVmUnreadable, vm.value(), {}, {}});
--- a/coordination/gateway/fleet_view.h
+++ b/coordination/gateway/fleet_view.h
@@ -15,15 +15,16 @@
 
 namespace gcw {
 
-// Where the platform keeps what this system reads, and how it is spelled. The
-// codecs live in a higher layer.
+// Keys of the platform's documents in the store, and the codecs for their
+// values. The codecs live in a higher layer.
 struct FleetCodec {
   std::string configuration_key;
-  // Followed by the VM's id.
+  // The VM's id follows this prefix.
   std::string vm_prefix;
-  // Empty where none is kept.
+  // Empty if no overview is kept.
   std::string overview_key;
-  // Absent where the text is not understood; the reason is logged.
+  // Decoders return an absent value if they cannot parse the text, and log the
+  // reason.
   std::function<std::optional<FleetConfiguration>(std::string_view)>
       decode_configuration;
   std::function<std::optional<VmRegistration>(const VmId&, std::string_view)>
@@ -32,19 +33,20 @@
   std::function<std::optional<FleetOverview>(std::string_view)> decode_overview;
 };
 
-// Registrations of one fabric domain. They stay where they are until the VM is
+// Registrations of one fabric domain. The pointers stay valid until the VM is
 // removed.
 using DomainVms = std::map<VmId, const VmRegistration*>;
 
-// The typed picture that a node has of the fleet: configuration, endpoints'
-// VMs, other nodes, holders of roles. It never goes back to an older version of
-// the configuration while the process lives.
+// A node's typed view of the fleet: configuration, the endpoints' VMs, other
+// nodes and role holders. The configuration never goes back to an older version
+// while the process runs.
 class FleetView {
  public:
   FleetView(FleetCodec codec, EventSink events);
 
-  // All that there is has been learned. Before, VMs are not told of one by one,
-  // and an overview stands in for what is still to come.
+  // Marks the end of the first full read. Until then, VMs are not reported one
+  // by one, and the overview stands in for registrations that have not been
+  // read.
   void OnLearned(Revision revision);
   void OnPut(Time now, const StoreEntry& entry);
   void OnDeleted(Time now, const std::string& key);
@@ -53,23 +55,25 @@
   std::shared_ptr<const RouteTable> routes() const { return routes_; }
   const std::map<VmId, VmRegistration>& vms() const { return vms_; }
   const VmRegistration* FindVm(const VmId& vm) const;
-  // Registered VMs of the domain, by the name of its record.
+  // Returns the registered VMs of the domain, which is named as in its record.
   const DomainVms& VmsOf(const FabricDomainId& domain) const;
   const std::map<NodeId, NodeRecord>& nodes() const { return nodes_; }
-  // Nodes that are not about to stop; at least 1.
+  // Number of nodes that are not about to stop; at least 1.
   std::size_t serving_nodes() const;
-  // Where callers reach the nodes that are not about to stop.
+  // Returns the addresses at which callers reach the nodes that are not about
+  // to stop.
   std::map<NodeId, Address> CallerAddresses() const;
   bool has_overview() const { return !overview_nodes_.empty(); }
-  // Empty where nobody holds the role.
+  // Empty if no node holds the role.
   NodeId HolderOf(const RoleName& role) const;
 
-  // VMs that were registered, changed or removed since the last call.
+  // Returns the VMs that were registered, changed or removed since the last
+  // call.
   std::set<VmId> TakeChangedVms();
-  // Where VMs that started again under their ids since the last call are
-  // reached.
+  // Returns the addresses of VMs that restarted under their ids since the last
+  // call.
   std::vector<Address> TakeRestartedVms();
-  // Counts changes of the configuration.
+  // Number of configurations applied so far.
   std::uint64_t configuration_changes() const { return configuration_changes_; }
 
  private:
@@ -79,7 +83,7 @@
   void OnUnreadable(const VmId& vm);
   void OnNode(const NodeId& id, NodeRecord node);
   void RemoveNode(const NodeId& id);
-  // False where it was not there.
+  // Returns false if the VM was not known.
   bool RemoveVm(const VmId& vm);
   void AddToDomain(const VmRegistration& vm);
   void RemoveFromDomain(const VmRegistration& vm);
@@ -92,14 +96,14 @@
   std::map<NodeId, NodeRecord> nodes_;
   std::size_t serving_nodes_ = 0;
   bool learned_ = false;
-  // Known by an overview only: VMs, and the nodes of that overview.
+  // VMs that are known only from the overview, and the nodes of that overview.
   std::set<VmId> provisional_vms_;
   std::map<NodeId, Address> overview_nodes_;
   std::map<RoleName, NodeId> holders_;
   std::set<VmId> changed_vms_;
   std::vector<Address> restarted_vms_;
-  // VMs whose entries name no run that can be used, as when something else
-  // wrote them.
+  // VMs whose entries cannot be decoded, for example because something else
+  // overwrote them.
   std::set<VmId> unreadable_vms_;
   std::uint64_t configuration_changes_ = 0;
 };
--- a/coordination/gateway/gateway_core.cc
+++ b/coordination/gateway/gateway_core.cc
@@ -178,8 +178,9 @@
   }
 }
 
-// A keeper that has no stream at a group knows nothing of it by itself; closing
-// a group that is only full would cut every stream that it runs.
+// A keeper that has no stream at a group does not see by itself whether the
+// group makes progress, and closing a group that is only full would cut off
+// every stream that it runs.
 void GatewayCore::AskForKeeper(Time now) {
   if (now < next_witness_ask_ || !is_keeper(now)) {
     return;
@@ -316,8 +317,8 @@
 }
 
 bool GatewayCore::MayHandOver(Time now, const NodeId& holder) {
-  // Counted anew with each term: where no other node takes the role, it must
-  // not change hands all the time.
+  // The time starts anew with each term: if no other node takes the role, it
+  // must not change hands all the time.
   const bool is_known =
       holder == settings_.self.id && mirror_.reachable() &&
       std::any_of(view_.nodes().begin(), view_.nodes().end(),
--- a/coordination/gateway/gateway_core.h
+++ b/coordination/gateway/gateway_core.h
@@ -22,11 +22,12 @@
 
 namespace gcw {
 
-// There is one role, and groups are not repaired while nobody holds it.
+// The intervals are short because there is only one role, and groups are not
+// repaired while no node holds it.
 inline RoleLeasesSettings RoleSettings() {
   RoleLeasesSettings settings;
-  // The mirror shows a key that hangs on this node's lease without its
-  // knowledge: the node wants the role then.
+  // The mirror shows the role's key, also if the key is bound to this node's
+  // lease without the node knowing; the node then wants the role and reads it.
   settings.reads_idle = false;
   settings.retry_interval = Duration::Millis(400);
   settings.call_timeout = Duration::Millis(1000);
@@ -36,7 +37,7 @@
 
 struct GatewaySettings {
   NodeRecord self;
-  // Peer addresses that the settings name; some may be stale.
+  // Peer addresses from the settings. Some may be stale.
   std::vector<Address> seeds;
   NodeLeaseSettings lease = {Duration::Millis(1800),
                              Duration::Millis(500),
@@ -53,67 +54,71 @@
   ReplicaSelectorSettings selector;
   SharedRetryBudgetSettings retries;
   ForwardDeskSettings requests;
-  // How long callers may keep the list of addresses; some keep it three times
-  // as long. While all nodes are down a look-up hangs for a second: the more
-  // seldom callers ask, the fewer come back that much later. Of the requests'
-  // worth 0.49 rather than 0.42 was served in the two seconds after a loss of
-  // power of all nodes (9 nodes, played).
+  // How long callers may cache the list of addresses; some cache it three times
+  // as long. While all nodes are down a look-up blocks for a second, so the
+  // less often callers look up, the fewer of them come back a second late. This
+  // raised the share of the requests' worth that is served in the two seconds
+  // after a power loss of all nodes from 0.42 to 0.49 (simulated, 9 nodes).
   Duration entries_keep = Duration::Seconds(5);
-  // Addresses in one such list at most.
+  // Maximum number of addresses in that list.
   std::size_t most_entries = 64;
-  // Between two choices of the node to follow; one that does not answer is left
-  // at once.
+  // Interval between two choices of the node to follow. A node that does not
+  // answer is replaced at once.
   Duration follow_review = Duration::Millis(500);
-  // Other nodes, drawn at random, that are asked whether a group that seems to
-  // stand still goes on for them. A group in use has streams of most nodes.
+  // Number of other nodes, drawn at random, that are asked whether a group that
+  // seems stalled makes progress for them. Most nodes have streams at a group
+  // that is in use.
   std::size_t standstill_witnesses = 8;
-  // The keeper asks again after so long until it has decided.
+  // Interval at which the keeper repeats that question until it has decided.
   Duration witness_interval = Duration::Millis(250);
-  // A free keeper's role is tried by the preferred node at once and by each
-  // further one this much later, so that it is not asked for by all.
+  // The preferred node tries to take a free keeper role at once, and each
+  // further node this much later, so that not all nodes ask for it.
   Duration role_step = Duration::Millis(120);
-  // As many nodes, first in that order, must show their loss soon, since one of
-  // them has the role. In a larger fleet the others' calls to the service are
-  // most of all.
+  // This many nodes, the first in that order, keep short leases so that their
+  // loss shows soon, because one of them holds the role. In a larger fleet the
+  // other nodes' calls make up most calls to the service.
   std::int64_t role_candidates = 16;
-  // A node relaxes once it has known the fleet for so long: right after a start
-  // it sees only a part of the others.
+  // A node relaxes once it has known the fleet for this long, because right
+  // after a start it sees only a part of the other nodes.
   Duration relax_after = Duration::Seconds(5);
-  // Where an overview is enough to serve by, a start reads all other keys
-  // within this time for each node of the fleet, at random. After a loss of all
-  // nodes, all keys for every one of them take seconds to leave the service.
+  // If the overview is enough to serve requests, a starting node reads all
+  // other keys after a random delay of at most this long for each node of the
+  // fleet. After a loss of all nodes, sending all keys to every node takes the
+  // service seconds.
   Duration read_spread_per_node = Duration::Millis(10);
-  // The keeper hands its role over to a node with more of a processor once one
-  // has been known for so long: longer than the entry of a lost node stays.
+  // The keeper hands its role over once a node of larger weight has been known
+  // for this long, which is longer than the entry of a lost node stays.
   Duration role_hand_over_after = Duration::Millis(2500);
-  // A node that stops by plan takes requests for this long: what came later
-  // could still run when the node has to end, and would be cut. Longer than
-  // callers keep the addresses where they keep them as asked.
+  // A node accepts requests for this long after a planned stop has begun.
+  // Requests that come later could still run when the node has to end, and
+  // would be cut off. It should be longer than callers cache the addresses if
+  // they keep to the time they are given.
   Duration stop_refuses_after = Duration::Millis(2900);
-  // It ends sooner than it has to once no request is open, but not before:
-  // those who keep addresses for longest have asked again by then. With all
-  // nodes stopped by twos, 0.8 s apart, 0.99 of the requests' worth were served
-  // rather than 0.82 (8 nodes, played).
+  // Minimum time of a planned stop. After it, the node ends as soon as no
+  // request is open. It should be long enough for the callers that cache
+  // addresses for longest to look up again. When all nodes were stopped two at
+  // a time, 0.8 s apart, this raised the served share of the requests' worth
+  // from 0.82 to 0.99 (simulated, 8 nodes).
   Duration stop_quiet_after = Duration::Millis(3200);
-  // The platform ends a node that is told to stop after this time.
+  // The platform kills a node this long after it told it to stop.
   Duration stop_grace = Duration::Seconds(8);
-  // Left of it for the last answers on their way out.
+  // The part of the grace period that is reserved for sending the last answers.
   Duration stop_margin = Duration::Millis(600);
 };
 
-// The part of the core that asked the key-value service.
+// The part of the core that called the key-value service.
 enum class GatewayModule { kMirror, kLease, kRoles, kKeeper, kOverview };
 
 struct CallGatewayStore {
   GatewayModule module = GatewayModule::kMirror;
   StoreRequest request;
 };
-// Ask the node at that address for what its mirror has.
+// Asks the node at the address for a snapshot of its mirror.
 struct AskNodeSnapshot {
   Address address;
   Revision newer_than;
 };
-// Ask the node at that address for the changes after a revision.
+// Asks the node at the address for the changes after a revision.
 struct AskNodeChanges {
   StoreCallId id;
   Address address;
@@ -121,7 +126,7 @@
   Duration wait;
   Duration timeout;
 };
-// A group that stands still, told between nodes.
+// Identifies a stalled group in messages between nodes.
 struct StandstillNotice {
   VmId head;
   Generation generation;
@@ -130,17 +135,18 @@
   Address address;
   StandstillNotice notice;
 };
-// Ask the node at that address whether the group goes on for it.
+// Asks the node at the address whether the group makes progress for it.
 struct AskProgress {
   Address address;
   StandstillNotice group;
 };
-// End the request's attempt as kSilent; another endpoint can go on with it.
+// Ends the request's attempt as kSilent, so that another endpoint can take over
+// the request.
 struct MoveForward {
   ForwardId id;
 };
 
-// Connections to that address lead to a run that is no more.
+// Drops the connections to the address, which lead to a previous run of the VM.
 struct ForgetConnections {
   Address address;
 };
@@ -157,17 +163,18 @@
                                    ForgetConnections>;
 using GatewayActions = std::vector<GatewayAction>;
 
-// The decisions of one node on a platform whose store holds the configuration
-// and the endpoints. Like NodeCore it does no input or output and is driven by
-// events with their times, on one thread; every action that asks for something
-// is answered by a call of the matching `On...`, or never. See docs/CORE.md.
+// Makes the decisions of one node on a platform whose store holds the
+// configuration and the endpoints. Like NodeCore it does no input or output and
+// is driven by events with their times, on one thread. Every action that asks
+// for something is answered by a call of the matching `On...`, or never. See
+// docs/CORE.md.
 class GatewayCore {
  public:
   struct Codecs {
     FleetCodec fleet;
     DomainRecordCodec domain_record;
     std::function<std::string(const NodeRecord&)> encode_node;
-    // Unused where the fleet's codec names no key for it.
+    // Unused if `fleet.overview_key` is empty.
     std::function<std::string(const FleetOverview&)> encode_overview;
   };
 
@@ -178,7 +185,8 @@
   GatewayCore(const GatewayCore&) = delete;
   GatewayCore& operator=(const GatewayCore&) = delete;
 
-  // Where callers and other nodes reach this node, once its ports are known.
+  // Sets where callers and other nodes reach this node, once its ports are
+  // known.
   GatewayActions SetOwnAddresses(Time now,
                                  const Address& callers,
                                  const Address& peers);
@@ -188,18 +196,19 @@
                               StoreCallId id,
                               const StoreReply& reply);
   GatewayActions OnSnapshot(Time now, const MirrorSnapshot& snapshot);
-  // A follower asks for changes; answered by AnswerChanges.
+  // Handles a follower's request for changes; AnswerChanges replies to it.
   GatewayActions OnChangesAsked(Time now, const ChangeQuestion& question);
-  // Absent where the followed node did not answer or could not tell.
+  // `changes` is absent if the asked node did not answer or could not tell.
   GatewayActions OnChangesHeard(Time now,
                                 StoreCallId id,
                                 const std::optional<MirrorChanges>& changes);
   GatewayActions OnNotice(Time now, const StandstillNotice& notice);
-  // Another node saw the group make progress that long ago.
+  // Another node saw the group make progress `ago` before `now`.
   GatewayActions OnProgressHeard(Time now,
                                  const StandstillNotice& group,
                                  Duration ago);
-  // How long ago this node saw the group make progress, for one that asks.
+  // Returns how long ago this node saw the group make progress, for the reply
+  // to another node.
   std::optional<Duration> ProgressAge(Time now,
                                       const StandstillNotice& group) const;
   GatewayActions OnOrderReply(Time now, OrderId id, GroupOrderVerdict verdict);
@@ -216,20 +225,20 @@
   }
   void OnCallerGone(Time now, ForwardId id) { desk_.OnCallerGone(now, id); }
 
-  // Addresses for callers: this node's and those of the nodes after it in the
-  // order of their names, so that in a fleet of more nodes than one answer
-  // holds each is named as often as any other.
+  // Addresses for callers: this node's, then those of the nodes that follow it
+  // in the order of their names. In a fleet with more nodes than one list
+  // holds, every address is then listed equally often.
   std::vector<Address> Entries() const;
   Duration entries_keep() const { return settings_.entries_keep; }
   bool ready() const { return view_.routes() != nullptr && !stopping(); }
   bool stopping() const { return stop_asked_.has_value(); }
-  // Whether the process may end: a planned stop is over.
+  // Whether a planned stop is complete, so that the process may end.
   bool is_stop_over(Time now) const;
   std::size_t open_requests() const { return desk_.open_requests(); }
   const FleetView& view() const { return view_; }
   const StoreMirror& mirror() const { return mirror_; }
   bool is_keeper(Time now) const;
-  // Absent where this node knows nothing newer.
+  // Absent if this node knows nothing newer.
   std::optional<MirrorSnapshot> Snapshot(Revision newer_than) const {
     return mirror_.Snapshot(newer_than);
   }
@@ -244,29 +253,32 @@
              const std::vector<std::variant<StoreRequest>>& actions);
   void Apply(std::vector<FleetKeeperAction> actions);
   void UpdateFollowing(Time now);
-  // Relaxes a node that need not take the role soon.
+  // Relaxes this node's lease and copy if it need not take the role soon.
   void UpdateRelaxation(Time now);
-  // The node of this data centre that this one is to follow; empty where it has
-  // to watch the service itself.
+  // Returns the node of this data centre that this node is to follow, or an
+  // empty id if it has to watch the service itself.
   NodeId ChooseFollowed(Time now);
-  // Of this node or one that the view shows.
+  // `node` is this node or one that the view shows.
   std::int64_t WeightOf(const NodeId& node) const;
-  // How many nodes watch the service, by what this node sees of the fleet.
+  // Estimates how many nodes watch the service, from this node's view of the
+  // fleet.
   std::size_t CountWatchers() const;
-  // How many of the nodes of a data centre do: more in a larger one, so that
-  // none has more followers.
+  // How many of a data centre's `nodes` watch the service. The number grows
+  // with the data centre, so that no watcher has more followers.
   std::size_t WatchersOf(std::size_t nodes) const;
   void UpdateRole(Time now);
-  // Nodes with more of a processor come first: the keeper's work grows with
-  // what happens in the whole fleet, and late decisions cost groups.
+  // Returns this node's place in the order in which nodes take the role. Nodes
+  // of larger weight, which have more processor time, come first: the keeper's
+  // work grows with the activity of the whole fleet, and late decisions cost
+  // groups.
   std::int64_t RankFor(const RoleName& role) const;
-  // Whether the role, which this node holds by what it sees, is to go to a node
-  // with more of a processor.
+  // Whether this node, which holds the role in its own view, should hand it
+  // over to a node of larger weight.
   bool MayHandOver(Time now, const NodeId& holder);
   void UpdateReplicas(Time now);
   void RunKeeper(Time now);
-  // Over which time a start may read what it has not read first; zero where it
-  // needs it at once.
+  // Returns the time over which a starting node may spread the reading of the
+  // keys that it does not read first. Zero if it needs them at once.
   Duration ReadSpread() const;
   void WriteOverview(Time now);
   FleetOverview DescribeFleet() const;
@@ -274,10 +286,10 @@
   void AskWitnesses(const StandstillNotice& group);
   void AskForKeeper(Time now);
   std::vector<Address> OtherNodes() const;
-  // One of them at random, or of the seeds where none is known.
+  // Returns another node at random, or a seed if no other node is known.
   std::optional<Address> DrawOtherNode() const;
   std::vector<Replica> MakeReplicas() const;
-  // Absent where the VM takes no requests.
+  // Absent if the VM accepts no requests.
   std::optional<Replica> MakeReplica(const VmRegistration& vm) const;
   GatewayActions TakeActions();
 
@@ -296,14 +308,15 @@
 
   // When the fleet was known for the first time.
   std::optional<Time> loaded_at_;
-  // The node that is followed; empty where none is.
+  // The followed node; empty if there is none.
   NodeId followed_;
   Address followed_address_;
   Time next_follow_review_;
-  // Nodes that could not tell, and until when they are not asked.
+  // Nodes that could not tell the changes, with the time until which they are
+  // not asked.
   std::map<NodeId, Time> avoided_;
   std::optional<Time> role_free_since_;
-  // Since when a node is known that has more of a processor than this one.
+  // Since when a node of larger weight than this one is known.
   std::optional<Time> better_keeper_since_;
   Time next_witness_ask_;
   std::uint64_t seen_configuration_ = 0;
--- a/coordination/gateway/gateway_core_following.cc
+++ b/coordination/gateway/gateway_core_following.cc
@@ -1,4 +1,5 @@
-// One node of a data centre watches the key-value service for many.
+// Following: one node of a data centre watches the key-value service for many
+// others.
 
 #include <algorithm>
 #include <string_view>
@@ -16,7 +17,7 @@
 
 void GatewayCore::UpdateFollowing(Time now) {
   if (is_keeper(now)) {
-    // It acts on each change at once.
+    // The keeper acts on each change at once, so it watches the service itself.
     followed_ = NodeId();
     next_follow_review_ = now;
   } else if (now >= next_follow_review_) {
@@ -41,9 +42,9 @@
   const bool relaxed =
       now - *loaded_at_ >= settings_.relax_after &&
       RankFor(RoleName(std::string(kKeeperRole))) >= settings_.role_candidates;
-  // Others depend on the copy of a followed node. Its lease is another matter:
-  // who is followed may change from one look to the next, and each change of
-  // the lease takes two calls.
+  // The copy of a followed node is not relaxed, because other nodes depend on
+  // it. The lease does not depend on this: which node is followed may change at
+  // each review, and each change of the lease takes two calls.
   mirror_.SetRelaxed(relaxed && !followed_.empty());
   if (mirror_.reachable()) {
     lease_.SetRelaxed(relaxed);
@@ -59,8 +60,9 @@
       near.push_back(id);
     }
   }
-  // All nodes that see the same fleet name the same ones, without a word about
-  // it. Each answers many: those that can carry most come first.
+  // All nodes that see the same fleet choose the same watchers without
+  // communicating. Each watcher answers many nodes, so nodes of larger weight
+  // come first.
   std::vector<NodeId> followed =
       RendezvousOrder(kFollowedKey, near, near.size());
   std::stable_sort(followed.begin(), followed.end(),
@@ -85,7 +87,7 @@
   for (const auto& [id, node] : view_.nodes()) {
     nodes[node.zone] += node.leaving ? 0 : 1;
   }
-  // The keeper is one more.
+  // The keeper watches too.
   std::size_t watchers = 1;
   for (const auto& [zone, count] : nodes) {
     watchers += WatchersOf(count);
--- a/coordination/gateway/gateway_core_replicas.cc
+++ b/coordination/gateway/gateway_core_replicas.cc
@@ -1,4 +1,4 @@
-// What the registrations mean to the choice of an endpoint.
+// Derives the endpoints that requests may be sent to from the registrations.
 
 #include "coordination/gateway/gateway_core.h"
 
@@ -8,8 +8,8 @@
 namespace gcw {
 namespace {
 
-// Parts of an engine's published times that are not worth a setting: a batch is
-// taken to be half full.
+// A batch is assumed to be half full when an engine's published times are
+// evaluated. It is not worth a setting.
 constexpr double kUsualFill = 0.5;
 
 }  // namespace
@@ -84,8 +84,9 @@
     if (model.model != replica.model) {
       continue;
     }
-    // Whether it is whole shows in its streams: a lost member stops them, while
-    // one without a registration may be cut off from the store only.
+    // Members without a registration are not checked for: a lost member stops
+    // the group's streams, while a member without a registration may only be
+    // cut off from the store.
     const double fill = kUsualFill * static_cast<double>(engine.batch_limit);
     replica.pass_ms = engine.steps_per_pass * model.pace *
                       (engine.step_ms + engine.step_ms_per_request * fill);
--- a/coordination/gateway/gateway_keys.h
+++ b/coordination/gateway/gateway_keys.h
@@ -5,14 +5,15 @@
 
 namespace gcw {
 
-// Families of this system's own keys in the key-value service.
+// Prefixes of this system's own keys in the key-value service.
 inline constexpr std::string_view kNodePrefix = "node/";
 inline constexpr std::string_view kRolePrefix = "role/";
 
-// What a node that starts needs first, written by whoever holds the role.
+// The overview that a starting node reads first. The holder of the keeper role
+// writes it.
 inline constexpr std::string_view kOverviewKey = "overview";
 
-// The one role: whoever holds it decides which VMs form which replica group.
+// The only role: its holder decides which VMs form which replica group.
 inline constexpr std::string_view kKeeperRole = "keeper/fleet";
 
 }  // namespace gcw
--- a/coordination/gateway/overview_writer.cc
+++ b/coordination/gateway/overview_writer.cc
@@ -24,8 +24,8 @@
                       StorePut{key_, proposed_, revision_, LeaseId()}};
 }
 
-// A write without an answer is settled by the next one: its condition fails and
-// shows the key as it is.
+// A write without an answer is resolved by the next one: its condition fails,
+// and the conflict shows the key's current revision.
 void OverviewWriter::OnStoreReply(StoreCallId id, const StoreReply& reply) {
   if (id != last_call_) {
     return;
--- a/coordination/gateway/overview_writer.h
+++ b/coordination/gateway/overview_writer.h
@@ -11,14 +11,15 @@
 namespace gcw {
 
 struct OverviewWriterSettings {
-  // Between two writes at least. After a loss of all nodes, what opened or
-  // ended within this time shows by itself or a little later.
+  // Minimum interval between two writes. After a loss of all nodes, a starting
+  // node learns of endpoints that opened or ended within this time from their
+  // registrations or a little later.
   Duration interval = Duration::Seconds(2);
 };
 
 // Writes the overview of the fleet to the key-value service whenever it has
-// changed, for nodes that start. Only the keeper of groups does; should there
-// be two for a moment, the later write counts.
+// changed, for nodes that start. Only the keeper of groups writes it; if there
+// are two keepers for a moment, the later write wins.
 class OverviewWriter {
  public:
   using Encode = std::function<std::string(const FleetOverview&)>;
@@ -28,7 +29,8 @@
                  std::string key,
                  Encode encode);
 
-  // The write that is due, if one is. `describe` is called where it may be.
+  // Returns the write that is due, if any. Calls `describe` only if a write may
+  // be due.
   std::optional<StoreRequest> Tick(Time now, const Describe& describe);
   void OnStoreReply(StoreCallId id, const StoreReply& reply);
 
@@ -37,7 +39,7 @@
   std::string key_;
   Encode encode_;
   Time next_write_;
-  // Of the key, as far as it is known; zero where it is absent.
+  // The key's last known revision; zero if the key is absent.
   Revision revision_;
   std::string written_;
   std::string proposed_;
--- a/coordination/gateway/store_mirror.cc
+++ b/coordination/gateway/store_mirror.cc
@@ -45,8 +45,8 @@
   return actions;
 }
 
-// All keys are asked for only where changes would not do: in a large fleet they
-// fill the link of a small node.
+// All keys are requested only if changes are not enough, because in a large
+// fleet they saturate the link of a small node.
 StoreMirrorAction StoreMirror::NextQuestion(Time now) {
   next_ask_ = now + settings_.ask_peer_interval;
   if (phase_ != Phase::kWatching || unanswered_ >= settings_.snapshot_after) {
@@ -90,8 +90,8 @@
   }
   const Duration interval = WatchInterval();
   next_call_ = now + interval;
-  // Held until the next one is due: a watch that comes back earlier without a
-  // change would be a call for nothing.
+  // The service holds the watch until the next one is due: a watch that came
+  // back earlier without a change would be a wasted call.
   return StoreWatch{settings_.watch_prefix, revision_,
                     std::max(settings_.watch_wait, interval)};
 }
@@ -104,14 +104,15 @@
 void StoreMirror::SetFollowing(bool following) {
   following_ = following;
   if (!following && asks_peer_) {
-    // A node that has become the keeper does not wait for another one.
+    // A node that has become the keeper does not wait for another node.
     asks_peer_ = false;
     call_.reset();
   }
 }
 
-// While the service owes this node an answer, following would hide whether it
-// is away: keys that lapse meanwhile have to be held back.
+// If an answer of the service is due, following would hide whether the service
+// is unreachable, and keys that expire meanwhile have to be kept for the grace
+// period.
 bool StoreMirror::MayFollow() const {
   return following_ && phase_ == Phase::kWatching && !watches_once_ &&
          reachable_ && !owed_since_;
@@ -157,8 +158,8 @@
 
 void StoreMirror::OnAnswered(Time now) {
   backoff_.Reset();
-  // An outage that was noticed, and any gap that long: while the service was
-  // away, it may have dropped keys of owners who live.
+  // After an outage that was noticed, or any gap as long, the service may have
+  // dropped keys whose owners are alive.
   if (!reachable_ || IsAway(now)) {
     lapse_until_ = now + settings_.lapse_grace;
   }
@@ -184,7 +185,8 @@
 }
 
 void StoreMirror::OnRange(Time now, const StoreRangeReply& reply) {
-  // Set back to the past, or a stale copy: nothing is learnt from it.
+  // The service was set back to an earlier state or answered from a stale copy,
+  // so the reply is ignored.
   if (loaded_ && reply.revision < revision_) {
     OnFailed(now, Duration());
     return;
@@ -210,7 +212,8 @@
   if (++reading_ < settings_.prefixes.size()) {
     return;
   }
-  // Changes between the reads of two families are seen again by the watch.
+  // The watch starts at the lowest revision, so changes between the reads of
+  // two prefixes are seen again.
   revision_ = *round_revision_;
   feed_.StartAt(revision_);
   phase_ = Phase::kWatching;
@@ -274,8 +277,8 @@
   call_.reset();
   asks_peer_ = false;
   if (!IsUsable(changes)) {
-    // The service itself is asked at once: what this node knows may be as old
-    // already as it may become.
+    // The service itself is watched at once, because this node's copy may
+    // already be as old as is allowed.
     watches_once_ = true;
     next_call_ = now;
     return Tick(now);
@@ -297,8 +300,8 @@
   return actions;
 }
 
-// A copy that may be old is not passed on: a follower that took it for complete
-// would send requests to endpoints that have left.
+// A copy that may be outdated is not passed on: a follower that took it for
+// complete would send requests to endpoints that have left.
 void StoreMirror::AnswerQuestions(Time now,
                                   std::vector<StoreMirrorAction>& actions) {
   if (!feed_.has_questions()) {
@@ -326,8 +329,8 @@
     seen.insert(entry.key);
     Put(now, entry);
   }
-  // Removals are held back as after an outage: the peer may have seen keys
-  // lapse whose owners live.
+  // Removals are deferred as after an outage: the other node may have seen keys
+  // expire whose owners are alive.
   lapse_until_ = std::max(lapse_until_, now + settings_.lapse_grace);
   for (const std::string& prefix : settings_.prefixes) {
     DeleteMissing(now, prefix, seen, snapshot.revision);
@@ -335,7 +338,7 @@
   revision_ = std::max(revision_, snapshot.revision);
   feed_.StartAt(revision_);
   loaded_ = true;
-  // Everything up to the snapshot's revision is known: no read is needed.
+  // Everything up to the snapshot's revision is known, so no read is needed.
   if (phase_ == Phase::kReading && !call_) {
     phase_ = Phase::kWatching;
   }
@@ -349,8 +352,9 @@
   snapshot.revision = revision_;
   snapshot.entries.reserve(entries_.size());
   for (const auto& [key, entry] : entries_) {
-    // One that is held back is gone as of the revision. Whoever goes on from
-    // there hears of its removal by nothing else, and holds it back by itself.
+    // A key whose removal is deferred does not exist at this revision. A node
+    // that continues from this revision would never learn of the removal, and
+    // it defers removals by itself.
     if (!held_removals_.contains(key)) {
       snapshot.entries.push_back(entry);
     }
