--- a/tests/coordination/gateway/change_feed_test.cc
+++ b/tests/coordination/gateway/change_feed_test.cc
@@ -55,9 +55,9 @@
   EXPECT_FALSE(feed_.has_questions());
 }
 
-// Symptom: a follower goes on without an endpoint, or with one that has left.
-// Sequence: it asks for changes of which some are kept no more.
-// Cause: telling what is left as if it were all.
+// Guards against a follower that misses an endpoint or keeps one that has left:
+// some of the changes that it asks for are no longer kept, and the rest were
+// returned as if they were all.
 TEST_F(ChangeFeedTest, TellsNothingOfWhatItKeepsInPart) {
   feed_.Add({Entry("a", 11), Entry("b", 12)}, {});
   feed_.Add({Entry("c", 13), Entry("d", 14)}, {});
@@ -67,9 +67,9 @@
   EXPECT_EQ(Take(14).front().changes->changed.size(), 3U);
 }
 
-// Symptom: followers send to endpoints that left seconds ago.
-// Sequence: the node they follow loses the service and goes on answering.
-// Cause: passing on a copy of which nobody knows how old it is.
+// Guards against followers that send to endpoints that left seconds ago: the
+// followed node loses the service and goes on answering from a copy of unknown
+// age.
 TEST_F(ChangeFeedTest, ANodeWithoutAFreshCopyTellsNothing) {
   Ask(10);
   EXPECT_TRUE(Take(10).empty());
--- a/tests/coordination/gateway/fleet_overview_test.cc
+++ b/tests/coordination/gateway/fleet_overview_test.cc
@@ -21,8 +21,8 @@
   return vm;
 }
 
-// An overview of two endpoints and two nodes; registrations are spelled as
-// their generation.
+// The overview has two endpoints and two nodes. A registration's text is its
+// generation.
 FleetCodec Codec() {
   FleetCodec codec;
   codec.configuration_key = "oc";
@@ -69,14 +69,14 @@
   EXPECT_EQ(view_.CallerAddresses().size(), 2U);
 }
 
-// Guards against a share of the retry budget that is taken for that of a fleet
-// of one.
+// Guards against a node that takes the whole retry budget as if it were alone
+// in the fleet.
 TEST_F(FleetOverviewTest, TheNodesOfTheOverviewCount) {
   view_.OnPut(kNow, Entry("ov", ""));
   EXPECT_EQ(view_.serving_nodes(), 2U);
 }
 
-// Guards against requests for an endpoint that went after the overview was
+// Guards against requests to an endpoint that left after the overview was
 // written.
 TEST_F(FleetOverviewTest, WhatTheFullReadDoesNotShowIsGone) {
   view_.OnPut(kNow, Entry("ov", ""));
@@ -90,7 +90,7 @@
   EXPECT_TRUE(view_.CallerAddresses().empty());
 }
 
-// Guards against an older overview that takes the place of registrations.
+// Guards against an older overview that replaces registrations.
 TEST_F(FleetOverviewTest, AnOverviewAfterTheFullReadChangesNothing) {
   view_.OnPut(kNow, Entry("vm/a", "2"));
   view_.OnLearned(Revision(3));
@@ -125,8 +125,8 @@
   EXPECT_FALSE(writer.Tick(now + Duration::Seconds(2), describe));
 }
 
-// Guards against an overview that stays old after a change of keeper, or after
-// a write whose answer was lost.
+// Guards against an overview that stays outdated after a change of keeper, or
+// after a write whose answer was lost.
 TEST(OverviewWriterTest, GoesOnFromWhatAConflictShows) {
   OverviewWriter writer({}, "ov",
                         [](const FleetOverview&) { return std::string("x"); });
@@ -141,10 +141,10 @@
   EXPECT_EQ(std::get<StorePut>(second->call).expected, Revision(9));
 }
 
-// One mirror that reads a few keys first.
+// A mirror that reads a few keys first.
 class FirstReadTest : public testing::Test {
  protected:
-  // The read that is due by then, if one is.
+  // Returns the read that is due by `now`, if any.
   std::optional<StoreRange> NextRead(Time now) {
     return FindRead(mirror_.Tick(now));
   }
@@ -187,8 +187,8 @@
   EXPECT_EQ(rest->prefix, "");
 }
 
-// Guards against seconds without service after a loss of all nodes: each of
-// them reads all registrations at once, and the service's link is full.
+// Guards against seconds without service after a loss of all nodes: each node
+// reads all registrations at once, which saturates the service's link.
 TEST_F(FirstReadTest, TheRestIsReadWithinTheSpreadWhereTheyAre) {
   spread_ = Duration::Seconds(3);
   NextRead(kNow);
--- a/tests/coordination/gateway/fleet_view_test.cc
+++ b/tests/coordination/gateway/fleet_view_test.cc
@@ -7,7 +7,7 @@
 
 constexpr Time kNow = Time::FromMillis(1000000);
 
-// Documents are spelled as their version; "bad" is none.
+// A document's text is its version; "bad" cannot be decoded.
 FleetCodec Codec() {
   FleetCodec codec;
   codec.configuration_key = "cfg";
@@ -45,7 +45,7 @@
   return {key, value, Revision(1), LeaseId()};
 }
 
-// Guards against a line for each VM at each start of each node.
+// Guards against a log line for each VM at each start of each node.
 TEST(FleetViewTest, AStartIsOneLineAndALaterVmOneEach) {
   std::vector<EventKind> told;
   FleetView view(Codec(), [&](const EventDraft& event) {
@@ -76,9 +76,8 @@
   EXPECT_EQ(view.configuration_changes(), 1U);
 }
 
-// Symptom: requests go to a VM whose entry names no endpoint. Sequence: another
-// writer overwrites the entry with something else. Cause: an entry that could
-// not be read left the one before it in force.
+// Guards against requests to a VM whose entry another writer has overwritten
+// with something unreadable: the previous entry stayed in force.
 TEST(FleetViewTest, AnEntryThatCannotBeReadNamesNoVm) {
   std::vector<EventKind> events;
   FleetView view(Codec(), [&](const EventDraft& event) {
--- a/tests/coordination/gateway/following_test.cc
+++ b/tests/coordination/gateway/following_test.cc
@@ -14,7 +14,7 @@
   return {key, "v", Revision(revision), LeaseId()};
 }
 
-// One mirror that has a node to follow.
+// A mirror that follows another node.
 class FollowingMirrorTest : public testing::Test {
  protected:
   FollowingMirrorTest() {
@@ -31,7 +31,7 @@
     settings.lapsing_prefixes = {"a/"};
     return settings;
   }
-  // The question or the call that the mirror makes next.
+  // Returns the first action of this type, if any.
   template <typename Action>
   std::optional<Action> Find(const std::vector<StoreMirrorAction>& actions) {
     for (const StoreMirrorAction& action : actions) {
@@ -42,7 +42,7 @@
     return std::nullopt;
   }
 
-  // What the followed node was asked last.
+  // The last question to the followed node.
   std::optional<AskPeerChanges> question_;
   Time now_ = kStart;
   std::map<std::string, Revision> entries_;
@@ -70,10 +70,9 @@
   EXPECT_EQ(Find<AskPeerChanges>(next)->after, Revision(12));
 }
 
-// Symptom: a node learns of changes later than the platform allows.
-// Sequence: the followed node cannot tell, does not answer, or answers from an
-// old copy.
-// Cause: going on as if nothing had changed, or asking it again and again.
+// Guards against a node that learns of changes later than the platform allows:
+// the followed node cannot tell, does not answer or answers from an old copy,
+// and the follower goes on as if nothing had changed or asks again and again.
 TEST_F(FollowingMirrorTest, TurnsToTheServiceAtOnceWhereTheOtherCannotTell) {
   const MirrorChanges old{
       Revision(12), {}, {}, Duration::Millis(1001), Duration()};
@@ -91,9 +90,8 @@
   }
 }
 
-// Symptom: a node that becomes the keeper sees losses late.
-// Sequence: it waits for the node that it followed.
-// Cause: a question that holds its next call back.
+// Guards against a new keeper that sees losses late because a pending question
+// to the node that it followed delays its next call.
 TEST_F(FollowingMirrorTest, StopsWaitingOnceItHasNobodyToFollow) {
   ASSERT_TRUE(question_);
   mirror_.SetFollowing(false);
@@ -101,10 +99,10 @@
   EXPECT_TRUE(mirror_.OnPeerChanges(now_, question_->id, std::nullopt).empty());
 }
 
-// Symptom: after an outage of the service a node takes all endpoints for gone.
-// Sequence: entries lapse while the service is away; the followed node holds
-// the removals back, a follower that had not noticed the outage hears of them.
-// Cause: removals that are told without how long they are to be held back.
+// Guards against a follower that takes all endpoints for lost after an outage
+// of the service: entries expire during the outage, and the followed node
+// passes the removals on without the time for which it defers them to a
+// follower that had not noticed the outage.
 TEST_F(FollowingMirrorTest, HoldsRemovalsBackAsLongAsTheFollowedNode) {
   ASSERT_TRUE(question_);
   mirror_.OnPeerChanges(now_, question_->id,
@@ -119,7 +117,7 @@
   EXPECT_FALSE(entries_.contains("a/1"));
 }
 
-// A fleet of nodes of one data centre.
+// A fleet of nodes in one data centre.
 class FollowingFleetTest : public testing::Test {
  protected:
   static constexpr std::size_t kNodes = 20;
@@ -134,7 +132,7 @@
     }
     return calls;
   }
-  // Writes registrations all the time, as a fleet where much happens.
+  // Writes registrations continuously, as in a fleet with many changes.
   void RunBusy(Duration span) {
     constexpr Duration kBetween = Duration::Millis(100);
     for (Duration run; run < span; run = run + kBetween) {
@@ -142,7 +140,7 @@
       world_.Run(kBetween);
     }
   }
-  // Nodes, of those that run, whose copy is not up to this revision.
+  // Counts the running nodes whose copy is older than the revision.
   std::size_t CountBehind(Revision revision) {
     std::size_t behind = 0;
     for (std::size_t i = 0; i < kNodes; ++i) {
@@ -153,8 +151,8 @@
     }
     return behind;
   }
-  // The node that has made most calls since: others follow it, or it is the
-  // keeper.
+  // Returns the node other than the keeper that makes most calls during five
+  // seconds; other nodes follow it.
   std::size_t BusiestWatcher() {
     std::vector<std::int64_t> before;
     for (std::size_t i = 0; i < kNodes; ++i) {
@@ -176,24 +174,22 @@
   GatewayWorld world_{kNodes, 1, 6, 7};
 };
 
-// Symptom: calls to the service grow with the fleet.
-// Sequence: registrations change all the time; each change ends a watch of each
-// node.
-// Cause: every node watching for itself.
+// Guards against calls to the service that grow with the fleet: every node
+// watches for itself, and each of the continuous changes ends the watch of
+// every node.
 TEST_F(FollowingFleetTest, OneNodeWatchesForMany) {
   const std::int64_t before = StoreCalls();
   RunBusy(Duration::Seconds(10));
-  // Two to seven a second of the keeper, two of the followed node, and hardly
-  // any of the other eighteen.
+  // The keeper makes two to seven calls a second, the followed node two, and
+  // the other eighteen hardly any.
   EXPECT_LT(StoreCalls() - before, 110);
   const Revision revision = world_.store().revision();
   world_.Run(Duration::Millis(700));
   EXPECT_EQ(CountBehind(revision), 0U);
 }
 
-// Symptom: after the loss of one node many others send to endpoints that left.
-// Sequence: the followed node is killed; a registration changes.
-// Cause: waiting for a node that is no more.
+// Guards against followers that wait for a followed node that was killed, and
+// meanwhile send requests to endpoints that have left.
 TEST_F(FollowingFleetTest, AllKnowOfAChangeInTimeThoughTheFollowedNodeIsLost) {
   const std::size_t watcher = BusiestWatcher();
   ASSERT_LT(watcher, kNodes);
@@ -204,9 +200,8 @@
   EXPECT_EQ(CountBehind(revision), 0U);
 }
 
-// Symptom: as above.
-// Sequence: the followed node runs but hears nothing of the service any more.
-// Cause: a copy that is passed on however old it is.
+// Guards against a followed node that is cut off from the service and passes
+// its outdated copy on.
 TEST_F(FollowingFleetTest, AllKnowOfAChangeInTimeThoughTheFollowedNodeIsCut) {
   const std::size_t watcher = BusiestWatcher();
   ASSERT_LT(watcher, kNodes);
@@ -220,8 +215,8 @@
   }
 }
 
-// Guards against copies of all keys that fill the links of a large fleet while
-// the service turns some nodes away.
+// Guards against copies of all keys that saturate the links of a large fleet
+// while the service refuses some nodes.
 TEST_F(FollowingFleetTest, NodesThatTheServiceRefusesAskOthersForChanges) {
   for (std::size_t i = 0; i < kNodes; i += 3) {
     world_.node(i).store_refuses = true;
@@ -237,7 +232,7 @@
   EXPECT_LE(world_.snapshot_questions - before, 7);
 }
 
-// Guards against calls that the service refuses all the time: they cost as much
+// Guards against continuous calls that the service refuses: they cost as much
 // as others.
 TEST_F(FollowingFleetTest, RefusedNodesCallSeldom) {
   std::size_t refused = 0;
@@ -254,8 +249,8 @@
   EXPECT_LE(node.store_calls + node.store_renewals - before, 20);
 }
 
-// Guards against leases that are replaced again and again in a quiet fleet, as
-// the choice of the followed node changes.
+// Guards against leases that are replaced again and again in a quiet fleet
+// because the choice of the followed node changes.
 TEST(FollowingQuietFleetTest, LeasesAreNotReplacedAgainAndAgain) {
   GatewayWorld world(24, 2, 10, 1);
   world.Run(Duration::Seconds(20));
@@ -271,7 +266,7 @@
   EXPECT_LE(after - before, 24 * 30 * 14 / 100);
 }
 
-// Guards against renewals that are most of all calls of a large fleet.
+// Guards against renewals that make up most calls of a large fleet.
 TEST_F(FollowingFleetTest, NodesThatNeedNotTakeTheRoleRenewSeldom) {
   std::vector<std::int64_t> before;
   for (std::size_t i = 0; i < kNodes; ++i) {
@@ -287,24 +282,22 @@
   EXPECT_EQ(relaxed, kNodes - 16);
 }
 
-// Symptom: news reach the nodes of a small fleet later, for hardly a call less.
-// Sequence: three nodes in a data centre.
-// Cause: following where the watches of all nodes are few.
+// Guards against following in a small data centre, here of three nodes: changes
+// arrive later, for hardly a call less.
 TEST(FollowingSmallFleetTest, EachNodeOfASmallDataCentreWatchesForItself) {
   GatewayWorld world(3, 1, 6, 8);
   world.Run(Duration::Seconds(10));
   EXPECT_EQ(world.change_questions, 0);
 }
 
-// Symptom: half of all calls of a quiet fleet ask who holds the roles.
-// Sequence: nothing happens; nobody wants a role.
-// Cause: each node reading by itself what its copy of the service shows it.
+// Guards against role reads that make up half of all calls of a quiet fleet: no
+// node wants a role, but each reads what its copy of the service already shows.
 TEST(FollowingSmallFleetTest, WhoWantsNoRoleAsksForNone) {
   GatewayWorld world(3, 1, 6, 9);
   world.Run(Duration::Seconds(20));
   const std::int64_t before = world.role_reads;
   world.Run(Duration::Seconds(60));
-  // Of the keeper, one in ten seconds.
+  // The keeper makes one such read in ten seconds.
   EXPECT_LE(world.role_reads - before, 8);
 }
 
--- a/tests/coordination/gateway/gateway_core_test.cc
+++ b/tests/coordination/gateway/gateway_core_test.cc
@@ -30,9 +30,9 @@
   GatewayWorld world_;
 };
 
-// Symptom: most of a fleet that is stopped node by node is away at once.
-// Sequence: each is stopped a second after the one before and has no request
-// left after three. Cause: it went on until the platform's limit all the same.
+// Guards against most of a fleet being down at once when its nodes are stopped
+// one second apart: each node waited for the platform's limit although it had
+// no open request after three seconds.
 TEST_F(GatewayCoreTest, ANodeThatStopsEndsOnceNothingIsOpen) {
   GatewayCore& core = *world_.node(0).core;
   core.OnStopAsked(world_.now());
@@ -60,10 +60,10 @@
   EXPECT_TRUE(core.is_stop_over(world_.now()));
 }
 
-// Symptom: a stream is cut when its node ends. Sequence: SIGTERM; 3.5 s later a
-// caller that keeps addresses for longer than asked sends a request; the stream
-// takes 4 s; the node has to end. Cause: the node took what it could not
-// finish.
+// Guards against a stream that is cut off when its node ends: 3.5 s after
+// SIGTERM a caller that caches addresses for longer than asked sends a request
+// whose stream takes 4 s, and the node accepts it although it has to end
+// before.
 TEST_F(GatewayCoreTest, ANodeThatStopsRefusesWhatItCouldNotFinish) {
   world_.node(0).core->OnStopAsked(world_.now());
   EXPECT_FALSE(world_.node(0).core->ready());
@@ -85,13 +85,13 @@
   world_.Run(Duration::Seconds(1));
   const std::vector<Address> entries = world_.node(0).core->Entries();
   EXPECT_EQ(entries, std::vector<Address>{Address("c0")});
-  // It leaves its own answers too.
+  // A stopping node does not advertise itself either.
   EXPECT_EQ(world_.node(1).core->Entries(),
             std::vector<Address>{Address("c0")});
 }
 
-// Symptom: some nodes of a fleet of 70 get no new callers. Sequence: one answer
-// holds 64 addresses. Cause: every node named the first 64 by name.
+// Guards against nodes of a fleet of 70 that get no new callers: a list holds
+// 64 addresses, and every node listed the first 64 by name.
 TEST(GatewayEntriesTest, EachNodeOfALargeFleetIsNamedAsOften) {
   GatewayWorld world(70, 1, 11, 3);
   world.Run(Duration::Seconds(5));
@@ -107,7 +107,8 @@
   }
 }
 
-// Symptom: nothing is known at a node that starts in an outage of the service.
+// Guards against a node that starts during an outage of the service and learns
+// nothing.
 TEST_F(GatewayCoreTest, ANodeThatStartsInAnOutageLearnsFromAnother) {
   world_.KillNode(1);
   world_.store_down = true;
@@ -119,7 +120,8 @@
   EXPECT_TRUE(std::holds_alternative<SendForward>(Arrive(1)));
 }
 
-// Symptom: a node that the service turns away knows of no change for as long.
+// Guards against a node that the service rejects and that learns of no change
+// meanwhile.
 TEST_F(GatewayCoreTest, ANodeThatTheServiceTurnsAwayLearnsFromAnother) {
   world_.node(0).store_cut = true;
   world_.Run(Duration::Seconds(3));
--- a/tests/coordination/gateway/store_mirror_test.cc
+++ b/tests/coordination/gateway/store_mirror_test.cc
@@ -34,7 +34,7 @@
     return settings;
   }
 
-  // The call that the actions ask for, if any.
+  // Returns the call among the actions, if any.
   std::optional<StoreCall> Take(const std::vector<StoreMirrorAction>& actions) {
     std::optional<StoreCall> call;
     for (const StoreMirrorAction& action : actions) {
@@ -51,13 +51,13 @@
   std::optional<StoreCall> Answer(const StoreReply& reply) {
     return Take(mirror_.OnStoreReply(now_, id_, reply));
   }
-  // The watch under way ends without a change.
+  // Ends the watch in flight without a change.
   std::optional<StoreCall> EndWatch() {
     return Answer(StoreWatchReply{Revision(20), {}, {}, false});
   }
   void Wait(std::int64_t millis) { now_ = now_ + Duration::Millis(millis); }
 
-  // Reads both families; `a/1` and `b/1` are there.
+  // Reads both prefixes; `a/1` and `b/1` exist.
   void Load() {
     Tick();
     Answer(StoreRangeReply{Revision(10), {Entry("a/1", "x", 3)}, false});
@@ -76,7 +76,7 @@
 TEST_F(StoreMirrorTest, ReadsAllFamiliesThenWatchesFromTheFirstOnesRevision) {
   Load();
   const std::optional<StoreCall> call = Tick();
-  // A change between the two reads is in neither of them.
+  // A change between the two reads may be in neither of them.
   EXPECT_EQ(mirror_.revision(), Revision(10));
   EXPECT_TRUE(!call || std::get<StoreWatch>(*call).after == Revision(10));
   EXPECT_EQ(values_.at("a/1"), "x");
@@ -92,9 +92,9 @@
   EXPECT_EQ(values_.size(), 2U);
 }
 
-// Symptom: every node calls the service unreachable, and its keeper gives the
-// role up, whenever nothing changes for a second. Sequence: a watch waits its
-// full time. Cause: the wait counted as silence.
+// Guards against a watch whose full wait counts as silence: whenever nothing
+// changed for a second, every node reported the service unreachable, and its
+// keeper gave the role up.
 TEST_F(StoreMirrorTest, AWatchThatWaitsIsNoOutage) {
   Load();
   for (int i = 0; i < 20; ++i) {
@@ -116,7 +116,7 @@
   mirror_.OnPeerSnapshot(
       now_, {Revision(20), {Entry("a/1", "new", 15), Entry("b/1", "y", 4)}});
   EXPECT_EQ(values_.at("a/1"), "new");
-  // An older one takes nothing back.
+  // An older snapshot reverts nothing.
   mirror_.OnPeerSnapshot(now_, {Revision(14), {Entry("a/1", "x", 3)}});
   EXPECT_EQ(values_.at("a/1"), "new");
 }
@@ -146,10 +146,10 @@
   EXPECT_TRUE(values_.contains("b/1"));
 }
 
-// Symptom: after an outage of the service the fleet looks empty for a second or
-// two, and every group is closed. Sequence: entries lapse while the service is
-// away; their owners write them again within two seconds of its return. Cause:
-// a removal right after an outage was taken for a loss.
+// Guards against a fleet that looks empty after an outage of the service, so
+// that every group is closed: entries expire during the outage, their owners
+// write them again within two seconds of its end, and the removals were taken
+// for losses.
 TEST_F(StoreMirrorTest,
        KeepsEntriesThatLapsedInAnOutageUntilTheirOwnersCanWrite) {
   Load();
@@ -161,7 +161,8 @@
   Tick();
   Answer(StoreWatchReply{
       Revision(40), {}, {{"b/1", Revision(39)}, {"a/1", Revision(38)}}, false});
-  // Keys of families whose owners do not come back go at once.
+  // Keys of other prefixes, whose owners do not write them again, are removed
+  // at once.
   EXPECT_FALSE(values_.contains("a/1"));
   EXPECT_TRUE(values_.contains("b/1"));
   Wait(2600);
@@ -186,9 +187,9 @@
   EXPECT_EQ(values_.at("b/1"), "again");
 }
 
-// Symptom: in a fleet of 72 nodes calls to the service cost a tenth of what is
-// served. Sequence: something changes all the time, and each change ends the
-// watch of every node. Cause: all nodes watched as often as those of a small
+// Guards against calls to the service that cost a tenth of the worth served in
+// a fleet of 72 nodes: something changes all the time, each change ends the
+// watch of every node, and all nodes watched as often as those of a small
 // fleet.
 TEST_F(StoreMirrorTest, NodesOfALargerFleetWatchLessOften) {
   const auto watches_in_ten_seconds = [this](std::size_t nodes) {
@@ -207,14 +208,14 @@
   EndWatch();
   EXPECT_NEAR(watches_in_ten_seconds(8), 20, 2);
   EXPECT_NEAR(watches_in_ten_seconds(16), 11, 2);
-  // A change must be known within two seconds, a repeated call included.
+  // A change must be known within two seconds, including a repeated call.
   EXPECT_NEAR(watches_in_ten_seconds(1000), 10, 1);
   mirror_.SetEager(true);
   EXPECT_GE(watches_in_ten_seconds(1000), 40);
 }
 
-// A bound shorter than a second call takes leaves the shortest interval there
-// is.
+// If the bound is too short for a second call, the mirror uses the minimum
+// interval.
 TEST(StoreMirrorBoundTest, AShortBoundDoesNotStopTheWatches) {
   StoreMirrorSettings settings;
   settings.prefixes = {"a/"};
@@ -235,8 +236,9 @@
   EXPECT_NE(id_of(mirror.Tick(kStart + Duration::Millis(460))), StoreCallId());
 }
 
-// Symptom: a node of a large fleet that waits between two watches calls the
-// service away and asks other nodes. Cause: its own pause counted as silence.
+// Guards against a node of a large fleet whose own pause between two watches
+// counts as silence, so that it takes the service for unreachable and asks
+// other nodes.
 TEST_F(StoreMirrorTest, APauseBetweenTwoWatchesIsNoOutage) {
   Load();
   mirror_.SetWatcherCount(1000);
@@ -250,7 +252,7 @@
   EXPECT_EQ(asked_, 0);
 }
 
-// A watch that waits for longer in a larger fleet is not overdue sooner.
+// A watch with the longer wait of a larger fleet is not overdue sooner.
 TEST_F(StoreMirrorTest, AnUnansweredLongWatchIsAnOutageWhenItIsOverdue) {
   Load();
   mirror_.SetWatcherCount(1000);
@@ -265,11 +267,10 @@
   EXPECT_EQ(reports_, std::vector<bool>{false});
 }
 
-// Symptom: a node names another that was removed for good, for ever. Sequence:
-// a node is removed while some nodes are turned away by the service; one of
-// them learns from a peer that holds the removal back, as after an outage, and
-// goes on from the peer's revision, which is past the removal. Cause: the
-// snapshot held keys that were gone at its revision.
+// Guards against a node that advertises a removed node forever: a node is
+// removed while the service rejects some nodes, one of these takes a snapshot
+// from a node that defers the removal after an outage, and continues from the
+// snapshot's revision, which is past the removal.
 TEST_F(StoreMirrorTest, ASnapshotHoldsNoKeyWhoseRemovalIsHeldBack) {
   Load();
   Tick();
@@ -307,7 +308,8 @@
     Wait(50);
     calls += Tick() ? 1 : 0;
   }
-  // Five seconds; the flood that this bounds was 90 calls a second.
+  // The test lasts five seconds; the flood that this bound prevents was 90
+  // calls a second.
   EXPECT_LE(calls, 34);
 }
 
--- a/tests/support/gateway_world.h
+++ b/tests/support/gateway_world.h
@@ -16,7 +16,7 @@
 
 namespace gcw {
 
-// Gateways, a key-value service and engines in virtual time.
+// Simulates gateways, a key-value service and engines in virtual time.
 class GatewayWorld {
  public:
   static constexpr Duration kStep = Duration::Millis(10);
@@ -29,9 +29,9 @@
     std::unique_ptr<GatewayCore> core;
     bool alive = true;
     bool store_cut = false;
-    // The service answers this node's calls with a refusal.
+    // The service refuses this node's calls.
     bool store_refuses = false;
-    // Calls to the service; renewals of leases cost less and count apart.
+    // Calls to the service, without renewals of leases, which cost less.
     std::int64_t store_calls = 0;
     std::int64_t store_renewals = 0;
     int run = 0;
@@ -91,7 +91,8 @@
     }
   }
 
-  // Where it runs until the condition holds; false where it never does.
+  // Runs until the condition holds or the limit has passed; returns whether it
+  // holds.
   bool RunUntil(Duration limit, const std::function<bool()>& holds) {
     const Time end = now_ + limit;
     while (now_ < end) {
@@ -127,7 +128,7 @@
     return open;
   }
 
-  // The first member of an open group of the model.
+  // Returns the first member of an open group of the model.
   VmId OpenHead(const std::string& model) const {
     for (const auto& [id, engine] : engines_) {
       const auto& membership = engine.self.membership;
@@ -153,7 +154,7 @@
     return false;
   }
 
-  // Of the group that the VM is in; the first one has rank 0.
+  // Returns the members of the VM's group; the first has rank 0.
   std::vector<VmId> MembersOf(const VmId& vm) const {
     return engines_.at(vm).group_members;
   }
@@ -198,19 +199,19 @@
     engines_.at(vm).self.draining = true;
     Publish(engines_.at(vm));
   }
-  // The engine crashes and starts again under its id at once.
+  // Crashes the engine and restarts it under its id at once.
   void Restart(const VmId& vm) {
     played_.Restart(vm, Incarnation(now_.millis()));
     Publish(engines_.at(vm));
   }
-  // An entry by whoever else writes to the store.
+  // Writes an entry as another client of the store.
   void WriteEntry(const std::string& key, const std::string& value) {
     Put(key, value);
   }
-  // A registration that is written again, as one whose numbers changed.
+  // Writes the registration again, as if its numbers had changed.
   void Rewrite(const VmId& vm) { Publish(engines_.at(vm)); }
 
-  // Tells the keeper's node that the group of this first member stands still.
+  // Notifies the keeper's node that the group of this first member is stalled.
   void SayStandstill(const VmId& head) {
     if (const auto node = keeper()) {
       const auto& membership = engines_.at(head).self.membership;
@@ -279,19 +280,19 @@
         DiscardEvents());
   }
 
-  // Of nodes that start from now on, where it is not 1.
+  // Weights, other than 1, of nodes that start from now on.
   std::map<std::size_t, std::int64_t> weights;
   bool store_down = false;
   bool traffic = false;
-  // Nodes that no caller asks.
+  // Nodes that get no requests.
   std::set<std::size_t> idle_nodes;
-  // Streams that ended whole, and those that were cut or never answered.
+  // Streams that completed, and those that were cut off or never answered.
   int served = 0;
   int lost = 0;
   int moved = 0;
   int progress_questions = 0;
   int change_questions = 0;
-  // Questions for all keys at once.
+  // Requests for a snapshot of all keys.
   int snapshot_questions = 0;
   int role_reads = 0;
 
@@ -378,7 +379,7 @@
     }
   }
 
-  // Runs at a node, unless it was killed or started anew meanwhile.
+  // Runs `handle` at a node, unless the node was killed or restarted meanwhile.
   void AtNode(std::size_t index,
               int run,
               const std::function<GatewayActions(GatewayCore&)>& handle) {
@@ -446,7 +447,7 @@
     }
   }
 
-  // Nodes give up on a watch some time after it should have come back.
+  // Ends watches without an answer some time after they should have returned.
   void EndWatchesUnanswered() {
     constexpr Duration kOverdue = Duration::Millis(600);
     std::vector<Watch> waiting = std::exchange(watches_, {});
@@ -624,8 +625,8 @@
     }
   }
 
-  // A stream gives an event at each call while its group is whole and the VM is
-  // reached, and nothing otherwise.
+  // Each call moves a stream on by an event if its group is whole and its VM is
+  // reachable, and does nothing otherwise.
   void MoveStreams() {
     for (auto it = streams_.begin(); it != streams_.end();) {
       Stream& stream = *it;
@@ -670,7 +671,7 @@
   std::vector<Watch> watches_;
   std::multimap<Time, std::function<void()>> queue_;
   std::vector<Stream> streams_;
-  // What a follower waits for.
+  // A follower's pending request.
   struct Question {
     std::size_t node;
     int run;
