--- a/coordination/gateway/change_feed.h
+++ b/coordination/gateway/change_feed.h
@@ -45,39 +45,39 @@
 // one node watches the service for many.
 class ChangeFeed {
  public:
-  explicit ChangeFeed(std::size_t most_changes) : most_changes_(most_changes) {}
+  explicit ChangeFeed(std::size_t max_changes) : max_changes_(max_changes) {}
 
   // Drops all changes. Changes up to this revision can no longer be told.
-  void StartAt(Revision revision);
+  void ResetTo(Revision revision);
   // Appends changes that are newer than all added before.
   void Add(const std::vector<StoreEntry>& changed,
            const std::vector<StoreDeletion>& deleted);
 
-  void Ask(Time now, const ChangeQuestion& question);
-  bool has_questions() const { return !questions_.empty(); }
+  void AddRequest(Time now, const ChangeQuestion& request);
+  bool has_pending_requests() const { return !pending_requests_.empty(); }
   // Returns answers to the requests that need not wait any longer. `age` is
   // absent if this node's copy is not known to be fresh, and then no changes
   // can be told.
-  std::vector<AnswerChanges> TakeAnswers(Time now,
+  std::vector<AnswerChanges> TakeReplies(Time now,
                                          Revision revision,
                                          std::optional<Duration> age,
                                          Duration lapse_left);
 
  private:
   using Change = std::variant<StoreEntry, StoreDeletion>;
-  struct Question {
-    ChangeQuestion asked;
-    Time until;
+  struct PendingRequest {
+    ChangeQuestion request;
+    Time deadline;
   };
 
   MirrorChanges ChangesAfter(Revision after) const;
 
-  std::size_t most_changes_;
+  std::size_t max_changes_;
   std::deque<Change> changes_;
   // The changes after this revision are kept. Absent until the first copy is
   // complete.
-  std::optional<Revision> start_;
-  std::vector<Question> questions_;
+  std::optional<Revision> start_revision_;
+  std::vector<PendingRequest> pending_requests_;
 };
 
 }  // namespace gcw
--- a/coordination/gateway/fleet_view.cc
+++ b/coordination/gateway/fleet_view.cc
@@ -13,8 +13,8 @@
 
 // Logs one line at a start rather than one for each VM: in a large fleet these
 // would be most of all lines, and cost processor time just when there is least.
-void FleetView::OnLearned(Revision revision) {
-  if (std::exchange(learned_, true)) {
+void FleetView::OnFullyLoaded(Revision revision) {
+  if (std::exchange(fully_loaded_, true)) {
     return;
   }
   overview_nodes_.clear();
@@ -65,27 +65,27 @@
 }
 
 void FleetView::OnConfiguration(const StoreEntry& entry) {
-  std::optional<FleetConfiguration> read =
+  std::optional<FleetConfiguration> decoded =
       codec_.decode_configuration(entry.value);
   // If a document cannot be read, the last good one stays in force.
-  if (!read) {
+  if (!decoded) {
     return;
   }
-  if (routes_ && read->version <= routes_->configuration().version) {
+  if (routes_ && decoded->version <= routes_->configuration().version) {
     return;
   }
   events_({EventKind::kConfigurationApplied,
            entry.key,
            {},
-           {{"version", read->version.value()},
+           {{"version", decoded->version.value()},
             {"revision", entry.revision.value()},
-            {"routes", static_cast<std::int64_t>(read->routes.size())}}});
-  routes_ = std::make_shared<const RouteTable>(*std::move(read));
+            {"routes", static_cast<std::int64_t>(decoded->routes.size())}}});
+  routes_ = std::make_shared<const RouteTable>(*std::move(decoded));
   ++configuration_changes_;
 }
 
 void FleetView::OnOverview(const StoreEntry& entry) {
-  if (learned_) {
+  if (fully_loaded_) {
     return;
   }
   std::optional<FleetOverview> overview = codec_.decode_overview(entry.value);
@@ -103,40 +103,40 @@
 }
 
 void FleetView::OnRegistration(const VmId& vm, const StoreEntry& entry) {
-  std::optional<VmRegistration> read =
+  std::optional<VmRegistration> decoded =
       codec_.decode_registration(vm, entry.value);
-  if (!read) {
-    OnUnreadable(vm);
+  if (!decoded) {
+    OnUnreadableRegistration(vm);
     return;
   }
   unreadable_vms_.erase(vm);
   provisional_vms_.erase(vm);
   const auto [known, is_new] = vms_.try_emplace(vm);
-  if (!is_new && known->second == *read) {
+  if (!is_new && known->second == *decoded) {
     return;
   }
   if (is_new) {
-    if (learned_) {
+    if (fully_loaded_) {
       events_({EventKind::kVmAppeared, vm.value(), {}, {}});
     }
-  } else if (read->incarnation != known->second.incarnation) {
-    restarted_vms_.push_back(read->address);
+  } else if (decoded->incarnation != known->second.incarnation) {
+    restarted_addresses_.push_back(decoded->address);
     events_({EventKind::kVmRestarted,
              vm.value(),
              {},
-             {{"incarnation", read->incarnation.value()}}});
-  } else if (read->draining && !known->second.draining) {
+             {{"incarnation", decoded->incarnation.value()}}});
+  } else if (decoded->draining && !known->second.draining) {
     events_({EventKind::kEndpointLeaving, vm.value(), {}, {}});
   }
   RemoveFromDomain(known->second);
-  known->second = *std::move(read);
+  known->second = *std::move(decoded);
   AddToDomain(known->second);
   changed_vms_.insert(vm);
 }
 
 // What was known of the VM came from an entry that no longer exists. Requests
 // based on it would reach whatever wrote the new entry, if anything.
-void FleetView::OnUnreadable(const VmId& vm) {
+void FleetView::OnUnreadableRegistration(const VmId& vm) {
   if (unreadable_vms_.insert(vm).second) {
     events_({EventKind::kVmUnreadable, vm.value(), {}, {}});
   }
@@ -225,8 +225,8 @@
   return std::exchange(changed_vms_, {});
 }
 
-std::vector<Address> FleetView::TakeRestartedVms() {
-  return std::exchange(restarted_vms_, {});
+std::vector<Address> FleetView::TakeRestartedAddresses() {
+  return std::exchange(restarted_addresses_, {});
 }
 
 }  // namespace gcw
--- a/coordination/gateway/fleet_view.h
+++ b/coordination/gateway/fleet_view.h
@@ -47,7 +47,7 @@
   // Marks the end of the first full read. Until then, VMs are not reported one
   // by one, and the overview stands in for registrations that have not been
   // read.
-  void OnLearned(Revision revision);
+  void OnFullyLoaded(Revision revision);
   void OnPut(Time now, const StoreEntry& entry);
   void OnDeleted(Time now, const std::string& key);
 
@@ -72,7 +72,7 @@
   std::set<VmId> TakeChangedVms();
   // Returns the addresses of VMs that restarted under their ids since the last
   // call.
-  std::vector<Address> TakeRestartedVms();
+  std::vector<Address> TakeRestartedAddresses();
   // Number of configurations applied so far.
   std::uint64_t configuration_changes() const { return configuration_changes_; }
 
@@ -80,7 +80,7 @@
   void OnConfiguration(const StoreEntry& entry);
   void OnOverview(const StoreEntry& entry);
   void OnRegistration(const VmId& vm, const StoreEntry& entry);
-  void OnUnreadable(const VmId& vm);
+  void OnUnreadableRegistration(const VmId& vm);
   void OnNode(const NodeId& id, NodeRecord node);
   void RemoveNode(const NodeId& id);
   // Returns false if the VM was not known.
@@ -95,13 +95,13 @@
   std::map<FabricDomainId, DomainVms> domains_;
   std::map<NodeId, NodeRecord> nodes_;
   std::size_t serving_nodes_ = 0;
-  bool learned_ = false;
+  bool fully_loaded_ = false;
   // VMs that are known only from the overview, and the nodes of that overview.
   std::set<VmId> provisional_vms_;
   std::map<NodeId, Address> overview_nodes_;
   std::map<RoleName, NodeId> holders_;
   std::set<VmId> changed_vms_;
-  std::vector<Address> restarted_vms_;
+  std::vector<Address> restarted_addresses_;
   // VMs whose entries cannot be decoded, for example because something else
   // overwrote them.
   std::set<VmId> unreadable_vms_;
--- a/coordination/gateway/gateway_core.cc
+++ b/coordination/gateway/gateway_core.cc
@@ -47,7 +47,7 @@
                           {},
                           {{"revision", mirror_.revision().value()}}});
                },
-               [this] { return ReadSpread(); }}),
+               [this] { return InitialReadSpread(); }}),
       lease_(MakeLease(settings_, codecs, random_, events_)),
       roles_(RoleLeases::Builder()
                  .SetSettings(settings_.roles)
@@ -68,9 +68,9 @@
                 codecs.encode_overview),
       selector_(settings_.selector, settings_.self.zone, random_, events_),
       budget_(settings_.retries),
-      desk_(settings_.requests, &selector_, &budget_, random_, events_) {}
+      forwards_(settings_.requests, &selector_, &budget_, random_, events_) {}
 
-Duration GatewayCore::ReadSpread() const {
+Duration GatewayCore::InitialReadSpread() const {
   if (!view_.routes() || !view_.has_overview()) {
     return Duration();
   }
@@ -94,20 +94,20 @@
   Apply(GatewayModule::kLease, lease_.Tick(now));
   UpdateRole(now);
   UpdateReplicas(now);
-  MoveStuck(now, selector_.Tick(now));
+  FailOverStalledAttempts(now, selector_.Tick(now));
   for (const Replica& replica : selector_.TakeSuspicions()) {
-    AskWitnesses({replica.vm, replica.generation});
+    QueryStallWitnesses({replica.vm, replica.generation});
   }
   for (const Replica& replica : selector_.TakeStandstills()) {
     const StandstillNotice notice{replica.vm, replica.generation};
     keeper_.OnStandstill(notice.head, notice.generation);
-    for (const Address& address : OtherNodes()) {
+    for (const Address& address : OtherNodeAddresses()) {
       actions_.emplace_back(TellNode{address, notice});
     }
   }
   RunKeeper(now);
   WriteOverview(now);
-  AskForKeeper(now);
+  QueryWitnessesForKeeper(now);
   return TakeActions();
 }
 
@@ -147,8 +147,8 @@
 }
 
 GatewayActions GatewayCore::OnNotice(Time now, const StandstillNotice& notice) {
-  MoveStuck(now,
-            selector_.OnStandstillHeard(now, notice.head, notice.generation));
+  FailOverStalledAttempts(
+      now, selector_.OnStandstillHeard(now, notice.head, notice.generation));
   keeper_.OnStandstill(notice.head, notice.generation);
   RunKeeper(now);
   return TakeActions();
@@ -168,10 +168,10 @@
   return progress ? std::optional(now - *progress) : std::nullopt;
 }
 
-void GatewayCore::AskWitnesses(const StandstillNotice& group) {
-  std::vector<Address> others = OtherNodes();
+void GatewayCore::QueryStallWitnesses(const StandstillNotice& group) {
+  std::vector<Address> others = OtherNodeAddresses();
   const std::size_t count =
-      std::min(others.size(), settings_.standstill_witnesses);
+      std::min(others.size(), settings_.max_stall_witnesses);
   for (std::size_t i = 0; i < count; ++i) {
     std::swap(others[i], others[i + DrawBelow(random_, others.size() - i)]);
     actions_.emplace_back(AskProgress{others[i], group});
@@ -181,13 +181,13 @@
 // A keeper that has no stream at a group does not see by itself whether the
 // group makes progress, and closing a group that is only full would cut off
 // every stream that it runs.
-void GatewayCore::AskForKeeper(Time now) {
-  if (now < next_witness_ask_ || !is_keeper(now)) {
+void GatewayCore::QueryWitnessesForKeeper(Time now) {
+  if (now < next_witness_query_ || !is_keeper(now)) {
     return;
   }
-  next_witness_ask_ = now + settings_.witness_interval;
+  next_witness_query_ = now + settings_.witness_query_interval;
   for (const auto& [head, generation] : keeper_.StandingStill()) {
-    AskWitnesses({head, generation});
+    QueryStallWitnesses({head, generation});
   }
 }
 
@@ -208,10 +208,10 @@
 }
 
 void GatewayCore::OnStopAsked(Time now) {
-  if (stop_asked_) {
+  if (stop_requested_at_) {
     return;
   }
-  stop_asked_ = now;
+  stop_requested_at_ = now;
   events_({EventKind::kNodeDraining, settings_.self.id.value(), {}, {}});
   NodeRecord record = settings_.self;
   record.leaving = true;
@@ -219,12 +219,13 @@
 }
 
 bool GatewayCore::is_stop_over(Time now) const {
-  if (!stop_asked_) {
+  if (!stop_requested_at_) {
     return false;
   }
-  const Duration since = now - *stop_asked_;
-  return since >= settings_.stop_grace - settings_.stop_margin ||
-         (since >= settings_.stop_quiet_after && desk_.open_requests() == 0);
+  const Duration elapsed = now - *stop_requested_at_;
+  return elapsed >= settings_.stop_grace - settings_.stop_margin ||
+         (elapsed >= settings_.stop_quiet_after &&
+          forwards_.open_requests() == 0);
 }
 
 ForwardBegun GatewayCore::OnArrived(Time now, ForwardRequest request) {
@@ -232,9 +233,10 @@
     traffic_seen_ = true;
     keeper_.OnTraffic();
   }
-  const bool refuses =
-      stop_asked_ && now - *stop_asked_ >= settings_.stop_refuses_after;
-  if (refuses) {
+  const bool must_refuse =
+      stop_requested_at_ &&
+      now - *stop_requested_at_ >= settings_.stop_refuses_after;
+  if (must_refuse) {
     events_(
         {EventKind::kRequestRefused,
          request.id.value(),
@@ -243,13 +245,13 @@
     return {ForwardId(), ForwardRefused{RefusalKind::kDraining,
                                         settings_.requests.retry_after}};
   }
-  return desk_.OnArrived(now, std::move(request), view_.routes());
+  return forwards_.OnArrived(now, std::move(request), view_.routes());
 }
 
 ForwardStep GatewayCore::OnEnded(Time now,
                                  ForwardId id,
                                  const ForwardEnd& end) {
-  return desk_.OnEnded(now, id, end);
+  return forwards_.OnEnded(now, id, end);
 }
 
 std::vector<Address> GatewayCore::Entries() const {
@@ -259,8 +261,9 @@
   }
   const std::map<NodeId, Address> nodes = view_.CallerAddresses();
   auto next = nodes.upper_bound(settings_.self.id);
-  for (std::size_t i = 0;
-       i < nodes.size() && addresses.size() < settings_.most_entries; ++i) {
+  for (std::size_t i = 0; i < nodes.size() &&
+                          addresses.size() < settings_.max_advertised_addresses;
+       ++i) {
     if (next == nodes.end()) {
       next = nodes.begin();
     }
@@ -279,61 +282,64 @@
 void GatewayCore::UpdateRole(Time now) {
   const RoleName role{std::string(kKeeperRole)};
   const NodeId holder = view_.HolderOf(role);
-  const bool may_take =
+  const bool can_take_role =
       !stopping() && !keeper_.is_fenced_off() && mirror_.loaded();
-  const bool is_own = roles_.Held(role, now) || holder == settings_.self.id;
-  bool wants = may_take && is_own && !MayHandOver(now, holder);
-  if (!may_take || wants || !mirror_.reachable() || !holder.empty()) {
+  const bool holds_role = roles_.Held(role, now) || holder == settings_.self.id;
+  bool wants_role = can_take_role && holds_role && !ShouldHandOver(now, holder);
+  if (!can_take_role || wants_role || !mirror_.reachable() || !holder.empty()) {
     role_free_since_.reset();
   } else {
     if (!role_free_since_) {
       role_free_since_ = now;
     }
-    wants = now - *role_free_since_ >= settings_.role_step * RankFor(role);
+    wants_role = now - *role_free_since_ >=
+                 settings_.role_candidate_delay * RoleRank(role);
   }
   std::set<RoleName> desired;
-  if (wants) {
+  if (wants_role) {
     desired.insert(role);
   }
   Apply(GatewayModule::kRoles, roles_.SetDesired(now, std::move(desired)));
 }
 
-std::int64_t GatewayCore::RankFor(const RoleName& role) const {
-  const std::int64_t own = settings_.self.weight;
-  std::int64_t larger = 0;
-  std::vector<NodeId> equals = {settings_.self.id};
+std::int64_t GatewayCore::RoleRank(const RoleName& role) const {
+  const std::int64_t own_weight = settings_.self.weight;
+  std::int64_t higher_weight_nodes = 0;
+  std::vector<NodeId> equal_weight_nodes = {settings_.self.id};
   for (const auto& [id, node] : view_.nodes()) {
     if (node.leaving || id == settings_.self.id) {
       continue;
     }
-    larger += node.weight > own ? 1 : 0;
-    if (node.weight == own) {
-      equals.push_back(id);
+    higher_weight_nodes += node.weight > own_weight ? 1 : 0;
+    if (node.weight == own_weight) {
+      equal_weight_nodes.push_back(id);
     }
   }
-  const auto order = RendezvousOrder(role.value(), equals, equals.size());
-  return larger + (std::find(order.begin(), order.end(), settings_.self.id) -
-                   order.begin());
+  const auto order = RendezvousOrder(role.value(), equal_weight_nodes,
+                                     equal_weight_nodes.size());
+  return higher_weight_nodes +
+         (std::find(order.begin(), order.end(), settings_.self.id) -
+          order.begin());
 }
 
-bool GatewayCore::MayHandOver(Time now, const NodeId& holder) {
+bool GatewayCore::ShouldHandOver(Time now, const NodeId& holder) {
   // The time starts anew with each term: if no other node takes the role, it
   // must not change hands all the time.
-  const bool is_known =
+  const bool has_better_keeper =
       holder == settings_.self.id && mirror_.reachable() &&
       std::any_of(view_.nodes().begin(), view_.nodes().end(),
                   [this](const auto& entry) {
                     const NodeRecord& node = entry.second;
                     return !node.leaving && node.weight > settings_.self.weight;
                   });
-  if (!is_known) {
+  if (!has_better_keeper) {
     better_keeper_since_.reset();
     return false;
   }
   if (!better_keeper_since_) {
     better_keeper_since_ = now;
   }
-  return now - *better_keeper_since_ >= settings_.role_hand_over_after;
+  return now - *better_keeper_since_ >= settings_.role_handover_delay;
 }
 
 void GatewayCore::RunKeeper(Time now) {
@@ -368,13 +374,15 @@
   return overview;
 }
 
-void GatewayCore::MoveStuck(Time now, const std::vector<AttemptNumber>& stuck) {
-  for (const ForwardId id : desk_.MovableOf(now, stuck)) {
+void GatewayCore::FailOverStalledAttempts(
+    Time now,
+    const std::vector<AttemptNumber>& stalled_attempts) {
+  for (const ForwardId id : forwards_.MovableOf(now, stalled_attempts)) {
     actions_.emplace_back(MoveForward{id});
   }
 }
 
-std::vector<Address> GatewayCore::OtherNodes() const {
+std::vector<Address> GatewayCore::OtherNodeAddresses() const {
   std::vector<Address> addresses;
   for (const auto& [id, node] : view_.nodes()) {
     if (id != settings_.self.id) {
@@ -386,7 +394,9 @@
 
 void GatewayCore::Apply(std::vector<StoreMirrorAction> actions) {
   for (StoreMirrorAction& action : actions) {
-    std::visit([this](auto& each) { Apply(std::move(each)); }, action);
+    std::visit(
+        [this](auto& variant_action) { Apply(std::move(variant_action)); },
+        action);
   }
 }
 
@@ -395,8 +405,8 @@
       CallGatewayStore{GatewayModule::kMirror, std::move(request)});
 }
 
-std::optional<Address> GatewayCore::DrawOtherNode() const {
-  std::vector<Address> others = OtherNodes();
+std::optional<Address> GatewayCore::PickRandomNode() const {
+  std::vector<Address> others = OtherNodeAddresses();
   if (others.empty()) {
     others = settings_.seeds;
     std::erase(others, settings_.self.peer_address);
@@ -407,9 +417,9 @@
   return others[DrawBelow(random_, others.size())];
 }
 
-void GatewayCore::Apply(const AskPeerSnapshot& ask) {
-  if (const std::optional<Address> address = DrawOtherNode()) {
-    actions_.emplace_back(AskNodeSnapshot{*address, ask.newer_than});
+void GatewayCore::Apply(const RequestPeerSnapshot& request) {
+  if (const std::optional<Address> address = PickRandomNode()) {
+    actions_.emplace_back(AskNodeSnapshot{*address, request.newer_than});
   }
 }
 
--- a/coordination/gateway/gateway_core.h
+++ b/coordination/gateway/gateway_core.h
@@ -24,7 +24,7 @@
 
 // The intervals are short because there is only one role, and groups are not
 // repaired while no node holds it.
-inline RoleLeasesSettings RoleSettings() {
+inline RoleLeasesSettings DefaultRoleSettings() {
   RoleLeasesSettings settings;
   // The mirror shows the role's key, also if the key is bound to this node's
   // lease without the node knowing; the node then wants the role and reads it.
@@ -47,7 +47,7 @@
                              Duration::Millis(6000),
                              Duration::Millis(2000),
                              Duration::Millis(2500)};
-  RoleLeasesSettings roles = RoleSettings();
+  RoleLeasesSettings roles = DefaultRoleSettings();
   StoreMirrorSettings mirror;
   FleetKeeperSettings keeper;
   OverviewWriterSettings overview;
@@ -61,26 +61,26 @@
   // after a power loss of all nodes from 0.42 to 0.49 (simulated, 9 nodes).
   Duration entries_keep = Duration::Seconds(5);
   // Maximum number of addresses in that list.
-  std::size_t most_entries = 64;
+  std::size_t max_advertised_addresses = 64;
   // Interval between two choices of the node to follow. A node that does not
   // answer is replaced at once.
-  Duration follow_review = Duration::Millis(500);
+  Duration follow_review_interval = Duration::Millis(500);
   // Number of other nodes, drawn at random, that are asked whether a group that
   // seems stalled makes progress for them. Most nodes have streams at a group
   // that is in use.
-  std::size_t standstill_witnesses = 8;
+  std::size_t max_stall_witnesses = 8;
   // Interval at which the keeper repeats that question until it has decided.
-  Duration witness_interval = Duration::Millis(250);
+  Duration witness_query_interval = Duration::Millis(250);
   // The preferred node tries to take a free keeper role at once, and each
   // further node this much later, so that not all nodes ask for it.
-  Duration role_step = Duration::Millis(120);
+  Duration role_candidate_delay = Duration::Millis(120);
   // This many nodes, the first in that order, keep short leases so that their
   // loss shows soon, because one of them holds the role. In a larger fleet the
   // other nodes' calls make up most calls to the service.
   std::int64_t role_candidates = 16;
   // A node relaxes once it has known the fleet for this long, because right
   // after a start it sees only a part of the other nodes.
-  Duration relax_after = Duration::Seconds(5);
+  Duration relax_delay = Duration::Seconds(5);
   // If the overview is enough to serve requests, a starting node reads all
   // other keys after a random delay of at most this long for each node of the
   // fleet. After a loss of all nodes, sending all keys to every node takes the
@@ -88,7 +88,7 @@
   Duration read_spread_per_node = Duration::Millis(10);
   // The keeper hands its role over once a node of larger weight has been known
   // for this long, which is longer than the entry of a lost node stays.
-  Duration role_hand_over_after = Duration::Millis(2500);
+  Duration role_handover_delay = Duration::Millis(2500);
   // A node accepts requests for this long after a planned stop has begun.
   // Requests that come later could still run when the node has to end, and
   // would be cut off. It should be longer than callers cache the addresses if
@@ -219,11 +219,11 @@
 
   ForwardBegun OnArrived(Time now, ForwardRequest request);
   ForwardStep OnEnded(Time now, ForwardId id, const ForwardEnd& end);
-  void OnProgress(Time now, ForwardId id) { desk_.OnProgress(now, id); }
+  void OnProgress(Time now, ForwardId id) { forwards_.OnProgress(now, id); }
   void OnLoad(Time now, ForwardId id, const LoadReading& load) {
-    desk_.OnLoad(now, id, load);
+    forwards_.OnLoad(now, id, load);
   }
-  void OnCallerGone(Time now, ForwardId id) { desk_.OnCallerGone(now, id); }
+  void OnCallerGone(Time now, ForwardId id) { forwards_.OnCallerGone(now, id); }
 
   // Addresses for callers: this node's, then those of the nodes that follow it
   // in the order of their names. In a fleet with more nodes than one list
@@ -231,10 +231,10 @@
   std::vector<Address> Entries() const;
   Duration entries_keep() const { return settings_.entries_keep; }
   bool ready() const { return view_.routes() != nullptr && !stopping(); }
-  bool stopping() const { return stop_asked_.has_value(); }
+  bool stopping() const { return stop_requested_at_.has_value(); }
   // Whether a planned stop is complete, so that the process may end.
   bool is_stop_over(Time now) const;
-  std::size_t open_requests() const { return desk_.open_requests(); }
+  std::size_t open_requests() const { return forwards_.open_requests(); }
   const FleetView& view() const { return view_; }
   const StoreMirror& mirror() const { return mirror_; }
   bool is_keeper(Time now) const;
@@ -246,8 +246,8 @@
  private:
   void Apply(std::vector<StoreMirrorAction> actions);
   void Apply(StoreRequest request);
-  void Apply(const AskPeerSnapshot& ask);
-  void Apply(const AskPeerChanges& ask);
+  void Apply(const RequestPeerSnapshot& request);
+  void Apply(const RequestPeerChanges& request);
   void Apply(AnswerChanges answer);
   void Apply(GatewayModule module,
              const std::vector<std::variant<StoreRequest>>& actions);
@@ -265,29 +265,31 @@
   std::size_t CountWatchers() const;
   // How many of a data centre's `nodes` watch the service. The number grows
   // with the data centre, so that no watcher has more followers.
-  std::size_t WatchersOf(std::size_t nodes) const;
+  std::size_t WatcherCountFor(std::size_t nodes) const;
   void UpdateRole(Time now);
   // Returns this node's place in the order in which nodes take the role. Nodes
   // of larger weight, which have more processor time, come first: the keeper's
   // work grows with the activity of the whole fleet, and late decisions cost
   // groups.
-  std::int64_t RankFor(const RoleName& role) const;
+  std::int64_t RoleRank(const RoleName& role) const;
   // Whether this node, which holds the role in its own view, should hand it
   // over to a node of larger weight.
-  bool MayHandOver(Time now, const NodeId& holder);
+  bool ShouldHandOver(Time now, const NodeId& holder);
   void UpdateReplicas(Time now);
   void RunKeeper(Time now);
   // Returns the time over which a starting node may spread the reading of the
   // keys that it does not read first. Zero if it needs them at once.
-  Duration ReadSpread() const;
+  Duration InitialReadSpread() const;
   void WriteOverview(Time now);
   FleetOverview DescribeFleet() const;
-  void MoveStuck(Time now, const std::vector<AttemptNumber>& stuck);
-  void AskWitnesses(const StandstillNotice& group);
-  void AskForKeeper(Time now);
-  std::vector<Address> OtherNodes() const;
+  void FailOverStalledAttempts(
+      Time now,
+      const std::vector<AttemptNumber>& stalled_attempts);
+  void QueryStallWitnesses(const StandstillNotice& group);
+  void QueryWitnessesForKeeper(Time now);
+  std::vector<Address> OtherNodeAddresses() const;
   // Returns another node at random, or a seed if no other node is known.
-  std::optional<Address> DrawOtherNode() const;
+  std::optional<Address> PickRandomNode() const;
   std::vector<Replica> MakeReplicas() const;
   // Absent if the VM accepts no requests.
   std::optional<Replica> MakeReplica(const VmRegistration& vm) const;
@@ -304,23 +306,23 @@
   OverviewWriter overview_;
   ReplicaSelector selector_;
   SharedRetryBudget budget_;
-  ForwardDesk desk_;
+  ForwardDesk forwards_;
 
   // When the fleet was known for the first time.
   std::optional<Time> loaded_at_;
   // The followed node; empty if there is none.
-  NodeId followed_;
+  NodeId followed_node_;
   Address followed_address_;
   Time next_follow_review_;
   // Nodes that could not tell the changes, with the time until which they are
   // not asked.
-  std::map<NodeId, Time> avoided_;
+  std::map<NodeId, Time> cooldown_until_;
   std::optional<Time> role_free_since_;
   // Since when a node of larger weight than this one is known.
   std::optional<Time> better_keeper_since_;
-  Time next_witness_ask_;
-  std::uint64_t seen_configuration_ = 0;
-  std::optional<Time> stop_asked_;
+  Time next_witness_query_;
+  std::uint64_t applied_configuration_changes_ = 0;
+  std::optional<Time> stop_requested_at_;
   bool traffic_seen_ = false;
   GatewayActions actions_;
 };
--- a/coordination/gateway/gateway_core_following.cc
+++ b/coordination/gateway/gateway_core_following.cc
@@ -11,25 +11,25 @@
 namespace gcw {
 namespace {
 
-constexpr std::string_view kFollowedKey = "followed";
+constexpr std::string_view kWatcherOrderKey = "followed";
 
 }  // namespace
 
 void GatewayCore::UpdateFollowing(Time now) {
   if (is_keeper(now)) {
     // The keeper acts on each change at once, so it watches the service itself.
-    followed_ = NodeId();
+    followed_node_ = NodeId();
     next_follow_review_ = now;
   } else if (now >= next_follow_review_) {
-    next_follow_review_ = now + settings_.follow_review;
-    followed_ = ChooseFollowed(now);
-    if (!followed_.empty()) {
-      followed_address_ = view_.nodes().at(followed_).peer_address;
+    next_follow_review_ = now + settings_.follow_review_interval;
+    followed_node_ = ChooseFollowed(now);
+    if (!followed_node_.empty()) {
+      followed_address_ = view_.nodes().at(followed_node_).peer_address;
     }
     mirror_.SetWatcherCount(CountWatchers());
     UpdateRelaxation(now);
   }
-  mirror_.SetFollowing(!followed_.empty());
+  mirror_.SetFollowing(!followed_node_.empty());
 }
 
 void GatewayCore::UpdateRelaxation(Time now) {
@@ -40,41 +40,42 @@
     loaded_at_ = now;
   }
   const bool relaxed =
-      now - *loaded_at_ >= settings_.relax_after &&
-      RankFor(RoleName(std::string(kKeeperRole))) >= settings_.role_candidates;
+      now - *loaded_at_ >= settings_.relax_delay &&
+      RoleRank(RoleName(std::string(kKeeperRole))) >= settings_.role_candidates;
   // The copy of a followed node is not relaxed, because other nodes depend on
   // it. The lease does not depend on this: which node is followed may change at
   // each review, and each change of the lease takes two calls.
-  mirror_.SetRelaxed(relaxed && !followed_.empty());
+  mirror_.SetRelaxed(relaxed && !followed_node_.empty());
   if (mirror_.reachable()) {
     lease_.SetRelaxed(relaxed);
   }
 }
 
 NodeId GatewayCore::ChooseFollowed(Time now) {
-  std::erase_if(avoided_, [&](const auto& each) { return now >= each.second; });
-  std::vector<NodeId> near = {settings_.self.id};
+  std::erase_if(cooldown_until_,
+                [&](const auto& entry) { return now >= entry.second; });
+  std::vector<NodeId> zone_nodes = {settings_.self.id};
   for (const auto& [id, node] : view_.nodes()) {
     if (id != settings_.self.id && node.zone == settings_.self.zone &&
-        !node.leaving && !avoided_.contains(id)) {
-      near.push_back(id);
+        !node.leaving && !cooldown_until_.contains(id)) {
+      zone_nodes.push_back(id);
     }
   }
   // All nodes that see the same fleet choose the same watchers without
   // communicating. Each watcher answers many nodes, so nodes of larger weight
   // come first.
-  std::vector<NodeId> followed =
-      RendezvousOrder(kFollowedKey, near, near.size());
-  std::stable_sort(followed.begin(), followed.end(),
+  std::vector<NodeId> watchers =
+      RendezvousOrder(kWatcherOrderKey, zone_nodes, zone_nodes.size());
+  std::stable_sort(watchers.begin(), watchers.end(),
                    [this](const NodeId& a, const NodeId& b) {
                      return WeightOf(a) > WeightOf(b);
                    });
-  followed.resize(WatchersOf(near.size()));
-  if (std::find(followed.begin(), followed.end(), settings_.self.id) !=
-      followed.end()) {
+  watchers.resize(WatcherCountFor(zone_nodes.size()));
+  if (std::find(watchers.begin(), watchers.end(), settings_.self.id) !=
+      watchers.end()) {
     return NodeId();
   }
-  return RendezvousOrder(settings_.self.id.value(), followed, 1).front();
+  return RendezvousOrder(settings_.self.id.value(), watchers, 1).front();
 }
 
 std::int64_t GatewayCore::WeightOf(const NodeId& node) const {
@@ -90,18 +91,18 @@
   // The keeper watches too.
   std::size_t watchers = 1;
   for (const auto& [zone, count] : nodes) {
-    watchers += WatchersOf(count);
+    watchers += WatcherCountFor(count);
   }
   return watchers;
 }
 
-std::size_t GatewayCore::WatchersOf(std::size_t nodes) const {
+std::size_t GatewayCore::WatcherCountFor(std::size_t nodes) const {
   if (nodes < static_cast<std::size_t>(settings_.mirror.follow_from)) {
     return nodes;
   }
-  const auto served_by_one =
+  const auto nodes_per_watcher =
       static_cast<std::size_t>(settings_.mirror.followers) + 1;
-  return (nodes + served_by_one - 1) / served_by_one;
+  return (nodes + nodes_per_watcher - 1) / nodes_per_watcher;
 }
 
 GatewayActions GatewayCore::OnChangesAsked(Time now,
@@ -114,9 +115,9 @@
     Time now,
     StoreCallId id,
     const std::optional<MirrorChanges>& changes) {
-  if (mirror_.IsFollowingBy(id) && !mirror_.IsUsable(changes) &&
-      !followed_.empty()) {
-    avoided_[followed_] = now + settings_.mirror.follow_avoid;
+  if (mirror_.IsFollowRequest(id) && !mirror_.IsUsable(changes) &&
+      !followed_node_.empty()) {
+    cooldown_until_[followed_node_] = now + settings_.mirror.follow_avoid;
     next_follow_review_ = now;
   }
   Apply(mirror_.OnPeerChanges(now, id, changes));
@@ -125,11 +126,13 @@
   return TakeActions();
 }
 
-void GatewayCore::Apply(const AskPeerChanges& ask) {
-  const std::optional<Address> address =
-      ask.peer == AskedPeer::kFollowed ? followed_address_ : DrawOtherNode();
+void GatewayCore::Apply(const RequestPeerChanges& request) {
+  const std::optional<Address> address = request.peer == PeerTarget::kFollowed
+                                             ? followed_address_
+                                             : PickRandomNode();
   if (address) {
-    actions_.emplace_back(AskNodeChanges{ask.id, *address, ask.after, ask.wait,
+    actions_.emplace_back(AskNodeChanges{request.id, *address, request.after,
+                                         request.wait,
                                          settings_.mirror.follow_timeout});
   }
 }
--- a/coordination/gateway/gateway_core_replicas.cc
+++ b/coordination/gateway/gateway_core_replicas.cc
@@ -10,17 +10,17 @@
 
 // A batch is assumed to be half full when an engine's published times are
 // evaluated. It is not worth a setting.
-constexpr double kUsualFill = 0.5;
+constexpr double kTypicalBatchFill = 0.5;
 
 }  // namespace
 
 void GatewayCore::UpdateReplicas(Time now) {
   if (mirror_.loaded()) {
-    view_.OnLearned(mirror_.revision());
+    view_.OnFullyLoaded(mirror_.revision());
   }
   const std::set<VmId> changed = view_.TakeChangedVms();
   keeper_.OnVmsChanged(changed);
-  for (Address& address : view_.TakeRestartedVms()) {
+  for (Address& address : view_.TakeRestartedAddresses()) {
     actions_.emplace_back(ForgetConnections{std::move(address)});
   }
   budget_.SetNodeCount(view_.serving_nodes());
@@ -28,8 +28,8 @@
   if (!view_.routes()) {
     return;
   }
-  if (seen_configuration_ != view_.configuration_changes()) {
-    seen_configuration_ = view_.configuration_changes();
+  if (applied_configuration_changes_ != view_.configuration_changes()) {
+    applied_configuration_changes_ = view_.configuration_changes();
     selector_.SetReplicas(now, MakeReplicas());
     return;
   }
@@ -87,7 +87,8 @@
     // Members without a registration are not checked for: a lost member stops
     // the group's streams, while a member without a registration may only be
     // cut off from the store.
-    const double fill = kUsualFill * static_cast<double>(engine.batch_limit);
+    const double fill =
+        kTypicalBatchFill * static_cast<double>(engine.batch_limit);
     replica.pass_ms = engine.steps_per_pass * model.pace *
                       (engine.step_ms + engine.step_ms_per_request * fill);
     replica.prompt_tokens_per_ms = engine.prompt_tokens_per_ms / model.pace;
--- a/coordination/gateway/overview_writer.cc
+++ b/coordination/gateway/overview_writer.cc
@@ -15,13 +15,13 @@
     return std::nullopt;
   }
   next_write_ = now + settings_.interval;
-  proposed_ = encode_(describe());
-  if (proposed_ == written_) {
+  proposed_value_ = encode_(describe());
+  if (proposed_value_ == written_value_) {
     return std::nullopt;
   }
   ++last_call_;
   return StoreRequest{last_call_,
-                      StorePut{key_, proposed_, revision_, LeaseId()}};
+                      StorePut{key_, proposed_value_, revision_, LeaseId()}};
 }
 
 // A write without an answer is resolved by the next one: its condition fails,
@@ -32,7 +32,7 @@
   }
   if (const auto* written = std::get_if<StoreWritten>(&reply)) {
     revision_ = written->revision;
-    written_ = proposed_;
+    written_value_ = proposed_value_;
   } else if (const auto* conflict = std::get_if<StoreConflict>(&reply)) {
     revision_ = conflict->current ? conflict->current->revision : Revision();
   }
--- a/coordination/gateway/overview_writer.h
+++ b/coordination/gateway/overview_writer.h
@@ -41,8 +41,8 @@
   Time next_write_;
   // The key's last known revision; zero if the key is absent.
   Revision revision_;
-  std::string written_;
-  std::string proposed_;
+  std::string written_value_;
+  std::string proposed_value_;
   StoreCallId last_call_;
 };
 
--- a/coordination/gateway/store_mirror.cc
+++ b/coordination/gateway/store_mirror.cc
@@ -12,33 +12,33 @@
       random_(std::move(random)),
       hooks_(std::move(hooks)),
       backoff_(settings_.backoff),
-      feed_(settings_.most_kept_changes),
-      reads_first_(!settings_.first_prefix.empty()) {}
+      feed_(settings_.max_kept_changes),
+      first_read_pending_(!settings_.first_prefix.empty()) {}
 
 std::vector<StoreMirrorAction> StoreMirror::Tick(Time now) {
-  RemoveHeld(now);
+  ApplyDeferredRemovals(now);
   std::vector<StoreMirrorAction> actions;
-  const bool away = IsAway(now);
-  if (away && reachable_) {
+  const bool is_overdue = IsAnswerOverdue(now);
+  if (is_overdue && reachable_) {
     reachable_ = false;
     hooks_.on_reachable(false);
   }
-  if (away && now >= next_ask_) {
-    actions.push_back(NextQuestion(now));
+  if (is_overdue && now >= next_peer_request_) {
+    actions.push_back(NextPeerRequest(now));
   }
-  AnswerQuestions(now, actions);
-  if (MayFollow() && !call_ && now >= next_call_) {
+  ReplyToFollowers(now, actions);
+  if (CanFollow() && !call_ && now >= next_call_) {
     call_ = ++last_id_;
-    asks_peer_ = true;
-    actions.emplace_back(AskPeerChanges{last_id_, AskedPeer::kFollowed,
-                                        revision_, settings_.follow_wait});
+    is_follow_call_ = true;
+    actions.emplace_back(RequestPeerChanges{last_id_, PeerTarget::kFollowed,
+                                            revision_, settings_.follow_wait});
     return actions;
   }
   if (std::optional<StoreCall> call = NextCall(now)) {
     call_ = ++last_id_;
-    if (!owed_since_) {
+    if (!answer_due_since_) {
       const auto* watch = std::get_if<StoreWatch>(&*call);
-      owed_since_ = watch != nullptr ? now + watch->wait : now;
+      answer_due_since_ = watch != nullptr ? now + watch->wait : now;
     }
     actions.emplace_back(StoreRequest{last_id_, *std::move(call)});
   }
@@ -47,36 +47,39 @@
 
 // All keys are requested only if changes are not enough, because in a large
 // fleet they saturate the link of a small node.
-StoreMirrorAction StoreMirror::NextQuestion(Time now) {
-  next_ask_ = now + settings_.ask_peer_interval;
-  if (phase_ != Phase::kWatching || unanswered_ >= settings_.snapshot_after) {
-    unanswered_ = 0;
-    return AskPeerSnapshot{loaded_ ? revision_ : Revision()};
-  }
-  ask_ = ++last_id_;
-  return AskPeerChanges{last_id_, AskedPeer::kAny, revision_, Duration()};
+StoreMirrorAction StoreMirror::NextPeerRequest(Time now) {
+  next_peer_request_ = now + settings_.peer_request_interval;
+  if (phase_ != Phase::kWatching ||
+      failed_peer_requests_ >= settings_.max_failed_peer_requests) {
+    failed_peer_requests_ = 0;
+    return RequestPeerSnapshot{loaded_ ? revision_ : Revision()};
+  }
+  peer_request_ = ++last_id_;
+  return RequestPeerChanges{last_id_, PeerTarget::kAny, revision_, Duration()};
 }
 
-void StoreMirror::OnChangesOfAny(Time now,
-                                 const std::optional<MirrorChanges>& changes) {
-  ask_.reset();
+void StoreMirror::OnAnyPeerChanges(
+    Time now,
+    const std::optional<MirrorChanges>& changes) {
+  peer_request_.reset();
   if (reachable_) {
     return;
   }
   if (!IsUsable(changes)) {
-    ++unanswered_;
+    ++failed_peer_requests_;
     return;
   }
-  unanswered_ = 0;
+  failed_peer_requests_ = 0;
   ApplyPeerChanges(now, *changes);
 }
 
 void StoreMirror::ApplyPeerChanges(Time now, const MirrorChanges& changes) {
   if (changes.lapse_left > Duration()) {
-    lapse_until_ = std::max(lapse_until_, now + changes.lapse_left);
+    expiry_grace_until_ =
+        std::max(expiry_grace_until_, now + changes.lapse_left);
   }
   const Time as_of = now - changes.age;
-  known_at_ = known_at_ ? std::max(*known_at_, as_of) : as_of;
+  complete_at_ = complete_at_ ? std::max(*complete_at_, as_of) : as_of;
   ApplyChanges(now, changes.changed, changes.deleted, changes.revision);
 }
 
@@ -85,8 +88,9 @@
     return std::nullopt;
   }
   if (phase_ == Phase::kReading) {
-    return reads_first_ ? StoreRange{settings_.first_prefix}
-                        : StoreRange{settings_.prefixes[reading_], page_after_};
+    return first_read_pending_
+               ? StoreRange{settings_.first_prefix}
+               : StoreRange{settings_.prefixes[prefix_index_], page_after_};
   }
   const Duration interval = WatchInterval();
   next_call_ = now + interval;
@@ -103,9 +107,9 @@
 
 void StoreMirror::SetFollowing(bool following) {
   following_ = following;
-  if (!following && asks_peer_) {
+  if (!following && is_follow_call_) {
     // A node that has become the keeper does not wait for another node.
-    asks_peer_ = false;
+    is_follow_call_ = false;
     call_.reset();
   }
 }
@@ -113,12 +117,12 @@
 // If an answer of the service is due, following would hide whether the service
 // is unreachable, and keys that expire meanwhile have to be kept for the grace
 // period.
-bool StoreMirror::MayFollow() const {
-  return following_ && phase_ == Phase::kWatching && !watches_once_ &&
-         reachable_ && !owed_since_;
+bool StoreMirror::CanFollow() const {
+  return following_ && phase_ == Phase::kWatching && !watch_once_ &&
+         reachable_ && !answer_due_since_;
 }
 
-Duration StoreMirror::MostAge() const {
+Duration StoreMirror::MaxAge() const {
   return settings_.known_within - settings_.repeat_margin;
 }
 
@@ -129,11 +133,11 @@
   const auto shared = Duration::Millis(
       static_cast<std::int64_t>(1000 * static_cast<double>(watchers_) /
                                 settings_.fleet_watches_per_second));
-  return std::max(settings_.watch_interval, std::min(shared, MostAge()));
+  return std::max(settings_.watch_interval, std::min(shared, MaxAge()));
 }
 
-bool StoreMirror::IsAway(Time now) const {
-  return owed_since_ && now - *owed_since_ >= settings_.away_after;
+bool StoreMirror::IsAnswerOverdue(Time now) const {
+  return answer_due_since_ && now - *answer_due_since_ >= settings_.away_after;
 }
 
 std::vector<StoreMirrorAction>
@@ -143,44 +147,45 @@
   }
   call_.reset();
   if (const auto* range = std::get_if<StoreRangeReply>(&reply)) {
-    OnAnswered(now);
+    OnStoreAnswered(now);
     OnRange(now, *range);
   } else if (const auto* watch = std::get_if<StoreWatchReply>(&reply)) {
-    OnAnswered(now);
+    OnStoreAnswered(now);
     OnWatch(now, *watch);
   } else if (const auto* busy = std::get_if<StoreBusy>(&reply)) {
-    OnFailed(now, busy->retry_after);
+    OnStoreFailed(now, busy->retry_after);
   } else {
-    OnFailed(now, Duration());
+    OnStoreFailed(now, Duration());
   }
   return Tick(now);
 }
 
-void StoreMirror::OnAnswered(Time now) {
+void StoreMirror::OnStoreAnswered(Time now) {
   backoff_.Reset();
   // After an outage that was noticed, or any gap as long, the service may have
   // dropped keys whose owners are alive.
-  if (!reachable_ || IsAway(now)) {
-    lapse_until_ = now + settings_.lapse_grace;
+  if (!reachable_ || IsAnswerOverdue(now)) {
+    expiry_grace_until_ = now + settings_.lapse_grace;
   }
-  owed_since_.reset();
+  answer_due_since_.reset();
   if (!reachable_) {
     reachable_ = true;
     hooks_.on_reachable(true);
   }
 }
 
-void StoreMirror::OnFailed(Time now, Duration least_wait) {
-  owed_since_ = owed_since_ ? std::min(*owed_since_, now) : now;
-  next_call_ = now + std::max(least_wait, backoff_.Next(random_));
+void StoreMirror::OnStoreFailed(Time now, Duration min_wait) {
+  answer_due_since_ =
+      answer_due_since_ ? std::min(*answer_due_since_, now) : now;
+  next_call_ = now + std::max(min_wait, backoff_.Next(random_));
 }
 
 void StoreMirror::StartReading(Time now) {
   next_call_ = now;
   phase_ = Phase::kReading;
-  reading_ = 0;
+  prefix_index_ = 0;
   page_after_.clear();
-  page_seen_.clear();
+  seen_keys_.clear();
   round_revision_.reset();
 }
 
@@ -188,14 +193,14 @@
   // The service was set back to an earlier state or answered from a stale copy,
   // so the reply is ignored.
   if (loaded_ && reply.revision < revision_) {
-    OnFailed(now, Duration());
+    OnStoreFailed(now, Duration());
     return;
   }
   for (const StoreEntry& entry : reply.entries) {
-    page_seen_.insert(entry.key);
+    seen_keys_.insert(entry.key);
     Put(now, entry);
   }
-  if (std::exchange(reads_first_, false)) {
+  if (std::exchange(first_read_pending_, false)) {
     OnFirstRead(now);
     return;
   }
@@ -205,23 +210,23 @@
     page_after_ = reply.entries.back().key;
     return;
   }
-  DeleteMissing(now, settings_.prefixes[reading_], page_seen_,
+  DeleteMissing(now, settings_.prefixes[prefix_index_], seen_keys_,
                 *round_revision_);
   page_after_.clear();
-  page_seen_.clear();
-  if (++reading_ < settings_.prefixes.size()) {
+  seen_keys_.clear();
+  if (++prefix_index_ < settings_.prefixes.size()) {
     return;
   }
   // The watch starts at the lowest revision, so changes between the reads of
   // two prefixes are seen again.
   revision_ = *round_revision_;
-  feed_.StartAt(revision_);
+  feed_.ResetTo(revision_);
   phase_ = Phase::kWatching;
   loaded_ = true;
 }
 
 void StoreMirror::OnFirstRead(Time now) {
-  page_seen_.clear();
+  seen_keys_.clear();
   const Duration spread =
       hooks_.read_spread ? hooks_.read_spread() : Duration();
   if (spread > Duration()) {
@@ -236,8 +241,8 @@
     StartReading(now);
     return;
   }
-  watches_once_ = false;
-  known_at_ = now;
+  watch_once_ = false;
+  complete_at_ = now;
   ApplyChanges(now, reply.changed, reply.deleted, reply.revision);
 }
 
@@ -267,19 +272,19 @@
     Time now,
     StoreCallId id,
     const std::optional<MirrorChanges>& changes) {
-  if (ask_ == id) {
-    OnChangesOfAny(now, changes);
+  if (peer_request_ == id) {
+    OnAnyPeerChanges(now, changes);
     return {};
   }
   if (call_ != id) {
     return {};
   }
   call_.reset();
-  asks_peer_ = false;
+  is_follow_call_ = false;
   if (!IsUsable(changes)) {
     // The service itself is watched at once, because this node's copy may
     // already be as old as is allowed.
-    watches_once_ = true;
+    watch_once_ = true;
     next_call_ = now;
     return Tick(now);
   }
@@ -288,34 +293,34 @@
 }
 
 bool StoreMirror::IsUsable(const std::optional<MirrorChanges>& changes) const {
-  return changes && changes->age <= MostAge();
+  return changes && changes->age <= MaxAge();
 }
 
 std::vector<StoreMirrorAction> StoreMirror::OnChangesAsked(
     Time now,
     const ChangeQuestion& question) {
-  feed_.Ask(now, question);
+  feed_.AddRequest(now, question);
   std::vector<StoreMirrorAction> actions;
-  AnswerQuestions(now, actions);
+  ReplyToFollowers(now, actions);
   return actions;
 }
 
 // A copy that may be outdated is not passed on: a follower that took it for
 // complete would send requests to endpoints that have left.
-void StoreMirror::AnswerQuestions(Time now,
-                                  std::vector<StoreMirrorAction>& actions) {
-  if (!feed_.has_questions()) {
+void StoreMirror::ReplyToFollowers(Time now,
+                                   std::vector<StoreMirrorAction>& actions) {
+  if (!feed_.has_pending_requests()) {
     return;
   }
   std::optional<Duration> age;
-  if (known_at_ && phase_ == Phase::kWatching &&
-      now - *known_at_ <= MostAge()) {
-    age = now - *known_at_;
+  if (complete_at_ && phase_ == Phase::kWatching &&
+      now - *complete_at_ <= MaxAge()) {
+    age = now - *complete_at_;
   }
   const Duration lapse_left =
-      lapse_until_ > now ? lapse_until_ - now : Duration();
+      expiry_grace_until_ > now ? expiry_grace_until_ - now : Duration();
   for (AnswerChanges& answer :
-       feed_.TakeAnswers(now, revision_, age, lapse_left)) {
+       feed_.TakeReplies(now, revision_, age, lapse_left)) {
     actions.emplace_back(std::move(answer));
   }
 }
@@ -331,12 +336,13 @@
   }
   // Removals are deferred as after an outage: the other node may have seen keys
   // expire whose owners are alive.
-  lapse_until_ = std::max(lapse_until_, now + settings_.lapse_grace);
+  expiry_grace_until_ =
+      std::max(expiry_grace_until_, now + settings_.lapse_grace);
   for (const std::string& prefix : settings_.prefixes) {
     DeleteMissing(now, prefix, seen, snapshot.revision);
   }
   revision_ = std::max(revision_, snapshot.revision);
-  feed_.StartAt(revision_);
+  feed_.ResetTo(revision_);
   loaded_ = true;
   // Everything up to the snapshot's revision is known, so no read is needed.
   if (phase_ == Phase::kReading && !call_) {
@@ -355,7 +361,7 @@
     // A key whose removal is deferred does not exist at this revision. A node
     // that continues from this revision would never learn of the removal, and
     // it defers removals by itself.
-    if (!held_removals_.contains(key)) {
+    if (!deferred_removals_.contains(key)) {
       snapshot.entries.push_back(entry);
     }
   }
@@ -368,7 +374,7 @@
     return;
   }
   known = entry;
-  held_removals_.erase(entry.key);
+  deferred_removals_.erase(entry.key);
   hooks_.on_put(now, entry);
 }
 
@@ -377,11 +383,11 @@
   if (found == entries_.end() || found->second.revision > revision) {
     return;
   }
-  if (now < lapse_until_ && MayLapse(key)) {
-    held_removals_.emplace(key, lapse_until_);
+  if (now < expiry_grace_until_ && IsExpiringKey(key)) {
+    deferred_removals_.emplace(key, expiry_grace_until_);
     return;
   }
-  held_removals_.erase(key);
+  deferred_removals_.erase(key);
   entries_.erase(found);
   hooks_.on_deleted(now, key);
 }
@@ -402,20 +408,20 @@
   }
 }
 
-void StoreMirror::RemoveHeld(Time now) {
-  for (auto it = held_removals_.begin(); it != held_removals_.end();) {
+void StoreMirror::ApplyDeferredRemovals(Time now) {
+  for (auto it = deferred_removals_.begin(); it != deferred_removals_.end();) {
     if (now < it->second) {
       ++it;
       continue;
     }
     const std::string key = it->first;
-    it = held_removals_.erase(it);
+    it = deferred_removals_.erase(it);
     entries_.erase(key);
     hooks_.on_deleted(now, key);
   }
 }
 
-bool StoreMirror::MayLapse(std::string_view key) const {
+bool StoreMirror::IsExpiringKey(std::string_view key) const {
   return std::any_of(
       settings_.lapsing_prefixes.begin(), settings_.lapsing_prefixes.end(),
       [&](const std::string& prefix) { return key.starts_with(prefix); });
--- a/coordination/gateway/store_mirror.h
+++ b/coordination/gateway/store_mirror.h
@@ -64,10 +64,10 @@
   // and other nodes are asked for what they know.
   Duration away_after = Duration::Millis(700);
   // Interval between two such questions.
-  Duration ask_peer_interval = Duration::Millis(500);
+  Duration peer_request_interval = Duration::Millis(500);
   // After this many other nodes in a row could not tell what has changed, the
   // next one is asked for all keys.
-  int snapshot_after = 3;
+  int max_failed_peer_requests = 3;
   // Owners of expired keys write them again within two seconds after the
   // service is back, as the platform specifies. The watch needs its interval in
   // addition.
@@ -93,26 +93,28 @@
   // Maximum number of changes kept for followers, which covers some seconds
   // while many endpoints come and go. A follower that is further behind reads
   // from the service.
-  std::size_t most_kept_changes = 2000;
+  std::size_t max_kept_changes = 2000;
 };
 
 // Asks any other node for a snapshot that is newer than the revision.
-struct AskPeerSnapshot {
+struct RequestPeerSnapshot {
   Revision newer_than;
 };
 
-enum class AskedPeer { kFollowed, kAny };
+enum class PeerTarget { kFollowed, kAny };
 
 // Asks the followed node, or any other, for the changes after the revision.
-struct AskPeerChanges {
+struct RequestPeerChanges {
   StoreCallId id;
-  AskedPeer peer = AskedPeer::kFollowed;
+  PeerTarget peer = PeerTarget::kFollowed;
   Revision after;
   Duration wait;
 };
 
-using StoreMirrorAction =
-    std::variant<StoreRequest, AskPeerSnapshot, AskPeerChanges, AnswerChanges>;
+using StoreMirrorAction = std::variant<StoreRequest,
+                                       RequestPeerSnapshot,
+                                       RequestPeerChanges,
+                                       AnswerChanges>;
 
 // Keeps a copy of some prefixes of the key-value service: reads them once and
 // then watches them, or follows a node that does. While this node does not
@@ -146,7 +148,9 @@
       StoreCallId id,
       const std::optional<MirrorChanges>& changes);
   // Whether that question went to the followed node and is still open.
-  bool IsFollowingBy(StoreCallId id) const { return asks_peer_ && call_ == id; }
+  bool IsFollowRequest(StoreCallId id) const {
+    return is_follow_call_ && call_ == id;
+  }
   // Whether the answer is present and fresh enough to be applied.
   bool IsUsable(const std::optional<MirrorChanges>& changes) const;
   // Handles a follower's request for changes.
@@ -174,24 +178,24 @@
   enum class Phase { kReading, kWatching };
 
   std::optional<StoreCall> NextCall(Time now);
-  bool MayFollow() const;
+  bool CanFollow() const;
   // Maximum age of a copy that is passed on to another node.
-  Duration MostAge() const;
+  Duration MaxAge() const;
   void ApplyChanges(Time now,
                     const std::vector<StoreEntry>& changed,
                     const std::vector<StoreDeletion>& deleted,
                     Revision revision);
   // Returns the next question to other nodes while the service is unreachable.
-  StoreMirrorAction NextQuestion(Time now);
-  void OnChangesOfAny(Time now, const std::optional<MirrorChanges>& changes);
+  StoreMirrorAction NextPeerRequest(Time now);
+  void OnAnyPeerChanges(Time now, const std::optional<MirrorChanges>& changes);
   void ApplyPeerChanges(Time now, const MirrorChanges& changes);
-  void AnswerQuestions(Time now, std::vector<StoreMirrorAction>& actions);
+  void ReplyToFollowers(Time now, std::vector<StoreMirrorAction>& actions);
   // Whether an answer of the service is overdue by `away_after`.
-  bool IsAway(Time now) const;
+  bool IsAnswerOverdue(Time now) const;
   // Minimum time from one watch of this node to its next.
   Duration WatchInterval() const;
-  void OnAnswered(Time now);
-  void OnFailed(Time now, Duration least_wait);
+  void OnStoreAnswered(Time now);
+  void OnStoreFailed(Time now, Duration min_wait);
   void OnRange(Time now, const StoreRangeReply& reply);
   void OnFirstRead(Time now);
   void OnWatch(Time now, const StoreWatchReply& reply);
@@ -203,8 +207,8 @@
                      std::string_view prefix,
                      const std::set<std::string>& seen,
                      Revision revision);
-  void RemoveHeld(Time now);
-  bool MayLapse(std::string_view key) const;
+  void ApplyDeferredRemovals(Time now);
+  bool IsExpiringKey(std::string_view key) const;
 
   StoreMirrorSettings settings_;
   Random random_;
@@ -214,28 +218,28 @@
   std::map<std::string, StoreEntry> entries_;
   // Deferred removals of keys that may be written again, with the time at which
   // they take effect.
-  std::map<std::string, Time> held_removals_;
+  std::map<std::string, Time> deferred_removals_;
   bool eager_ = false;
   bool following_ = false;
   // Whether the call in flight is a question to the followed node.
-  bool asks_peer_ = false;
+  bool is_follow_call_ = false;
   // Whether the service is watched once because the followed node could not
   // tell the changes.
-  bool watches_once_ = false;
+  bool watch_once_ = false;
   ChangeFeed feed_;
   // The latest time at which this copy is known to have been complete, by a
   // watch of this node or of another one.
-  std::optional<Time> known_at_;
+  std::optional<Time> complete_at_;
   std::size_t watchers_ = 1;
   bool loaded_ = false;
   bool reachable_ = true;
   Revision revision_;
 
   Phase phase_ = Phase::kReading;
-  bool reads_first_ = false;
-  std::size_t reading_ = 0;
+  bool first_read_pending_ = false;
+  std::size_t prefix_index_ = 0;
   std::string page_after_;
-  std::set<std::string> page_seen_;
+  std::set<std::string> seen_keys_;
   // The lowest revision of this round of reads, from which the watch continues.
   std::optional<Revision> round_revision_;
 
@@ -243,15 +247,15 @@
   std::optional<StoreCallId> call_;
   Time next_call_;
   // Since when an answer of the service is due.
-  std::optional<Time> owed_since_;
+  std::optional<Time> answer_due_since_;
   // While the service is unreachable: when the next other node is asked, and
   // the question in flight.
-  Time next_ask_;
-  std::optional<StoreCallId> ask_;
+  Time next_peer_request_;
+  std::optional<StoreCallId> peer_request_;
   // Number of nodes in a row that could not tell what has changed.
-  int unanswered_ = 0;
+  int failed_peer_requests_ = 0;
   // Until when removals of expiring keys are deferred.
-  Time lapse_until_;
+  Time expiry_grace_until_;
 };
 
 }  // namespace gcw
--- a/tests/coordination/gateway/change_feed_test.cc
+++ b/tests/coordination/gateway/change_feed_test.cc
@@ -15,24 +15,24 @@
 
 class ChangeFeedTest : public testing::Test {
  protected:
-  ChangeFeedTest() { feed_.StartAt(Revision(10)); }
+  ChangeFeedTest() { feed_.ResetTo(Revision(10)); }
 
-  void Ask(std::int64_t after) {
-    feed_.Ask(kStart, {ChangeQuestionId(1), Revision(after), kWait});
+  void AddRequest(std::int64_t after) {
+    feed_.AddRequest(kStart, {ChangeQuestionId(1), Revision(after), kWait});
   }
   std::vector<AnswerChanges> Take(std::int64_t revision,
                                   Duration later = Duration(),
                                   std::optional<Duration> age = kFresh) {
-    return feed_.TakeAnswers(kStart + later, Revision(revision), age,
+    return feed_.TakeReplies(kStart + later, Revision(revision), age,
                              Duration());
   }
 
   ChangeFeed feed_{3};
 };
 
-TEST_F(ChangeFeedTest, TellsWhatCameAfterTheRevision) {
+TEST_F(ChangeFeedTest, ReturnsChangesAfterTheRevision) {
   feed_.Add({Entry("a", 11), Entry("b", 13)}, {{"c", Revision(12)}});
-  Ask(11);
+  AddRequest(11);
   const auto answers = Take(13);
   ASSERT_EQ(answers.size(), 1U);
   ASSERT_TRUE(answers.front().changes);
@@ -45,42 +45,42 @@
   EXPECT_EQ(changes.age, kFresh);
 }
 
-TEST_F(ChangeFeedTest, WaitsForAChangeAsLongAsItIsAskedTo) {
-  Ask(10);
+TEST_F(ChangeFeedTest, WaitsForAChangeAsLongAsRequested) {
+  AddRequest(10);
   EXPECT_TRUE(Take(10, kWait - Duration::Millis(1)).empty());
   const auto answers = Take(10, kWait);
   ASSERT_EQ(answers.size(), 1U);
   ASSERT_TRUE(answers.front().changes);
   EXPECT_TRUE(answers.front().changes->changed.empty());
-  EXPECT_FALSE(feed_.has_questions());
+  EXPECT_FALSE(feed_.has_pending_requests());
 }
 
 // Guards against a follower that misses an endpoint or keeps one that has left:
 // some of the changes that it asks for are no longer kept, and the rest were
 // returned as if they were all.
-TEST_F(ChangeFeedTest, TellsNothingOfWhatItKeepsInPart) {
+TEST_F(ChangeFeedTest, ReturnsNothingIfSomeChangesWereDropped) {
   feed_.Add({Entry("a", 11), Entry("b", 12)}, {});
   feed_.Add({Entry("c", 13), Entry("d", 14)}, {});
-  Ask(10);
+  AddRequest(10);
   EXPECT_FALSE(Take(14).front().changes);
-  Ask(11);
+  AddRequest(11);
   EXPECT_EQ(Take(14).front().changes->changed.size(), 3U);
 }
 
 // Guards against followers that send to endpoints that left seconds ago: the
 // followed node loses the service and goes on answering from a copy of unknown
 // age.
-TEST_F(ChangeFeedTest, ANodeWithoutAFreshCopyTellsNothing) {
-  Ask(10);
+TEST_F(ChangeFeedTest, ReturnsNothingWithoutAFreshCopy) {
+  AddRequest(10);
   EXPECT_TRUE(Take(10).empty());
   const auto answers = Take(10, Duration::Millis(100), std::nullopt);
   ASSERT_EQ(answers.size(), 1U);
   EXPECT_FALSE(answers.front().changes);
 }
 
-TEST_F(ChangeFeedTest, AFollowerThatIsAheadIsToldNothingOld) {
+TEST_F(ChangeFeedTest, ReturnsNoOldChangesToAFollowerThatIsAhead) {
   feed_.Add({Entry("a", 11)}, {});
-  Ask(15);
+  AddRequest(15);
   EXPECT_TRUE(Take(11).empty());
   const auto answers = Take(11, kWait);
   ASSERT_TRUE(answers.front().changes);
--- a/tests/coordination/gateway/fleet_overview_test.cc
+++ b/tests/coordination/gateway/fleet_overview_test.cc
@@ -71,18 +71,18 @@
 
 // Guards against a node that takes the whole retry budget as if it were alone
 // in the fleet.
-TEST_F(FleetOverviewTest, TheNodesOfTheOverviewCount) {
+TEST_F(FleetOverviewTest, CountsTheNodesOfTheOverview) {
   view_.OnPut(kNow, Entry("ov", ""));
   EXPECT_EQ(view_.serving_nodes(), 2U);
 }
 
 // Guards against requests to an endpoint that left after the overview was
 // written.
-TEST_F(FleetOverviewTest, WhatTheFullReadDoesNotShowIsGone) {
+TEST_F(FleetOverviewTest, RemovesEndpointsThatTheFullReadDoesNotShow) {
   view_.OnPut(kNow, Entry("ov", ""));
   view_.OnPut(kNow, Entry("vm/a", "2"));
   view_.TakeChangedVms();
-  view_.OnLearned(Revision(3));
+  view_.OnFullyLoaded(Revision(3));
   EXPECT_EQ(view_.FindVm(VmId("b")), nullptr);
   ASSERT_NE(view_.FindVm(VmId("a")), nullptr);
   EXPECT_EQ(view_.FindVm(VmId("a"))->membership->generation, Generation(2));
@@ -91,16 +91,16 @@
 }
 
 // Guards against an older overview that replaces registrations.
-TEST_F(FleetOverviewTest, AnOverviewAfterTheFullReadChangesNothing) {
+TEST_F(FleetOverviewTest, IgnoresAnOverviewAfterTheFullRead) {
   view_.OnPut(kNow, Entry("vm/a", "2"));
-  view_.OnLearned(Revision(3));
+  view_.OnFullyLoaded(Revision(3));
   view_.TakeChangedVms();
   view_.OnPut(kNow, Entry("ov", ""));
   EXPECT_EQ(view_.vms().size(), 1U);
   EXPECT_TRUE(view_.TakeChangedVms().empty());
 }
 
-TEST(OverviewWriterTest, WritesWhatHasChangedAtMostOncePerInterval) {
+TEST(OverviewWriterTest, WritesChangesAtMostOncePerInterval) {
   std::int64_t generation = 1;
   const auto describe = [&] {
     FleetOverview overview;
@@ -127,7 +127,7 @@
 
 // Guards against an overview that stays outdated after a change of keeper, or
 // after a write whose answer was lost.
-TEST(OverviewWriterTest, GoesOnFromWhatAConflictShows) {
+TEST(OverviewWriterTest, ContinuesFromTheRevisionOfAConflict) {
   OverviewWriter writer({}, "ov",
                         [](const FleetOverview&) { return std::string("x"); });
   const auto describe = [] { return FleetOverview(); };
@@ -179,7 +179,7 @@
        [](bool) {}, [this] { return spread_; }}};
 };
 
-TEST_F(FirstReadTest, ReadsTheRestAtOnceWhereTheFirstKeysAreNotEnough) {
+TEST_F(FirstReadTest, ReadsTheRestAtOnceIfTheFirstKeysAreNotEnough) {
   EXPECT_EQ(NextRead(kNow)->prefix, "o");
   const std::optional<StoreRange> rest = Answer(kNow);
   EXPECT_FALSE(mirror_.loaded());
@@ -189,7 +189,7 @@
 
 // Guards against seconds without service after a loss of all nodes: each node
 // reads all registrations at once, which saturates the service's link.
-TEST_F(FirstReadTest, TheRestIsReadWithinTheSpreadWhereTheyAre) {
+TEST_F(FirstReadTest, ReadsTheRestWithinTheSpreadIfTheFirstKeysAreEnough) {
   spread_ = Duration::Seconds(3);
   NextRead(kNow);
   Time now = kNow;
--- a/tests/coordination/gateway/fleet_view_test.cc
+++ b/tests/coordination/gateway/fleet_view_test.cc
@@ -46,24 +46,24 @@
 }
 
 // Guards against a log line for each VM at each start of each node.
-TEST(FleetViewTest, AStartIsOneLineAndALaterVmOneEach) {
-  std::vector<EventKind> told;
+TEST(FleetViewTest, ReportsAStartOnceAndEachLaterVm) {
+  std::vector<EventKind> reported;
   FleetView view(Codec(), [&](const EventDraft& event) {
-    told.push_back(event.kind);
+    reported.push_back(event.kind);
     return EventId();
   });
   for (const char* vm : {"vm/a", "vm/b", "vm/c"}) {
     view.OnPut(kNow, Entry(vm, "ready"));
   }
-  EXPECT_TRUE(told.empty());
-  view.OnLearned(Revision(9));
-  view.OnLearned(Revision(10));
+  EXPECT_TRUE(reported.empty());
+  view.OnFullyLoaded(Revision(9));
+  view.OnFullyLoaded(Revision(10));
   view.OnPut(kNow, Entry("vm/d", "ready"));
-  EXPECT_EQ(told, (std::vector<EventKind>{EventKind::kFleetLearned,
-                                          EventKind::kVmAppeared}));
+  EXPECT_EQ(reported, (std::vector<EventKind>{EventKind::kFleetLearned,
+                                              EventKind::kVmAppeared}));
 }
 
-TEST(FleetViewTest, TheConfigurationNeverGoesBack) {
+TEST(FleetViewTest, ConfigurationNeverGoesBack) {
   FleetView view(Codec(), DiscardEvents());
   EXPECT_EQ(view.routes(), nullptr);
   view.OnPut(kNow, Entry("cfg", "7"));
@@ -78,7 +78,7 @@
 
 // Guards against requests to a VM whose entry another writer has overwritten
 // with something unreadable: the previous entry stayed in force.
-TEST(FleetViewTest, AnEntryThatCannotBeReadNamesNoVm) {
+TEST(FleetViewTest, UnreadableEntryRemovesTheVm) {
   std::vector<EventKind> events;
   FleetView view(Codec(), [&](const EventDraft& event) {
     events.push_back(event.kind);
@@ -98,17 +98,17 @@
   EXPECT_NE(view.FindVm(VmId("1")), nullptr);
 }
 
-TEST(FleetViewTest, AnotherRunUnderTheSameIdIsToldOnce) {
+TEST(FleetViewTest, ReportsARestartUnderTheSameIdOnce) {
   FleetView view(Codec(), DiscardEvents());
   view.OnPut(kNow, Entry("vm/1", "ready"));
-  EXPECT_TRUE(view.TakeRestartedVms().empty());
+  EXPECT_TRUE(view.TakeRestartedAddresses().empty());
   view.OnPut(kNow, Entry("vm/1", "again"));
   view.OnPut(kNow, Entry("vm/1", "again"));
-  EXPECT_EQ(view.TakeRestartedVms().size(), 1U);
-  EXPECT_TRUE(view.TakeRestartedVms().empty());
+  EXPECT_EQ(view.TakeRestartedAddresses().size(), 1U);
+  EXPECT_TRUE(view.TakeRestartedAddresses().empty());
 }
 
-TEST(FleetViewTest, HeartbeatsWithoutAChangeAreNoChange) {
+TEST(FleetViewTest, UnchangedRegistrationIsNotReported) {
   FleetView view(Codec(), DiscardEvents());
   view.OnPut(kNow, Entry("vm/1", "ready"));
   EXPECT_EQ(view.TakeChangedVms().size(), 1U);
@@ -120,7 +120,7 @@
   EXPECT_EQ(view.FindVm(VmId("1")), nullptr);
 }
 
-TEST(FleetViewTest, CountsNodesThatServeAndKnowsRoles) {
+TEST(FleetViewTest, CountsServingNodesAndTracksRoleHolders) {
   FleetView view(Codec(), DiscardEvents());
   EXPECT_EQ(view.serving_nodes(), 1U);
   view.OnPut(kNow, Entry("node/a", "up"));
--- a/tests/coordination/gateway/gateway_core_test.cc
+++ b/tests/coordination/gateway/gateway_core_test.cc
@@ -18,7 +18,7 @@
     world_.Run(Duration::Seconds(1));
   }
 
-  ForwardStep Arrive(std::size_t node) {
+  ForwardStep SendRequest(std::size_t node) {
     ForwardRequest request;
     request.id = RequestId("q");
     request.host = "h";
@@ -33,7 +33,7 @@
 // Guards against most of a fleet being down at once when its nodes are stopped
 // one second apart: each node waited for the platform's limit although it had
 // no open request after three seconds.
-TEST_F(GatewayCoreTest, ANodeThatStopsEndsOnceNothingIsOpen) {
+TEST_F(GatewayCoreTest, StoppingNodeEndsOnceNoRequestIsOpen) {
   GatewayCore& core = *world_.node(0).core;
   core.OnStopAsked(world_.now());
   ForwardRequest request;
@@ -51,7 +51,7 @@
   EXPECT_TRUE(core.is_stop_over(world_.now()));
 }
 
-TEST_F(GatewayCoreTest, ANodeThatStopsWaitsForThoseWhoKeepItsAddress) {
+TEST_F(GatewayCoreTest, StoppingNodeWaitsForCallersThatCacheItsAddress) {
   GatewayCore& core = *world_.node(0).core;
   core.OnStopAsked(world_.now());
   world_.Run(Duration::Millis(3000));
@@ -64,13 +64,13 @@
 // SIGTERM a caller that caches addresses for longer than asked sends a request
 // whose stream takes 4 s, and the node accepts it although it has to end
 // before.
-TEST_F(GatewayCoreTest, ANodeThatStopsRefusesWhatItCouldNotFinish) {
+TEST_F(GatewayCoreTest, StoppingNodeRefusesRequestsItCouldNotFinish) {
   world_.node(0).core->OnStopAsked(world_.now());
   EXPECT_FALSE(world_.node(0).core->ready());
   world_.Run(Duration::Millis(2500));
-  EXPECT_TRUE(std::holds_alternative<SendForward>(Arrive(0)));
+  EXPECT_TRUE(std::holds_alternative<SendForward>(SendRequest(0)));
   world_.Run(Duration::Millis(500));
-  const ForwardStep late = Arrive(0);
+  const ForwardStep late = SendRequest(0);
   ASSERT_TRUE(std::holds_alternative<ForwardRefused>(late));
   EXPECT_EQ(std::get<ForwardRefused>(late).kind, RefusalKind::kDraining);
   EXPECT_GT(std::get<ForwardRefused>(late).retry_after, Duration());
@@ -79,7 +79,7 @@
   EXPECT_TRUE(world_.node(0).core->is_stop_over(world_.now()));
 }
 
-TEST_F(GatewayCoreTest, AddressesAreThoseOfNodesThatDoNotStop) {
+TEST_F(GatewayCoreTest, AdvertisesOnlyNodesThatAreNotStopping) {
   EXPECT_EQ(world_.node(0).core->Entries().size(), 2U);
   world_.node(1).core->OnStopAsked(world_.now());
   world_.Run(Duration::Seconds(1));
@@ -92,24 +92,24 @@
 
 // Guards against nodes of a fleet of 70 that get no new callers: a list holds
 // 64 addresses, and every node listed the first 64 by name.
-TEST(GatewayEntriesTest, EachNodeOfALargeFleetIsNamedAsOften) {
+TEST(GatewayAddressesTest, AdvertisesEachNodeOfALargeFleetEquallyOften) {
   GatewayWorld world(70, 1, 11, 3);
   world.Run(Duration::Seconds(5));
-  std::map<Address, int> named;
+  std::map<Address, int> times_advertised;
   for (std::size_t i = 0; i < world.node_count(); ++i) {
     for (const Address& address : world.node(i).core->Entries()) {
-      ++named[address];
+      ++times_advertised[address];
     }
   }
-  EXPECT_EQ(named.size(), 70U);
-  for (const auto& [address, times] : named) {
+  EXPECT_EQ(times_advertised.size(), 70U);
+  for (const auto& [address, times] : times_advertised) {
     EXPECT_EQ(times, 64) << address;
   }
 }
 
 // Guards against a node that starts during an outage of the service and learns
 // nothing.
-TEST_F(GatewayCoreTest, ANodeThatStartsInAnOutageLearnsFromAnother) {
+TEST_F(GatewayCoreTest, NodeStartedDuringOutageLearnsFromAnotherNode) {
   world_.KillNode(1);
   world_.store_down = true;
   world_.Run(Duration::Seconds(1));
@@ -117,12 +117,12 @@
   EXPECT_FALSE(world_.node(1).core->ready());
   world_.Run(Duration::Seconds(5));
   EXPECT_TRUE(world_.node(1).core->ready());
-  EXPECT_TRUE(std::holds_alternative<SendForward>(Arrive(1)));
+  EXPECT_TRUE(std::holds_alternative<SendForward>(SendRequest(1)));
 }
 
 // Guards against a node that the service rejects and that learns of no change
 // meanwhile.
-TEST_F(GatewayCoreTest, ANodeThatTheServiceTurnsAwayLearnsFromAnother) {
+TEST_F(GatewayCoreTest, NodeCutFromServiceLearnsFromAnotherNode) {
   world_.node(0).store_cut = true;
   world_.Run(Duration::Seconds(3));
   world_.AddEngine("d0", "late");
--- a/tests/coordination/gateway/store_mirror_test.cc
+++ b/tests/coordination/gateway/store_mirror_test.cc
@@ -25,7 +25,9 @@
                    values_[entry.key] = entry.value;
                  },
                  [this](Time, const std::string& key) { values_.erase(key); },
-                 [this](bool reachable) { reports_.push_back(reachable); }}) {}
+                 [this](bool reachable) {
+                   reachability_reports_.push_back(reachable);
+                 }}) {}
 
   static StoreMirrorSettings Settings() {
     StoreMirrorSettings settings;
@@ -35,21 +37,22 @@
   }
 
   // Returns the call among the actions, if any.
-  std::optional<StoreCall> Take(const std::vector<StoreMirrorAction>& actions) {
+  std::optional<StoreCall> TakeCall(
+      const std::vector<StoreMirrorAction>& actions) {
     std::optional<StoreCall> call;
     for (const StoreMirrorAction& action : actions) {
       if (const auto* request = std::get_if<StoreRequest>(&action)) {
-        id_ = request->id;
+        call_id_ = request->id;
         call = request->call;
       } else {
-        ++asked_;
+        ++peer_requests_;
       }
     }
     return call;
   }
-  std::optional<StoreCall> Tick() { return Take(mirror_.Tick(now_)); }
+  std::optional<StoreCall> Tick() { return TakeCall(mirror_.Tick(now_)); }
   std::optional<StoreCall> Answer(const StoreReply& reply) {
-    return Take(mirror_.OnStoreReply(now_, id_, reply));
+    return TakeCall(mirror_.OnStoreReply(now_, call_id_, reply));
   }
   // Ends the watch in flight without a change.
   std::optional<StoreCall> EndWatch() {
@@ -67,13 +70,13 @@
 
   Time now_ = kStart;
   std::map<std::string, std::string> values_;
-  std::vector<bool> reports_;
-  int asked_ = 0;
-  StoreCallId id_;
+  std::vector<bool> reachability_reports_;
+  int peer_requests_ = 0;
+  StoreCallId call_id_;
   StoreMirror mirror_;
 };
 
-TEST_F(StoreMirrorTest, ReadsAllFamiliesThenWatchesFromTheFirstOnesRevision) {
+TEST_F(StoreMirrorTest, ReadsAllPrefixesThenWatchesFromTheLowestRevision) {
   Load();
   const std::optional<StoreCall> call = Tick();
   // A change between the two reads may be in neither of them.
@@ -83,7 +86,7 @@
   EXPECT_EQ(values_.at("b/1"), "y");
 }
 
-TEST_F(StoreMirrorTest, ReadsAFamilyPageByPage) {
+TEST_F(StoreMirrorTest, ReadsAPrefixPageByPage) {
   Tick();
   const auto next =
       Answer(StoreRangeReply{Revision(10), {Entry("a/1", "x", 3)}, true});
@@ -95,24 +98,24 @@
 // Guards against a watch whose full wait counts as silence: whenever nothing
 // changed for a second, every node reported the service unreachable, and its
 // keeper gave the role up.
-TEST_F(StoreMirrorTest, AWatchThatWaitsIsNoOutage) {
+TEST_F(StoreMirrorTest, WaitingWatchIsNoOutage) {
   Load();
   for (int i = 0; i < 20; ++i) {
     Wait(900);
     Tick();
     Answer(StoreWatchReply{Revision(12), {}, {}, false});
   }
-  EXPECT_TRUE(reports_.empty());
-  EXPECT_EQ(asked_, 0);
+  EXPECT_TRUE(reachability_reports_.empty());
+  EXPECT_EQ(peer_requests_, 0);
 }
 
-TEST_F(StoreMirrorTest, AsksPeersOnceTheServiceIsAwayAndTakesNewerSnapshots) {
+TEST_F(StoreMirrorTest, AsksPeersDuringAnOutageAndAppliesNewerSnapshots) {
   Load();
   Tick();
   Wait(1700);
   Tick();
-  EXPECT_EQ(reports_, std::vector<bool>{false});
-  EXPECT_EQ(asked_, 1);
+  EXPECT_EQ(reachability_reports_, std::vector<bool>{false});
+  EXPECT_EQ(peer_requests_, 1);
   mirror_.OnPeerSnapshot(
       now_, {Revision(20), {Entry("a/1", "new", 15), Entry("b/1", "y", 4)}});
   EXPECT_EQ(values_.at("a/1"), "new");
@@ -121,17 +124,17 @@
   EXPECT_EQ(values_.at("a/1"), "new");
 }
 
-TEST_F(StoreMirrorTest, AnEmptyNodeStartsFromAPeersSnapshot) {
+TEST_F(StoreMirrorTest, EmptyMirrorLoadsAPeersSnapshot) {
   Tick();
   Answer(StoreNoAnswer{});
   Wait(1700);
   Tick();
-  EXPECT_EQ(asked_, 1);
+  EXPECT_EQ(peer_requests_, 1);
   mirror_.OnPeerSnapshot(now_, {Revision(20), {Entry("a/1", "x", 15)}});
   EXPECT_TRUE(mirror_.loaded());
 }
 
-TEST_F(StoreMirrorTest, ReadsAgainAfterLostHistoryAndDropsWhatIsGone) {
+TEST_F(StoreMirrorTest, ReadsAgainAfterCompactionAndRemovesMissingKeys) {
   Load();
   Wait(500);
   Tick();
@@ -150,8 +153,7 @@
 // that every group is closed: entries expire during the outage, their owners
 // write them again within two seconds of its end, and the removals were taken
 // for losses.
-TEST_F(StoreMirrorTest,
-       KeepsEntriesThatLapsedInAnOutageUntilTheirOwnersCanWrite) {
+TEST_F(StoreMirrorTest, KeepsEntriesThatExpiredInAnOutageForTheGracePeriod) {
   Load();
   Tick();
   Wait(5000);
@@ -170,7 +172,7 @@
   EXPECT_FALSE(values_.contains("b/1"));
 }
 
-TEST_F(StoreMirrorTest, AnEntryWrittenAgainAfterAnOutageStays) {
+TEST_F(StoreMirrorTest, KeepsAnEntryWrittenAgainAfterAnOutage) {
   Load();
   Tick();
   Wait(5000);
@@ -248,12 +250,12 @@
     Tick();
     EndWatch();
   }
-  EXPECT_TRUE(reports_.empty());
-  EXPECT_EQ(asked_, 0);
+  EXPECT_TRUE(reachability_reports_.empty());
+  EXPECT_EQ(peer_requests_, 0);
 }
 
 // A watch with the longer wait of a larger fleet is not overdue sooner.
-TEST_F(StoreMirrorTest, AnUnansweredLongWatchIsAnOutageWhenItIsOverdue) {
+TEST_F(StoreMirrorTest, UnansweredLongWatchIsAnOutageOnceOverdue) {
   Load();
   mirror_.SetWatcherCount(1000);
   EndWatch();
@@ -261,17 +263,17 @@
   Tick();
   Wait(1600);
   Tick();
-  EXPECT_TRUE(reports_.empty());
+  EXPECT_TRUE(reachability_reports_.empty());
   Wait(200);
   Tick();
-  EXPECT_EQ(reports_, std::vector<bool>{false});
+  EXPECT_EQ(reachability_reports_, std::vector<bool>{false});
 }
 
 // Guards against a node that advertises a removed node forever: a node is
 // removed while the service rejects some nodes, one of these takes a snapshot
 // from a node that defers the removal after an outage, and continues from the
 // snapshot's revision, which is past the removal.
-TEST_F(StoreMirrorTest, ASnapshotHoldsNoKeyWhoseRemovalIsHeldBack) {
+TEST_F(StoreMirrorTest, SnapshotOmitsKeysWhoseRemovalIsDeferred) {
   Load();
   Tick();
   Wait(5000);
@@ -289,7 +291,7 @@
   }
 }
 
-TEST_F(StoreMirrorTest, AStaleReadTeachesNothing) {
+TEST_F(StoreMirrorTest, IgnoresAStaleRead) {
   Load();
   Wait(500);
   Tick();
@@ -300,7 +302,7 @@
   EXPECT_TRUE(values_.contains("a/1"));
 }
 
-TEST_F(StoreMirrorTest, BacksOffWhileItIsRefused) {
+TEST_F(StoreMirrorTest, BacksOffWhileRefused) {
   Tick();
   int calls = 0;
   for (int i = 0; i < 100; ++i) {
--- a/tests/support/gateway_world.h
+++ b/tests/support/gateway_world.h
@@ -20,9 +20,9 @@
 class GatewayWorld {
  public:
   static constexpr Duration kStep = Duration::Millis(10);
-  static constexpr Duration kNetwork = Duration::Millis(2);
+  static constexpr Duration kNetworkDelay = Duration::Millis(2);
   static constexpr Duration kHeartbeat = Duration::Millis(1200);
-  static constexpr Duration kLapse = Duration::Millis(3600);
+  static constexpr Duration kRegistrationTtl = Duration::Millis(3600);
 
   using Engine = PlayedEngines::Engine;
   struct Node {
@@ -67,12 +67,12 @@
     const Time end = now_ + time;
     while (now_ < end) {
       now_ = now_ + kStep;
-      RunDue();
+      RunDueEvents();
       if (!store_down) {
         store_.DropLapsed(now_);
         AnswerWatches();
       } else {
-        EndWatchesUnanswered();
+        TimeOutWatches();
       }
       if ((now_.millis() / kStep.millis()) % 4 == 0) {
         for (std::size_t i = 0; i < nodes_.size(); ++i) {
@@ -81,27 +81,27 @@
           }
         }
       }
-      LapseRegistrations();
+      ExpireRegistrations();
       if (traffic && (now_.millis() / kStep.millis()) % 10 == 0) {
         SendRequests();
       }
       if ((now_.millis() / kStep.millis()) % 5 == 0) {
-        MoveStreams();
+        AdvanceStreams();
       }
     }
   }
 
   // Runs until the condition holds or the limit has passed; returns whether it
   // holds.
-  bool RunUntil(Duration limit, const std::function<bool()>& holds) {
+  bool RunUntil(Duration limit, const std::function<bool()>& condition) {
     const Time end = now_ + limit;
     while (now_ < end) {
-      if (holds()) {
+      if (condition()) {
         return true;
       }
       Run(Duration::Millis(50));
     }
-    return holds();
+    return condition();
   }
 
   Engine& engine(const VmId& vm) { return engines_.at(vm); }
@@ -111,7 +111,7 @@
   FakeStore& store() { return store_; }
   Time now() const { return now_; }
   const std::vector<std::string>& violations() const {
-    return played_.violations();
+    return engine_simulation_.violations();
   }
 
   std::size_t open_groups(const std::string& model) const {
@@ -121,7 +121,7 @@
       open += engine.alive && membership &&
                       membership->phase == MemberPhase::kOpen &&
                       engine.self.models.front() == ModelId(model) &&
-                      played_.IsWhole(engine)
+                      engine_simulation_.IsWhole(engine)
                   ? 1
                   : 0;
     }
@@ -201,7 +201,7 @@
   }
   // Crashes the engine and restarts it under its id at once.
   void Restart(const VmId& vm) {
-    played_.Restart(vm, Incarnation(now_.millis()));
+    engine_simulation_.Restart(vm, Incarnation(now_.millis()));
     Publish(engines_.at(vm));
   }
   // Writes an entry as another client of the store.
@@ -261,7 +261,7 @@
     };
     codecs.fleet.decode_node = [this](std::string_view text) {
       return std::optional<NodeRecord>(
-          records_.at(std::stoul(std::string(text))));
+          node_records_.at(std::stoul(std::string(text))));
     };
     codecs.domain_record.encode = [this](const DomainRecord& record) {
       domain_records_.push_back(record);
@@ -272,8 +272,8 @@
           domain_records_.at(std::stoul(std::string(text))));
     };
     codecs.encode_node = [this](const NodeRecord& record) {
-      records_.push_back(record);
-      return std::to_string(records_.size() - 1);
+      node_records_.push_back(record);
+      return std::to_string(node_records_.size() - 1);
     };
     node.core = std::make_unique<GatewayCore>(
         settings, std::move(codecs), SeededRandom(DrawBelow(random_, 1000000)),
@@ -288,12 +288,12 @@
   std::set<std::size_t> idle_nodes;
   // Streams that completed, and those that were cut off or never answered.
   int served = 0;
-  int lost = 0;
-  int moved = 0;
+  int lost_streams = 0;
+  int failed_over_streams = 0;
   int progress_questions = 0;
-  int change_questions = 0;
+  int change_requests = 0;
   // Requests for a snapshot of all keys.
-  int snapshot_questions = 0;
+  int snapshot_requests = 0;
   int role_reads = 0;
 
  private:
@@ -342,11 +342,11 @@
     if (engine.report_delay == Duration()) {
       Put(key, value);
     } else {
-      After(engine.report_delay, [this, key, value] { Put(key, value); });
+      Schedule(engine.report_delay, [this, key, value] { Put(key, value); });
     }
   }
 
-  void LapseRegistrations() {
+  void ExpireRegistrations() {
     if (store_down) {
       return;
     }
@@ -355,17 +355,17 @@
       const std::string key = "vm/" + id.value();
       const auto found = store_.entries().find(key);
       if (silent && found != store_.entries().end() &&
-          now_ - engine.silent_since >= kLapse) {
+          now_ - engine.silent_since >= kRegistrationTtl) {
         store_.Execute(now_, StoreDelete{key, found->second.revision});
       }
     }
   }
 
-  void After(Duration delay, std::function<void()> run) {
+  void Schedule(Duration delay, std::function<void()> run) {
     queue_.emplace(now_ + delay, std::move(run));
   }
 
-  void RunDue() {
+  void RunDueEvents() {
     while (!queue_.empty() && queue_.begin()->first <= now_) {
       const auto run = std::move(queue_.begin()->second);
       queue_.erase(queue_.begin());
@@ -375,14 +375,14 @@
 
   void Execute(std::size_t index, const GatewayActions& actions) {
     for (const GatewayAction& action : actions) {
-      std::visit([&](const auto& each) { Do(index, each); }, action);
+      std::visit([&](const auto& each) { Perform(index, each); }, action);
     }
   }
 
   // Runs `handle` at a node, unless the node was killed or restarted meanwhile.
-  void AtNode(std::size_t index,
-              int run,
-              const std::function<GatewayActions(GatewayCore&)>& handle) {
+  void RunAtNode(std::size_t index,
+                 int run,
+                 const std::function<GatewayActions(GatewayCore&)>& handle) {
     if (nodes_[index].alive && nodes_[index].run == run) {
       Execute(index, handle(*nodes_[index].core));
     }
@@ -393,24 +393,24 @@
              const CallGatewayStore& call,
              const StoreReply& reply,
              Duration delay) {
-    After(delay, [this, index, run, call, reply] {
-      AtNode(index, run, [&](GatewayCore& core) {
+    Schedule(delay, [this, index, run, call, reply] {
+      RunAtNode(index, run, [&](GatewayCore& core) {
         return core.OnStoreReply(now_, call.module, call.request.id, reply);
       });
     });
   }
 
-  void Do(std::size_t index, const CallGatewayStore& call) {
+  void Perform(std::size_t index, const CallGatewayStore& call) {
     const int run = nodes_[index].run;
-    const bool renews =
+    const bool is_renewal =
         std::holds_alternative<StoreLeaseKeepAlive>(call.request.call);
-    ++(renews ? nodes_[index].store_renewals : nodes_[index].store_calls);
+    ++(is_renewal ? nodes_[index].store_renewals : nodes_[index].store_calls);
     role_reads += call.module == GatewayModule::kRoles &&
                           std::holds_alternative<StoreRange>(call.request.call)
                       ? 1
                       : 0;
     if (nodes_[index].store_refuses) {
-      Reply(index, run, call, StoreBusy{}, kNetwork * 2);
+      Reply(index, run, call, StoreBusy{}, kNetworkDelay * 2);
       return;
     }
     if (store_down || nodes_[index].store_cut) {
@@ -422,7 +422,7 @@
       return;
     }
     const auto reply = store_.Execute(now_, call.request.call);
-    Reply(index, run, call, *reply, kNetwork * 2);
+    Reply(index, run, call, *reply, kNetworkDelay * 2);
   }
 
   struct Watch {
@@ -437,10 +437,10 @@
     for (Watch& watch : waiting) {
       const auto reply = store_.Execute(now_, watch.call.request.call);
       if (reply) {
-        Reply(watch.node, watch.run, watch.call, *reply, kNetwork);
+        Reply(watch.node, watch.run, watch.call, *reply, kNetworkDelay);
       } else if (now_ >= watch.until) {
         Reply(watch.node, watch.run, watch.call,
-              StoreWatchReply{store_.revision(), {}, {}, false}, kNetwork);
+              StoreWatchReply{store_.revision(), {}, {}, false}, kNetworkDelay);
       } else {
         watches_.push_back(std::move(watch));
       }
@@ -448,79 +448,82 @@
   }
 
   // Ends watches without an answer some time after they should have returned.
-  void EndWatchesUnanswered() {
-    constexpr Duration kOverdue = Duration::Millis(600);
+  void TimeOutWatches() {
+    constexpr Duration kWatchTimeout = Duration::Millis(600);
     std::vector<Watch> waiting = std::exchange(watches_, {});
     for (Watch& watch : waiting) {
-      if (now_ >= watch.until + kOverdue) {
-        Reply(watch.node, watch.run, watch.call, StoreNoAnswer{}, kNetwork);
+      if (now_ >= watch.until + kWatchTimeout) {
+        Reply(watch.node, watch.run, watch.call, StoreNoAnswer{},
+              kNetworkDelay);
       } else {
         watches_.push_back(std::move(watch));
       }
     }
   }
 
-  void Do(std::size_t index, const AskNodeSnapshot& ask) {
+  void Perform(std::size_t index, const AskNodeSnapshot& ask) {
     const std::size_t other = std::stoul(ask.address.value());
-    ++snapshot_questions;
+    ++snapshot_requests;
     if (!nodes_[other].alive) {
       return;
     }
     const auto snapshot = nodes_[other].core->Snapshot(ask.newer_than);
     if (snapshot) {
       const int run = nodes_[index].run;
-      After(kNetwork, [this, index, run, snapshot] {
-        AtNode(index, run, [&](GatewayCore& core) {
+      Schedule(kNetworkDelay, [this, index, run, snapshot] {
+        RunAtNode(index, run, [&](GatewayCore& core) {
           return core.OnSnapshot(now_, *snapshot);
         });
       });
     }
   }
 
-  void Do(std::size_t index, const AskNodeChanges& ask) {
+  void Perform(std::size_t index, const AskNodeChanges& ask) {
     const std::size_t other = std::stoul(ask.address.value());
-    ++change_questions;
-    const ChangeQuestionId question(++last_question_);
-    questions_[question] = {index, nodes_[index].run, ask.id};
-    After(ask.wait + ask.timeout,
-          [this, question] { AnswerQuestion(question, std::nullopt); });
+    ++change_requests;
+    const ChangeQuestionId question(++last_changes_request_);
+    pending_changes_requests_[question] = {index, nodes_[index].run, ask.id};
+    Schedule(ask.wait + ask.timeout, [this, question] {
+      ReplyToChangesRequest(question, std::nullopt);
+    });
     const int run = nodes_[other].run;
-    After(kNetwork, [this, other, run, question, ask] {
-      AtNode(other, run, [&](GatewayCore& core) {
+    Schedule(kNetworkDelay, [this, other, run, question, ask] {
+      RunAtNode(other, run, [&](GatewayCore& core) {
         return core.OnChangesAsked(now_, {question, ask.after, ask.wait});
       });
     });
   }
 
-  void Do(std::size_t /*index*/, const AnswerChanges& answer) {
-    After(kNetwork,
-          [this, answer] { AnswerQuestion(answer.id, answer.changes); });
+  void Perform(std::size_t /*index*/, const AnswerChanges& answer) {
+    Schedule(kNetworkDelay, [this, answer] {
+      ReplyToChangesRequest(answer.id, answer.changes);
+    });
   }
 
-  void AnswerQuestion(ChangeQuestionId id,
-                      const std::optional<MirrorChanges>& changes) {
-    const auto question = questions_.find(id);
-    if (question == questions_.end()) {
+  void ReplyToChangesRequest(ChangeQuestionId id,
+                             const std::optional<MirrorChanges>& changes) {
+    const auto question = pending_changes_requests_.find(id);
+    if (question == pending_changes_requests_.end()) {
       return;
     }
-    const Question asked = question->second;
-    questions_.erase(question);
-    AtNode(asked.node, asked.run, [&](GatewayCore& core) {
-      return core.OnChangesHeard(now_, asked.call, changes);
+    const PendingChangesRequest pending = question->second;
+    pending_changes_requests_.erase(question);
+    RunAtNode(pending.node, pending.run, [&](GatewayCore& core) {
+      return core.OnChangesHeard(now_, pending.call, changes);
     });
   }
 
-  void Do(std::size_t /*index*/, const TellNode& tell) {
+  void Perform(std::size_t /*index*/, const TellNode& tell) {
     const std::size_t other = std::stoul(tell.address.value());
     const int run = nodes_[other].run;
-    After(kNetwork, [this, other, run, tell] {
-      AtNode(other, run, [&](GatewayCore& core) {
+    Schedule(kNetworkDelay, [this, other, run, tell] {
+      RunAtNode(other, run, [&](GatewayCore& core) {
         return core.OnNotice(now_, tell.notice);
       });
     });
   }
 
-  void Do(std::size_t index, const AskProgress& ask) {
+  void Perform(std::size_t index, const AskProgress& ask) {
     const std::size_t other = std::stoul(ask.address.value());
     ++progress_questions;
     if (!nodes_[other].alive) {
@@ -528,23 +531,23 @@
     }
     const int run = nodes_[index].run;
     const auto age = nodes_[other].core->ProgressAge(now_, ask.group);
-    After(kNetwork * 2, [this, index, run, ask, age] {
-      AtNode(index, run, [&](GatewayCore& core) {
+    Schedule(kNetworkDelay * 2, [this, index, run, ask, age] {
+      RunAtNode(index, run, [&](GatewayCore& core) {
         return age ? core.OnProgressHeard(now_, ask.group, *age)
                    : GatewayActions();
       });
     });
   }
 
-  void Do(std::size_t /*index*/, const ForgetConnections& /*forget*/) {}
-  void Do(std::size_t index, const MoveForward& move) {
+  void Perform(std::size_t /*index*/, const ForgetConnections& /*forget*/) {}
+  void Perform(std::size_t index, const MoveForward& move) {
     const auto stream = std::find_if(
         streams_.begin(), streams_.end(),
         [&](const Stream& s) { return s.node == index && s.id == move.id; });
     if (stream == streams_.end()) {
       return;
     }
-    ++moved;
+    ++failed_over_streams;
     ForwardEnd end;
     end.kind = ForwardEndKind::kSilent;
     end.delivered = stream->events > 0;
@@ -554,20 +557,20 @@
     const ForwardStep step = nodes_[index].core->OnEnded(now_, stream->id, end);
     if (const auto* send = std::get_if<SendForward>(&step)) {
       stream->vm = send->vm;
-      stream->group = played_.GroupAt(send->vm);
+      stream->group = engine_simulation_.GroupAt(send->vm);
     } else {
-      ++lost;
+      ++lost_streams;
       streams_.erase(stream);
     }
   }
 
-  void Do(std::size_t index, const ProbeEngine& probe) {
+  void Perform(std::size_t index, const ProbeEngine& probe) {
     const int run = nodes_[index].run;
     const Engine& engine = engines_.at(probe.vm);
     const bool answers = engine.alive && !engine.node_cut;
-    After(answers ? kNetwork * 2 : probe.timeout, [this, index, run, probe,
-                                                   answers] {
-      AtNode(index, run, [&](GatewayCore& core) {
+    Schedule(answers ? kNetworkDelay * 2 : probe.timeout, [this, index, run,
+                                                           probe, answers] {
+      RunAtNode(index, run, [&](GatewayCore& core) {
         return core.OnProbeReply(
             now_, probe.vm,
             {answers ? ProbeVerdict::kAnswered : ProbeVerdict::kUnreachable,
@@ -576,30 +579,32 @@
     });
   }
 
-  void Do(std::size_t index, const SendGroupOrder& send) {
+  void Perform(std::size_t index, const SendGroupOrder& send) {
     const int run = nodes_[index].run;
     const auto answer = [this, index, run,
                          id = send.id](GroupOrderVerdict verdict) {
-      AtNode(index, run, [&](GatewayCore& core) {
+      RunAtNode(index, run, [&](GatewayCore& core) {
         return core.OnOrderReply(now_, id, verdict);
       });
     };
     const Engine& engine = engines_.at(send.vm);
     if (!engine.alive || engine.node_cut) {
-      After(send.timeout,
-            [answer] { answer(GroupOrderVerdict::kUnreachable); });
+      Schedule(send.timeout,
+               [answer] { answer(GroupOrderVerdict::kUnreachable); });
       return;
     }
     if (engine.order_delay > Duration()) {
-      After(send.timeout, [answer] { answer(GroupOrderVerdict::kNoAnswer); });
-      After(engine.order_delay,
-            [this, send] { played_.Apply(send.vm, send.order, traffic); });
+      Schedule(send.timeout,
+               [answer] { answer(GroupOrderVerdict::kNoAnswer); });
+      Schedule(engine.order_delay, [this, send] {
+        engine_simulation_.Apply(send.vm, send.order, traffic);
+      });
       return;
     }
-    After(kNetwork, [this, send, answer] {
+    Schedule(kNetworkDelay, [this, send, answer] {
       const GroupOrderVerdict verdict =
-          played_.Apply(send.vm, send.order, traffic);
-      After(kNetwork, [answer, verdict] { answer(verdict); });
+          engine_simulation_.Apply(send.vm, send.order, traffic);
+      Schedule(kNetworkDelay, [answer, verdict] { answer(verdict); });
     });
   }
 
@@ -610,7 +615,7 @@
       }
       for (const char* model : {"large", "small"}) {
         ForwardRequest request;
-        request.id = RequestId("q" + std::to_string(++last_request_));
+        request.id = RequestId("q" + std::to_string(++last_request_id_));
         request.host = "h";
         request.path = "/m/x";
         request.model = ModelId(model);
@@ -618,8 +623,9 @@
         const ForwardBegun begun =
             nodes_[i].core->OnArrived(now_, std::move(request));
         if (const auto* send = std::get_if<SendForward>(&begun.step)) {
-          streams_.push_back({i, begun.id, send->vm, played_.GroupAt(send->vm),
-                              0, nodes_[i].run});
+          streams_.push_back({i, begun.id, send->vm,
+                              engine_simulation_.GroupAt(send->vm), 0,
+                              nodes_[i].run});
         }
       }
     }
@@ -627,22 +633,22 @@
 
   // Each call moves a stream on by an event if its group is whole and its VM is
   // reachable, and does nothing otherwise.
-  void MoveStreams() {
+  void AdvanceStreams() {
     for (auto it = streams_.begin(); it != streams_.end();) {
       Stream& stream = *it;
       const Engine& engine = engines_.at(stream.vm);
-      const bool goes_on = engine.alive && !engine.node_cut &&
-                           engine.self.membership &&
-                           engine.self.membership->group == stream.group &&
-                           played_.IsWhole(engine);
-      if (!goes_on) {
+      const bool makes_progress =
+          engine.alive && !engine.node_cut && engine.self.membership &&
+          engine.self.membership->group == stream.group &&
+          engine_simulation_.IsWhole(engine);
+      if (!makes_progress) {
         ++it;
         continue;
       }
       GatewayCore& core = *nodes_[stream.node].core;
       core.OnProgress(now_, stream.id);
-      constexpr int kEvents = 20;
-      if (++stream.events < kEvents) {
+      constexpr int kEventsPerStream = 20;
+      if (++stream.events < kEventsPerStream) {
         ++it;
         continue;
       }
@@ -660,26 +666,27 @@
   FakeStore store_;
   FleetConfiguration configuration_;
   std::vector<VmRegistration> registrations_;
-  std::vector<NodeRecord> records_;
+  std::vector<NodeRecord> node_records_;
   std::vector<DomainRecord> domain_records_;
-  PlayedEngines played_{[this](const Engine& engine) { Publish(engine); },
-                        [this](Duration delay, std::function<void()> run) {
-                          After(delay, std::move(run));
-                        }};
-  std::map<VmId, Engine>& engines_ = played_.engines();
+  PlayedEngines engine_simulation_{
+      [this](const Engine& engine) { Publish(engine); },
+      [this](Duration delay, std::function<void()> run) {
+        Schedule(delay, std::move(run));
+      }};
+  std::map<VmId, Engine>& engines_ = engine_simulation_.engines();
   std::vector<Node> nodes_;
   std::vector<Watch> watches_;
   std::multimap<Time, std::function<void()>> queue_;
   std::vector<Stream> streams_;
   // A follower's pending request.
-  struct Question {
+  struct PendingChangesRequest {
     std::size_t node;
     int run;
     StoreCallId call;
   };
-  std::map<ChangeQuestionId, Question> questions_;
-  std::int64_t last_question_ = 0;
-  std::int64_t last_request_ = 0;
+  std::map<ChangeQuestionId, PendingChangesRequest> pending_changes_requests_;
+  std::int64_t last_changes_request_ = 0;
+  std::int64_t last_request_id_ = 0;
 };
 
 }  // namespace gcw
