--- a/coordination/gateway/fleet_view.cc
+++ b/coordination/gateway/fleet_view.cc
@@ -11,8 +11,8 @@
 FleetView::FleetView(FleetCodec codec, EventSink events)
     : codec_(std::move(codec)), events_(std::move(events)) {}
 
-// Logs one line at a start rather than one for each VM: in a large fleet these
-// would be most of all lines, and cost processor time just when there is least.
+// Logs one event at a start rather than one for each VM: in a large fleet these
+// would be most of the log, and cost processor time just when there is least.
 void FleetView::OnFullyLoaded(Revision revision) {
   if (std::exchange(fully_loaded_, true)) {
     return;
--- a/coordination/gateway/gateway_core_following.cc
+++ b/coordination/gateway/gateway_core_following.cc
@@ -42,9 +42,9 @@
   const bool relaxed =
       now - *loaded_at_ >= settings_.relax_delay &&
       RoleRank(RoleName(std::string(kKeeperRole))) >= settings_.role_candidates;
-  // The copy of a followed node is not relaxed, because other nodes depend on
-  // it. The lease does not depend on this: which node is followed may change at
-  // each review, and each change of the lease takes two calls.
+  // A node that follows none keeps its copy strict, because other nodes may
+  // follow it. Its lease does not depend on that: who follows whom may change
+  // at each review, and each change of the lease takes two calls.
   mirror_.SetRelaxed(relaxed && !followed_node_.empty());
   if (mirror_.reachable()) {
     lease_.SetRelaxed(relaxed);
