--- a/tests/coordination/gateway/following_test.cc
+++ b/tests/coordination/gateway/following_test.cc
@@ -14,13 +14,13 @@
   return {key, "v", Revision(revision), LeaseId()};
 }
 
-// One mirror that has a node to follow.
+// A mirror that follows another node.
 class FollowingMirrorTest : public testing::Test {
  protected:
   FollowingMirrorTest() {
     mirror_.SetFollowing(true);
     mirror_.Tick(now_);
-    question_ = Find<AskPeerChanges>(mirror_.OnStoreReply(
+    peer_request_ = Find<RequestPeerChanges>(mirror_.OnStoreReply(
         now_, StoreCallId(1),
         StoreRangeReply{Revision(10), {Entry("a/1", 3)}, false}));
   }
@@ -31,7 +31,7 @@
     settings.lapsing_prefixes = {"a/"};
     return settings;
   }
-  // The question or the call that the mirror makes next.
+  // Returns the first action of this type, if any.
   template <typename Action>
   std::optional<Action> Find(const std::vector<StoreMirrorAction>& actions) {
     for (const StoreMirrorAction& action : actions) {
@@ -42,8 +42,8 @@
     return std::nullopt;
   }
 
-  // What the followed node was asked last.
-  std::optional<AskPeerChanges> question_;
+  // The last question to the followed node.
+  std::optional<RequestPeerChanges> peer_request_;
   Time now_ = kStart;
   std::map<std::string, Revision> entries_;
   StoreMirror mirror_{
@@ -57,9 +57,9 @@
 };
 
 TEST_F(FollowingMirrorTest, AsksTheFollowedNodeRatherThanTheService) {
-  ASSERT_TRUE(question_);
-  EXPECT_EQ(question_->after, Revision(10));
-  const auto next = mirror_.OnPeerChanges(now_, question_->id,
+  ASSERT_TRUE(peer_request_);
+  EXPECT_EQ(peer_request_->after, Revision(10));
+  const auto next = mirror_.OnPeerChanges(now_, peer_request_->id,
                                           MirrorChanges{Revision(12),
                                                         {Entry("a/2", 11)},
                                                         {{"a/1", Revision(12)}},
@@ -67,47 +67,47 @@
                                                         Duration()});
   EXPECT_TRUE(entries_.contains("a/2"));
   EXPECT_FALSE(entries_.contains("a/1"));
-  EXPECT_EQ(Find<AskPeerChanges>(next)->after, Revision(12));
+  EXPECT_EQ(Find<RequestPeerChanges>(next)->after, Revision(12));
 }
 
-// Symptom: a node learns of changes later than the platform allows.
-// Sequence: the followed node cannot tell, does not answer, or answers from an
-// old copy.
-// Cause: going on as if nothing had changed, or asking it again and again.
-TEST_F(FollowingMirrorTest, TurnsToTheServiceAtOnceWhereTheOtherCannotTell) {
+// Guards against a node that learns of changes later than the platform allows:
+// the followed node cannot tell, does not answer or answers from an old copy,
+// and the follower goes on as if nothing had changed or asks again and again.
+TEST_F(FollowingMirrorTest,
+       WatchesTheServiceAtOnceIfTheFollowedNodeCannotTell) {
   const MirrorChanges old{
       Revision(12), {}, {}, Duration::Millis(1001), Duration()};
   for (const std::optional<MirrorChanges>& answer :
        {std::optional<MirrorChanges>(), std::optional<MirrorChanges>(old)}) {
-    ASSERT_TRUE(question_);
-    const auto request =
-        Find<StoreRequest>(mirror_.OnPeerChanges(now_, question_->id, answer));
+    ASSERT_TRUE(peer_request_);
+    const auto request = Find<StoreRequest>(
+        mirror_.OnPeerChanges(now_, peer_request_->id, answer));
     ASSERT_TRUE(request);
     EXPECT_EQ(std::get<StoreWatch>(request->call).after, Revision(10));
     mirror_.OnStoreReply(now_, request->id,
                          StoreWatchReply{Revision(10), {}, {}, false});
     now_ = now_ + Settings().watch_interval;
-    question_ = Find<AskPeerChanges>(mirror_.Tick(now_));
+    peer_request_ = Find<RequestPeerChanges>(mirror_.Tick(now_));
   }
 }
 
-// Symptom: a node that becomes the keeper sees losses late.
-// Sequence: it waits for the node that it followed.
-// Cause: a question that holds its next call back.
-TEST_F(FollowingMirrorTest, StopsWaitingOnceItHasNobodyToFollow) {
-  ASSERT_TRUE(question_);
+// Guards against a new keeper that sees losses late because a pending question
+// to the node that it followed delays its next call.
+TEST_F(FollowingMirrorTest, StopsWaitingOnceThereIsNoNodeToFollow) {
+  ASSERT_TRUE(peer_request_);
   mirror_.SetFollowing(false);
   EXPECT_TRUE(Find<StoreRequest>(mirror_.Tick(now_)));
-  EXPECT_TRUE(mirror_.OnPeerChanges(now_, question_->id, std::nullopt).empty());
+  EXPECT_TRUE(
+      mirror_.OnPeerChanges(now_, peer_request_->id, std::nullopt).empty());
 }
 
-// Symptom: after an outage of the service a node takes all endpoints for gone.
-// Sequence: entries lapse while the service is away; the followed node holds
-// the removals back, a follower that had not noticed the outage hears of them.
-// Cause: removals that are told without how long they are to be held back.
-TEST_F(FollowingMirrorTest, HoldsRemovalsBackAsLongAsTheFollowedNode) {
-  ASSERT_TRUE(question_);
-  mirror_.OnPeerChanges(now_, question_->id,
+// Guards against a follower that takes all endpoints for lost after an outage
+// of the service: entries expire during the outage, and the followed node
+// passes the removals on without the time for which it defers them to a
+// follower that had not noticed the outage.
+TEST_F(FollowingMirrorTest, DefersRemovalsAsLongAsTheFollowedNode) {
+  ASSERT_TRUE(peer_request_);
+  mirror_.OnPeerChanges(now_, peer_request_->id,
                         MirrorChanges{Revision(12),
                                       {},
                                       {{"a/1", Revision(12)}},
@@ -119,11 +119,11 @@
   EXPECT_FALSE(entries_.contains("a/1"));
 }
 
-// A fleet of nodes of one data centre.
+// A fleet of nodes in one data centre.
 class FollowingFleetTest : public testing::Test {
  protected:
   static constexpr std::size_t kNodes = 20;
-  static constexpr Duration kKnownWithin = Duration::Millis(2000);
+  static constexpr Duration kMaxPropagationDelay = Duration::Millis(2000);
 
   FollowingFleetTest() { world_.Run(Duration::Seconds(20)); }
 
@@ -134,39 +134,39 @@
     }
     return calls;
   }
-  // Writes registrations all the time, as a fleet where much happens.
-  void RunBusy(Duration span) {
-    constexpr Duration kBetween = Duration::Millis(100);
-    for (Duration run; run < span; run = run + kBetween) {
+  // Writes registrations continuously, as in a fleet with many changes.
+  void RunWithChanges(Duration span) {
+    constexpr Duration kChangeInterval = Duration::Millis(100);
+    for (Duration run; run < span; run = run + kChangeInterval) {
       world_.Rewrite(world_.engines().begin()->first);
-      world_.Run(kBetween);
+      world_.Run(kChangeInterval);
     }
   }
-  // Nodes, of those that run, whose copy is not up to this revision.
-  std::size_t CountBehind(Revision revision) {
-    std::size_t behind = 0;
+  // Counts the running nodes whose copy is older than the revision.
+  std::size_t CountOutdatedNodes(Revision revision) {
+    std::size_t outdated = 0;
     for (std::size_t i = 0; i < kNodes; ++i) {
-      behind += world_.node(i).alive &&
-                        world_.node(i).core->mirror().revision() < revision
-                    ? 1
-                    : 0;
+      outdated += world_.node(i).alive &&
+                          world_.node(i).core->mirror().revision() < revision
+                      ? 1
+                      : 0;
     }
-    return behind;
+    return outdated;
   }
-  // The node that has made most calls since: others follow it, or it is the
-  // keeper.
+  // Returns the node other than the keeper that makes most calls during five
+  // seconds; other nodes follow it.
   std::size_t BusiestWatcher() {
     std::vector<std::int64_t> before;
     for (std::size_t i = 0; i < kNodes; ++i) {
       before.push_back(world_.node(i).store_calls);
     }
-    RunBusy(Duration::Seconds(5));
+    RunWithChanges(Duration::Seconds(5));
     std::size_t busiest = kNodes;
-    std::int64_t most = 0;
+    std::int64_t most_calls = 0;
     for (std::size_t i = 0; i < kNodes; ++i) {
       const std::int64_t calls = world_.node(i).store_calls - before[i];
-      if (i != world_.keeper() && calls > most) {
-        most = calls;
+      if (i != world_.keeper() && calls > most_calls) {
+        most_calls = calls;
         busiest = i;
       }
     }
@@ -176,70 +176,69 @@
   GatewayWorld world_{kNodes, 1, 6, 7};
 };
 
-// Symptom: calls to the service grow with the fleet.
-// Sequence: registrations change all the time; each change ends a watch of each
-// node.
-// Cause: every node watching for itself.
+// Guards against calls to the service that grow with the fleet: every node
+// watches for itself, and each of the continuous changes ends the watch of
+// every node.
 TEST_F(FollowingFleetTest, OneNodeWatchesForMany) {
   const std::int64_t before = StoreCalls();
-  RunBusy(Duration::Seconds(10));
-  // Two to seven a second of the keeper, two of the followed node, and hardly
-  // any of the other eighteen.
+  RunWithChanges(Duration::Seconds(10));
+  // The keeper makes two to seven calls a second, the followed node two, and
+  // the other eighteen hardly any.
   EXPECT_LT(StoreCalls() - before, 110);
   const Revision revision = world_.store().revision();
   world_.Run(Duration::Millis(700));
-  EXPECT_EQ(CountBehind(revision), 0U);
+  EXPECT_EQ(CountOutdatedNodes(revision), 0U);
 }
 
-// Symptom: after the loss of one node many others send to endpoints that left.
-// Sequence: the followed node is killed; a registration changes.
-// Cause: waiting for a node that is no more.
-TEST_F(FollowingFleetTest, AllKnowOfAChangeInTimeThoughTheFollowedNodeIsLost) {
+// Guards against followers that wait for a followed node that was killed, and
+// meanwhile send requests to endpoints that have left.
+TEST_F(FollowingFleetTest,
+       AllNodesLearnOfAChangeInTimeAfterTheFollowedNodeIsLost) {
   const std::size_t watcher = BusiestWatcher();
   ASSERT_LT(watcher, kNodes);
   world_.KillNode(watcher);
   world_.Rewrite(world_.engines().begin()->first);
   const Revision revision = world_.store().revision();
-  world_.Run(kKnownWithin);
-  EXPECT_EQ(CountBehind(revision), 0U);
+  world_.Run(kMaxPropagationDelay);
+  EXPECT_EQ(CountOutdatedNodes(revision), 0U);
 }
 
-// Symptom: as above.
-// Sequence: the followed node runs but hears nothing of the service any more.
-// Cause: a copy that is passed on however old it is.
-TEST_F(FollowingFleetTest, AllKnowOfAChangeInTimeThoughTheFollowedNodeIsCut) {
+// Guards against a followed node that is cut off from the service and passes
+// its outdated copy on.
+TEST_F(FollowingFleetTest,
+       AllNodesLearnOfAChangeInTimeWhileTheFollowedNodeIsCutOff) {
   const std::size_t watcher = BusiestWatcher();
   ASSERT_LT(watcher, kNodes);
   world_.node(watcher).store_cut = true;
-  RunBusy(Duration::Seconds(1));
+  RunWithChanges(Duration::Seconds(1));
   for (int i = 0; i < 20; ++i) {
     world_.Rewrite(world_.engines().begin()->first);
     const Revision revision = world_.store().revision();
-    world_.Run(kKnownWithin);
-    EXPECT_LE(CountBehind(revision), 1U);
+    world_.Run(kMaxPropagationDelay);
+    EXPECT_LE(CountOutdatedNodes(revision), 1U);
   }
 }
 
-// Guards against copies of all keys that fill the links of a large fleet while
-// the service turns some nodes away.
-TEST_F(FollowingFleetTest, NodesThatTheServiceRefusesAskOthersForChanges) {
+// Guards against copies of all keys that saturate the links of a large fleet
+// while the service refuses some nodes.
+TEST_F(FollowingFleetTest, RefusedNodesAskOtherNodesForChanges) {
   for (std::size_t i = 0; i < kNodes; i += 3) {
     world_.node(i).store_refuses = true;
   }
-  RunBusy(Duration::Seconds(3));
-  const int before = world_.snapshot_questions;
+  RunWithChanges(Duration::Seconds(3));
+  const int before = world_.snapshot_requests;
   for (int i = 0; i < 5; ++i) {
     world_.Rewrite(world_.engines().begin()->first);
     const Revision revision = world_.store().revision();
-    world_.Run(kKnownWithin);
-    EXPECT_EQ(CountBehind(revision), 0U);
+    world_.Run(kMaxPropagationDelay);
+    EXPECT_EQ(CountOutdatedNodes(revision), 0U);
   }
-  EXPECT_LE(world_.snapshot_questions - before, 7);
+  EXPECT_LE(world_.snapshot_requests - before, 7);
 }
 
-// Guards against calls that the service refuses all the time: they cost as much
+// Guards against continuous calls that the service refuses: they cost as much
 // as others.
-TEST_F(FollowingFleetTest, RefusedNodesCallSeldom) {
+TEST_F(FollowingFleetTest, RefusedNodesCallRarely) {
   std::size_t refused = 0;
   for (std::size_t i = 1; i < kNodes; ++i) {
     if (world_.node(i).store_renewals < world_.node(refused).store_renewals) {
@@ -254,9 +253,9 @@
   EXPECT_LE(node.store_calls + node.store_renewals - before, 20);
 }
 
-// Guards against leases that are replaced again and again in a quiet fleet, as
-// the choice of the followed node changes.
-TEST(FollowingQuietFleetTest, LeasesAreNotReplacedAgainAndAgain) {
+// Guards against leases that are replaced again and again in a quiet fleet
+// because the choice of the followed node changes.
+TEST(FollowingQuietFleetTest, LeasesAreNotReplacedRepeatedly) {
   GatewayWorld world(24, 2, 10, 1);
   world.Run(Duration::Seconds(20));
   std::int64_t before = 0;
@@ -271,8 +270,8 @@
   EXPECT_LE(after - before, 24 * 30 * 14 / 100);
 }
 
-// Guards against renewals that are most of all calls of a large fleet.
-TEST_F(FollowingFleetTest, NodesThatNeedNotTakeTheRoleRenewSeldom) {
+// Guards against renewals that make up most calls of a large fleet.
+TEST_F(FollowingFleetTest, NodesThatNeedNotTakeTheRoleRenewRarely) {
   std::vector<std::int64_t> before;
   for (std::size_t i = 0; i < kNodes; ++i) {
     before.push_back(world_.node(i).store_renewals);
@@ -287,24 +286,22 @@
   EXPECT_EQ(relaxed, kNodes - 16);
 }
 
-// Symptom: news reach the nodes of a small fleet later, for hardly a call less.
-// Sequence: three nodes in a data centre.
-// Cause: following where the watches of all nodes are few.
-TEST(FollowingSmallFleetTest, EachNodeOfASmallDataCentreWatchesForItself) {
+// Guards against following in a small data centre, here of three nodes: changes
+// arrive later, for hardly a call less.
+TEST(FollowingSmallFleetTest, EachNodeOfASmallDataCentreWatchesTheService) {
   GatewayWorld world(3, 1, 6, 8);
   world.Run(Duration::Seconds(10));
-  EXPECT_EQ(world.change_questions, 0);
+  EXPECT_EQ(world.change_requests, 0);
 }
 
-// Symptom: half of all calls of a quiet fleet ask who holds the roles.
-// Sequence: nothing happens; nobody wants a role.
-// Cause: each node reading by itself what its copy of the service shows it.
-TEST(FollowingSmallFleetTest, WhoWantsNoRoleAsksForNone) {
+// Guards against role reads that make up half of all calls of a quiet fleet: no
+// node wants a role, but each reads what its copy of the service already shows.
+TEST(FollowingSmallFleetTest, NodesThatWantNoRoleReadNoRoles) {
   GatewayWorld world(3, 1, 6, 9);
   world.Run(Duration::Seconds(20));
   const std::int64_t before = world.role_reads;
   world.Run(Duration::Seconds(60));
-  // Of the keeper, one in ten seconds.
+  // The keeper makes one such read in ten seconds.
   EXPECT_LE(world.role_reads - before, 8);
 }
 
--- a/tests/coordination/gateway/gateway_core_test.cc
+++ b/tests/coordination/gateway/gateway_core_test.cc
@@ -18,7 +18,7 @@
     world_.Run(Duration::Seconds(1));
   }
 
-  ForwardStep Arrive(std::size_t node) {
+  ForwardStep SendRequest(std::size_t node) {
     ForwardRequest request;
     request.id = RequestId("q");
     request.host = "h";
@@ -30,10 +30,10 @@
   GatewayWorld world_;
 };
 
-// Symptom: most of a fleet that is stopped node by node is away at once.
-// Sequence: each is stopped a second after the one before and has no request
-// left after three. Cause: it went on until the platform's limit all the same.
-TEST_F(GatewayCoreTest, ANodeThatStopsEndsOnceNothingIsOpen) {
+// Guards against most of a fleet being down at once when its nodes are stopped
+// one second apart: each node waited for the platform's limit although it had
+// no open request after three seconds.
+TEST_F(GatewayCoreTest, StoppingNodeEndsOnceNoRequestIsOpen) {
   GatewayCore& core = *world_.node(0).core;
   core.OnStopAsked(world_.now());
   ForwardRequest request;
@@ -51,7 +51,7 @@
   EXPECT_TRUE(core.is_stop_over(world_.now()));
 }
 
-TEST_F(GatewayCoreTest, ANodeThatStopsWaitsForThoseWhoKeepItsAddress) {
+TEST_F(GatewayCoreTest, StoppingNodeWaitsForCallersThatCacheItsAddress) {
   GatewayCore& core = *world_.node(0).core;
   core.OnStopAsked(world_.now());
   world_.Run(Duration::Millis(3000));
@@ -60,17 +60,17 @@
   EXPECT_TRUE(core.is_stop_over(world_.now()));
 }
 
-// Symptom: a stream is cut when its node ends. Sequence: SIGTERM; 3.5 s later a
-// caller that keeps addresses for longer than asked sends a request; the stream
-// takes 4 s; the node has to end. Cause: the node took what it could not
-// finish.
-TEST_F(GatewayCoreTest, ANodeThatStopsRefusesWhatItCouldNotFinish) {
+// Guards against a stream that is cut off when its node ends: 3.5 s after
+// SIGTERM a caller that caches addresses for longer than asked sends a request
+// whose stream takes 4 s, and the node accepts it although it has to end
+// before.
+TEST_F(GatewayCoreTest, StoppingNodeRefusesRequestsItCouldNotFinish) {
   world_.node(0).core->OnStopAsked(world_.now());
   EXPECT_FALSE(world_.node(0).core->ready());
   world_.Run(Duration::Millis(2500));
-  EXPECT_TRUE(std::holds_alternative<SendForward>(Arrive(0)));
+  EXPECT_TRUE(std::holds_alternative<SendForward>(SendRequest(0)));
   world_.Run(Duration::Millis(500));
-  const ForwardStep late = Arrive(0);
+  const ForwardStep late = SendRequest(0);
   ASSERT_TRUE(std::holds_alternative<ForwardRefused>(late));
   EXPECT_EQ(std::get<ForwardRefused>(late).kind, RefusalKind::kDraining);
   EXPECT_GT(std::get<ForwardRefused>(late).retry_after, Duration());
@@ -79,36 +79,37 @@
   EXPECT_TRUE(world_.node(0).core->is_stop_over(world_.now()));
 }
 
-TEST_F(GatewayCoreTest, AddressesAreThoseOfNodesThatDoNotStop) {
+TEST_F(GatewayCoreTest, AdvertisesOnlyNodesThatAreNotStopping) {
   EXPECT_EQ(world_.node(0).core->Entries().size(), 2U);
   world_.node(1).core->OnStopAsked(world_.now());
   world_.Run(Duration::Seconds(1));
   const std::vector<Address> entries = world_.node(0).core->Entries();
   EXPECT_EQ(entries, std::vector<Address>{Address("c0")});
-  // It leaves its own answers too.
+  // A stopping node does not advertise itself either.
   EXPECT_EQ(world_.node(1).core->Entries(),
             std::vector<Address>{Address("c0")});
 }
 
-// Symptom: some nodes of a fleet of 70 get no new callers. Sequence: one answer
-// holds 64 addresses. Cause: every node named the first 64 by name.
-TEST(GatewayEntriesTest, EachNodeOfALargeFleetIsNamedAsOften) {
+// Guards against nodes of a fleet of 70 that get no new callers: a list holds
+// 64 addresses, and every node listed the first 64 by name.
+TEST(GatewayAddressesTest, AdvertisesEachNodeOfALargeFleetEquallyOften) {
   GatewayWorld world(70, 1, 11, 3);
   world.Run(Duration::Seconds(5));
-  std::map<Address, int> named;
+  std::map<Address, int> times_advertised;
   for (std::size_t i = 0; i < world.node_count(); ++i) {
     for (const Address& address : world.node(i).core->Entries()) {
-      ++named[address];
+      ++times_advertised[address];
     }
   }
-  EXPECT_EQ(named.size(), 70U);
-  for (const auto& [address, times] : named) {
+  EXPECT_EQ(times_advertised.size(), 70U);
+  for (const auto& [address, times] : times_advertised) {
     EXPECT_EQ(times, 64) << address;
   }
 }
 
-// Symptom: nothing is known at a node that starts in an outage of the service.
-TEST_F(GatewayCoreTest, ANodeThatStartsInAnOutageLearnsFromAnother) {
+// Guards against a node that starts during an outage of the service and learns
+// nothing.
+TEST_F(GatewayCoreTest, NodeStartedDuringOutageLearnsFromAnotherNode) {
   world_.KillNode(1);
   world_.store_down = true;
   world_.Run(Duration::Seconds(1));
@@ -116,11 +117,12 @@
   EXPECT_FALSE(world_.node(1).core->ready());
   world_.Run(Duration::Seconds(5));
   EXPECT_TRUE(world_.node(1).core->ready());
-  EXPECT_TRUE(std::holds_alternative<SendForward>(Arrive(1)));
+  EXPECT_TRUE(std::holds_alternative<SendForward>(SendRequest(1)));
 }
 
-// Symptom: a node that the service turns away knows of no change for as long.
-TEST_F(GatewayCoreTest, ANodeThatTheServiceTurnsAwayLearnsFromAnother) {
+// Guards against a node that the service rejects and that learns of no change
+// meanwhile.
+TEST_F(GatewayCoreTest, NodeCutFromServiceLearnsFromAnotherNode) {
   world_.node(0).store_cut = true;
   world_.Run(Duration::Seconds(3));
   world_.AddEngine("d0", "late");
--- a/tests/coordination/gateway/store_mirror_test.cc
+++ b/tests/coordination/gateway/store_mirror_test.cc
@@ -25,7 +25,9 @@
                    values_[entry.key] = entry.value;
                  },
                  [this](Time, const std::string& key) { values_.erase(key); },
-                 [this](bool reachable) { reports_.push_back(reachable); }}) {}
+                 [this](bool reachable) {
+                   reachability_reports_.push_back(reachable);
+                 }}) {}
 
   static StoreMirrorSettings Settings() {
     StoreMirrorSettings settings;
@@ -34,30 +36,31 @@
     return settings;
   }
 
-  // The call that the actions ask for, if any.
-  std::optional<StoreCall> Take(const std::vector<StoreMirrorAction>& actions) {
+  // Returns the call among the actions, if any.
+  std::optional<StoreCall> TakeCall(
+      const std::vector<StoreMirrorAction>& actions) {
     std::optional<StoreCall> call;
     for (const StoreMirrorAction& action : actions) {
       if (const auto* request = std::get_if<StoreRequest>(&action)) {
-        id_ = request->id;
+        call_id_ = request->id;
         call = request->call;
       } else {
-        ++asked_;
+        ++peer_requests_;
       }
     }
     return call;
   }
-  std::optional<StoreCall> Tick() { return Take(mirror_.Tick(now_)); }
+  std::optional<StoreCall> Tick() { return TakeCall(mirror_.Tick(now_)); }
   std::optional<StoreCall> Answer(const StoreReply& reply) {
-    return Take(mirror_.OnStoreReply(now_, id_, reply));
+    return TakeCall(mirror_.OnStoreReply(now_, call_id_, reply));
   }
-  // The watch under way ends without a change.
+  // Ends the watch in flight without a change.
   std::optional<StoreCall> EndWatch() {
     return Answer(StoreWatchReply{Revision(20), {}, {}, false});
   }
   void Wait(std::int64_t millis) { now_ = now_ + Duration::Millis(millis); }
 
-  // Reads both families; `a/1` and `b/1` are there.
+  // Reads both prefixes; `a/1` and `b/1` exist.
   void Load() {
     Tick();
     Answer(StoreRangeReply{Revision(10), {Entry("a/1", "x", 3)}, false});
@@ -67,23 +70,23 @@
 
   Time now_ = kStart;
   std::map<std::string, std::string> values_;
-  std::vector<bool> reports_;
-  int asked_ = 0;
-  StoreCallId id_;
+  std::vector<bool> reachability_reports_;
+  int peer_requests_ = 0;
+  StoreCallId call_id_;
   StoreMirror mirror_;
 };
 
-TEST_F(StoreMirrorTest, ReadsAllFamiliesThenWatchesFromTheFirstOnesRevision) {
+TEST_F(StoreMirrorTest, ReadsAllPrefixesThenWatchesFromTheLowestRevision) {
   Load();
   const std::optional<StoreCall> call = Tick();
-  // A change between the two reads is in neither of them.
+  // A change between the two reads may be in neither of them.
   EXPECT_EQ(mirror_.revision(), Revision(10));
   EXPECT_TRUE(!call || std::get<StoreWatch>(*call).after == Revision(10));
   EXPECT_EQ(values_.at("a/1"), "x");
   EXPECT_EQ(values_.at("b/1"), "y");
 }
 
-TEST_F(StoreMirrorTest, ReadsAFamilyPageByPage) {
+TEST_F(StoreMirrorTest, ReadsAPrefixPageByPage) {
   Tick();
   const auto next =
       Answer(StoreRangeReply{Revision(10), {Entry("a/1", "x", 3)}, true});
@@ -92,46 +95,46 @@
   EXPECT_EQ(values_.size(), 2U);
 }
 
-// Symptom: every node calls the service unreachable, and its keeper gives the
-// role up, whenever nothing changes for a second. Sequence: a watch waits its
-// full time. Cause: the wait counted as silence.
-TEST_F(StoreMirrorTest, AWatchThatWaitsIsNoOutage) {
+// Guards against a watch whose full wait counts as silence: whenever nothing
+// changed for a second, every node reported the service unreachable, and its
+// keeper gave the role up.
+TEST_F(StoreMirrorTest, WaitingWatchIsNoOutage) {
   Load();
   for (int i = 0; i < 20; ++i) {
     Wait(900);
     Tick();
     Answer(StoreWatchReply{Revision(12), {}, {}, false});
   }
-  EXPECT_TRUE(reports_.empty());
-  EXPECT_EQ(asked_, 0);
+  EXPECT_TRUE(reachability_reports_.empty());
+  EXPECT_EQ(peer_requests_, 0);
 }
 
-TEST_F(StoreMirrorTest, AsksPeersOnceTheServiceIsAwayAndTakesNewerSnapshots) {
+TEST_F(StoreMirrorTest, AsksPeersDuringAnOutageAndAppliesNewerSnapshots) {
   Load();
   Tick();
   Wait(1700);
   Tick();
-  EXPECT_EQ(reports_, std::vector<bool>{false});
-  EXPECT_EQ(asked_, 1);
+  EXPECT_EQ(reachability_reports_, std::vector<bool>{false});
+  EXPECT_EQ(peer_requests_, 1);
   mirror_.OnPeerSnapshot(
       now_, {Revision(20), {Entry("a/1", "new", 15), Entry("b/1", "y", 4)}});
   EXPECT_EQ(values_.at("a/1"), "new");
-  // An older one takes nothing back.
+  // An older snapshot reverts nothing.
   mirror_.OnPeerSnapshot(now_, {Revision(14), {Entry("a/1", "x", 3)}});
   EXPECT_EQ(values_.at("a/1"), "new");
 }
 
-TEST_F(StoreMirrorTest, AnEmptyNodeStartsFromAPeersSnapshot) {
+TEST_F(StoreMirrorTest, EmptyMirrorLoadsAPeersSnapshot) {
   Tick();
   Answer(StoreNoAnswer{});
   Wait(1700);
   Tick();
-  EXPECT_EQ(asked_, 1);
+  EXPECT_EQ(peer_requests_, 1);
   mirror_.OnPeerSnapshot(now_, {Revision(20), {Entry("a/1", "x", 15)}});
   EXPECT_TRUE(mirror_.loaded());
 }
 
-TEST_F(StoreMirrorTest, ReadsAgainAfterLostHistoryAndDropsWhatIsGone) {
+TEST_F(StoreMirrorTest, ReadsAgainAfterCompactionAndRemovesMissingKeys) {
   Load();
   Wait(500);
   Tick();
@@ -146,12 +149,11 @@
   EXPECT_TRUE(values_.contains("b/1"));
 }
 
-// Symptom: after an outage of the service the fleet looks empty for a second or
-// two, and every group is closed. Sequence: entries lapse while the service is
-// away; their owners write them again within two seconds of its return. Cause:
-// a removal right after an outage was taken for a loss.
-TEST_F(StoreMirrorTest,
-       KeepsEntriesThatLapsedInAnOutageUntilTheirOwnersCanWrite) {
+// Guards against a fleet that looks empty after an outage of the service, so
+// that every group is closed: entries expire during the outage, their owners
+// write them again within two seconds of its end, and the removals were taken
+// for losses.
+TEST_F(StoreMirrorTest, KeepsEntriesThatExpiredInAnOutageForTheGracePeriod) {
   Load();
   Tick();
   Wait(5000);
@@ -161,7 +163,8 @@
   Tick();
   Answer(StoreWatchReply{
       Revision(40), {}, {{"b/1", Revision(39)}, {"a/1", Revision(38)}}, false});
-  // Keys of families whose owners do not come back go at once.
+  // Keys of other prefixes, whose owners do not write them again, are removed
+  // at once.
   EXPECT_FALSE(values_.contains("a/1"));
   EXPECT_TRUE(values_.contains("b/1"));
   Wait(2600);
@@ -169,7 +172,7 @@
   EXPECT_FALSE(values_.contains("b/1"));
 }
 
-TEST_F(StoreMirrorTest, AnEntryWrittenAgainAfterAnOutageStays) {
+TEST_F(StoreMirrorTest, KeepsAnEntryWrittenAgainAfterAnOutage) {
   Load();
   Tick();
   Wait(5000);
@@ -186,9 +189,9 @@
   EXPECT_EQ(values_.at("b/1"), "again");
 }
 
-// Symptom: in a fleet of 72 nodes calls to the service cost a tenth of what is
-// served. Sequence: something changes all the time, and each change ends the
-// watch of every node. Cause: all nodes watched as often as those of a small
+// Guards against calls to the service that cost a tenth of the worth served in
+// a fleet of 72 nodes: something changes all the time, each change ends the
+// watch of every node, and all nodes watched as often as those of a small
 // fleet.
 TEST_F(StoreMirrorTest, NodesOfALargerFleetWatchLessOften) {
   const auto watches_in_ten_seconds = [this](std::size_t nodes) {
@@ -207,14 +210,14 @@
   EndWatch();
   EXPECT_NEAR(watches_in_ten_seconds(8), 20, 2);
   EXPECT_NEAR(watches_in_ten_seconds(16), 11, 2);
-  // A change must be known within two seconds, a repeated call included.
+  // A change must be known within two seconds, including a repeated call.
   EXPECT_NEAR(watches_in_ten_seconds(1000), 10, 1);
   mirror_.SetEager(true);
   EXPECT_GE(watches_in_ten_seconds(1000), 40);
 }
 
-// A bound shorter than a second call takes leaves the shortest interval there
-// is.
+// If the bound is too short for a second call, the mirror uses the minimum
+// interval.
 TEST(StoreMirrorBoundTest, AShortBoundDoesNotStopTheWatches) {
   StoreMirrorSettings settings;
   settings.prefixes = {"a/"};
@@ -235,8 +238,9 @@
   EXPECT_NE(id_of(mirror.Tick(kStart + Duration::Millis(460))), StoreCallId());
 }
 
-// Symptom: a node of a large fleet that waits between two watches calls the
-// service away and asks other nodes. Cause: its own pause counted as silence.
+// Guards against a node of a large fleet whose own pause between two watches
+// counts as silence, so that it takes the service for unreachable and asks
+// other nodes.
 TEST_F(StoreMirrorTest, APauseBetweenTwoWatchesIsNoOutage) {
   Load();
   mirror_.SetWatcherCount(1000);
@@ -246,12 +250,12 @@
     Tick();
     EndWatch();
   }
-  EXPECT_TRUE(reports_.empty());
-  EXPECT_EQ(asked_, 0);
+  EXPECT_TRUE(reachability_reports_.empty());
+  EXPECT_EQ(peer_requests_, 0);
 }
 
-// A watch that waits for longer in a larger fleet is not overdue sooner.
-TEST_F(StoreMirrorTest, AnUnansweredLongWatchIsAnOutageWhenItIsOverdue) {
+// A watch with the longer wait of a larger fleet is not overdue sooner.
+TEST_F(StoreMirrorTest, UnansweredLongWatchIsAnOutageOnceOverdue) {
   Load();
   mirror_.SetWatcherCount(1000);
   EndWatch();
@@ -259,18 +263,17 @@
   Tick();
   Wait(1600);
   Tick();
-  EXPECT_TRUE(reports_.empty());
+  EXPECT_TRUE(reachability_reports_.empty());
   Wait(200);
   Tick();
-  EXPECT_EQ(reports_, std::vector<bool>{false});
+  EXPECT_EQ(reachability_reports_, std::vector<bool>{false});
 }
 
-// Symptom: a node names another that was removed for good, for ever. Sequence:
-// a node is removed while some nodes are turned away by the service; one of
-// them learns from a peer that holds the removal back, as after an outage, and
-// goes on from the peer's revision, which is past the removal. Cause: the
-// snapshot held keys that were gone at its revision.
-TEST_F(StoreMirrorTest, ASnapshotHoldsNoKeyWhoseRemovalIsHeldBack) {
+// Guards against a node that advertises a removed node forever: a node is
+// removed while the service rejects some nodes, one of these takes a snapshot
+// from a node that defers the removal after an outage, and continues from the
+// snapshot's revision, which is past the removal.
+TEST_F(StoreMirrorTest, SnapshotOmitsKeysWhoseRemovalIsDeferred) {
   Load();
   Tick();
   Wait(5000);
@@ -288,7 +291,7 @@
   }
 }
 
-TEST_F(StoreMirrorTest, AStaleReadTeachesNothing) {
+TEST_F(StoreMirrorTest, IgnoresAStaleRead) {
   Load();
   Wait(500);
   Tick();
@@ -299,7 +302,7 @@
   EXPECT_TRUE(values_.contains("a/1"));
 }
 
-TEST_F(StoreMirrorTest, BacksOffWhileItIsRefused) {
+TEST_F(StoreMirrorTest, BacksOffWhileRefused) {
   Tick();
   int calls = 0;
   for (int i = 0; i < 100; ++i) {
@@ -307,7 +310,8 @@
     Wait(50);
     calls += Tick() ? 1 : 0;
   }
-  // Five seconds; the flood that this bounds was 90 calls a second.
+  // The test lasts five seconds; the flood that this bound prevents was 90
+  // calls a second.
   EXPECT_LE(calls, 34);
 }
 
