--- a/coordination/actions.h
+++ b/coordination/actions.h
@@ -7,14 +7,15 @@
 
 namespace gcw {
 
-// Asks the key-value service. The id is the module's own; the node passes the
-// reply to `OnStoreReply` of the module that asked.
+// Calls the key-value service. Each module assigns its own ids; the node passes
+// the reply to `OnStoreReply` of the module that made the call.
 struct StoreRequest {
   StoreCallId id;
   StoreCall call;
 };
 
-// Sends a message to another node. It may be lost, late, doubled or reordered.
+// Sends a message to another node. The message may be lost, delayed, duplicated
+// or reordered.
 template <typename Message>
 struct PeerSend {
   NodeId to;
--- a/coordination/backoff.h
+++ b/coordination/backoff.h
@@ -10,14 +10,14 @@
   Duration maximum = Duration::Seconds(8);
 };
 
-// Exponential backoff with full jitter. When the key-value service comes back
-// from an outage, all nodes would otherwise call it in the same instant and
-// push it over its rate again.
+// Exponential backoff with jitter. Without jitter, all nodes would call the
+// key-value service at the same moment when it returns from an outage, and
+// exceed its rate again.
 class Backoff {
  public:
   explicit Backoff(BackoffSettings settings) : settings_(settings) {}
 
-  // How long to wait after one more failure.
+  // Returns the delay after one more failure.
   Duration Next(const Random& random);
   void Reset() { failures_ = 0; }
   void SetMaximum(Duration maximum) { settings_.maximum = maximum; }
--- a/coordination/coordination.h
+++ b/coordination/coordination.h
@@ -1,7 +1,7 @@
 #ifndef COORDINATION_COORDINATION_H_
 #define COORDINATION_COORDINATION_H_
 
-// Public header of the coordination library: everything that decides. No part
+// Public header of the coordination library, which makes all decisions. No part
 // of it does input or output, reads a clock or starts a thread.
 
 #include "coordination/actions.h"
--- a/coordination/groups/domain_writer.h
+++ b/coordination/groups/domain_writer.h
@@ -11,36 +11,39 @@
 
 namespace gcw {
 
-// How domain records stand in the key-value service; the codecs live in a
-// higher layer.
+// Encodes and decodes domain records for the key-value service. A higher layer
+// supplies the hooks.
 struct DomainRecordCodec {
   std::function<std::string(const DomainRecord&)> encode;
-  // Absent where the text is no record.
+  // Returns nullopt if the text is not a record.
   std::function<std::optional<DomainRecord>(std::string_view)> decode;
 };
 
-// Settings of a domain writer.
+// Settings of `DomainWriter`.
 struct WriterSettings {
-  // A call without a reply for this long counts as unanswered.
+  // A call without a reply after this time is given up, and the record is read
+  // again.
   Duration call_timeout = Duration::Seconds(2);
-  // Between attempts while the service does not answer or is behind.
+  // Delay before the next read if the service did not answer or is behind a
+  // revision already seen.
   Duration retry_interval = Duration::Seconds(2);
 };
 
-// Why a record may not be trusted or written.
+// Whether the record is known and may be written.
 enum class WriterState {
-  // Nothing is known yet, or a lost answer is being settled.
+  // The record has not been read yet, or the outcome of a write is unknown.
   kReading,
-  // The record is known as of `revision`.
+  // The record is known as of `revision` and may be written.
   kReady,
-  // A compare-and-swap is under way.
+  // A compare-and-swap is in progress.
   kWriting,
-  // A keeper with a higher fencing number wrote the record.
+  // A keeper with a higher fencing token wrote the record.
   kOvertaken,
 };
 
-// Reads and writes the record of one domain by compare-and-swap. It never takes
-// a lost answer for a failure: it reads back and looks for its change id.
+// Reads and writes the record of one domain by compare-and-swap. A write whose
+// reply is lost does not count as failed: the record is read back, and its
+// change id shows whether the write took effect.
 class DomainWriter {
  public:
   DomainWriter(FabricDomainId domain,
@@ -48,25 +51,27 @@
                DomainRecordCodec codec,
                EventSink events);
 
-  // Starts over as the holder of this fencing number.
+  // Reads the record again as the holder of this fencing token.
   void Start(Time now, FencingToken fence);
 
-  // Where state is `kReady`: proposes a record. Stamps it with the fencing
-  // number and `change`. Refused, with no call made, where it has a fault.
+  // Schedules the write of a record, stamped with the fencing token and
+  // `change`. Returns false, and writes nothing, if the state is not `kReady`
+  // or the record has a fault.
   bool Propose(Time now, DomainRecord record, ChangeId change);
 
-  // The call that is due, if one is. The caller gives it an id.
+  // Returns the call that is due, if any. The caller assigns its id and passes
+  // it to `OnCallSent`.
   std::optional<StoreCall> Tick(Time now);
   void OnCallSent(Time now, StoreCallId id);
   // Ignores replies to calls that were given up.
   void OnReply(Time now, StoreCallId id, const StoreReply& reply);
 
   WriterState state() const { return state_; }
-  // The newest record known to be committed; only meaningful after a read.
+  // The newest record known to be committed. Valid only after a read.
   const DomainRecord& record() const { return record_; }
   Revision revision() const { return revision_; }
-  // Whether the committed record carries this keeper's fencing number, so that
-  // no earlier keeper can write it any more.
+  // True if the committed record carries this keeper's fencing token, so that
+  // earlier keepers can no longer write it.
   bool IsClaimed() const;
   std::string key() const;
 
@@ -85,8 +90,8 @@
   WriterState state_ = WriterState::kReading;
   DomainRecord record_;
   Revision revision_;
-  // The highest revision that the service was seen at; a lower one means that
-  // it was restored to the past or answered stale.
+  // The highest store revision seen. A lower one in a reply means that the
+  // service was restored to an earlier state or that the read is stale.
   Revision seen_;
   DomainRecord proposed_;
   bool call_due_ = true;
--- a/coordination/groups/flap_tracker.h
+++ b/coordination/groups/flap_tracker.h
@@ -7,27 +7,28 @@
 
 namespace gcw {
 
-// Settings of the flap tracker.
+// Settings of `FlapTracker`.
 struct FlapSettings {
-  // After the second loss within `memory`; doubles with each further one.
+  // Hold-off after the second loss; it doubles with each further loss.
   Duration first_hold = Duration::Seconds(60);
   Duration longest_hold = Duration::Seconds(3600);
-  // A VM that stays up this long starts afresh.
+  // A VM's losses are forgotten if it stays up for this long after the last
+  // one.
   Duration memory = Duration::Seconds(3600);
 };
 
-// Holds VMs that come and go out of groups. A group that takes a flapping VM
-// back at each return goes down, and loads weights, at each loss.
+// Keeps flapping VMs out of groups. A group that took a flapping VM back at
+// each return would go down, and load its weights again, at each loss.
 class FlapTracker {
  public:
   explicit FlapTracker(FlapSettings settings);
 
   void OnLost(Time now, const VmId& vm);
 
-  // Whether the VM may not join a group yet.
+  // True if the VM may not join a group yet.
   bool IsHeldOff(Time now, const VmId& vm) const;
 
-  // Forgets VMs that stayed up.
+  // Forgets the losses of VMs that stayed up.
   void Tick(Time now);
 
  private:
--- a/coordination/groups/group_keeper.h
+++ b/coordination/groups/group_keeper.h
@@ -15,8 +15,8 @@
 
 namespace gcw {
 
-// The record of a domain is committed; other modules and nodes learn it from
-// here or by a watch.
+// A domain's record was committed. Other modules and nodes learn of it from
+// this action or from a watch.
 struct RecordCommitted {
   DomainRecord record;
   Revision revision;
@@ -25,16 +25,16 @@
 using GroupKeeperAction =
     std::variant<StoreRequest, SendOrder, ProbeVm, RecordCommitted>;
 
-// Keeps the replica groups of the fabric domains whose keeper role this node
-// holds: writes down which VMs form which group, tells their engines, and
-// repairs groups that lost VMs. It plans over its whole zone, so that keepers
-// with the same knowledge choose the same moves, and carries out those of its
-// own domains.
+// Manages the replica groups of the fabric domains whose keeper role this node
+// holds: records which VMs form which group, sends orders to their engines, and
+// repairs groups that lost VMs. It plans for its whole zone, so that keepers
+// with the same information choose the same moves, and carries out the moves of
+// its own domains.
 class GroupKeeper {
  public:
   class Builder;
 
-  // Role `role/keeper/<domain>` is held; called again after each renewal.
+  // This node holds `role/keeper/<domain>`. Called again after each renewal.
   void OnRoleHeld(Time now,
                   const FabricDomainId& domain,
                   FencingToken fence,
@@ -42,12 +42,14 @@
   void OnRoleLost(const FabricDomainId& domain);
 
   void OnVmList(Time now, const VmListSnapshot& snapshot);
-  // Records of the zone's other domains, from a watch or a peer.
+  // A record of another domain, from a watch or a peer. Records of other zones
+  // are not planned with.
   void OnDomainRecord(const DomainRecord& record, Revision revision);
   void OnWantedModels(std::vector<WantedModel> wanted);
-  // From `GET /weights`: how long a load queued now waits.
+  // Sets how long a load queued now waits, as reported by `GET /weights`.
   void OnWeightStoreWait(Duration wait);
-  // An operator's planned stop of a group of a domain kept here.
+  // An operator requested the planned stop of a group in a domain of this
+  // keeper.
   void OnDrainAsked(const GroupId& group);
 
   void OnProbeReply(Time now, ProbeId id, const ProbeReply& reply);
@@ -58,8 +60,8 @@
 
   std::vector<GroupKeeperAction> Tick(Time now);
 
-  // The committed record as this node knows it; null where it is not the
-  // domain's keeper or has not read the record yet.
+  // Returns the committed record as this node knows it, or null if this node
+  // does not hold the domain's keeper role or has not read the record yet.
   const DomainRecord* RecordOf(const FabricDomainId& domain) const;
 
  private:
@@ -100,12 +102,11 @@
   OrderId last_order_;
 };
 
-// Builds a group keeper.
 class GroupKeeper::Builder {
  public:
   Builder& SetZone(ZoneId zone);
   Builder& SetSettings(KeeperSettings settings);
-  // Both hooks are required.
+  // Both hooks of the codec are required.
   Builder& SetCodec(DomainRecordCodec codec);
   Builder& SetEventSink(EventSink events);
   GroupKeeper Build() const;
--- a/coordination/groups/keeper_settings.h
+++ b/coordination/groups/keeper_settings.h
@@ -10,20 +10,20 @@
 
 namespace gcw {
 
-// Settings of the group keeper.
+// Settings of `GroupKeeper`.
 struct KeeperSettings {
   TrackerSettings tracker;
   WriterSettings writer;
   OrderSettings order;
   FlapSettings flap;
   PlannerSettings planner;
-  // Between two plans.
+  // Time between two repair plans.
   Duration plan_interval = Duration::Millis(1000);
-  // How long a group drains at least before its engines are told to leave: by
-  // then every node has learned of the draining or closed the group for want of
+  // Minimum time that a group drains before its engines are ordered to leave.
+  // By then every node has learned of the drain or closed the group for lack of
   // evidence.
   Duration drain_hold = Duration::Seconds(10);
-  // After this long a draining group is taken apart even if its engine still
+  // A draining group is dissolved after this time even if its engine still
   // reports requests.
   Duration drain_limit = Duration::Seconds(600);
 };
--- a/coordination/groups/kept_domain.h
+++ b/coordination/groups/kept_domain.h
@@ -15,9 +15,9 @@
 
 namespace gcw {
 
-// One fabric domain while this node holds its keeper role: keeps its record and
-// its engines in step. The record goes first; engines are told only what is
-// known to be committed.
+// Manages one fabric domain while this node holds its keeper role: keeps the
+// domain's engines consistent with its record. The record is written first;
+// engines are ordered only what is known to be committed.
 class KeptDomain {
  public:
   KeptDomain(FabricDomainId domain,
@@ -27,37 +27,37 @@
 
   void OnRoleHeld(Time now, FencingToken fence, Time valid_until);
 
-  // Writes down what the evidence confirms and what `moves` ask for, if
-  // anything, in one compare-and-swap.
+  // Writes what the evidence confirms and what `moves` ask for, if anything, in
+  // one compare-and-swap.
   void Advance(Time now,
                const VmTracker& tracker,
                const std::vector<RepairMove>& moves);
 
-  // The call to the key-value service that is due.
+  // Returns the call to the key-value service that is due, if any.
   std::optional<StoreCall> DueCall(Time now) { return writer_.Tick(now); }
   void OnCallSent(Time now, StoreCallId id) { writer_.OnCallSent(now, id); }
-  // Returns whether a newer record became known.
+  // Returns true if a newer record became known.
   bool OnStoreReply(Time now, StoreCallId id, const StoreReply& reply);
 
-  // The orders that the committed record calls for and that may leave now.
-  // `last_order` is the newest id given out; ids are shared between domains.
+  // Returns the orders that the committed record requires and that may be sent
+  // now. `last_order` is the last id assigned; all domains share the ids.
   std::vector<SendOrder> DueOrders(Time now,
                                    const VmTracker& tracker,
                                    OrderId& last_order);
   void OnOrderReply(Time now, OrderId id, const OrderReply& reply);
 
-  // How closely each VM of the domain must be watched.
+  // Sets how closely `tracker` probes each VM of the domain.
   void SetWatches(VmTracker& tracker) const;
 
-  // Whether the VM is in no group by the record, and its engine said so after
-  // anything that was ordered of it was over.
+  // True if the VM is not in the record and its engine reported that it is idle
+  // after the last order to it was over.
   bool IsAssignable(Time now, const VmTracker& tracker, const VmId& vm) const;
 
   VmCondition ConditionOf(Time now,
                           const VmTracker& tracker,
                           const VmId& vm) const;
 
-  // Draining groups that serve nothing any more.
+  // Returns the draining groups that no longer serve requests.
   std::set<GroupId> DrainedGroups(Time now, const VmTracker& tracker) const;
 
   const DomainWriter& writer() const { return writer_; }
@@ -93,9 +93,9 @@
   DomainWriter writer_;
   OrderSender sender_;
   EventSink events_;
-  // Since when a group's record has said that it drains, as this node knows.
+  // When this node first saw each group draining in the record.
   std::map<GroupId, Time> draining_since_;
-  // Since when the record has named a VM as leaving, as this node knows.
+  // When this node first saw each VM leaving in the record.
   std::map<VmId, Time> leaving_since_;
   std::int64_t last_change_ = 0;
   std::int64_t last_group_ = 0;
--- a/coordination/groups/order_sender.h
+++ b/coordination/groups/order_sender.h
@@ -9,7 +9,7 @@
 
 namespace gcw {
 
-// Names an order until its reply arrives.
+// Identifies an order until its reply arrives.
 using OrderId = StrongNumber<struct OrderIdTag>;
 
 // Sends an order to a VM's engine.
@@ -18,15 +18,15 @@
   VmId vm;
   Address address;
   EngineOrder order;
-  // The transport looks at the clock right before it writes the order, and
-  // drops it from this time on. The clock counts time suspended.
+  // The transport checks the clock immediately before it writes the order, and
+  // drops the order from this time on. The clock includes time spent suspended.
   Time send_before;
-  // After this long the transport closes the connection; it is also the
-  // connection's TCP_USER_TIMEOUT, so that the kernel resends no longer.
+  // The transport closes the connection after this time. It is also the
+  // connection's TCP_USER_TIMEOUT, so that the kernel retransmits no longer.
   Duration timeout;
 };
 
-// The order was dropped unsent, since `send_before` had passed.
+// The order was dropped unsent because `send_before` had passed.
 struct OrderWithheld {};
 // No answer: the order may have been executed or may still be.
 struct OrderNoAnswer {};
@@ -37,49 +37,50 @@
                                 OrderWithheld,
                                 OrderNoAnswer>;
 
-// Settings of the order sender.
+// Settings of `OrderSender`.
 struct OrderSettings {
-  // From writing an order to its last possible effect at the engine.
+  // Maximum time from writing an order to its last possible effect at the
+  // engine.
   Duration timeout = Duration::Seconds(2);
-  // Covers clock drift over one lease and the step from the check of
-  // `send_before` to the write.
+  // Covers the clock drift over one lease and the delay between the check of
+  // `send_before` and the write.
   Duration margin = Duration::Seconds(1);
-  // A new keeper sends nothing for this long: as long as a predecessor whose
-  // lease the service dropped early may still believe in it. Not less than the
-  // lease's time to live.
+  // A new keeper sends nothing for this long, because a predecessor whose lease
+  // the service dropped early may still believe that it holds the role. Not
+  // less than the lease's time to live.
   Duration takeover_wait = Duration::Seconds(15);
 };
 
-// Decides when an order may leave. An engine that ignores fencing numbers obeys
-// whoever speaks last, so an order must be over before another node can hold
-// the role.
+// Decides when an order may be sent. An engine that ignores fencing tokens
+// obeys whichever keeper ordered it last, so an order must be over, with no
+// effect still to come, before another node can hold the role.
 class OrderSender {
  public:
   explicit OrderSender(OrderSettings settings);
 
-  // The role was acquired, or its lease renewed.
+  // The role was acquired, or its lease was renewed.
   void OnRoleHeld(Time now, FencingToken fence, Time valid_until);
   void OnRoleLost();
 
-  // Whether any order may leave now.
+  // True if orders may be sent now.
   bool MaySend(Time now) const;
-  // Whether an order to this VM is not yet over.
+  // True if an order to this VM may still take effect.
   bool IsPending(Time now, const VmId& vm) const;
-  // What this node last ordered the VM is over since then; only an answer to a
-  // later probe tells what came of it.
+  // Returns when the last order to the VM is over. Only a probe sent after that
+  // shows its result.
   Time SettledAt(const VmId& vm) const;
 
-  // Where `MaySend` and not `IsPending`; `id` must be new.
+  // Requires `MaySend` and not `IsPending`; `id` must be new.
   SendOrder Send(OrderId id,
                  const VmId& vm,
                  Address address,
                  EngineOrder order);
 
-  // Returns the VM; nothing for orders unknown or given up.
+  // Returns the VM, or nullopt if the order is unknown or was given up.
   std::optional<VmId> OnReply(Time now, OrderId id, const OrderReply& reply);
 
   std::optional<FencingToken> fence() const { return fence_; }
-  // From then on no order of a predecessor can take effect.
+  // From this time on no order of a predecessor can take effect.
   Time first_order() const { return first_order_; }
 
  private:
--- a/coordination/groups/repair_plan.h
+++ b/coordination/groups/repair_plan.h
@@ -12,20 +12,20 @@
 
 namespace gcw {
 
-// What the planner remembers from one round to the next, as one round uses it.
+// What the planner remembers between rounds, as the input of one round.
 struct PlanContext {
   Time now;
-  // Domains that are dark, and since when.
+  // The dark domains and when each became dark.
   std::map<FabricDomainId, Time> dark_since;
-  // Groups that lost a member, and since when.
+  // The broken groups and when each lost its first member.
   std::map<GroupId, Time> broken_since;
-  // How many loads may be started, and how many serving groups taken apart.
+  // How many loads may start, and how many serving groups may be taken apart.
   std::int64_t loads = 0;
   std::int64_t borrows = 0;
 };
 
-// One round of planning: chooses moves one after the other, each with what the
-// earlier ones left.
+// One planning round. Chooses moves one after another; each takes the earlier
+// ones into account.
 class RepairPlan {
  public:
   RepairPlan(const PlannerSettings& settings,
@@ -34,24 +34,24 @@
 
   std::vector<RepairMove> Run();
 
-  // How many serving groups the round takes apart for others.
+  // Number of serving groups that this round takes apart for others.
   std::int64_t borrowed() const { return borrowed_; }
 
  private:
-  // A group as the plan sees it.
+  // The state of a group during the round.
   struct Seat {
     FabricDomainId domain;
     const GroupRecord* group = nullptr;
     const WantedModel* model = nullptr;
     // Members that must be replaced.
     std::vector<VmId> lost;
-    // Of these, those that are back but flap.
+    // Those of `lost` that are running again but flap.
     std::vector<VmId> flapping;
     bool is_leaving = false;
     bool is_broken = false;
-    // The plan gives it other members or loads it again.
+    // The round replaces members of the group or loads it again.
     bool is_moved = false;
-    // No longer counted: the plan takes it apart.
+    // The round takes the group apart, so the group no longer counts.
     bool is_taken = false;
   };
 
@@ -78,15 +78,15 @@
 
   bool IsHeldDark(const FabricDomainId& domain) const;
   bool IsSurplus(const Seat& seat) const;
-  // Orders groups by how much they are needed; the lowest is needed most.
+  // Sort key by need; the group with the lowest key is needed most.
   std::tuple<bool, std::int64_t, std::int64_t, Time> NeedOf(
       const Seat& seat) const;
-  // Whether `a` may be taken apart for `b`.
+  // True if `a` may be taken apart for `b`.
   bool NeedsLess(const Seat& a, const Seat& b) const;
   std::int64_t CountGroups(const ModelId& model) const;
   std::int64_t CountServing(const ModelId& model) const;
   const FabricDomainId* RoomiestDomain(std::int64_t vms) const;
-  // Whether `vms` VMs are better used in a group than kept as spares beside
+  // True if `vms` VMs are worth more in a group than as spares in addition to
   // `spares_left` others.
   bool IsWorthMoreThanSpares(const FabricDomainId& domain,
                              std::int64_t spares_left,
--- a/coordination/groups/repair_planner.h
+++ b/coordination/groups/repair_planner.h
@@ -13,13 +13,13 @@
 namespace gcw {
 
 enum class VmCondition {
-  // Answers, and belongs where the records say.
+  // Answers, and is where the records place it.
   kHealthy,
   // Answers as a new incarnation that is in no group.
   kRestarted,
   // Does not answer, or its engine failed.
   kLost,
-  // The platform is about to take it away.
+  // The platform is about to remove it.
   kLeaving,
 };
 
@@ -28,19 +28,19 @@
   FabricDomainId domain;
   std::int64_t accelerators = 0;
   VmCondition condition = VmCondition::kHealthy;
-  // Confirmed idle and recorded nowhere: may join a group now.
+  // Confirmed idle and in no record: may join a group now.
   bool assignable = false;
-  // Failed often of late: joins no group before its hold-off ends.
+  // Failed often recently: joins no group before its hold-off ends.
   bool held_off = false;
 };
 
-// Everything a plan follows from.
+// The input of a plan.
 struct PlannerView {
   ZoneId zone;
   std::map<FabricDomainId, DomainRecord> records;
   std::map<VmId, PlannerVm> vms;
   std::vector<WantedModel> wanted;
-  // Draining groups that serve nothing any more.
+  // Draining groups that no longer serve requests.
   std::set<GroupId> drained;
   // Groups that operators asked to stop.
   std::set<GroupId> drains_asked;
@@ -48,7 +48,7 @@
   Duration load_wait;
 };
 
-// Why a move is made, in the order in which the ways are tried.
+// Why a move is made.
 enum class RepairReason {
   kSpare,
   kBorrow,
@@ -60,7 +60,7 @@
 
 std::string_view RepairReasonName(RepairReason reason);
 
-// Gives a group other members; its generation grows.
+// Replaces members of a group; its generation increases.
 struct ReplaceMembers {
   FabricDomainId domain;
   GroupId group;
@@ -69,7 +69,7 @@
   RepairReason reason = RepairReason::kSpare;
 };
 
-// Makes a new group of free VMs.
+// Forms a new group of free VMs.
 struct FormGroup {
   FabricDomainId domain;
   ModelId model;
@@ -77,14 +77,15 @@
   RepairReason reason = RepairReason::kFill;
 };
 
-// Lets a serving group finish what it runs before it is dissolved or repaired.
+// Lets a serving group finish its running requests before it is dissolved or
+// repaired.
 struct DrainGroup {
   FabricDomainId domain;
   GroupId group;
   RepairReason reason = RepairReason::kPlannedStop;
 };
 
-// Frees all members of a group that serves nothing any more.
+// Frees all members of a group that no longer serves requests.
 struct DissolveGroup {
   FabricDomainId domain;
   GroupId group;
@@ -94,47 +95,49 @@
 using RepairMove =
     std::variant<ReplaceMembers, FormGroup, DrainGroup, DissolveGroup>;
 
-// Settings of the planner.
+// Settings of `RepairPlanner`.
 struct PlannerSettings {
   RepairWeights weights;
-  // Off: broken groups are repaired in order of arrival with spares of their
-  // domain, and free VMs form groups whatever the weights say. Kept as the
-  // benchmark's baseline.
+  // If false, broken groups are repaired in the order in which they broke, only
+  // with spares of their domain, and free VMs form groups whatever the weights
+  // say. This is the benchmark's baseline.
   bool by_need = true;
-  // How long a lost VM is usually away until it answers again.
+  // Usual time until a lost VM answers again.
   Duration usual_return = Duration::Seconds(180);
-  // How long a group usually takes to load.
+  // Usual time to load a group.
   Duration usual_load = Duration::Seconds(90);
-  // How long draining a group usually takes.
+  // Usual time to drain a group.
   Duration usual_drain = Duration::Seconds(30);
-  // Losses per VM and day that spares are kept for.
+  // Losses per VM and day for which spares are kept.
   double losses_per_vm_day = 0.05;
-  // A domain is dark when at least this share of its VMs is lost.
+  // A domain is dark if at least this share of its VMs is lost.
   double dark_share = 0.5;
-  // Groups of a dark domain are rebuilt elsewhere only after this time: most
-  // switches come back sooner than weights are loaded.
+  // Groups of a dark domain are rebuilt elsewhere only after this time, because
+  // most switches come back sooner than weights are loaded.
   Duration dark_hold = Duration::Seconds(120);
-  // No new load is started while one would wait longer than this for the weight
-  // store: it would only make all loads end late.
+  // No load starts if it would wait longer than this for the weight store: it
+  // would only make all loads end late.
   Duration longest_load_wait = Duration::Seconds(60);
-  // Loads under way at once in the zone; more would only share the weight
-  // store's rate and all end late.
+  // Maximum number of concurrent loads in the zone. More would share the weight
+  // store's rate, and all would end late.
   std::int64_t most_loads = 4;
-  // Serving groups taken apart for others within `borrow_window`.
+  // Maximum number of serving groups taken apart for others within
+  // `borrow_window`.
   std::int64_t most_borrows = 2;
   Duration borrow_window = Duration::Seconds(60);
 };
 
-// Chooses the next moves of one zone. Holds only what rate limits need, so that
-// a new keeper may start with an empty planner. Moves come with the highest
-// need first; each is valid against `view` together with those before it.
+// Chooses the next moves of one zone. Holds only the state that rate limits
+// need, so that a new keeper may start with an empty planner. The moves with
+// the highest need come first; each is valid against `view` with the earlier
+// moves applied.
 class RepairPlanner {
  public:
   explicit RepairPlanner(PlannerSettings settings);
 
   std::vector<RepairMove> Plan(Time now, const PlannerView& view);
 
-  // Whether the domain lost so many VMs that it counts as dark.
+  // True if the domain lost so many VMs that it counts as dark.
   bool IsDark(const FabricDomainId& domain) const {
     return dark_since_.contains(domain);
   }
@@ -147,7 +150,7 @@
   PlannerSettings settings_;
   std::map<FabricDomainId, Time> dark_since_;
   std::map<GroupId, Time> broken_since_;
-  // When serving groups were last taken apart for others.
+  // When serving groups were taken apart for others within `borrow_window`.
   std::vector<Time> borrows_;
 };
 
--- a/coordination/groups/serving_gate.h
+++ b/coordination/groups/serving_gate.h
@@ -18,28 +18,29 @@
 
 namespace gcw {
 
-// Settings of the serving gate.
+// Settings of `ServingGate`.
 struct GateSettings {
   ProberSettings prober;
-  // Nodes of its zone that probe each endpoint.
+  // Number of nodes in its zone that probe each endpoint.
   int probers_per_endpoint = 2;
-  // Nodes of each other zone from which this node hears of that zone.
+  // Number of nodes in each other zone that this node chooses to exchange
+  // reports with.
   int correspondents_per_zone = 2;
-  // Between reports to each peer while nothing changes.
+  // Time between reports to each peer while nothing changes.
   Duration report_interval = Duration::Millis(1000);
-  // Between reports when something does.
+  // Minimum time between reports when something changes.
   Duration shortest_report_interval = Duration::Millis(200);
   // An endpoint of this zone stays open at most this long after the newest
   // evidence that all its VMs were present.
   Duration max_evidence_age = Duration::Millis(5000);
   // The same for endpoints of other zones, whose evidence travels further.
   Duration max_remote_evidence_age = Duration::Millis(10000);
-  // A peer that stays silent this long gets no reports unless this node chose
+  // A peer that is silent for this long gets reports only if this node chose
   // it.
   Duration peer_timeout = Duration::Seconds(10);
 };
 
-// A node as far as evidence needs it.
+// A node that exchanges evidence with this one.
 struct GatePeer {
   NodeId id;
   ZoneId zone;
@@ -51,35 +52,35 @@
 enum class CloseReason {
   // A VM is missing, restarted, or not in this generation.
   kVmMissing,
-  // Nobody vouched for the endpoint lately, for example since this node is cut
-  // off.
+  // No recent evidence says that the endpoint is complete, for example because
+  // this node is cut off.
   kStaleEvidence,
   // The group's record says that it drains.
   kDraining,
-  // The VM list says that one of its VMs is about to go.
+  // The VM list says that one of its VMs is leaving.
   kLeaving,
   // The members changed; the new generation opens on its own evidence.
   kNewGeneration,
   // The group or service VM no longer exists.
   kGone,
-  // A request found nothing listening there.
+  // A connection to the endpoint was refused.
   kUnreachable,
 };
 
 std::string_view CloseReasonName(CloseReason reason);
 
-// Requests may go there from now on.
+// The endpoint may get requests from now on.
 struct EndpointOpened {
   Endpoint endpoint;
 };
 
-// No new request goes there from now on.
+// The endpoint gets no new requests from now on.
 struct EndpointClosed {
   EndpointId endpoint;
   CloseReason reason = CloseReason::kVmMissing;
 };
 
-// The endpoint is leaving and this node's last request there has ended.
+// The endpoint is leaving, and this node's last request to it has ended.
 struct EndpointDrained {
   EndpointId endpoint;
 };
@@ -90,16 +91,16 @@
                                        ProbeVm,
                                        PeerSend<PresenceReport>>;
 
-// Decides at each node which endpoints may get requests. An endpoint is open
-// only on fresh evidence that each of its VMs is present in the generation that
-// the domain's record names; without evidence it closes, and with it opens
-// again, whether or not the key-value service answers.
+// Decides on each node which endpoints may get requests. An endpoint is open
+// only while there is fresh evidence that each of its VMs is present in the
+// generation that the domain's record names. It closes without evidence and
+// opens again with it, whether or not the key-value service answers.
 class ServingGate {
  public:
   class Builder;
 
-  // The newest known record of a domain, from a read, a watch or a peer. Older
-  // ones than already known are ignored.
+  // The newest known record of a domain, from a read, a watch or a peer. A
+  // record older than the known one is ignored.
   std::vector<ServingGateAction> OnDomainRecord(Time now,
                                                 const DomainRecord& record,
                                                 Revision revision);
@@ -109,7 +110,7 @@
                                               Revision revision);
   std::vector<ServingGateAction> OnVmList(Time now,
                                           const VmListSnapshot& snapshot);
-  // All living nodes, this one included.
+  // All living nodes, including this one.
   std::vector<ServingGateAction> OnPeers(Time now,
                                          const std::vector<GatePeer>& peers);
   std::vector<ServingGateAction> OnProbeReply(Time now,
@@ -119,24 +120,24 @@
                                                   const NodeId& from,
                                                   const PresenceReport& report);
 
-  // This node's own requests, so that the last one of a leaving endpoint is
-  // known.
+  // Count this node's own requests, so that the end of the last one to a
+  // leaving endpoint is known.
   void OnRequestStarted(const EndpointId& endpoint);
   std::vector<ServingGateAction> OnRequestEnded(Time now,
                                                 const EndpointId& endpoint);
-  // A connection to the endpoint was refused. It stays closed here until
-  // evidence taken after `now` says that it is complete.
+  // A connection to the endpoint was refused. The endpoint stays closed on this
+  // node until evidence taken after `now` says that it is complete.
   std::vector<ServingGateAction> OnUnreachable(Time now,
                                                const EndpointId& endpoint);
 
   std::vector<ServingGateAction> Tick(Time now);
 
-  // Whether a request may go there now. Asked right before each dispatch: a
-  // node that was paused wakes with endpoints that opened long ago, and may
-  // dispatch before its next `Tick`.
+  // True if a request may be sent to the endpoint now. Must be checked
+  // immediately before each dispatch: a node that was paused resumes with
+  // endpoints that opened long ago, and may dispatch before its next `Tick`.
   bool IsOpen(Time now, const EndpointId& endpoint) const;
 
-  // The endpoint's id for a group.
+  // Returns the endpoint id of a group.
   static EndpointId EndpointOf(const GroupId& group);
 
  private:
@@ -145,24 +146,24 @@
     ProbeTarget target;
     bool draining = false;
     bool leaving = false;
-    // Present in the records or the VM list.
+    // True if the records or the VM list contain the endpoint.
     bool exists = true;
     bool open = false;
     bool drained_reported = false;
     std::int64_t running = 0;
     std::optional<Time> unreachable_since;
-    // Peers that ever spoke of it.
+    // Peers that have reported on the endpoint.
     std::set<NodeId> speakers;
-    // Of the newest evidence that it is complete.
+    // Time of the newest evidence that the endpoint is complete.
     Time evidence_time;
     CloseReason reason = CloseReason::kStaleEvidence;
   };
   struct DomainView {
-    // Absent where the domain's record was deleted.
+    // Nullopt if the domain's record was deleted.
     std::optional<DomainRecord> record;
     Revision revision;
   };
-  // What the evidence says of one endpoint.
+  // What the evidence says about one endpoint.
   struct Verdict {
     bool complete = false;
     bool denied = false;
@@ -219,15 +220,15 @@
   GateSettings settings_;
   EventSink events_;
   PresenceProber prober_;
-  // What this node's own probes found, for its zone.
+  // Findings of this node's own probes, sent within its zone.
   PresenceLog own_log_;
-  // What this node knows of its whole zone, for other zones.
+  // What this node knows of its whole zone, sent to other zones.
   PresenceLog zone_log_;
   std::map<NodeId, GatePeer> peers_;
   std::map<NodeId, PeerPresence> heard_;
   std::map<FabricDomainId, DomainView> domains_;
-  // Also VMs that the newest list leaves out, since their address is still
-  // needed while the list is late.
+  // Includes VMs that the newest list omits, because their addresses are still
+  // needed while the list lags.
   std::map<VmId, VmEntry> vms_;
   std::set<VmId> listed_;
   Time list_as_of_;
@@ -237,7 +238,6 @@
   std::int64_t reported_zone_ = 0;
 };
 
-// Builds a serving gate.
 class ServingGate::Builder {
  public:
   // `incarnation` must differ between runs of this node.
--- a/coordination/groups/vm_probe.h
+++ b/coordination/groups/vm_probe.h
@@ -7,11 +7,11 @@
 
 namespace gcw {
 
-// Names a probe until its reply arrives; unique per module.
+// Identifies a probe until its reply arrives; unique per module.
 using ProbeId = StrongNumber<struct ProbeIdTag>;
 
-// Asks a VM how it is: `GET /status` of a model engine, `GET /load` of a plain
-// service. The transport gives up after the module's probe timeout.
+// Probes a VM: `GET /status` of a model engine, `GET /load` of a plain service.
+// The transport gives up after `timeout`.
 struct ProbeVm {
   ProbeId id;
   VmId vm;
@@ -20,16 +20,16 @@
   Duration timeout;
 };
 
-// A plain service that answered.
+// A plain service answered.
 struct ServiceAlive {};
 
-// Why a probe brought no status.
+// Why a probe returned no status.
 enum class ProbeFailure {
-  // Nothing listens there: the process is gone, the VM may be up.
+  // Nothing listens at the address: the process is gone, but the VM may be up.
   kRefused,
-  // No answer in time: dead, paused, or cut off from this node.
+  // No answer in time: the VM is dead, paused, or cut off from this node.
   kTimeout,
-  // Something answered that is not the engine expected there.
+  // The answer is not from the engine expected at the address.
   kMalformed,
 };
 
--- a/coordination/groups/vm_tracker.h
+++ b/coordination/groups/vm_tracker.h
@@ -11,71 +11,73 @@
 
 namespace gcw {
 
-// Settings of the VM tracker.
+// Settings of `VmTracker`.
 struct TrackerSettings {
-  // Between probes of a VM that something is expected of: it loads, leaves,
-  // drains, or another VM said that it misses it.
+  // Probe interval of a VM that is expected to change: it loads, leaves or
+  // drains, or another VM reported it missing.
   Duration watched_interval = Duration::Millis(1000);
-  // Between probes of the first VM of a serving group.
+  // Probe interval of the first VM of a serving group.
   Duration first_interval = Duration::Millis(2000);
-  // Between probes of all others.
+  // Probe interval of all other VMs.
   Duration idle_interval = Duration::Seconds(10);
   Duration timeout = Duration::Millis(500);
-  // A VM that answered nothing for this long since its first unanswered probe
-  // counts as lost.
+  // A VM that has answered nothing for this long since its first unanswered
+  // probe counts as lost.
   Duration loss_after = Duration::Millis(3000);
-  // How far the VM list may lag. A VM counts as gone only by a list that held
-  // this much later than the VM's last sign of life.
+  // Maximum lag of the VM list. A VM counts as gone only if a list that omits
+  // it is newer than the VM's last sign of life by more than this.
   Duration list_lag = Duration::Seconds(60);
 };
 
-// How closely a VM is watched.
+// How closely a VM is probed.
 enum class Watch { kIdle, kFirst, kClose };
 
-// What is known of one VM.
+// What is known about one VM.
 struct VmFacts {
-  // As last listed.
+  // The VM's newest list entry.
   VmEntry entry;
-  // Whether the newest list holds it.
+  // True if the newest list holds the VM.
   bool listed = false;
-  // When a list first held that left it out.
+  // The time of the newest list, if that list omits the VM.
   std::optional<Time> absent_as_of;
   // The newest answer and when its probe was sent.
   std::optional<EngineStatus> status;
   Time status_time;
-  // The first unanswered probe after the newest answer was sent then.
+  // When the first unanswered probe after the newest answer was sent.
   std::optional<Time> failing_since;
 };
 
-// Knows a domain's VMs by the VM list and by probes of its own.
+// Tracks VMs by the VM list and by its own probes.
 class VmTracker {
  public:
   explicit VmTracker(TrackerSettings settings);
 
-  // Lists that held earlier than one already known are ignored.
+  // Ignores a list older than the newest one known.
   void OnVmList(Time now, const VmListSnapshot& snapshot);
 
-  // Which domains' VMs are probed.
+  // Sets the domains whose VMs are probed.
   void SetDomains(const std::set<FabricDomainId>& domains);
   void SetWatch(const VmId& vm, Watch watch);
 
-  // The probes that are due.
+  // Returns the probes that are due.
   std::vector<ProbeVm> Tick(Time now);
   void OnProbeReply(Time now, ProbeId id, const ProbeReply& reply);
 
-  // Nothing for VMs that were never listed.
+  // Returns null for a VM that was never listed.
   const VmFacts* Find(const VmId& vm) const;
   const std::map<VmId, VmFacts>& all() const { return vms_; }
 
-  // It did not answer for the loss time.
+  // True if the VM has not answered for `loss_after`.
   bool IsUnreachable(Time now, const VmId& vm) const;
 
-  // Its last sign of life lies before a list that leaves it out, by more than
-  // the list's lag. A list that is late in showing a new VM cannot make it look
-  // gone, since a VM never listed is never gone.
+  // True if the VM is unreachable and a list that omits it is newer than its
+  // last sign of life by more than `list_lag`. A list that is late in showing a
+  // new VM cannot make it look gone, because a VM that was never listed is
+  // never gone.
   bool IsGone(Time now, const VmId& vm) const;
 
-  // Its engine answered a probe sent at `since` or later, and is in no group.
+  // True if the VM's engine answered a probe sent at `since` or later and is in
+  // no group.
   bool IsIdleSince(const VmId& vm, Time since) const;
 
  private:
--- a/coordination/rendezvous.h
+++ b/coordination/rendezvous.h
@@ -1,9 +1,9 @@
 #ifndef COORDINATION_RENDEZVOUS_H_
 #define COORDINATION_RENDEZVOUS_H_
 
-// Rendezvous (highest random weight) hashing: each node that has the same set
-// of nodes picks the same owner of a key, and when a node goes only its own
-// keys move.
+// Rendezvous (highest random weight) hashing: every process with the same set
+// of nodes picks the same owner of a key, and when a node leaves, only the keys
+// that it owned move.
 
 #include <cstddef>
 #include <cstdint>
@@ -15,14 +15,14 @@
 
 namespace gcw {
 
-// How much `node` is preferred for `key`; the same in every process.
+// Returns how much `node` is preferred for `key`; the same in every process.
 std::uint64_t RendezvousScore(std::string_view key, const NodeId& node);
 
-// The preferred node; absent where there are no nodes.
+// Returns the preferred node, or nullopt if there are no nodes.
 std::optional<NodeId> RendezvousOwner(std::string_view key,
                                       const std::vector<NodeId>& nodes);
 
-// At most `count` nodes, the most preferred first.
+// Returns at most `count` nodes in descending order of preference.
 std::vector<NodeId> RendezvousOrder(std::string_view key,
                                     const std::vector<NodeId>& nodes,
                                     std::size_t count);
--- a/coordination/stable_hash.h
+++ b/coordination/stable_hash.h
@@ -6,8 +6,8 @@
 
 namespace gcw {
 
-// FNV-1a with its high bits mixed in. Not `std::hash`, whose values may differ
-// between builds: used where all nodes must come to the same result.
+// FNV-1a with its high bits mixed in. Used instead of `std::hash`, whose values
+// may differ between builds, if all nodes must get the same result.
 std::uint64_t StableHash(std::string_view text);
 
 }  // namespace gcw
