--- a/coordination/backoff.cc
+++ b/coordination/backoff.cc
@@ -5,13 +5,14 @@
 namespace gcw {
 
 Duration Backoff::Next(const Random& random) {
-  // Enough to pass any maximum, and too little to overflow.
+  // Large enough to reach any maximum and small enough not to overflow.
   constexpr int kMaxDoublings = 20;
   const Duration ceiling = std::min(
       settings_.maximum, settings_.initial * (std::int64_t{1} << std::min(
                                                   failures_, kMaxDoublings)));
   ++failures_;
-  // Never zero, so that a failing call is not repeated in the same tick.
+  // The delay is never zero, so that a failing call is not repeated in the same
+  // tick.
   const std::int64_t least = std::max<std::int64_t>(1, ceiling.millis() / 4);
   const std::int64_t spread =
       std::max<std::int64_t>(1, ceiling.millis() - least);
--- a/coordination/groups/domain_writer.cc
+++ b/coordination/groups/domain_writer.cc
@@ -50,7 +50,7 @@
 std::optional<StoreCall> DomainWriter::Tick(Time now) {
   if (call_ && now - call_sent_ >= settings_.call_timeout) {
     call_.reset();
-    // The write may have taken effect or may still: only reading tells.
+    // The write may have taken effect or may still do so; only a read tells.
     ReadLater(now);
   }
   if (call_ || !call_due_ || now < due_) {
@@ -80,7 +80,7 @@
   } else if (const auto* conflict = std::get_if<StoreConflict>(&reply)) {
     Adopt(now, conflict->current);
   } else if (const auto* busy = std::get_if<StoreBusy>(&reply)) {
-    // Nothing was done, so the same call may be made again.
+    // The service did nothing, so the same call may be repeated.
     call_due_ = true;
     due_ = now + busy->retry_after;
   } else {
@@ -90,8 +90,8 @@
 
 void DomainWriter::OnRange(Time now, const StoreRangeReply& reply) {
   if (reply.revision < seen_) {
-    // Restored to the past, or a stale read: acting on it would put VMs into
-    // groups that have since been given away.
+    // The service was restored to an earlier state, or the read is stale.
+    // Acting on it would assign VMs that other groups have since been given.
     events_({EventKind::kStoreRewound,
              key(),
              EventId(),
--- a/coordination/groups/group_keeper.cc
+++ b/coordination/groups/group_keeper.cc
@@ -137,7 +137,8 @@
   return &it->second.writer().record();
 }
 
-// Counts each time that a VM went away, whether or not its absence was seen.
+// Reports each loss of a VM once: it became unreachable, or it restarted
+// without having been seen as unreachable.
 void GroupKeeper::NoteLosses(Time now) {
   flaps_.Tick(now);
   for (const auto& [vm, facts] : tracker_.all()) {
@@ -180,8 +181,8 @@
   for (RepairMove& move : planner_.Plan(now, MakeView(now))) {
     const FabricDomainId domain =
         std::visit([](const auto& typed) { return typed.domain; }, move);
-    // Another keeper with the same knowledge makes the same plan and carries
-    // out the moves of its own domains.
+    // A keeper with the same information makes the same plan and carries out
+    // the moves of its own domains.
     if (kept_.contains(domain)) {
       moves[domain].push_back(std::move(move));
     }
@@ -204,8 +205,8 @@
     }
   }
   // Records of all zones arrive here. The planner looks up the VMs of each
-  // record's domain, so one of another zone, or one that came before the VM
-  // list, would end the process.
+  // record's domain, so a record of another zone, or one that came before the
+  // VM list, would end the process.
   for (const auto& [domain, foreign] : foreign_) {
     if (zone_domains.contains(domain)) {
       view.records[domain] = foreign.record;
@@ -233,7 +234,7 @@
     described.assignable = kept->second.IsAssignable(now, tracker_, vm);
     return described;
   }
-  // Of VMs that another keeper probes, only the list and the record are known.
+  // For VMs that another keeper probes, only the list and the record are known.
   const bool is_live = facts.listed && facts.entry.state == VmState::kLive;
   described.condition = is_live ? VmCondition::kHealthy : VmCondition::kLeaving;
   const auto foreign = foreign_.find(facts.entry.domain);
--- a/coordination/groups/kept_domain.cc
+++ b/coordination/groups/kept_domain.cc
@@ -40,8 +40,8 @@
   }
   NoteTimes(now);
   DomainRecord next = writer_.record();
-  // The first write takes the record over, so that a predecessor's writes fail
-  // from then on.
+  // The first write claims the record, so that a predecessor's writes fail from
+  // then on.
   bool changed = !writer_.IsClaimed();
   changed = ConfirmLeft(now, tracker, next) || changed;
   changed = ConfirmReady(tracker, next) || changed;
@@ -59,7 +59,7 @@
   return writer_.revision() > before;
 }
 
-// Remembers since when this node has known of drains and departures.
+// Records when this node first saw each drain and each departure.
 void KeptDomain::NoteTimes(Time now) {
   const DomainRecord& record = writer_.record();
   std::map<GroupId, Time> draining;
@@ -134,9 +134,8 @@
   if (!changed) {
     return false;
   }
-  // Engines may have been given generations that a restored record lacks. A
-  // number used twice for different members would let old evidence open the
-  // group.
+  // Engines may have generations that a restored record lacks. If a generation
+  // were reused for different members, old evidence would open the group.
   for (GroupRecord& group : next.groups) {
     for (const auto& [vm, facts] : tracker.all()) {
       if (group.state == GroupState::kLoading && facts.status &&
--- a/coordination/groups/kept_domain_orders.cc
+++ b/coordination/groups/kept_domain_orders.cc
@@ -10,7 +10,7 @@
                                              const VmTracker& tracker,
                                              OrderId& last_order) {
   std::vector<SendOrder> orders;
-  // While a write is under way or unsettled, nobody knows what holds.
+  // The committed record is unknown while a write is in progress or unsettled.
   if (writer_.state() != WriterState::kReady || !writer_.IsClaimed() ||
       !sender_.MaySend(now)) {
     return orders;
@@ -35,7 +35,8 @@
   return orders;
 }
 
-// Each order is followed by a look at what became of it before the next one.
+// A VM gets its next order only after a probe has shown the result of the
+// previous one.
 bool KeptDomain::MayOrder(Time now, const VmFacts& facts) const {
   const VmId& vm = facts.entry.id;
   return facts.entry.domain == domain_ &&
@@ -52,7 +53,7 @@
   }
   if (const auto* stale = std::get_if<EngineOrderStale>(&reply)) {
     // Another keeper has taken over, or the key-value service was restored and
-    // hands out numbers that it handed out before.
+    // issues fencing tokens that it issued before.
     events_({EventKind::kOrderRefused,
              vm->value(),
              EventId(),
@@ -143,7 +144,8 @@
         first->status->group != group.id) {
       continue;
     }
-    // The first VM misses a member sooner than a slow probe would.
+    // The first VM notices a missing member sooner than a probe at the idle
+    // interval would.
     const std::vector<VmId>& seen = first->status->members_seen;
     for (const VmId& vm : group.members) {
       if (std::find(seen.begin(), seen.end(), vm) == seen.end()) {
--- a/coordination/groups/order_sender.cc
+++ b/coordination/groups/order_sender.cc
@@ -43,7 +43,8 @@
                             Address address,
                             EngineOrder order) {
   order.fence = *fence_;
-  // It leaves before `send_before` and is over a timeout later.
+  // The order is written before `send_before` and is over at most `timeout`
+  // later.
   const Time send_before = valid_until_ - settings_.timeout - settings_.margin;
   pending_[vm] = Pending{id, send_before + settings_.timeout};
   return SendOrder{id,
@@ -65,7 +66,8 @@
   }
   const VmId vm = it->first;
   if (std::holds_alternative<OrderNoAnswer>(reply)) {
-    // The transport gave up on it, but its bytes may still be under way.
+    // The transport gave up on the order, but its bytes may still be in
+    // transit.
     it->second.over = std::min(it->second.over, now + settings_.margin);
     return vm;
   }
--- a/coordination/groups/repair_plan.cc
+++ b/coordination/groups/repair_plan.cc
@@ -52,7 +52,7 @@
     const VmCondition condition =
         is_known ? it->second.condition : VmCondition::kLost;
     const bool is_held_off = is_known && it->second.held_off;
-    // A VM that restarted may keep its place, unless it does so all the time.
+    // A restarted VM may stay in its group unless it flaps.
     const bool may_stay =
         condition == VmCondition::kHealthy ||
         (condition == VmCondition::kRestarted && !is_held_off);
@@ -83,8 +83,8 @@
   return it == model.targets.end() ? GroupTarget() : it->second;
 }
 
-// A drained group gets its leaving members replaced where spares allow, and is
-// taken apart otherwise.
+// Replaces the leaving members of a drained group if its domain has enough
+// spares and no operator asked for the drain. Dissolves the group otherwise.
 void RepairPlan::FinishDrained() {
   for (Seat& seat : seats_) {
     if (!view_.drained.contains(seat.group->id)) {
@@ -114,7 +114,8 @@
   }
 }
 
-// Two keepers that knew different records may have filled the same gap.
+// Drains groups above the maximum, which exist if two keepers that knew
+// different records filled the same gap.
 void RepairPlan::TrimExcess() {
   for (const WantedModel& model : view_.wanted) {
     if (CountServing(model.model) <= TargetOf(model).most) {
@@ -155,12 +156,12 @@
 }
 
 void RepairPlan::Repair(Seat& seat) {
-  // An earlier repair may have taken this group's members.
+  // An earlier repair may have taken this group apart.
   if (seat.is_taken || RepairInPlace(seat) || !settings_.by_need) {
     return;
   }
-  // While a domain is dark its groups would all move at once, and weights
-  // would still be loading when it returns.
+  // All groups of a dark domain would move at once, and would still be loading
+  // weights when the domain returns.
   if (IsHeldDark(seat.domain) || context_.loads <= 0) {
     return;
   }
@@ -192,8 +193,8 @@
                                      RepairReason::kSpare});
 }
 
-// Where downtime weighs more, the rest of a broken group that is not wanted is
-// worth more as spares than while it waits.
+// Dissolves a broken group above the wanted number if, by the weights, its
+// remaining members are worth more as spares than in a group that waits.
 bool RepairPlan::GiveUp(Seat& seat) {
   const auto spares = static_cast<std::int64_t>(free_[seat.domain].size());
   const auto vms =
@@ -207,7 +208,8 @@
   return true;
 }
 
-// A group that flaps serves some of the time; one that waits serves never.
+// Takes flapping members back if nothing else helps: a flapping group serves
+// some of the time, a waiting group never does.
 bool RepairPlan::TakeFlappingBack(Seat& seat) {
   std::vector<VmId> removed;
   for (const VmId& vm : seat.lost) {
@@ -223,8 +225,8 @@
   return true;
 }
 
-// Frees VMs of a group of the same domain that is needed less. They become
-// spares when their engines have left it; a later round then repairs `seat`.
+// Frees VMs of a less needed group of the same domain. They become spares when
+// their engines have left that group; a later round then repairs `seat`.
 bool RepairPlan::Borrow(Seat& seat) {
   Seat* victim = nullptr;
   for (Seat& candidate : seats_) {
@@ -243,7 +245,7 @@
     return false;
   }
   if (victim->group->state == GroupState::kDraining) {
-    // Already on its way.
+    // Its VMs become free when the drain ends.
     return true;
   }
   if (victim->is_broken) {
--- a/coordination/groups/repair_plan_needs.cc
+++ b/coordination/groups/repair_plan_needs.cc
@@ -8,7 +8,7 @@
 
 constexpr double kSecondsPerDay = 86400;
 
-// The chance that a Poisson variable is at least `count`.
+// Returns the probability that a Poisson variable is at least `count`.
 double PoissonTail(double mean, std::int64_t count) {
   double term = std::exp(-mean);
   double below = 0;
@@ -31,8 +31,8 @@
   return CountGroups(seat.model->model) > TargetOf(*seat.model).wanted;
 }
 
-// Groups above the wanted number are needed least; then the rank counts, then
-// how short the model is, then which broke first.
+// Groups above the wanted number are needed least. Then the model's rank
+// counts, then its shortfall, then which group broke first.
 std::tuple<bool, std::int64_t, std::int64_t, Time> RepairPlan::NeedOf(
     const Seat& seat) const {
   const std::int64_t shortfall =
@@ -47,7 +47,8 @@
   const auto need_b = NeedOf(b);
   const bool is_same_rank = std::get<0>(need_a) == std::get<0>(need_b) &&
                             std::get<1>(need_a) == std::get<1>(need_b);
-  // Taking a whole group apart for one of the same rank only moves the loss.
+  // Taking an intact group apart for another of the same rank only moves the
+  // loss.
   if (!a.is_broken && is_same_rank) {
     return false;
   }
@@ -128,9 +129,9 @@
   }
 }
 
-// Weighs what VMs save as spares of their domain against what they cost while
+// Compares what VMs save as spares of their domain with what they cost while
 // idle. The k-th spare saves a group's downtime while at least k VMs of the
-// domain are out; the number out is taken as Poisson.
+// domain are out; the number of VMs out is modelled as Poisson-distributed.
 bool RepairPlan::IsWorthMoreThanSpares(const FabricDomainId& domain,
                                        std::int64_t spares_left,
                                        std::int64_t vms) const {
--- a/coordination/groups/repair_planner.cc
+++ b/coordination/groups/repair_planner.cc
@@ -66,7 +66,7 @@
     count.lost += vm.condition == VmCondition::kLost ? 1 : 0;
   }
   for (const auto& [domain, count] : counts) {
-    // One VM that is lost out of two is a lost VM, not a dark domain.
+    // One lost VM out of two is a lost VM, not a dark domain.
     constexpr std::int64_t kFewestLost = 3;
     const bool is_dark =
         count.lost >= kFewestLost &&
@@ -96,8 +96,8 @@
   broken_since_ = std::move(broken);
 }
 
-// Loads share the weight store's rate, so that more at once would not end
-// sooner, and the most needed one would end later.
+// Loads share the weight store's rate: more at once would not end sooner, and
+// the most needed load would end later.
 std::int64_t RepairPlanner::LoadBudget(const PlannerView& view) const {
   if (view.load_wait > settings_.longest_load_wait) {
     return 0;
--- a/coordination/groups/serving_gate.cc
+++ b/coordination/groups/serving_gate.cc
@@ -96,7 +96,7 @@
 std::vector<ServingGateAction> ServingGate::OnVmList(
     Time now,
     const VmListSnapshot& snapshot) {
-  // Reads of a lagging list may come back out of order.
+  // Reads of a lagging list may arrive out of order.
   if (snapshot.as_of < list_as_of_) {
     return {};
   }
--- a/coordination/groups/serving_gate_reports.cc
+++ b/coordination/groups/serving_gate_reports.cc
@@ -10,9 +10,10 @@
   const bool is_cut_off = prober_.SeemsCutOff();
   for (const auto& [id, known] : endpoints_) {
     const auto finding = prober_.Find(now, id);
-    // A node that loses most VMs at once is more likely cut off than right. It
-    // withdraws, which can open nothing, rather than close a share of the fleet
-    // at all nodes. If the VMs are lost indeed, evidence of them ends.
+    // A node that loses most VMs at once is probably cut off itself. It
+    // withdraws its findings, which can open nothing, instead of closing a
+    // share of the fleet on all nodes. If the VMs really are lost, the evidence
+    // of them expires.
     if (!finding || !known.exists || is_cut_off) {
       own_log_.Withdraw(id);
       continue;
--- a/coordination/groups/serving_gate_review.cc
+++ b/coordination/groups/serving_gate_review.cc
@@ -5,7 +5,7 @@
 
 namespace gcw {
 
-// Opens and closes endpoints by the evidence at hand.
+// Opens and closes endpoints according to the current evidence.
 std::vector<ServingGateAction> ServingGate::Review(Time now) {
   std::vector<ServingGateAction> actions;
   for (auto& [id, known] : endpoints_) {
--- a/coordination/rendezvous.cc
+++ b/coordination/rendezvous.cc
@@ -18,8 +18,8 @@
   return hash;
 }
 
-// The finalizer of SplitMix64: FNV-1a alone leaves the high bits of names that
-// differ only in their last digit alike, and one node would win most keys.
+// The finalizer of SplitMix64. FNV-1a alone gives names that differ only in
+// their last digit similar high bits, so that one node would win most keys.
 std::uint64_t Mix(std::uint64_t hash) {
   hash = (hash ^ (hash >> 30)) * 0xbf58476d1ce4e5b9;
   hash = (hash ^ (hash >> 27)) * 0x94d049bb133111eb;
@@ -45,7 +45,7 @@
 std::vector<NodeId> RendezvousOrder(std::string_view key,
                                     const std::vector<NodeId>& nodes,
                                     std::size_t count) {
-  // Equal scores are settled by id, so that all processes agree.
+  // Ties are broken by node id, so that all processes agree.
   std::vector<std::pair<std::uint64_t, const NodeId*>> scored;
   scored.reserve(nodes.size());
   for (const NodeId& node : nodes) {
