--- a/tests/coordination/groups/domain_writer_test.cc
+++ b/tests/coordination/groups/domain_writer_test.cc
@@ -9,7 +9,7 @@
 
 constexpr Time kStart = Time::FromMillis(1000000);
 
-// A record stands in the store as its change id and its writer's number.
+// Encodes a record as its change id and its writer's fencing token.
 DomainRecordCodec Codec() {
   return {[](const DomainRecord& record) {
             return record.change.value() + ":" +
@@ -59,9 +59,9 @@
   StoreCallId id_;
 };
 
-// Symptom: a write that holds is taken for failed, and its orders never leave.
-// Events: the service writes, its answer is lost.
-// Cause: silence was read as refusal. The record is read back.
+// Guards against treating a committed write as failed, so that its orders are
+// never sent. The service writes, but its answer is lost; the writer must read
+// the record back.
 TEST_F(DomainWriterTest, ReadsBackAfterALostAnswer) {
   AnswerRead("a:4", 8, 9);
   EXPECT_FALSE(writer_.IsClaimed());
@@ -76,9 +76,9 @@
   EXPECT_EQ(writer_.record().change, ChangeId("b"));
 }
 
-// Symptom: members are given away by a record that is long out of date.
-// Events: the service is restored, or a read is answered by a member behind.
-// Cause: a revision lower than one seen before was believed.
+// Guards against assigning members by an outdated record after the service was
+// restored, or after a member that is behind answered a read. A revision lower
+// than one already seen must not be believed.
 TEST_F(DomainWriterTest, RefusesWhatIsOlderThanWhatItSaw) {
   AnswerRead("a:4", 8, 20);
   ASSERT_TRUE(writer_.Propose(now_, writer_.record(), ChangeId("b")));
--- a/tests/coordination/groups/group_keeper_test.cc
+++ b/tests/coordination/groups/group_keeper_test.cc
@@ -11,8 +11,8 @@
 namespace gcw {
 namespace {
 
-// Says where a VM stands in two places of a record, or runs another group than
-// the record gives it; empty where none does.
+// Describes a record with a fault, or a VM that runs another group than its
+// record says. Returns an empty string if there is none.
 std::string FindBreach(GroupsWorld& world) {
   for (const DomainRecord& record : world.Records()) {
     if (FindFault(record)) {
@@ -59,7 +59,7 @@
   });
 }
 
-// Returns the first breach.
+// Returns the first violation.
 std::string RunChecked(GroupsWorld& world, Duration time) {
   for (const Time end = world.now() + time; world.now() < end;) {
     world.Step();
@@ -76,9 +76,8 @@
   EXPECT_EQ(CountServing(world), 3);
 }
 
-// Symptom: a group stays down although its domain has spare VMs.
-// Events: a VM dies; its domain holds three spares.
-// Cause: nothing replaced the member and raised the generation.
+// Guards against a group that stays down although its domain has spare VMs. A
+// VM dies; its domain holds three spares.
 TEST(GroupKeeperTest, ReplacesADeadVmByASpare) {
   GroupsWorld world(2, true);
   ASSERT_EQ(RunChecked(world, Duration::Seconds(30)), "");
@@ -89,11 +88,11 @@
   EXPECT_EQ(CountServing(world), 3);
 }
 
-// Symptom: two groups share a VM, or a serving group loses one.
-// Events: a keeper is paused longer than its lease with orders not yet written;
-// another takes over and moves VMs; the first wakes and its orders leave.
-// Cause: engines that ignore fencing numbers obey whoever speaks last. The look
-// at `send_before` right before the write withholds the orders.
+// Guards against two groups that share a VM, and serving groups that lose one.
+// A keeper pauses longer than its lease with orders not yet written, another
+// takes over and moves VMs, and the first resumes. Engines that ignore fencing
+// tokens would obey its late orders; the check of `send_before` right before
+// the write withholds them.
 TEST(GroupKeeperTest, KeeperThatWakesInTheMiddleOfAnOrderSendsNothing) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     GroupsWorld world(seed, false);
@@ -113,10 +112,10 @@
   }
 }
 
-// What no look at the clock prevents: the sender is paused between the look and
-// the write. Engines that check fencing numbers refuse the order. Of those that
-// ignore them, some leave their group's generation; this lasts until the new
-// keeper has read their state back and ordered them again.
+// Covers what no check of the clock prevents: the sender pauses between the
+// check and the write. Engines that check fencing tokens refuse the order. Some
+// of those that ignore them leave their group's generation until the new keeper
+// has read their state back and ordered them again.
 TEST(GroupKeeperTest, OrderWrittenLateIsRefusedOrReconciled) {
   for (const bool checks_fences : {true, false}) {
     Duration longest;
@@ -149,9 +148,9 @@
   }
 }
 
-// Symptom: a change seems refused although it holds, and is made twice.
-// Events: the service writes the record, but the answer is lost.
-// Cause: a lost answer was taken for a failure. The change id read back tells.
+// Guards against treating a committed change as refused and making it twice.
+// The service writes the record, but the answer is lost; the change id that is
+// read back shows that the write took effect.
 TEST(GroupKeeperTest, SettlesLostAnswersOfWrites) {
   GroupsWorld world(3, true);
   world.link().faults().reply_lost = 0.5;
@@ -161,9 +160,9 @@
   EXPECT_EQ(CountServing(world), 3);
 }
 
-// Symptom: serving groups are taken apart after the service was restored.
-// Events: groups form; the service is set back to before; keepers go on.
-// Cause: a record older than one already seen was acted on.
+// Guards against taking serving groups apart after the service was restored to
+// a state from before they formed. A record older than one already seen must
+// not be acted on.
 TEST(GroupKeeperTest, RefusesARestoredStore) {
   GroupsWorld world(4, true);
   ASSERT_EQ(RunChecked(world, Duration::Seconds(5)), "");
@@ -171,7 +170,7 @@
   ASSERT_EQ(RunChecked(world, Duration::Seconds(30)), "");
   ASSERT_EQ(CountServing(world), 3);
   world.link().Restore();
-  // The lease outlives the restore, so that the same keeper goes on.
+  // The lease outlives the restore, so that the same keeper continues.
   world.link().store().ExtendLeases(world.now());
   world.engines().Restart(world.now(), VmId("d1-v0"));
   for (int step = 0; step < 200; ++step) {
@@ -180,10 +179,10 @@
   }
 }
 
-// Things that go wrong, together and twice: engines die, restart, pause and
-// wake, also a whole domain; keepers pause, are cut off and lose their lease
-// unseen; the service goes away, loses requests and answers, reads stale; the
-// VM list is late in both directions.
+// Injects faults, also several at once and repeatedly: engines die, restart,
+// pause and resume, also a whole domain at once; keepers pause, are cut off and
+// lose their lease without noticing; the service fails, loses requests and
+// answers, and reads stale; the VM list is late in both directions.
 class Chaos {
  public:
   Chaos(GroupsWorld& world, std::uint64_t seed)
@@ -223,7 +222,7 @@
         world_.link().SetOutage(world_.now(), !world_.link().faults().outage);
         return;
       case 8:
-        // The service forgets a lease while its holder believes in it.
+        // The service drops a lease that its holder still believes in.
         node.is_cut_from_store = true;
         world_.link().store().Execute(world_.now(),
                                       StoreLeaseRevoke{node.lease});
--- a/tests/coordination/groups/order_sender_test.cc
+++ b/tests/coordination/groups/order_sender_test.cc
@@ -7,10 +7,10 @@
 
 constexpr Time kStart = Time::FromMillis(100000);
 
-// Symptom: two keepers order the same engines about at once.
-// Events: the service drops a keeper's lease early, or is restored; another
-// node takes the role while the first still believes in it.
-// Cause: the new keeper did not wait as long as that belief may last.
+// Guards against two keepers that order the same engines at the same time. The
+// service drops a keeper's lease early, or is restored, and another node takes
+// the role while the first still believes that it holds it; the new keeper must
+// wait as long as that can last.
 TEST(OrderSenderTest, NewKeeperWaitsOutItsPredecessor) {
   const OrderSettings settings;
   OrderSender sender(settings);
@@ -19,16 +19,16 @@
   const Time first = kStart + settings.takeover_wait;
   EXPECT_FALSE(sender.MaySend(first - Duration::Millis(1)));
   EXPECT_TRUE(sender.MaySend(first));
-  // Renewing is no new start, but a new number is.
+  // A renewal does not restart the wait; a new fencing token does.
   sender.OnRoleHeld(first, FencingToken(7), valid);
   EXPECT_TRUE(sender.MaySend(first));
   sender.OnRoleHeld(first, FencingToken(8), valid);
   EXPECT_FALSE(sender.MaySend(first));
 }
 
-// Symptom: an order takes effect after another node holds the role.
-// Events: the order leaves shortly before the lease ends and arrives late.
-// Cause: the time that it may be under way was not kept free before the end.
+// Guards against an order that takes effect after another node holds the role.
+// The order is sent shortly before the lease ends and arrives late; the time
+// that it may be in transit must be kept free before the end.
 TEST(OrderSenderTest, OrdersAreOverBeforeTheLeaseEnds) {
   const OrderSettings settings;
   OrderSender sender(settings);
--- a/tests/coordination/groups/repair_planner_test.cc
+++ b/tests/coordination/groups/repair_planner_test.cc
@@ -15,7 +15,7 @@
   return VmId(std::string(domain) + "-" + std::to_string(number));
 }
 
-// Two domains of eight VMs; model "high" goes before model "low".
+// Two domains of eight VMs; model "high" outranks model "low".
 class RepairPlannerTest : public testing::Test {
  protected:
   RepairPlannerTest() {
@@ -38,7 +38,7 @@
     view_.wanted.push_back(wanted);
   }
 
-  // A serving group of two VMs of `domain`, the first of which is `first`.
+  // Adds a serving group of two VMs of `domain`, starting with VM `first`.
   void Serve(const char* domain, const char* model, int first) {
     const GroupId id(std::string(domain) + model + std::to_string(first));
     view_.records[FabricDomainId(domain)].groups.push_back(
@@ -108,10 +108,9 @@
   EXPECT_EQ(std::get<DissolveGroup>(moves[1]).group, GroupId("d1high0"));
 }
 
-// Symptom: a domain that is dark for a minute has all its groups rebuilt
-// elsewhere, and they load weights still when it is back.
-// Events: all VMs of a domain are lost at once and return.
-// Cause: each group was repaired as if it alone had lost its VMs.
+// Guards against rebuilding all groups of a domain elsewhere when it is dark
+// for a minute, so that they still load weights when it is back. All VMs of a
+// domain are lost at once and return.
 TEST_F(RepairPlannerTest, HoldsTheGroupsOfADarkDomain) {
   Serve("d1", "high", 0);
   Serve("d1", "high", 2);
@@ -139,9 +138,9 @@
   EXPECT_TRUE(RepairPlanner(settings_).Plan(kStart, view_).empty());
 }
 
-// Symptom: a group goes down and loads weights again every few minutes.
-// Events: one of its VMs restarts over and over.
-// Cause: the VM was taken back at each return although there were spares.
+// Guards against a group that goes down and loads weights again every few
+// minutes. One of its VMs restarts repeatedly and must not be taken back at
+// each return if there are spares.
 TEST_F(RepairPlannerTest, PrefersASpareToAVmThatFlaps) {
   Serve("d1", "high", 0);
   view_.vms[Vm("d1", 1)].condition = VmCondition::kRestarted;
--- a/tests/coordination/groups/serving_gate_test.cc
+++ b/tests/coordination/groups/serving_gate_test.cc
@@ -9,17 +9,17 @@
 namespace gcw {
 namespace {
 
-// How long a node may go on sending requests to a group after one of its VMs
+// Maximum time that a node may send requests to a group after one of its VMs
 // was lost, in its own zone and in another.
 constexpr Duration kNearBound = GateSettings().max_evidence_age;
 constexpr Duration kFarBound = GateSettings().max_remote_evidence_age;
 
-// Watches how long each open endpoint has lacked a VM.
+// Measures how long each open endpoint has lacked a VM.
 class GateWatch {
  public:
   explicit GateWatch(GroupsWorld& world) : world_(world) {}
 
-  // Returns the first time over the bound; empty where there is none.
+  // Returns the first violation of the bound, or an empty string.
   std::string Run(Duration time) {
     for (const Time end = world_.now() + time; world_.now() < end;) {
       world_.Step();
@@ -54,7 +54,7 @@
   }
 
   std::string CheckNode(GroupsWorld::Node& node, const GroupRecord& group) {
-    // Paused nodes too: they may dispatch as soon as they wake.
+    // Includes paused nodes: they may dispatch as soon as they resume.
     if (!node.gate.IsOpen(world_.now(), ServingGate::EndpointOf(group.id))) {
       return "";
     }
@@ -94,9 +94,9 @@
   EXPECT_EQ(CountOpen(world, "n4"), 3);
 }
 
-// Symptom: requests go to a group whose VM is dead, paused or started anew.
-// Events: one VM of a serving group is lost in each of the three ways.
-// Cause: nodes trusted the record, the VM list or old reports. Evidence ages.
+// Guards against requests to a group whose VM is dead, paused or restarted.
+// Evidence must expire: the record, the VM list and old reports do not show the
+// loss.
 TEST(ServingGateTest, ClosesWhenAVmIsLost) {
   enum class Way { kKill, kPause, kRestart };
   for (const Way way : {Way::kKill, Way::kPause, Way::kRestart}) {
@@ -125,9 +125,9 @@
   }
 }
 
-// Symptom: a node that is cut off goes on routing by what it knew.
-// Events: the node loses its peers, the endpoints and the store at once.
-// Cause: no news was taken for good news.
+// Guards against a cut-off node that routes by outdated information. The node
+// loses its peers, the endpoints and the store at once; the absence of reports
+// must not count as evidence.
 TEST(ServingGateTest, ClosesEverythingWhenCutOffAndOpensWithoutTheStore) {
   GroupsWorld world(3, true);
   GateWatch watch(world);
@@ -136,16 +136,16 @@
   world.link().SetOutage(world.now(), true);
   ASSERT_EQ(watch.Run(kNearBound + Duration::Seconds(1)), "");
   EXPECT_EQ(CountOpen(world, "n3"), 0);
-  // Its doubt of itself closes nothing elsewhere.
+  // A cut-off node closes nothing on other nodes.
   EXPECT_EQ(CountOpen(world, "n1"), 3);
   world.node("n3").is_cut = false;
   ASSERT_EQ(watch.Run(Duration::Seconds(5)), "");
   EXPECT_EQ(CountOpen(world, "n3"), 3);
 }
 
-// Symptom: one node's broken link closes a share of the fleet at all nodes.
-// Events: a node that probes several groups loses its way to all engines only.
-// Cause: it reported what it could not reach as missing, which counts at once.
+// Guards against one node's broken link closing a share of the fleet on all
+// nodes. A node that probes several groups loses its path to all engines only;
+// it must not report them as missing, which takes effect at once.
 TEST(ServingGateTest, NodeThatReachesNoEngineClosesNothingElsewhere) {
   GroupsWorld world(6, true);
   GateWatch watch(world);
@@ -158,11 +158,10 @@
   }
 }
 
-// Symptom: a report that was under way for long opens a group at whose VMs
-// nobody has looked since.
-// Events: reports are delayed by more than the evidence may be old.
-// Cause: the age was counted from the report's arrival. The echo of the
-// receiver's own time bounds it.
+// Guards against a report with a long transit time that opens a group whose VMs
+// nobody has probed since. Reports are delayed by more than the maximum age of
+// evidence. The age must count from the echo of the receiver's own time, not
+// from the arrival of the report.
 TEST(ServingGateTest, ReportsUnderWayForLongAreOld) {
   GroupsWorld world(4, true);
   GateWatch watch(world);
@@ -175,9 +174,8 @@
   EXPECT_EQ(CountOpen(world, "n4"), 0);
 }
 
-// Symptom: a leaving endpoint still gets requests after some seconds.
-// Events: the VM list names one VM of a group as leaving.
-// Cause: only missing VMs closed a group, not those about to go.
+// Guards against requests to a leaving endpoint. The VM list names one VM of a
+// group as leaving; a leaving VM must close its group as a missing one does.
 TEST(ServingGateTest, LeavingVmClosesItsGroup) {
   GroupsWorld world(5, true);
   world.faults().list_lag = Duration();
@@ -240,10 +238,10 @@
   return breach;
 }
 
-// Symptom: node n2 holds group d1-1-2 open for 7.1 s although it lacks a VM.
-// Sequence: a VM of the group is killed, and killed once more 6.4 s later while
-// it has no group. Cause: the played engine of the first VM saw the member
-// again for 400 ms after the second kill, and that was taken for evidence.
+// Guards against a failure in which n2 held group d1-1-2 open for 7.1 s without
+// one of its VMs. The VM is killed, and killed again 6.4 s later while it has
+// no group. The simulated engine of the first VM saw the member again for 400
+// ms after the second kill, which counted as evidence.
 TEST(ServingGateSeedTest, NoRequestToAGroupThatLacksAVmWithSeed79039) {
   EXPECT_EQ(RunLosses(79039), "");
 }
--- a/tests/support/groups_world.h
+++ b/tests/support/groups_world.h
@@ -14,17 +14,17 @@
 
 namespace gcw {
 
-// What may go wrong beside the faults of the fakes.
+// Faults in addition to those of the fakes.
 struct GroupsFaults {
-  // How far the VM list is behind.
+  // Lag of the VM list.
   Duration list_lag = Duration::Seconds(5);
-  // A paused sender had looked at the clock just before the pause and writes
-  // its order when it wakes.
+  // A paused sender checked the clock just before the pause and writes its
+  // order when it resumes.
   bool writes_late = false;
 };
 
-// A zone of two fabric domains with six VMs each, and nodes that keep and
-// watch their groups, in virtual time.
+// Simulates a zone of two fabric domains with six VMs each, and nodes that
+// manage and watch their groups, in virtual time.
 class GroupsWorld {
  public:
   static constexpr Duration kStep = Duration::Millis(100);
@@ -74,7 +74,8 @@
     }
   }
 
-  // Small times, so that many cases fit; their order is that of the defaults.
+  // Short times, so that many cases fit; they are in the same order as the
+  // defaults.
   static KeeperSettings Settings() {
     KeeperSettings settings;
     settings.order.timeout = Duration::Millis(500);
@@ -134,7 +135,7 @@
   Node& node(const char* id) { return nodes_.at(NodeId(id)); }
   std::set<VmId>& unlisted() { return unlisted_; }
 
-  // The committed records, as the service holds them.
+  // Returns the committed records, as the service holds them.
   std::vector<DomainRecord> Records() {
     std::vector<DomainRecord> records;
     for (const auto& [key, entry] : link_.store().entries()) {
@@ -145,7 +146,7 @@
     return records;
   }
 
-  // Holds records by number, which stands for their text.
+  // Stores the record and returns its number, which stands for its text.
   std::string Encode(const DomainRecord& record) {
     texts_.push_back(record);
     return std::to_string(texts_.size() - 1);
@@ -154,7 +155,7 @@
     return texts_.at(std::stoul(std::string(text)));
   }
 
-  // The holder of a domain's keeper role, by the service.
+  // Returns the holder of a domain's keeper role according to the service.
   Node* KeeperOf(const char* domain) {
     const auto it =
         link_.store().entries().find("role/keeper/" + std::string(domain));
@@ -226,7 +227,8 @@
       node.next_list = now_ + Duration::Seconds(2);
       ReadList(node);
     }
-    // The watch, which is not what is tested here.
+    // Delivers the records as a watch would; the watch itself is not under
+    // test.
     if (Reaches(node)) {
       for (const auto& [key, entry] : link_.store().entries()) {
         if (key.starts_with("domain/")) {
@@ -270,7 +272,7 @@
         node.roles[FabricDomainId(domain)] =
             FencingToken(written->revision.value());
       }
-      // Its own key, which it had stopped to believe in.
+      // The node's own key, which it no longer relied on.
       const auto* taken = std::get_if<StoreConflict>(&*reply);
       if (taken != nullptr && taken->current &&
           taken->current->lease == node.lease) {
@@ -361,7 +363,7 @@
         DrawBelow(random_, static_cast<std::uint64_t>(most.millis()))));
   }
 
-  // Writes orders, looking at the clock right before, and lets them arrive.
+  // Writes orders, checking the clock right before, and lets them arrive.
   void RunFlights() {
     std::vector<Flight> flights = std::exchange(flights_, {});
     for (Flight& flight : flights) {
