--- a/coordination/backoff.cc
+++ b/coordination/backoff.cc
@@ -13,10 +13,11 @@
   ++failures_;
   // The delay is never zero, so that a failing call is not repeated in the same
   // tick.
-  const std::int64_t least = std::max<std::int64_t>(1, ceiling.millis() / 4);
+  const std::int64_t min_delay =
+      std::max<std::int64_t>(1, ceiling.millis() / 4);
   const std::int64_t spread =
-      std::max<std::int64_t>(1, ceiling.millis() - least);
-  return Duration::Millis(least +
+      std::max<std::int64_t>(1, ceiling.millis() - min_delay);
+  return Duration::Millis(min_delay +
                           static_cast<std::int64_t>(DrawBelow(
                               random, static_cast<std::uint64_t>(spread))));
 }
--- a/coordination/groups/kept_domain.cc
+++ b/coordination/groups/domain_reconciler.cc
@@ -1,4 +1,4 @@
-#include "coordination/groups/kept_domain.h"
+#include "coordination/groups/domain_reconciler.h"
 
 #include <algorithm>
 #include <string>
@@ -9,58 +9,60 @@
 namespace gcw {
 namespace {
 
-bool IsAt(const EngineStatus& status, const GroupRecord& group) {
+bool IsInGeneration(const EngineStatus& status, const GroupRecord& group) {
   return status.group == group.id && status.generation == group.generation;
 }
 
 }  // namespace
 
-KeptDomain::KeptDomain(FabricDomainId domain,
-                       const KeeperSettings& settings,
-                       DomainWriter writer,
-                       EventSink events)
+DomainReconciler::DomainReconciler(FabricDomainId domain,
+                                   const KeeperSettings& settings,
+                                   DomainWriter writer,
+                                   EventSink events)
     : domain_(std::move(domain)),
       settings_(settings),
       writer_(std::move(writer)),
-      sender_(settings.order),
+      order_sender_(settings.order),
       events_(std::move(events)) {}
 
-void KeptDomain::OnRoleHeld(Time now, FencingToken fence, Time valid_until) {
-  if (sender_.fence() != fence) {
+void DomainReconciler::OnRoleHeld(Time now,
+                                  FencingToken fence,
+                                  Time valid_until) {
+  if (order_sender_.fence() != fence) {
     writer_.Start(now, fence);
   }
-  sender_.OnRoleHeld(now, fence, valid_until);
+  order_sender_.OnRoleHeld(now, fence, valid_until);
 }
 
-void KeptDomain::Advance(Time now,
-                         const VmTracker& tracker,
-                         const std::vector<RepairMove>& moves) {
+void DomainReconciler::Reconcile(Time now,
+                                 const VmTracker& tracker,
+                                 const std::vector<RepairMove>& moves) {
   if (writer_.state() != WriterState::kReady) {
     return;
   }
-  NoteTimes(now);
+  RecordFirstSeenTimes(now);
   DomainRecord next = writer_.record();
   // The first write claims the record, so that a predecessor's writes fail from
   // then on.
   bool changed = !writer_.IsClaimed();
-  changed = ConfirmLeft(now, tracker, next) || changed;
-  changed = ConfirmReady(tracker, next) || changed;
+  changed = RemoveDepartedMembers(now, tracker, next) || changed;
+  changed = MarkServingGroups(tracker, next) || changed;
   changed = ApplyMoves(tracker, moves, next) || changed;
   if (changed) {
     writer_.Propose(now, std::move(next), NextChange());
   }
 }
 
-bool KeptDomain::OnStoreReply(Time now,
-                              StoreCallId id,
-                              const StoreReply& reply) {
+bool DomainReconciler::OnStoreReply(Time now,
+                                    StoreCallId id,
+                                    const StoreReply& reply) {
   const Revision before = writer_.revision();
   writer_.OnReply(now, id, reply);
   return writer_.revision() > before;
 }
 
 // Records when this node first saw each drain and each departure.
-void KeptDomain::NoteTimes(Time now) {
+void DomainReconciler::RecordFirstSeenTimes(Time now) {
   const DomainRecord& record = writer_.record();
   std::map<GroupId, Time> draining;
   for (const GroupRecord& group : record.groups) {
@@ -78,17 +80,17 @@
   leaving_since_ = std::move(leaving);
 }
 
-bool KeptDomain::ConfirmLeft(Time now,
-                             const VmTracker& tracker,
-                             DomainRecord& next) {
+bool DomainReconciler::RemoveDepartedMembers(Time now,
+                                             const VmTracker& tracker,
+                                             DomainRecord& next) {
   return std::erase_if(next.leaving, [&](const LeavingMember& member) {
            return HasLeft(now, tracker, member);
          }) > 0;
 }
 
-bool KeptDomain::HasLeft(Time now,
-                         const VmTracker& tracker,
-                         const LeavingMember& member) const {
+bool DomainReconciler::HasLeft(Time now,
+                               const VmTracker& tracker,
+                               const LeavingMember& member) const {
   const VmFacts* facts = tracker.Find(member.vm);
   if (facts == nullptr) {
     return false;
@@ -99,23 +101,25 @@
   const auto since = leaving_since_.find(member.vm);
   return since != leaving_since_.end() && facts->status &&
          !facts->failing_since && facts->status_time >= since->second &&
-         facts->status_time >= sender_.SettledAt(member.vm) &&
-         facts->status_time >= sender_.first_order() &&
+         facts->status_time >= order_sender_.SettledAt(member.vm) &&
+         facts->status_time >= order_sender_.earliest_order_time() &&
          facts->status->group != member.group;
 }
 
-bool KeptDomain::ConfirmReady(const VmTracker& tracker, DomainRecord& next) {
+bool DomainReconciler::MarkServingGroups(const VmTracker& tracker,
+                                         DomainRecord& next) {
   bool changed = false;
   for (GroupRecord& group : next.groups) {
     const bool is_ready =
         group.state == GroupState::kLoading &&
-        std::all_of(
-            group.members.begin(), group.members.end(), [&](const VmId& vm) {
-              const VmFacts* facts = tracker.Find(vm);
-              return facts != nullptr && facts->status &&
-                     !facts->failing_since && IsAt(*facts->status, group) &&
-                     facts->status->state == EngineState::kReady;
-            });
+        std::all_of(group.members.begin(), group.members.end(),
+                    [&](const VmId& vm) {
+                      const VmFacts* facts = tracker.Find(vm);
+                      return facts != nullptr && facts->status &&
+                             !facts->failing_since &&
+                             IsInGeneration(*facts->status, group) &&
+                             facts->status->state == EngineState::kReady;
+                    });
     if (is_ready) {
       group.state = GroupState::kServing;
       changed = true;
@@ -124,9 +128,9 @@
   return changed;
 }
 
-bool KeptDomain::ApplyMoves(const VmTracker& tracker,
-                            const std::vector<RepairMove>& moves,
-                            DomainRecord& next) {
+bool DomainReconciler::ApplyMoves(const VmTracker& tracker,
+                                  const std::vector<RepairMove>& moves,
+                                  DomainRecord& next) {
   bool changed = false;
   for (const RepairMove& move : moves) {
     changed = ApplyMove(next, move, NextGroup()) || changed;
@@ -150,8 +154,9 @@
   return true;
 }
 
-std::set<GroupId> KeptDomain::DrainedGroups(Time now,
-                                            const VmTracker& tracker) const {
+std::set<GroupId> DomainReconciler::DrainedGroups(
+    Time now,
+    const VmTracker& tracker) const {
   std::set<GroupId> drained;
   for (const GroupRecord& group : writer_.record().groups) {
     if (group.state == GroupState::kDraining &&
@@ -162,9 +167,9 @@
   return drained;
 }
 
-bool KeptDomain::IsDrained(Time now,
-                           const VmTracker& tracker,
-                           const GroupRecord& group) const {
+bool DomainReconciler::IsDrained(Time now,
+                                 const VmTracker& tracker,
+                                 const GroupRecord& group) const {
   const auto since = draining_since_.find(group.id);
   if (since == draining_since_.end() ||
       now < since->second + settings_.drain_hold) {
@@ -172,20 +177,20 @@
   }
   const VmId& first = group.members.front();
   const VmFacts* facts = tracker.Find(first);
-  const bool is_over = now >= since->second + settings_.drain_limit;
-  if (is_over || tracker.IsUnreachable(now, first)) {
+  const bool is_past_limit = now >= since->second + settings_.drain_limit;
+  if (is_past_limit || tracker.IsUnreachable(now, first)) {
     return true;
   }
   if (facts == nullptr || !facts->status || facts->failing_since ||
       facts->status_time < since->second + settings_.drain_hold) {
     return false;
   }
-  return !IsAt(*facts->status, group) || facts->status->active == 0;
+  return !IsInGeneration(*facts->status, group) || facts->status->active == 0;
 }
 
-VmCondition KeptDomain::ConditionOf(Time now,
-                                    const VmTracker& tracker,
-                                    const VmId& vm) const {
+VmCondition DomainReconciler::ConditionOf(Time now,
+                                          const VmTracker& tracker,
+                                          const VmId& vm) const {
   const VmFacts* facts = tracker.Find(vm);
   if (facts == nullptr || tracker.IsUnreachable(now, vm)) {
     return VmCondition::kLost;
@@ -201,34 +206,35 @@
   if (status.state == EngineState::kFailed) {
     return VmCondition::kLost;
   }
-  if (group->state == GroupState::kLoading || IsAt(status, *group)) {
+  if (group->state == GroupState::kLoading || IsInGeneration(status, *group)) {
     return VmCondition::kHealthy;
   }
   return status.group.empty() ? VmCondition::kRestarted : VmCondition::kLost;
 }
 
-bool KeptDomain::IsAssignable(Time now,
-                              const VmTracker& tracker,
-                              const VmId& vm) const {
+bool DomainReconciler::IsAssignable(Time now,
+                                    const VmTracker& tracker,
+                                    const VmId& vm) const {
   const VmFacts* facts = tracker.Find(vm);
   return facts != nullptr && facts->listed &&
          facts->entry.state == VmState::kLive &&
-         !IsRecorded(writer_.record(), vm) && !sender_.IsPending(now, vm) &&
-         tracker.IsIdleSince(
-             vm, std::max(sender_.SettledAt(vm), sender_.first_order()));
+         !IsRecorded(writer_.record(), vm) &&
+         !order_sender_.IsPending(now, vm) &&
+         tracker.IsIdleSince(vm, std::max(order_sender_.SettledAt(vm),
+                                          order_sender_.earliest_order_time()));
 }
 
-ChangeId KeptDomain::NextChange() {
+ChangeId DomainReconciler::NextChange() {
   ++last_change_;
   return ChangeId(domain_.value() + "/" +
-                  std::to_string(sender_.fence()->value()) + "/" +
+                  std::to_string(order_sender_.fence()->value()) + "/" +
                   std::to_string(last_change_));
 }
 
-GroupId KeptDomain::NextGroup() {
+GroupId DomainReconciler::NextGroup() {
   ++last_group_;
   return GroupId(domain_.value() + "-" +
-                 std::to_string(sender_.fence()->value()) + "-" +
+                 std::to_string(order_sender_.fence()->value()) + "-" +
                  std::to_string(last_group_));
 }
 
--- a/coordination/groups/kept_domain.h
+++ b/coordination/groups/domain_reconciler.h
@@ -1,5 +1,5 @@
-#ifndef COORDINATION_GROUPS_KEPT_DOMAIN_H_
-#define COORDINATION_GROUPS_KEPT_DOMAIN_H_
+#ifndef COORDINATION_GROUPS_DOMAIN_RECONCILER_H_
+#define COORDINATION_GROUPS_DOMAIN_RECONCILER_H_
 
 #include <map>
 #include <optional>
@@ -18,20 +18,20 @@
 // Manages one fabric domain while this node holds its keeper role: keeps the
 // domain's engines consistent with its record. The record is written first;
 // engines are ordered only what is known to be committed.
-class KeptDomain {
+class DomainReconciler {
  public:
-  KeptDomain(FabricDomainId domain,
-             const KeeperSettings& settings,
-             DomainWriter writer,
-             EventSink events);
+  DomainReconciler(FabricDomainId domain,
+                   const KeeperSettings& settings,
+                   DomainWriter writer,
+                   EventSink events);
 
   void OnRoleHeld(Time now, FencingToken fence, Time valid_until);
 
   // Writes what the evidence confirms and what `moves` ask for, if anything, in
   // one compare-and-swap.
-  void Advance(Time now,
-               const VmTracker& tracker,
-               const std::vector<RepairMove>& moves);
+  void Reconcile(Time now,
+                 const VmTracker& tracker,
+                 const std::vector<RepairMove>& moves);
 
   // Returns the call to the key-value service that is due, if any.
   std::optional<StoreCall> DueCall(Time now) { return writer_.Tick(now); }
@@ -47,7 +47,7 @@
   void OnOrderReply(Time now, OrderId id, const OrderReply& reply);
 
   // Sets how closely `tracker` probes each VM of the domain.
-  void SetWatches(VmTracker& tracker) const;
+  void SetProbeRates(VmTracker& tracker) const;
 
   // True if the VM is not in the record and its engine reported that it is idle
   // after the last order to it was over.
@@ -63,9 +63,11 @@
   const DomainWriter& writer() const { return writer_; }
 
  private:
-  void NoteTimes(Time now);
-  bool ConfirmLeft(Time now, const VmTracker& tracker, DomainRecord& next);
-  bool ConfirmReady(const VmTracker& tracker, DomainRecord& next);
+  void RecordFirstSeenTimes(Time now);
+  bool RemoveDepartedMembers(Time now,
+                             const VmTracker& tracker,
+                             DomainRecord& next);
+  bool MarkServingGroups(const VmTracker& tracker, DomainRecord& next);
   bool ApplyMoves(const VmTracker& tracker,
                   const std::vector<RepairMove>& moves,
                   DomainRecord& next);
@@ -84,14 +86,14 @@
   EngineOrder MakeOrder(const VmTracker& tracker,
                         EngineOrderKind kind,
                         const GroupRecord& group) const;
-  EngineOrder LeaveOrder(const EngineStatus& status) const;
+  EngineOrder MakeLeaveOrder(const EngineStatus& status) const;
   ChangeId NextChange();
   GroupId NextGroup();
 
   FabricDomainId domain_;
   KeeperSettings settings_;
   DomainWriter writer_;
-  OrderSender sender_;
+  OrderSender order_sender_;
   EventSink events_;
   // When this node first saw each group draining in the record.
   std::map<GroupId, Time> draining_since_;
@@ -103,4 +105,4 @@
 
 }  // namespace gcw
 
-#endif  // COORDINATION_GROUPS_KEPT_DOMAIN_H_
+#endif  // COORDINATION_GROUPS_DOMAIN_RECONCILER_H_
--- a/coordination/groups/kept_domain_orders.cc
+++ b/coordination/groups/domain_reconciler_orders.cc
@@ -2,17 +2,17 @@
 #include <utility>
 
 #include "coordination/configuration/record_changes.h"
-#include "coordination/groups/kept_domain.h"
+#include "coordination/groups/domain_reconciler.h"
 
 namespace gcw {
 
-std::vector<SendOrder> KeptDomain::DueOrders(Time now,
-                                             const VmTracker& tracker,
-                                             OrderId& last_order) {
+std::vector<SendOrder> DomainReconciler::DueOrders(Time now,
+                                                   const VmTracker& tracker,
+                                                   OrderId& last_order) {
   std::vector<SendOrder> orders;
   // The committed record is unknown while a write is in progress or unsettled.
   if (writer_.state() != WriterState::kReady || !writer_.IsClaimed() ||
-      !sender_.MaySend(now)) {
+      !order_sender_.MaySend(now)) {
     return orders;
   }
   for (const auto& [vm, facts] : tracker.all()) {
@@ -29,25 +29,27 @@
              EventId(),
              {{"group", order->group.value()},
               {"generation", order->generation.value()}}});
-    orders.push_back(
-        sender_.Send(last_order, vm, facts.entry.address, *std::move(order)));
+    orders.push_back(order_sender_.Send(last_order, vm, facts.entry.address,
+                                        *std::move(order)));
   }
   return orders;
 }
 
 // A VM gets its next order only after a probe has shown the result of the
 // previous one.
-bool KeptDomain::MayOrder(Time now, const VmFacts& facts) const {
+bool DomainReconciler::MayOrder(Time now, const VmFacts& facts) const {
   const VmId& vm = facts.entry.id;
   return facts.entry.domain == domain_ &&
          facts.entry.purpose == VmPurpose::kModelEngine && facts.status &&
-         !facts.failing_since && !sender_.IsPending(now, vm) &&
-         facts.status_time >= sender_.SettledAt(vm) &&
-         facts.status_time >= sender_.first_order();
+         !facts.failing_since && !order_sender_.IsPending(now, vm) &&
+         facts.status_time >= order_sender_.SettledAt(vm) &&
+         facts.status_time >= order_sender_.earliest_order_time();
 }
 
-void KeptDomain::OnOrderReply(Time now, OrderId id, const OrderReply& reply) {
-  const std::optional<VmId> vm = sender_.OnReply(now, id, reply);
+void DomainReconciler::OnOrderReply(Time now,
+                                    OrderId id,
+                                    const OrderReply& reply) {
+  const std::optional<VmId> vm = order_sender_.OnReply(now, id, reply);
   if (!vm) {
     return;
   }
@@ -63,8 +65,9 @@
   }
 }
 
-std::optional<EngineOrder> KeptDomain::OrderFor(const VmTracker& tracker,
-                                                const VmFacts& facts) const {
+std::optional<EngineOrder> DomainReconciler::OrderFor(
+    const VmTracker& tracker,
+    const VmFacts& facts) const {
   const EngineStatus& status = *facts.status;
   const GroupRecord* group = FindGroupOf(writer_.record(), facts.entry.id);
   if (group != nullptr) {
@@ -73,27 +76,28 @@
   if (status.group.empty()) {
     return std::nullopt;
   }
-  return LeaveOrder(status);
+  return MakeLeaveOrder(status);
 }
 
-std::optional<EngineOrder> KeptDomain::OrderForMember(
+std::optional<EngineOrder> DomainReconciler::OrderForMember(
     const VmTracker& tracker,
     const GroupRecord& group,
     const EngineStatus& status) const {
-  const bool is_elsewhere = !status.group.empty() && status.group != group.id;
-  const bool is_ahead =
+  const bool is_in_other_group =
+      !status.group.empty() && status.group != group.id;
+  const bool is_in_later_generation =
       status.group == group.id && status.generation > group.generation;
-  const bool is_at =
+  const bool is_in_generation =
       status.group == group.id && status.generation == group.generation;
   const bool has_failed =
       status.state == EngineState::kFailed && !status.group.empty();
-  if (is_elsewhere || is_ahead || has_failed) {
-    return LeaveOrder(status);
+  if (is_in_other_group || is_in_later_generation || has_failed) {
+    return MakeLeaveOrder(status);
   }
-  if (group.state == GroupState::kLoading && !is_at) {
+  if (group.state == GroupState::kLoading && !is_in_generation) {
     return MakeOrder(tracker, EngineOrderKind::kLoad, group);
   }
-  if (group.state == GroupState::kDraining && is_at &&
+  if (group.state == GroupState::kDraining && is_in_generation &&
       status.vm == group.members.front() &&
       status.state == EngineState::kReady) {
     return MakeOrder(tracker, EngineOrderKind::kDrain, group);
@@ -101,9 +105,9 @@
   return std::nullopt;
 }
 
-EngineOrder KeptDomain::MakeOrder(const VmTracker& tracker,
-                                  EngineOrderKind kind,
-                                  const GroupRecord& group) const {
+EngineOrder DomainReconciler::MakeOrder(const VmTracker& tracker,
+                                        EngineOrderKind kind,
+                                        const GroupRecord& group) const {
   EngineOrder order;
   order.kind = kind;
   order.group = group.id;
@@ -118,7 +122,7 @@
   return order;
 }
 
-EngineOrder KeptDomain::LeaveOrder(const EngineStatus& status) const {
+EngineOrder DomainReconciler::MakeLeaveOrder(const EngineStatus& status) const {
   EngineOrder order;
   order.kind = EngineOrderKind::kLeave;
   order.group = status.group;
@@ -128,18 +132,18 @@
   return order;
 }
 
-void KeptDomain::SetWatches(VmTracker& tracker) const {
-  std::map<VmId, Watch> watches;
+void DomainReconciler::SetProbeRates(VmTracker& tracker) const {
+  std::map<VmId, ProbeRate> rates;
   for (const GroupRecord& group : writer_.record().groups) {
     const VmFacts* first = tracker.Find(group.members.front());
     const bool is_steady = group.state == GroupState::kServing;
     for (const VmId& vm : group.members) {
-      watches[vm] = is_steady ? Watch::kIdle : Watch::kClose;
+      rates[vm] = is_steady ? ProbeRate::kIdle : ProbeRate::kFast;
     }
     if (!is_steady) {
       continue;
     }
-    watches[group.members.front()] = Watch::kFirst;
+    rates[group.members.front()] = ProbeRate::kFirstMember;
     if (first == nullptr || !first->status ||
         first->status->group != group.id) {
       continue;
@@ -149,7 +153,7 @@
     const std::vector<VmId>& seen = first->status->members_seen;
     for (const VmId& vm : group.members) {
       if (std::find(seen.begin(), seen.end(), vm) == seen.end()) {
-        watches[vm] = Watch::kClose;
+        rates[vm] = ProbeRate::kFast;
       }
     }
   }
@@ -157,15 +161,15 @@
     if (facts.entry.domain != domain_) {
       continue;
     }
-    const auto it = watches.find(vm);
-    Watch watch = it == watches.end() ? Watch::kIdle : it->second;
+    const auto it = rates.find(vm);
+    ProbeRate rate = it == rates.end() ? ProbeRate::kIdle : it->second;
     const bool is_unrecorded_member =
-        it == watches.end() && facts.status && !facts.status->group.empty();
-    if (is_unrecorded_member || (it != watches.end() && facts.failing_since) ||
-        IsRecorded(writer_.record(), vm) != (it != watches.end())) {
-      watch = Watch::kClose;
+        it == rates.end() && facts.status && !facts.status->group.empty();
+    if (is_unrecorded_member || (it != rates.end() && facts.failing_since) ||
+        IsRecorded(writer_.record(), vm) != (it != rates.end())) {
+      rate = ProbeRate::kFast;
     }
-    tracker.SetWatch(vm, watch);
+    tracker.SetProbeRate(vm, rate);
   }
 }
 
--- a/coordination/groups/domain_writer.cc
+++ b/coordination/groups/domain_writer.cc
@@ -22,8 +22,8 @@
 
 void DomainWriter::Start(Time now, FencingToken fence) {
   fence_ = fence;
-  call_.reset();
-  ReadLater(now);
+  pending_call_.reset();
+  ScheduleRead(now);
 }
 
 bool DomainWriter::IsClaimed() const {
@@ -43,17 +43,17 @@
   proposed_ = std::move(record);
   state_ = WriterState::kWriting;
   call_due_ = true;
-  due_ = now;
+  call_due_at_ = now;
   return true;
 }
 
 std::optional<StoreCall> DomainWriter::Tick(Time now) {
-  if (call_ && now - call_sent_ >= settings_.call_timeout) {
-    call_.reset();
+  if (pending_call_ && now - call_sent_ >= settings_.call_timeout) {
+    pending_call_.reset();
     // The write may have taken effect or may still do so; only a read tells.
-    ReadLater(now);
+    ScheduleRead(now);
   }
-  if (call_ || !call_due_ || now < due_) {
+  if (pending_call_ || !call_due_ || now < call_due_at_) {
     return std::nullopt;
   }
   if (state_ == WriterState::kWriting) {
@@ -63,16 +63,16 @@
 }
 
 void DomainWriter::OnCallSent(Time now, StoreCallId id) {
-  call_ = id;
+  pending_call_ = id;
   call_sent_ = now;
   call_due_ = false;
 }
 
 void DomainWriter::OnReply(Time now, StoreCallId id, const StoreReply& reply) {
-  if (call_ != id) {
+  if (pending_call_ != id) {
     return;
   }
-  call_.reset();
+  pending_call_.reset();
   if (const auto* range = std::get_if<StoreRangeReply>(&reply)) {
     OnRange(now, *range);
   } else if (const auto* written = std::get_if<StoreWritten>(&reply)) {
@@ -82,24 +82,25 @@
   } else if (const auto* busy = std::get_if<StoreBusy>(&reply)) {
     // The service did nothing, so the same call may be repeated.
     call_due_ = true;
-    due_ = now + busy->retry_after;
+    call_due_at_ = now + busy->retry_after;
   } else {
-    ReadLater(now + settings_.retry_interval);
+    ScheduleRead(now + settings_.retry_interval);
   }
 }
 
 void DomainWriter::OnRange(Time now, const StoreRangeReply& reply) {
-  if (reply.revision < seen_) {
+  if (reply.revision < max_seen_revision_) {
     // The service was restored to an earlier state, or the read is stale.
     // Acting on it would assign VMs that other groups have since been given.
     events_({EventKind::kStoreRewound,
              key(),
              EventId(),
-             {{"revision", reply.revision.value()}, {"seen", seen_.value()}}});
-    ReadLater(now + settings_.retry_interval);
+             {{"revision", reply.revision.value()},
+              {"seen", max_seen_revision_.value()}}});
+    ScheduleRead(now + settings_.retry_interval);
     return;
   }
-  seen_ = reply.revision;
+  max_seen_revision_ = reply.revision;
   std::optional<StoreEntry> entry;
   for (const StoreEntry& candidate : reply.entries) {
     if (candidate.key == key()) {
@@ -110,11 +111,11 @@
 }
 
 void DomainWriter::OnWritten(Time now, Revision revision) {
-  if (revision <= seen_ && seen_ != Revision()) {
-    ReadLater(now + settings_.retry_interval);
+  if (revision <= max_seen_revision_ && max_seen_revision_ != Revision()) {
+    ScheduleRead(now + settings_.retry_interval);
     return;
   }
-  seen_ = revision;
+  max_seen_revision_ = revision;
   revision_ = revision;
   record_ = proposed_;
   state_ = WriterState::kReady;
@@ -122,7 +123,7 @@
 
 void DomainWriter::Adopt(Time now, const std::optional<StoreEntry>& entry) {
   if (IsBehind(entry)) {
-    ReadLater(now + settings_.retry_interval);
+    ScheduleRead(now + settings_.retry_interval);
     return;
   }
   if (!entry) {
@@ -131,13 +132,13 @@
   }
   const std::optional<DomainRecord> record = codec_.decode(entry->value);
   if (!record) {
-    ReadLater(now + settings_.retry_interval);
+    ScheduleRead(now + settings_.retry_interval);
     return;
   }
-  seen_ = std::max(seen_, entry->revision);
+  max_seen_revision_ = std::max(max_seen_revision_, entry->revision);
   revision_ = entry->revision;
   record_ = *record;
-  state_ = record_.written_by > fence_ ? WriterState::kOvertaken
+  state_ = record_.written_by > fence_ ? WriterState::kSuperseded
                                        : WriterState::kReady;
 }
 
@@ -145,10 +146,10 @@
   return entry ? entry->revision < revision_ : revision_ != Revision();
 }
 
-void DomainWriter::ReadLater(Time when) {
+void DomainWriter::ScheduleRead(Time when) {
   state_ = WriterState::kReading;
   call_due_ = true;
-  due_ = when;
+  call_due_at_ = when;
 }
 
 }  // namespace gcw
--- a/coordination/groups/domain_writer.h
+++ b/coordination/groups/domain_writer.h
@@ -38,7 +38,7 @@
   // A compare-and-swap is in progress.
   kWriting,
   // A keeper with a higher fencing token wrote the record.
-  kOvertaken,
+  kSuperseded,
 };
 
 // Reads and writes the record of one domain by compare-and-swap. A write whose
@@ -79,7 +79,7 @@
   void OnRange(Time now, const StoreRangeReply& reply);
   void OnWritten(Time now, Revision revision);
   void Adopt(Time now, const std::optional<StoreEntry>& entry);
-  void ReadLater(Time when);
+  void ScheduleRead(Time when);
   bool IsBehind(const std::optional<StoreEntry>& entry) const;
 
   FabricDomainId domain_;
@@ -92,11 +92,11 @@
   Revision revision_;
   // The highest store revision seen. A lower one in a reply means that the
   // service was restored to an earlier state or that the read is stale.
-  Revision seen_;
+  Revision max_seen_revision_;
   DomainRecord proposed_;
   bool call_due_ = true;
-  Time due_;
-  std::optional<StoreCallId> call_;
+  Time call_due_at_;
+  std::optional<StoreCallId> pending_call_;
   Time call_sent_;
 };
 
--- a/coordination/groups/flap_tracker.cc
+++ b/coordination/groups/flap_tracker.cc
@@ -13,12 +13,12 @@
   if (history.losses < 2) {
     return;
   }
-  Duration hold = settings_.first_hold;
-  for (int loss = 2; loss < history.losses && hold < settings_.longest_hold;
+  Duration hold = settings_.initial_hold;
+  for (int loss = 2; loss < history.losses && hold < settings_.max_hold;
        ++loss) {
     hold = hold * 2;
   }
-  history.held_until = now + std::min(hold, settings_.longest_hold);
+  history.held_until = now + std::min(hold, settings_.max_hold);
 }
 
 bool FlapTracker::IsHeldOff(Time now, const VmId& vm) const {
@@ -29,7 +29,7 @@
 void FlapTracker::Tick(Time now) {
   std::erase_if(histories_, [&](const auto& item) {
     return now >= item.second.held_until &&
-           now - item.second.last_loss > settings_.memory;
+           now - item.second.last_loss > settings_.reset_after;
   });
 }
 
--- a/coordination/groups/flap_tracker.h
+++ b/coordination/groups/flap_tracker.h
@@ -10,11 +10,11 @@
 // Settings of `FlapTracker`.
 struct FlapSettings {
   // Hold-off after the second loss; it doubles with each further loss.
-  Duration first_hold = Duration::Seconds(60);
-  Duration longest_hold = Duration::Seconds(3600);
+  Duration initial_hold = Duration::Seconds(60);
+  Duration max_hold = Duration::Seconds(3600);
   // A VM's losses are forgotten if it stays up for this long after the last
   // one.
-  Duration memory = Duration::Seconds(3600);
+  Duration reset_after = Duration::Seconds(3600);
 };
 
 // Keeps flapping VMs out of groups. A group that took a flapping VM back at
--- a/coordination/groups/group_keeper.cc
+++ b/coordination/groups/group_keeper.cc
@@ -41,27 +41,28 @@
       codec_(std::move(codec)),
       events_(std::move(events)),
       tracker_(settings.tracker),
-      flaps_(settings.flap),
+      flap_tracker_(settings.flap),
       planner_(settings.planner) {}
 
 void GroupKeeper::OnRoleHeld(Time now,
                              const FabricDomainId& domain,
                              FencingToken fence,
                              Time valid_until) {
-  auto it = kept_.find(domain);
-  if (it == kept_.end()) {
-    it = kept_
-             .emplace(domain, KeptDomain(domain, settings_,
-                                         DomainWriter(domain, settings_.writer,
-                                                      codec_, events_),
-                                         events_))
+  auto it = reconcilers_.find(domain);
+  if (it == reconcilers_.end()) {
+    it = reconcilers_
+             .emplace(domain,
+                      DomainReconciler(domain, settings_,
+                                       DomainWriter(domain, settings_.writer,
+                                                    codec_, events_),
+                                       events_))
              .first;
   }
   it->second.OnRoleHeld(now, fence, valid_until);
 }
 
 void GroupKeeper::OnRoleLost(const FabricDomainId& domain) {
-  kept_.erase(domain);
+  reconcilers_.erase(domain);
 }
 
 void GroupKeeper::OnVmList(Time now, const VmListSnapshot& snapshot) {
@@ -70,9 +71,9 @@
 
 void GroupKeeper::OnDomainRecord(const DomainRecord& record,
                                  Revision revision) {
-  Foreign& foreign = foreign_[record.domain];
-  if (revision > foreign.revision) {
-    foreign = Foreign{record, revision};
+  OtherRecord& other = other_records_[record.domain];
+  if (revision > other.revision) {
+    other = OtherRecord{record, revision};
   }
 }
 
@@ -85,7 +86,7 @@
 }
 
 void GroupKeeper::OnDrainAsked(const GroupId& group) {
-  drains_asked_.insert(group);
+  requested_drains_.insert(group);
 }
 
 void GroupKeeper::OnProbeReply(Time now, ProbeId id, const ProbeReply& reply) {
@@ -95,9 +96,9 @@
 std::vector<GroupKeeperAction>
 GroupKeeper::OnStoreReply(Time now, StoreCallId id, const StoreReply& reply) {
   std::vector<GroupKeeperAction> actions;
-  for (auto& [domain, kept] : kept_) {
-    if (kept.OnStoreReply(now, id, reply)) {
-      const DomainWriter& writer = kept.writer();
+  for (auto& [domain, reconciler] : reconcilers_) {
+    if (reconciler.OnStoreReply(now, id, reply)) {
+      const DomainWriter& writer = reconciler.writer();
       OnDomainRecord(writer.record(), writer.revision());
       actions.emplace_back(RecordCommitted{writer.record(), writer.revision()});
     }
@@ -106,21 +107,21 @@
 }
 
 void GroupKeeper::OnOrderReply(Time now, OrderId id, const OrderReply& reply) {
-  for (auto& [domain, kept] : kept_) {
-    kept.OnOrderReply(now, id, reply);
+  for (auto& [domain, reconciler] : reconcilers_) {
+    reconciler.OnOrderReply(now, id, reply);
   }
 }
 
 std::vector<GroupKeeperAction> GroupKeeper::Tick(Time now) {
   std::vector<GroupKeeperAction> actions;
-  NoteLosses(now);
-  AdvanceAll(now);
+  RecordLosses(now);
+  ReconcileAll(now);
   CollectCalls(now, actions);
   CollectOrders(now, actions);
   std::set<FabricDomainId> domains;
-  for (const auto& [domain, kept] : kept_) {
+  for (const auto& [domain, reconciler] : reconcilers_) {
     domains.insert(domain);
-    kept.SetWatches(tracker_);
+    reconciler.SetProbeRates(tracker_);
   }
   tracker_.SetDomains(domains);
   for (ProbeVm& probe : tracker_.Tick(now)) {
@@ -130,8 +131,9 @@
 }
 
 const DomainRecord* GroupKeeper::RecordOf(const FabricDomainId& domain) const {
-  const auto it = kept_.find(domain);
-  if (it == kept_.end() || it->second.writer().revision() == Revision()) {
+  const auto it = reconcilers_.find(domain);
+  if (it == reconcilers_.end() ||
+      it->second.writer().revision() == Revision()) {
     return nullptr;
   }
   return &it->second.writer().record();
@@ -139,12 +141,12 @@
 
 // Reports each loss of a VM once: it became unreachable, or it restarted
 // without having been seen as unreachable.
-void GroupKeeper::NoteLosses(Time now) {
-  flaps_.Tick(now);
+void GroupKeeper::RecordLosses(Time now) {
+  flap_tracker_.Tick(now);
   for (const auto& [vm, facts] : tracker_.all()) {
     const bool is_unreachable = tracker_.IsUnreachable(now, vm);
     if (is_unreachable && unreachable_.insert(vm).second) {
-      flaps_.OnLost(now, vm);
+      flap_tracker_.OnLost(now, vm);
       events_({EventKind::kVmLost, vm.value(), EventId(), {}});
     }
     if (!facts.status) {
@@ -154,7 +156,7 @@
     const bool has_restarted = known != incarnations_.end() &&
                                known->second != facts.status->incarnation;
     if (has_restarted && !unreachable_.contains(vm)) {
-      flaps_.OnLost(now, vm);
+      flap_tracker_.OnLost(now, vm);
       events_({EventKind::kVmLost, vm.value(), EventId(), {}});
     }
     incarnations_[vm] = facts.status->incarnation;
@@ -164,14 +166,14 @@
   }
 }
 
-void GroupKeeper::AdvanceAll(Time now) {
+void GroupKeeper::ReconcileAll(Time now) {
   std::map<FabricDomainId, std::vector<RepairMove>> moves;
   if (now >= next_plan_) {
     next_plan_ = now + settings_.plan_interval;
     moves = PlanMoves(now);
   }
-  for (auto& [domain, kept] : kept_) {
-    kept.Advance(now, tracker_, moves[domain]);
+  for (auto& [domain, reconciler] : reconcilers_) {
+    reconciler.Reconcile(now, tracker_, moves[domain]);
   }
 }
 
@@ -183,7 +185,7 @@
         std::visit([](const auto& typed) { return typed.domain; }, move);
     // A keeper with the same information makes the same plan and carries out
     // the moves of its own domains.
-    if (kept_.contains(domain)) {
+    if (reconcilers_.contains(domain)) {
       moves[domain].push_back(std::move(move));
     }
   }
@@ -195,60 +197,60 @@
   view.zone = zone_;
   view.wanted = wanted_;
   view.load_wait = load_wait_;
-  view.drains_asked = drains_asked_;
+  view.requested_drains = requested_drains_;
   std::set<FabricDomainId> zone_domains;
   for (const auto& [vm, facts] : tracker_.all()) {
     if (facts.entry.purpose == VmPurpose::kModelEngine &&
         facts.entry.zone == zone_) {
-      view.vms[vm] = Describe(now, vm, facts);
+      view.vms[vm] = DescribeVm(now, vm, facts);
       zone_domains.insert(facts.entry.domain);
     }
   }
   // Records of all zones arrive here. The planner looks up the VMs of each
   // record's domain, so a record of another zone, or one that came before the
   // VM list, would end the process.
-  for (const auto& [domain, foreign] : foreign_) {
+  for (const auto& [domain, other] : other_records_) {
     if (zone_domains.contains(domain)) {
-      view.records[domain] = foreign.record;
+      view.records[domain] = other.record;
     }
   }
-  for (const auto& [domain, kept] : kept_) {
+  for (const auto& [domain, reconciler] : reconcilers_) {
     if (zone_domains.contains(domain)) {
-      view.records[domain] = kept.writer().record();
-      view.drained.merge(kept.DrainedGroups(now, tracker_));
+      view.records[domain] = reconciler.writer().record();
+      view.drained.merge(reconciler.DrainedGroups(now, tracker_));
     }
   }
   return view;
 }
 
-PlannerVm GroupKeeper::Describe(Time now,
-                                const VmId& vm,
-                                const VmFacts& facts) const {
+PlannerVm GroupKeeper::DescribeVm(Time now,
+                                  const VmId& vm,
+                                  const VmFacts& facts) const {
   PlannerVm described;
   described.domain = facts.entry.domain;
   described.accelerators = facts.entry.accelerators;
-  described.held_off = flaps_.IsHeldOff(now, vm);
-  const auto kept = kept_.find(facts.entry.domain);
-  if (kept != kept_.end()) {
-    described.condition = kept->second.ConditionOf(now, tracker_, vm);
-    described.assignable = kept->second.IsAssignable(now, tracker_, vm);
+  described.held_off = flap_tracker_.IsHeldOff(now, vm);
+  const auto reconciler = reconcilers_.find(facts.entry.domain);
+  if (reconciler != reconcilers_.end()) {
+    described.condition = reconciler->second.ConditionOf(now, tracker_, vm);
+    described.assignable = reconciler->second.IsAssignable(now, tracker_, vm);
     return described;
   }
   // For VMs that another keeper probes, only the list and the record are known.
   const bool is_live = facts.listed && facts.entry.state == VmState::kLive;
   described.condition = is_live ? VmCondition::kHealthy : VmCondition::kLeaving;
-  const auto foreign = foreign_.find(facts.entry.domain);
-  described.assignable = is_live && foreign != foreign_.end() &&
-                         !IsRecorded(foreign->second.record, vm);
+  const auto other = other_records_.find(facts.entry.domain);
+  described.assignable = is_live && other != other_records_.end() &&
+                         !IsRecorded(other->second.record, vm);
   return described;
 }
 
 void GroupKeeper::CollectCalls(Time now,
                                std::vector<GroupKeeperAction>& actions) {
-  for (auto& [domain, kept] : kept_) {
-    if (std::optional<StoreCall> call = kept.DueCall(now)) {
+  for (auto& [domain, reconciler] : reconcilers_) {
+    if (std::optional<StoreCall> call = reconciler.DueCall(now)) {
       ++last_call_;
-      kept.OnCallSent(now, last_call_);
+      reconciler.OnCallSent(now, last_call_);
       actions.emplace_back(StoreRequest{last_call_, *std::move(call)});
     }
   }
@@ -256,8 +258,8 @@
 
 void GroupKeeper::CollectOrders(Time now,
                                 std::vector<GroupKeeperAction>& actions) {
-  for (auto& [domain, kept] : kept_) {
-    for (SendOrder& order : kept.DueOrders(now, tracker_, last_order_)) {
+  for (auto& [domain, reconciler] : reconcilers_) {
+    for (SendOrder& order : reconciler.DueOrders(now, tracker_, last_order_)) {
       actions.emplace_back(std::move(order));
     }
   }
--- a/coordination/groups/group_keeper.h
+++ b/coordination/groups/group_keeper.h
@@ -7,8 +7,8 @@
 #include <vector>
 
 #include "coordination/actions.h"
+#include "coordination/groups/domain_reconciler.h"
 #include "coordination/groups/keeper_settings.h"
-#include "coordination/groups/kept_domain.h"
 #include "coordination/groups/repair_planner.h"
 #include "coordination/groups/vm_probe.h"
 #include "state/state.h"
@@ -46,7 +46,8 @@
   // are not planned with.
   void OnDomainRecord(const DomainRecord& record, Revision revision);
   void OnWantedModels(std::vector<WantedModel> wanted);
-  // Sets how long a load queued now waits, as reported by `GET /weights`.
+  // Sets how long a load queued now waits for the weight store, as reported by
+  // `GET /weights`.
   void OnWeightStoreWait(Duration wait);
   // An operator requested the planned stop of a group in a domain of this
   // keeper.
@@ -65,7 +66,7 @@
   const DomainRecord* RecordOf(const FabricDomainId& domain) const;
 
  private:
-  struct Foreign {
+  struct OtherRecord {
     DomainRecord record;
     Revision revision;
   };
@@ -76,10 +77,10 @@
               EventSink events);
 
   PlannerView MakeView(Time now) const;
-  PlannerVm Describe(Time now, const VmId& vm, const VmFacts& facts) const;
+  PlannerVm DescribeVm(Time now, const VmId& vm, const VmFacts& facts) const;
   std::map<FabricDomainId, std::vector<RepairMove>> PlanMoves(Time now);
-  void NoteLosses(Time now);
-  void AdvanceAll(Time now);
+  void RecordLosses(Time now);
+  void ReconcileAll(Time now);
   void CollectCalls(Time now, std::vector<GroupKeeperAction>& actions);
   void CollectOrders(Time now, std::vector<GroupKeeperAction>& actions);
 
@@ -88,13 +89,13 @@
   DomainRecordCodec codec_;
   EventSink events_;
   VmTracker tracker_;
-  FlapTracker flaps_;
+  FlapTracker flap_tracker_;
   RepairPlanner planner_;
-  std::map<FabricDomainId, KeptDomain> kept_;
-  std::map<FabricDomainId, Foreign> foreign_;
+  std::map<FabricDomainId, DomainReconciler> reconcilers_;
+  std::map<FabricDomainId, OtherRecord> other_records_;
   std::vector<WantedModel> wanted_;
   Duration load_wait_;
-  std::set<GroupId> drains_asked_;
+  std::set<GroupId> requested_drains_;
   std::map<VmId, Incarnation> incarnations_;
   std::set<VmId> unreachable_;
   Time next_plan_;
--- a/coordination/groups/order_sender.cc
+++ b/coordination/groups/order_sender.cc
@@ -10,7 +10,7 @@
 void OrderSender::OnRoleHeld(Time now, FencingToken fence, Time valid_until) {
   if (fence_ != fence) {
     fence_ = fence;
-    first_order_ = now + settings_.takeover_wait;
+    earliest_order_time_ = now + settings_.takeover_wait;
   }
   valid_until_ = valid_until;
 }
@@ -20,22 +20,22 @@
 }
 
 bool OrderSender::MaySend(Time now) const {
-  return fence_ && now >= first_order_ &&
+  return fence_ && now >= earliest_order_time_ &&
          now < valid_until_ - settings_.timeout - settings_.margin;
 }
 
 bool OrderSender::IsPending(Time now, const VmId& vm) const {
   const auto it = pending_.find(vm);
-  return it != pending_.end() && now < it->second.over;
+  return it != pending_.end() && now < it->second.settles_at;
 }
 
 Time OrderSender::SettledAt(const VmId& vm) const {
   const auto pending = pending_.find(vm);
   if (pending != pending_.end()) {
-    return pending->second.over;
+    return pending->second.settles_at;
   }
-  const auto it = settled_.find(vm);
-  return it == settled_.end() ? Time() : it->second;
+  const auto it = settled_at_.find(vm);
+  return it == settled_at_.end() ? Time() : it->second;
 }
 
 SendOrder OrderSender::Send(OrderId id,
@@ -46,7 +46,7 @@
   // The order is written before `send_before` and is over at most `timeout`
   // later.
   const Time send_before = valid_until_ - settings_.timeout - settings_.margin;
-  pending_[vm] = Pending{id, send_before + settings_.timeout};
+  pending_[vm] = PendingOrder{id, send_before + settings_.timeout};
   return SendOrder{id,
                    vm,
                    std::move(address),
@@ -68,11 +68,12 @@
   if (std::holds_alternative<OrderNoAnswer>(reply)) {
     // The transport gave up on the order, but its bytes may still be in
     // transit.
-    it->second.over = std::min(it->second.over, now + settings_.margin);
+    it->second.settles_at =
+        std::min(it->second.settles_at, now + settings_.margin);
     return vm;
   }
   pending_.erase(it);
-  settled_[vm] = now;
+  settled_at_[vm] = now;
   return vm;
 }
 
--- a/coordination/groups/order_sender.h
+++ b/coordination/groups/order_sender.h
@@ -81,20 +81,20 @@
 
   std::optional<FencingToken> fence() const { return fence_; }
   // From this time on no order of a predecessor can take effect.
-  Time first_order() const { return first_order_; }
+  Time earliest_order_time() const { return earliest_order_time_; }
 
  private:
-  struct Pending {
+  struct PendingOrder {
     OrderId id;
-    Time over;
+    Time settles_at;
   };
 
   OrderSettings settings_;
   std::optional<FencingToken> fence_;
   Time valid_until_;
-  Time first_order_;
-  std::map<VmId, Pending> pending_;
-  std::map<VmId, Time> settled_;
+  Time earliest_order_time_;
+  std::map<VmId, PendingOrder> pending_;
+  std::map<VmId, Time> settled_at_;
 };
 
 }  // namespace gcw
--- a/coordination/groups/repair_plan.cc
+++ b/coordination/groups/repair_plan.cc
@@ -11,8 +11,8 @@
     : settings_(settings), view_(view), context_(std::move(context)) {}
 
 std::vector<RepairMove> RepairPlan::Run() {
-  CollectFree();
-  CollectSeats();
+  CollectFreeVms();
+  CollectGroups();
   FinishDrained();
   StartPlannedStops();
   RepairBroken();
@@ -22,31 +22,32 @@
   return std::move(moves_);
 }
 
-void RepairPlan::CollectFree() {
+void RepairPlan::CollectFreeVms() {
   for (const auto& [id, vm] : view_.vms) {
     ++vm_count_[vm.domain];
     if (vm.assignable && !vm.held_off &&
         vm.condition == VmCondition::kHealthy) {
-      free_[vm.domain].push_back(id);
+      free_vms_[vm.domain].push_back(id);
     }
   }
 }
 
-void RepairPlan::CollectSeats() {
+void RepairPlan::CollectGroups() {
   for (const auto& [domain, record] : view_.records) {
     for (const GroupRecord& group : record.groups) {
-      seats_.push_back(Describe(domain, group));
+      groups_.push_back(DescribeGroup(domain, group));
     }
   }
 }
 
-RepairPlan::Seat RepairPlan::Describe(const FabricDomainId& domain,
-                                      const GroupRecord& group) const {
-  Seat seat;
-  seat.domain = domain;
-  seat.group = &group;
-  seat.model = FindModel(group.model);
-  for (const VmId& id : group.members) {
+RepairPlan::GroupView RepairPlan::DescribeGroup(
+    const FabricDomainId& domain,
+    const GroupRecord& record) const {
+  GroupView group;
+  group.domain = domain;
+  group.record = &record;
+  group.model = FindModel(record.model);
+  for (const VmId& id : record.members) {
     const auto it = view_.vms.find(id);
     const bool is_known = it != view_.vms.end();
     const VmCondition condition =
@@ -57,16 +58,16 @@
         condition == VmCondition::kHealthy ||
         (condition == VmCondition::kRestarted && !is_held_off);
     if (!may_stay) {
-      seat.lost.push_back(id);
+      group.to_replace.push_back(id);
     }
     if (condition == VmCondition::kRestarted && is_held_off) {
-      seat.flapping.push_back(id);
+      group.flapping.push_back(id);
     }
-    seat.is_leaving = seat.is_leaving || condition == VmCondition::kLeaving;
-    seat.is_broken = seat.is_broken || condition == VmCondition::kLost ||
-                     condition == VmCondition::kRestarted;
+    group.is_leaving = group.is_leaving || condition == VmCondition::kLeaving;
+    group.is_broken = group.is_broken || condition == VmCondition::kLost ||
+                      condition == VmCondition::kRestarted;
   }
-  return seat;
+  return group;
 }
 
 const WantedModel* RepairPlan::FindModel(const ModelId& model) const {
@@ -86,30 +87,31 @@
 // Replaces the leaving members of a drained group if its domain has enough
 // spares and no operator asked for the drain. Dissolves the group otherwise.
 void RepairPlan::FinishDrained() {
-  for (Seat& seat : seats_) {
-    if (!view_.drained.contains(seat.group->id)) {
+  for (GroupView& group : groups_) {
+    if (!view_.drained.contains(group.record->id)) {
       continue;
     }
-    const bool is_asked = view_.drains_asked.contains(seat.group->id);
-    const bool has_spares = free_[seat.domain].size() >= seat.lost.size();
-    if (!is_asked && seat.is_leaving && has_spares) {
-      RepairInPlace(seat);
+    const bool is_requested = view_.requested_drains.contains(group.record->id);
+    const bool has_spares =
+        free_vms_[group.domain].size() >= group.to_replace.size();
+    if (!is_requested && group.is_leaving && has_spares) {
+      RepairInPlace(group);
       continue;
     }
-    seat.is_taken = true;
-    moves_.emplace_back(
-        DissolveGroup{seat.domain, seat.group->id, RepairReason::kPlannedStop});
+    group.is_retired = true;
+    moves_.emplace_back(DissolveGroup{group.domain, group.record->id,
+                                      RepairReason::kPlannedStop});
   }
 }
 
 void RepairPlan::StartPlannedStops() {
-  for (Seat& seat : seats_) {
-    const bool is_over = view_.drains_asked.contains(seat.group->id) ||
-                         seat.model == nullptr ||
-                         (seat.is_leaving && !seat.is_broken);
-    if (is_over && seat.group->state == GroupState::kServing) {
-      moves_.emplace_back(
-          DrainGroup{seat.domain, seat.group->id, RepairReason::kPlannedStop});
+  for (GroupView& group : groups_) {
+    const bool should_stop =
+        view_.requested_drains.contains(group.record->id) ||
+        group.model == nullptr || (group.is_leaving && !group.is_broken);
+    if (should_stop && group.record->state == GroupState::kServing) {
+      moves_.emplace_back(DrainGroup{group.domain, group.record->id,
+                                     RepairReason::kPlannedStop});
     }
   }
 }
@@ -121,178 +123,184 @@
     if (CountServing(model.model) <= TargetOf(model).most) {
       continue;
     }
-    const auto last =
-        std::find_if(seats_.rbegin(), seats_.rend(), [&](const Seat& seat) {
-          return seat.model == &model && !seat.is_taken && !seat.is_moved &&
-                 seat.group->state == GroupState::kServing;
+    const auto last = std::find_if(
+        groups_.rbegin(), groups_.rend(), [&](const GroupView& group) {
+          return group.model == &model && !group.is_retired &&
+                 !group.is_reloaded &&
+                 group.record->state == GroupState::kServing;
         });
-    if (last != seats_.rend()) {
-      last->is_taken = true;
-      moves_.emplace_back(DrainGroup{last->domain, last->group->id,
+    if (last != groups_.rend()) {
+      last->is_retired = true;
+      moves_.emplace_back(DrainGroup{last->domain, last->record->id,
                                      RepairReason::kPlannedStop});
     }
   }
 }
 
 void RepairPlan::RepairBroken() {
-  std::vector<Seat*> broken;
-  for (Seat& seat : seats_) {
-    const bool is_repairable = seat.model != nullptr && !seat.is_taken &&
-                               seat.group->state != GroupState::kDraining;
+  std::vector<GroupView*> broken;
+  for (GroupView& group : groups_) {
+    const bool is_repairable = group.model != nullptr && !group.is_retired &&
+                               group.record->state != GroupState::kDraining;
     const bool has_lost_while_loading =
-        seat.group->state == GroupState::kLoading && !seat.lost.empty();
-    if (is_repairable && (seat.is_broken || has_lost_while_loading)) {
-      broken.push_back(&seat);
+        group.record->state == GroupState::kLoading &&
+        !group.to_replace.empty();
+    if (is_repairable && (group.is_broken || has_lost_while_loading)) {
+      broken.push_back(&group);
     }
   }
-  std::stable_sort(broken.begin(), broken.end(), [&](Seat* a, Seat* b) {
-    return settings_.by_need ? NeedOf(*a) < NeedOf(*b)
-                             : context_.broken_since.at(a->group->id) <
-                                   context_.broken_since.at(b->group->id);
-  });
-  for (Seat* seat : broken) {
-    Repair(*seat);
+  std::stable_sort(
+      broken.begin(), broken.end(), [&](GroupView* a, GroupView* b) {
+        return settings_.by_need ? NeedOf(*a) < NeedOf(*b)
+                                 : context_.broken_since.at(a->record->id) <
+                                       context_.broken_since.at(b->record->id);
+      });
+  for (GroupView* group : broken) {
+    Repair(*group);
   }
 }
 
-void RepairPlan::Repair(Seat& seat) {
+void RepairPlan::Repair(GroupView& group) {
   // An earlier repair may have taken this group apart.
-  if (seat.is_taken || RepairInPlace(seat) || !settings_.by_need) {
+  if (group.is_retired || RepairInPlace(group) || !settings_.by_need) {
     return;
   }
   // All groups of a dark domain would move at once, and would still be loading
   // weights when the domain returns.
-  if (IsHeldDark(seat.domain) || context_.loads <= 0) {
+  if (IsInDarkHold(group.domain) || context_.load_budget <= 0) {
     return;
   }
-  if (Borrow(seat) || RebuildElsewhere(seat) || GiveUp(seat)) {
+  if (Borrow(group) || RebuildElsewhere(group) || GiveUp(group)) {
     return;
   }
-  TakeFlappingBack(seat);
+  ReinstateFlapping(group);
 }
 
-bool RepairPlan::RepairInPlace(Seat& seat) {
-  if (context_.loads <= 0 && seat.group->state != GroupState::kLoading) {
+bool RepairPlan::RepairInPlace(GroupView& group) {
+  if (context_.load_budget <= 0 &&
+      group.record->state != GroupState::kLoading) {
     return false;
   }
-  if (free_[seat.domain].size() < seat.lost.size()) {
+  if (free_vms_[group.domain].size() < group.to_replace.size()) {
     return false;
   }
-  Reload(seat, seat.lost);
+  Reload(group, group.to_replace);
   return true;
 }
 
-void RepairPlan::Reload(Seat& seat, const std::vector<VmId>& removed) {
-  if (seat.group->state != GroupState::kLoading) {
-    --context_.loads;
+void RepairPlan::Reload(GroupView& group, const std::vector<VmId>& removed) {
+  if (group.record->state != GroupState::kLoading) {
+    --context_.load_budget;
   }
-  seat.is_broken = false;
-  seat.is_moved = true;
-  moves_.emplace_back(ReplaceMembers{seat.domain, seat.group->id, removed,
-                                     TakeFree(seat.domain, removed.size()),
+  group.is_broken = false;
+  group.is_reloaded = true;
+  moves_.emplace_back(ReplaceMembers{group.domain, group.record->id, removed,
+                                     TakeFree(group.domain, removed.size()),
                                      RepairReason::kSpare});
 }
 
 // Dissolves a broken group above the wanted number if, by the weights, its
 // remaining members are worth more as spares than in a group that waits.
-bool RepairPlan::GiveUp(Seat& seat) {
-  const auto spares = static_cast<std::int64_t>(free_[seat.domain].size());
-  const auto vms =
-      static_cast<std::int64_t>(seat.group->members.size() - seat.lost.size());
-  if (!IsSurplus(seat) || IsWorthMoreThanSpares(seat.domain, spares, vms)) {
+bool RepairPlan::GiveUp(GroupView& group) {
+  const auto spares = static_cast<std::int64_t>(free_vms_[group.domain].size());
+  const auto vms = static_cast<std::int64_t>(group.record->members.size() -
+                                             group.to_replace.size());
+  if (!IsSurplus(group) || IsWorthMoreThanSpares(group.domain, spares, vms)) {
     return false;
   }
-  seat.is_taken = true;
+  group.is_retired = true;
   moves_.emplace_back(
-      DissolveGroup{seat.domain, seat.group->id, RepairReason::kGiveUp});
+      DissolveGroup{group.domain, group.record->id, RepairReason::kGiveUp});
   return true;
 }
 
 // Takes flapping members back if nothing else helps: a flapping group serves
 // some of the time, a waiting group never does.
-bool RepairPlan::TakeFlappingBack(Seat& seat) {
+bool RepairPlan::ReinstateFlapping(GroupView& group) {
   std::vector<VmId> removed;
-  for (const VmId& vm : seat.lost) {
-    if (std::find(seat.flapping.begin(), seat.flapping.end(), vm) ==
-        seat.flapping.end()) {
+  for (const VmId& vm : group.to_replace) {
+    if (std::find(group.flapping.begin(), group.flapping.end(), vm) ==
+        group.flapping.end()) {
       removed.push_back(vm);
     }
   }
-  if (seat.flapping.empty() || free_[seat.domain].size() < removed.size()) {
+  if (group.flapping.empty() ||
+      free_vms_[group.domain].size() < removed.size()) {
     return false;
   }
-  Reload(seat, removed);
+  Reload(group, removed);
   return true;
 }
 
 // Frees VMs of a less needed group of the same domain. They become spares when
-// their engines have left that group; a later round then repairs `seat`.
-bool RepairPlan::Borrow(Seat& seat) {
-  Seat* victim = nullptr;
-  for (Seat& candidate : seats_) {
+// their engines have left that group; a later round then repairs `group`.
+bool RepairPlan::Borrow(GroupView& group) {
+  GroupView* victim = nullptr;
+  for (GroupView& candidate : groups_) {
     const bool is_possible =
-        &candidate != &seat && candidate.domain == seat.domain &&
-        !candidate.is_taken && candidate.model != nullptr &&
-        NeedsLess(candidate, seat) &&
-        candidate.group->members.size() - candidate.lost.size() +
-                free_[seat.domain].size() >=
-            seat.lost.size();
-    if (is_possible && (victim == nullptr || NeedsLess(candidate, *victim))) {
+        &candidate != &group && candidate.domain == group.domain &&
+        !candidate.is_retired && candidate.model != nullptr &&
+        IsLessNeeded(candidate, group) &&
+        candidate.record->members.size() - candidate.to_replace.size() +
+                free_vms_[group.domain].size() >=
+            group.to_replace.size();
+    if (is_possible &&
+        (victim == nullptr || IsLessNeeded(candidate, *victim))) {
       victim = &candidate;
     }
   }
   if (victim == nullptr) {
     return false;
   }
-  if (victim->group->state == GroupState::kDraining) {
+  if (victim->record->state == GroupState::kDraining) {
     // Its VMs become free when the drain ends.
     return true;
   }
   if (victim->is_broken) {
-    victim->is_taken = true;
-    moves_.emplace_back(DissolveGroup{victim->domain, victim->group->id,
+    victim->is_retired = true;
+    moves_.emplace_back(DissolveGroup{victim->domain, victim->record->id,
                                       RepairReason::kBorrow});
     return true;
   }
-  if (context_.borrows <= 0) {
+  if (context_.borrow_budget <= 0) {
     return false;
   }
-  --context_.borrows;
+  --context_.borrow_budget;
   ++borrowed_;
-  victim->is_taken = true;
+  victim->is_retired = true;
   moves_.emplace_back(
-      DrainGroup{victim->domain, victim->group->id, RepairReason::kBorrow});
+      DrainGroup{victim->domain, victim->record->id, RepairReason::kBorrow});
   return true;
 }
 
-bool RepairPlan::RebuildElsewhere(Seat& seat) {
-  if (!Form(*seat.model, RepairReason::kRebuildElsewhere)) {
+bool RepairPlan::RebuildElsewhere(GroupView& group) {
+  if (!FormNewGroup(*group.model, RepairReason::kRebuildElsewhere)) {
     return false;
   }
-  seat.is_taken = true;
-  moves_.emplace_back(DissolveGroup{seat.domain, seat.group->id,
+  group.is_retired = true;
+  moves_.emplace_back(DissolveGroup{group.domain, group.record->id,
                                     RepairReason::kRebuildElsewhere});
   return true;
 }
 
 std::vector<VmId> RepairPlan::TakeFree(const FabricDomainId& domain,
                                        std::size_t count) {
-  std::vector<VmId>& free = free_[domain];
+  std::vector<VmId>& free = free_vms_[domain];
   const auto end = free.begin() + static_cast<std::ptrdiff_t>(count);
   std::vector<VmId> taken(free.begin(), end);
   free.erase(free.begin(), end);
   return taken;
 }
 
-bool RepairPlan::Form(const WantedModel& model, RepairReason reason) {
-  if (context_.loads <= 0) {
+bool RepairPlan::FormNewGroup(const WantedModel& model, RepairReason reason) {
+  if (context_.load_budget <= 0) {
     return false;
   }
-  const FabricDomainId* domain = RoomiestDomain(model.vms_per_group);
+  const FabricDomainId* domain = DomainWithMostFree(model.vms_per_group);
   if (domain == nullptr) {
     return false;
   }
-  --context_.loads;
+  --context_.load_budget;
   moves_.emplace_back(FormGroup{
       *domain, model.model,
       TakeFree(*domain, static_cast<std::size_t>(model.vms_per_group)),
--- a/coordination/groups/repair_plan.h
+++ b/coordination/groups/repair_plan.h
@@ -20,8 +20,8 @@
   // The broken groups and when each lost its first member.
   std::map<GroupId, Time> broken_since;
   // How many loads may start, and how many serving groups may be taken apart.
-  std::int64_t loads = 0;
-  std::int64_t borrows = 0;
+  std::int64_t load_budget = 0;
+  std::int64_t borrow_budget = 0;
 };
 
 // One planning round. Chooses moves one after another; each takes the earlier
@@ -39,25 +39,26 @@
 
  private:
   // The state of a group during the round.
-  struct Seat {
+  struct GroupView {
     FabricDomainId domain;
-    const GroupRecord* group = nullptr;
+    const GroupRecord* record = nullptr;
     const WantedModel* model = nullptr;
     // Members that must be replaced.
-    std::vector<VmId> lost;
+    std::vector<VmId> to_replace;
     // Those of `lost` that are running again but flap.
     std::vector<VmId> flapping;
     bool is_leaving = false;
     bool is_broken = false;
     // The round replaces members of the group or loads it again.
-    bool is_moved = false;
+    bool is_reloaded = false;
     // The round takes the group apart, so the group no longer counts.
-    bool is_taken = false;
+    bool is_retired = false;
   };
 
-  void CollectFree();
-  void CollectSeats();
-  Seat Describe(const FabricDomainId& domain, const GroupRecord& group) const;
+  void CollectFreeVms();
+  void CollectGroups();
+  GroupView DescribeGroup(const FabricDomainId& domain,
+                          const GroupRecord& record) const;
   const WantedModel* FindModel(const ModelId& model) const;
   GroupTarget TargetOf(const WantedModel& model) const;
 
@@ -65,27 +66,27 @@
   void StartPlannedStops();
   void TrimExcess();
   void RepairBroken();
-  void Repair(Seat& seat);
-  bool RepairInPlace(Seat& seat);
-  bool Borrow(Seat& seat);
-  bool RebuildElsewhere(Seat& seat);
-  bool GiveUp(Seat& seat);
-  bool TakeFlappingBack(Seat& seat);
-  void Reload(Seat& seat, const std::vector<VmId>& removed);
+  void Repair(GroupView& group);
+  bool RepairInPlace(GroupView& group);
+  bool Borrow(GroupView& group);
+  bool RebuildElsewhere(GroupView& group);
+  bool GiveUp(GroupView& group);
+  bool ReinstateFlapping(GroupView& group);
+  void Reload(GroupView& group, const std::vector<VmId>& removed);
   void FillWanted();
   void FillSurplus();
-  bool Form(const WantedModel& model, RepairReason reason);
+  bool FormNewGroup(const WantedModel& model, RepairReason reason);
 
-  bool IsHeldDark(const FabricDomainId& domain) const;
-  bool IsSurplus(const Seat& seat) const;
+  bool IsInDarkHold(const FabricDomainId& domain) const;
+  bool IsSurplus(const GroupView& group) const;
   // Sort key by need; the group with the lowest key is needed most.
   std::tuple<bool, std::int64_t, std::int64_t, Time> NeedOf(
-      const Seat& seat) const;
+      const GroupView& group) const;
   // True if `a` may be taken apart for `b`.
-  bool NeedsLess(const Seat& a, const Seat& b) const;
+  bool IsLessNeeded(const GroupView& a, const GroupView& b) const;
   std::int64_t CountGroups(const ModelId& model) const;
   std::int64_t CountServing(const ModelId& model) const;
-  const FabricDomainId* RoomiestDomain(std::int64_t vms) const;
+  const FabricDomainId* DomainWithMostFree(std::int64_t vms) const;
   // True if `vms` VMs are worth more in a group than as spares in addition to
   // `spares_left` others.
   bool IsWorthMoreThanSpares(const FabricDomainId& domain,
@@ -96,9 +97,9 @@
   const PlannerSettings& settings_;
   const PlannerView& view_;
   PlanContext context_;
-  std::map<FabricDomainId, std::vector<VmId>> free_;
+  std::map<FabricDomainId, std::vector<VmId>> free_vms_;
   std::map<FabricDomainId, std::int64_t> vm_count_;
-  std::vector<Seat> seats_;
+  std::vector<GroupView> groups_;
   std::vector<RepairMove> moves_;
   std::int64_t borrowed_ = 0;
 };
--- a/coordination/groups/repair_plan_needs.cc
+++ b/coordination/groups/repair_plan_needs.cc
@@ -21,28 +21,28 @@
 
 }  // namespace
 
-bool RepairPlan::IsHeldDark(const FabricDomainId& domain) const {
+bool RepairPlan::IsInDarkHold(const FabricDomainId& domain) const {
   const auto it = context_.dark_since.find(domain);
   return it != context_.dark_since.end() &&
          context_.now - it->second < settings_.dark_hold;
 }
 
-bool RepairPlan::IsSurplus(const Seat& seat) const {
-  return CountGroups(seat.model->model) > TargetOf(*seat.model).wanted;
+bool RepairPlan::IsSurplus(const GroupView& group) const {
+  return CountGroups(group.model->model) > TargetOf(*group.model).wanted;
 }
 
 // Groups above the wanted number are needed least. Then the model's rank
 // counts, then its shortfall, then which group broke first.
 std::tuple<bool, std::int64_t, std::int64_t, Time> RepairPlan::NeedOf(
-    const Seat& seat) const {
+    const GroupView& group) const {
   const std::int64_t shortfall =
-      TargetOf(*seat.model).wanted - CountServing(seat.model->model);
-  const auto since = context_.broken_since.find(seat.group->id);
-  return {IsSurplus(seat), seat.model->rank.value(), -shortfall,
+      TargetOf(*group.model).wanted - CountServing(group.model->model);
+  const auto since = context_.broken_since.find(group.record->id);
+  return {IsSurplus(group), group.model->rank.value(), -shortfall,
           since == context_.broken_since.end() ? Time() : since->second};
 }
 
-bool RepairPlan::NeedsLess(const Seat& a, const Seat& b) const {
+bool RepairPlan::IsLessNeeded(const GroupView& a, const GroupView& b) const {
   const auto need_a = NeedOf(a);
   const auto need_b = NeedOf(b);
   const bool is_same_rank = std::get<0>(need_a) == std::get<0>(need_b) &&
@@ -57,9 +57,9 @@
 
 std::int64_t RepairPlan::CountGroups(const ModelId& model) const {
   std::int64_t count = 0;
-  for (const Seat& seat : seats_) {
-    count += seat.group->model == model && !seat.is_taken &&
-                     seat.group->state != GroupState::kDraining
+  for (const GroupView& group : groups_) {
+    count += group.record->model == model && !group.is_retired &&
+                     group.record->state != GroupState::kDraining
                  ? 1
                  : 0;
   }
@@ -72,24 +72,24 @@
 
 std::int64_t RepairPlan::CountServing(const ModelId& model) const {
   std::int64_t count = 0;
-  for (const Seat& seat : seats_) {
-    count += seat.group->model == model && !seat.is_taken &&
-                     seat.group->state == GroupState::kServing &&
-                     !seat.is_broken && !seat.is_moved
+  for (const GroupView& group : groups_) {
+    count += group.record->model == model && !group.is_retired &&
+                     group.record->state == GroupState::kServing &&
+                     !group.is_broken && !group.is_reloaded
                  ? 1
                  : 0;
   }
   return count;
 }
 
-const FabricDomainId* RepairPlan::RoomiestDomain(std::int64_t vms) const {
+const FabricDomainId* RepairPlan::DomainWithMostFree(std::int64_t vms) const {
   const FabricDomainId* best = nullptr;
-  std::size_t most = 0;
-  for (const auto& [domain, free] : free_) {
-    if (free.size() >= static_cast<std::size_t>(vms) && free.size() > most &&
-        !context_.dark_since.contains(domain)) {
+  std::size_t max_free = 0;
+  for (const auto& [domain, free] : free_vms_) {
+    if (free.size() >= static_cast<std::size_t>(vms) &&
+        free.size() > max_free && !context_.dark_since.contains(domain)) {
       best = &domain;
-      most = free.size();
+      max_free = free.size();
     }
   }
   return best;
@@ -106,7 +106,7 @@
                    });
   for (const WantedModel* model : models) {
     while (CountGroups(model->model) < TargetOf(*model).wanted &&
-           Form(*model, RepairReason::kFill)) {
+           FormNewGroup(*model, RepairReason::kFill)) {
     }
   }
 }
@@ -114,15 +114,15 @@
 void RepairPlan::FillSurplus() {
   for (const WantedModel& model : view_.wanted) {
     while (CountGroups(model.model) < TargetOf(model).most) {
-      const FabricDomainId* domain = RoomiestDomain(model.vms_per_group);
+      const FabricDomainId* domain = DomainWithMostFree(model.vms_per_group);
       if (domain == nullptr ||
           (settings_.by_need &&
            !IsWorthMoreThanSpares(
                *domain,
-               static_cast<std::int64_t>(free_.at(*domain).size()) -
+               static_cast<std::int64_t>(free_vms_.at(*domain).size()) -
                    model.vms_per_group,
                model.vms_per_group)) ||
-          !Form(model, RepairReason::kFill)) {
+          !FormNewGroup(model, RepairReason::kFill)) {
         break;
       }
     }
@@ -135,13 +135,13 @@
 bool RepairPlan::IsWorthMoreThanSpares(const FabricDomainId& domain,
                                        std::int64_t spares_left,
                                        std::int64_t vms) const {
-  const double mean_out = settings_.losses_per_vm_day / kSecondsPerDay *
-                          static_cast<double>(vm_count_.at(domain)) *
-                          static_cast<double>(settings_.usual_return.millis()) /
-                          1000.0;
+  const double mean_unavailable =
+      settings_.losses_per_vm_day / kSecondsPerDay *
+      static_cast<double>(vm_count_.at(domain)) *
+      static_cast<double>(settings_.usual_return.millis()) / 1000.0;
   double saved = 0;
   for (std::int64_t k = spares_left + 1; k <= spares_left + vms; ++k) {
-    saved += PoissonTail(mean_out, k);
+    saved += PoissonTail(mean_unavailable, k);
   }
   double accelerators = 0;
   for (const auto& [id, vm] : view_.vms) {
--- a/coordination/groups/repair_planner.cc
+++ b/coordination/groups/repair_planner.cc
@@ -8,7 +8,7 @@
 namespace gcw {
 namespace {
 
-bool IsOut(const PlannerView& view, const VmId& vm) {
+bool IsUnavailable(const PlannerView& view, const VmId& vm) {
   const auto it = view.vms.find(vm);
   return it == view.vms.end() || it->second.condition != VmCondition::kHealthy;
 }
@@ -38,19 +38,19 @@
 std::vector<RepairMove> RepairPlanner::Plan(Time now, const PlannerView& view) {
   UpdateDark(now, view);
   UpdateBroken(now, view);
-  std::erase_if(borrows_,
+  std::erase_if(borrow_times_,
                 [&](Time at) { return now - at >= settings_.borrow_window; });
   PlanContext context;
   context.now = now;
   context.dark_since = dark_since_;
   context.broken_since = broken_since_;
-  context.loads = LoadBudget(view);
-  context.borrows =
-      settings_.most_borrows - static_cast<std::int64_t>(borrows_.size());
+  context.load_budget = LoadBudget(view);
+  context.borrow_budget =
+      settings_.max_borrows - static_cast<std::int64_t>(borrow_times_.size());
   RepairPlan plan(settings_, view, std::move(context));
   std::vector<RepairMove> moves = plan.Run();
-  borrows_.insert(borrows_.end(), static_cast<std::size_t>(plan.borrowed()),
-                  now);
+  borrow_times_.insert(borrow_times_.end(),
+                       static_cast<std::size_t>(plan.borrowed()), now);
   return moves;
 }
 
@@ -67,9 +67,9 @@
   }
   for (const auto& [domain, count] : counts) {
     // One lost VM out of two is a lost VM, not a dark domain.
-    constexpr std::int64_t kFewestLost = 3;
+    constexpr std::int64_t kMinLost = 3;
     const bool is_dark =
-        count.lost >= kFewestLost &&
+        count.lost >= kMinLost &&
         static_cast<double>(count.lost) >=
             settings_.dark_share * static_cast<double>(count.all);
     if (is_dark) {
@@ -86,7 +86,7 @@
     for (const GroupRecord& group : record.groups) {
       const bool is_broken =
           std::any_of(group.members.begin(), group.members.end(),
-                      [&](const VmId& vm) { return IsOut(view, vm); });
+                      [&](const VmId& vm) { return IsUnavailable(view, vm); });
       if (is_broken) {
         const auto it = broken_since_.find(group.id);
         broken[group.id] = it == broken_since_.end() ? now : it->second;
@@ -99,7 +99,7 @@
 // Loads share the weight store's rate: more at once would not end sooner, and
 // the most needed load would end later.
 std::int64_t RepairPlanner::LoadBudget(const PlannerView& view) const {
-  if (view.load_wait > settings_.longest_load_wait) {
+  if (view.load_wait > settings_.max_load_wait) {
     return 0;
   }
   std::int64_t loading = 0;
@@ -109,7 +109,7 @@
                                return group.state == GroupState::kLoading;
                              });
   }
-  return settings_.most_loads - loading;
+  return settings_.max_loads - loading;
 }
 
 }  // namespace gcw
--- a/coordination/groups/repair_planner.h
+++ b/coordination/groups/repair_planner.h
@@ -13,13 +13,13 @@
 namespace gcw {
 
 enum class VmCondition {
-  // Answers, and is where the records place it.
+  // The VM answers, and its group is the one in the records.
   kHealthy,
-  // Answers as a new incarnation that is in no group.
+  // The VM answers as a new incarnation that is in no group.
   kRestarted,
-  // Does not answer, or its engine failed.
+  // The VM does not answer, or its engine failed.
   kLost,
-  // The platform is about to remove it.
+  // The platform is about to remove the VM.
   kLeaving,
 };
 
@@ -28,9 +28,9 @@
   FabricDomainId domain;
   std::int64_t accelerators = 0;
   VmCondition condition = VmCondition::kHealthy;
-  // Confirmed idle and in no record: may join a group now.
+  // The VM is confirmed idle and in no record: it may join a group now.
   bool assignable = false;
-  // Failed often recently: joins no group before its hold-off ends.
+  // The VM failed often recently: it joins no group before its hold-off ends.
   bool held_off = false;
 };
 
@@ -43,7 +43,7 @@
   // Draining groups that no longer serve requests.
   std::set<GroupId> drained;
   // Groups that operators asked to stop.
-  std::set<GroupId> drains_asked;
+  std::set<GroupId> requested_drains;
   // How long a load queued now would wait for the weight store.
   Duration load_wait;
 };
@@ -99,15 +99,15 @@
 struct PlannerSettings {
   RepairWeights weights;
   // If false, broken groups are repaired in the order in which they broke, only
-  // with spares of their domain, and free VMs form groups whatever the weights
-  // say. This is the benchmark's baseline.
+  // with spares of their domain, and free VMs form groups regardless of the
+  // weights. This is the benchmark's baseline.
   bool by_need = true;
   // Usual time until a lost VM answers again.
   Duration usual_return = Duration::Seconds(180);
   // Usual time to load a group.
   Duration usual_load = Duration::Seconds(90);
   // Usual time to drain a group.
-  Duration usual_drain = Duration::Seconds(30);
+  Duration expected_drain_time = Duration::Seconds(30);
   // Losses per VM and day for which spares are kept.
   double losses_per_vm_day = 0.05;
   // A domain is dark if at least this share of its VMs is lost.
@@ -115,15 +115,15 @@
   // Groups of a dark domain are rebuilt elsewhere only after this time, because
   // most switches come back sooner than weights are loaded.
   Duration dark_hold = Duration::Seconds(120);
-  // No load starts if it would wait longer than this for the weight store: it
-  // would only make all loads end late.
-  Duration longest_load_wait = Duration::Seconds(60);
+  // No load starts if it would wait longer than this for the weight store,
+  // because it would only make all loads end late.
+  Duration max_load_wait = Duration::Seconds(60);
   // Maximum number of concurrent loads in the zone. More would share the weight
   // store's rate, and all would end late.
-  std::int64_t most_loads = 4;
+  std::int64_t max_loads = 4;
   // Maximum number of serving groups taken apart for others within
   // `borrow_window`.
-  std::int64_t most_borrows = 2;
+  std::int64_t max_borrows = 2;
   Duration borrow_window = Duration::Seconds(60);
 };
 
@@ -137,7 +137,7 @@
 
   std::vector<RepairMove> Plan(Time now, const PlannerView& view);
 
-  // True if the domain lost so many VMs that it counts as dark.
+  // True if the domain counts as dark.
   bool IsDark(const FabricDomainId& domain) const {
     return dark_since_.contains(domain);
   }
@@ -151,7 +151,7 @@
   std::map<FabricDomainId, Time> dark_since_;
   std::map<GroupId, Time> broken_since_;
   // When serving groups were taken apart for others within `borrow_window`.
-  std::vector<Time> borrows_;
+  std::vector<Time> borrow_times_;
 };
 
 }  // namespace gcw
--- a/coordination/groups/serving_gate.cc
+++ b/coordination/groups/serving_gate.cc
@@ -72,21 +72,21 @@
     Time now,
     const DomainRecord& record,
     Revision revision) {
-  StoreRecord(record.domain, record, revision);
-  return Rebuild(now);
+  UpdateRecord(record.domain, record, revision);
+  return RebuildEndpoints(now);
 }
 
-std::vector<ServingGateAction> ServingGate::OnDomainGone(
+std::vector<ServingGateAction> ServingGate::OnDomainDeleted(
     Time now,
     const FabricDomainId& domain,
     Revision revision) {
-  StoreRecord(domain, std::nullopt, revision);
-  return Rebuild(now);
+  UpdateRecord(domain, std::nullopt, revision);
+  return RebuildEndpoints(now);
 }
 
-void ServingGate::StoreRecord(const FabricDomainId& domain,
-                              std::optional<DomainRecord> record,
-                              Revision revision) {
+void ServingGate::UpdateRecord(const FabricDomainId& domain,
+                               std::optional<DomainRecord> record,
+                               Revision revision) {
   DomainView& view = domains_[domain];
   if (revision > view.revision) {
     view = DomainView{std::move(record), revision};
@@ -106,7 +106,7 @@
     vms_[entry.id] = entry;
     listed_.insert(entry.id);
   }
-  return Rebuild(now);
+  return RebuildEndpoints(now);
 }
 
 std::vector<ServingGateAction> ServingGate::OnPeers(
@@ -117,7 +117,7 @@
     peers_[peer.id] = peer;
   }
   peers_[self_] = GatePeer{self_, zone_};
-  std::erase_if(heard_,
+  std::erase_if(peer_presence_,
                 [&](const auto& item) { return !peers_.contains(item.first); });
   ChooseTargets(now);
   return Review(now);
@@ -136,14 +136,15 @@
   if (from == self_ || !peers_.contains(from)) {
     return {};
   }
-  PeerPresence& peer = heard_.try_emplace(from, incarnation_).first->second;
+  PeerPresence& peer =
+      peer_presence_.try_emplace(from, incarnation_).first->second;
   if (!peer.Apply(now, report)) {
     return {};
   }
   for (const PresenceEntry& entry : report.entries) {
     const auto it = endpoints_.find(entry.endpoint);
     if (it != endpoints_.end()) {
-      it->second.speakers.insert(from);
+      it->second.reporters.insert(from);
     }
   }
   return Review(now);
@@ -196,13 +197,13 @@
          now - it->second.evidence_time <= MaxAge(it->second);
 }
 
-Duration ServingGate::MaxAge(const Known& known) const {
-  return known.endpoint.zone == zone_ ? settings_.max_evidence_age
-                                      : settings_.max_remote_evidence_age;
+Duration ServingGate::MaxAge(const TrackedEndpoint& tracked) const {
+  return tracked.endpoint.zone == zone_ ? settings_.max_evidence_age
+                                        : settings_.max_remote_evidence_age;
 }
 
-std::vector<ServingGateAction> ServingGate::Rebuild(Time now) {
-  std::map<EndpointId, Known> found;
+std::vector<ServingGateAction> ServingGate::RebuildEndpoints(Time now) {
+  std::map<EndpointId, TrackedEndpoint> found;
   for (const auto& [domain, view] : domains_) {
     if (view.record) {
       AddGroups(*view.record, found);
@@ -210,11 +211,11 @@
   }
   AddServices(found);
   std::vector<ServingGateAction> actions;
-  for (auto& [id, known] : endpoints_) {
-    known.exists = found.contains(id);
+  for (auto& [id, tracked] : endpoints_) {
+    tracked.exists = found.contains(id);
   }
-  for (auto& [id, known] : found) {
-    Merge(std::move(known), actions);
+  for (auto& [id, tracked] : found) {
+    MergeEndpoint(std::move(tracked), actions);
   }
   ChooseTargets(now);
   for (ServingGateAction& action : Review(now)) {
@@ -223,72 +224,74 @@
   return actions;
 }
 
-void ServingGate::AddGroups(const DomainRecord& record,
-                            std::map<EndpointId, Known>& found) const {
+void ServingGate::AddGroups(
+    const DomainRecord& record,
+    std::map<EndpointId, TrackedEndpoint>& found) const {
   for (const GroupRecord& group : record.groups) {
-    Known known;
-    known.endpoint.id = EndpointOf(group.id);
-    known.endpoint.group = group.id;
-    known.endpoint.generation = group.generation;
-    known.endpoint.model = group.model;
-    known.draining = group.state == GroupState::kDraining;
-    known.target.endpoint = known.endpoint.id;
-    known.target.group = group.id;
-    known.target.generation = group.generation;
+    TrackedEndpoint tracked;
+    tracked.endpoint.id = EndpointOf(group.id);
+    tracked.endpoint.group = group.id;
+    tracked.endpoint.generation = group.generation;
+    tracked.endpoint.model = group.model;
+    tracked.draining = group.state == GroupState::kDraining;
+    tracked.target.endpoint = tracked.endpoint.id;
+    tracked.target.group = group.id;
+    tracked.target.generation = group.generation;
     for (const VmId& vm : group.members) {
       const auto it = vms_.find(vm);
       const VmEntry entry = it == vms_.end() ? VmEntry() : it->second;
-      known.target.members.push_back(GroupMember{vm, entry.address});
-      known.leaving = known.leaving || entry.state == VmState::kLeaving;
+      tracked.target.members.push_back(GroupMember{vm, entry.address});
+      tracked.leaving = tracked.leaving || entry.state == VmState::kLeaving;
       if (vm == group.members.front()) {
-        known.endpoint.zone = entry.zone;
-        known.endpoint.address = entry.address;
+        tracked.endpoint.zone = entry.zone;
+        tracked.endpoint.address = entry.address;
       }
     }
-    found[known.endpoint.id] = std::move(known);
+    found[tracked.endpoint.id] = std::move(tracked);
   }
 }
 
-void ServingGate::AddServices(std::map<EndpointId, Known>& found) const {
+void ServingGate::AddServices(
+    std::map<EndpointId, TrackedEndpoint>& found) const {
   for (const VmId& vm : listed_) {
     const VmEntry& entry = vms_.at(vm);
     if (entry.purpose != VmPurpose::kPlainService) {
       continue;
     }
-    Known known;
-    known.endpoint.id = EndpointId(vm.value());
-    known.endpoint.service = entry.service;
-    known.endpoint.zone = entry.zone;
-    known.endpoint.address = entry.address;
-    known.leaving = entry.state == VmState::kLeaving;
-    known.target.endpoint = known.endpoint.id;
-    known.target.purpose = VmPurpose::kPlainService;
-    known.target.members.push_back(GroupMember{vm, entry.address});
-    found[known.endpoint.id] = std::move(known);
+    TrackedEndpoint tracked;
+    tracked.endpoint.id = EndpointId(vm.value());
+    tracked.endpoint.service = entry.service;
+    tracked.endpoint.zone = entry.zone;
+    tracked.endpoint.address = entry.address;
+    tracked.leaving = entry.state == VmState::kLeaving;
+    tracked.target.endpoint = tracked.endpoint.id;
+    tracked.target.purpose = VmPurpose::kPlainService;
+    tracked.target.members.push_back(GroupMember{vm, entry.address});
+    found[tracked.endpoint.id] = std::move(tracked);
   }
 }
 
-void ServingGate::Merge(Known&& found,
-                        std::vector<ServingGateAction>& actions) {
+void ServingGate::MergeEndpoint(TrackedEndpoint&& found,
+                                std::vector<ServingGateAction>& actions) {
   const auto [it, is_new] = endpoints_.try_emplace(found.endpoint.id);
-  Known& known = it->second;
+  TrackedEndpoint& tracked = it->second;
   if (is_new) {
-    known = std::move(found);
-    for (const auto& [peer, presence] : heard_) {
-      if (presence.Find(known.endpoint.id)) {
-        known.speakers.insert(peer);
+    tracked = std::move(found);
+    for (const auto& [peer, presence] : peer_presence_) {
+      if (presence.Find(tracked.endpoint.id)) {
+        tracked.reporters.insert(peer);
       }
     }
     return;
   }
-  if (known.endpoint != found.endpoint) {
-    Close(known, CloseReason::kNewGeneration, actions);
-    known.unreachable_since.reset();
+  if (tracked.endpoint != found.endpoint) {
+    Close(tracked, CloseReason::kNewGeneration, actions);
+    tracked.unreachable_since.reset();
   }
-  known.endpoint = std::move(found.endpoint);
-  known.target = std::move(found.target);
-  known.draining = found.draining;
-  known.leaving = found.leaving;
+  tracked.endpoint = std::move(found.endpoint);
+  tracked.target = std::move(found.target);
+  tracked.draining = found.draining;
+  tracked.leaving = found.leaving;
 }
 
 std::vector<NodeId> ServingGate::NodesOf(const ZoneId& zone) const {
@@ -305,14 +308,14 @@
   const std::vector<NodeId> nodes = NodesOf(zone_);
   const auto count = static_cast<std::size_t>(settings_.probers_per_endpoint);
   std::vector<ProbeTarget> targets;
-  for (const auto& [id, known] : endpoints_) {
-    if (!known.exists || known.endpoint.zone != zone_) {
+  for (const auto& [id, tracked] : endpoints_) {
+    if (!tracked.exists || tracked.endpoint.zone != zone_) {
       continue;
     }
     const std::vector<NodeId> probers =
         RendezvousOrder(id.value(), nodes, count);
     if (std::find(probers.begin(), probers.end(), self_) != probers.end()) {
-      targets.push_back(known.target);
+      targets.push_back(tracked.target);
     }
   }
   prober_.SetTargets(now, targets);
--- a/coordination/groups/serving_gate.h
+++ b/coordination/groups/serving_gate.h
@@ -25,11 +25,11 @@
   int probers_per_endpoint = 2;
   // Number of nodes in each other zone that this node chooses to exchange
   // reports with.
-  int correspondents_per_zone = 2;
+  int report_peers_per_zone = 2;
   // Time between reports to each peer while nothing changes.
   Duration report_interval = Duration::Millis(1000);
   // Minimum time between reports when something changes.
-  Duration shortest_report_interval = Duration::Millis(200);
+  Duration min_report_interval = Duration::Millis(200);
   // An endpoint of this zone stays open at most this long after the newest
   // evidence that all its VMs were present.
   Duration max_evidence_age = Duration::Millis(5000);
@@ -105,9 +105,9 @@
                                                 const DomainRecord& record,
                                                 Revision revision);
   // The domain's record was deleted.
-  std::vector<ServingGateAction> OnDomainGone(Time now,
-                                              const FabricDomainId& domain,
-                                              Revision revision);
+  std::vector<ServingGateAction> OnDomainDeleted(Time now,
+                                                 const FabricDomainId& domain,
+                                                 Revision revision);
   std::vector<ServingGateAction> OnVmList(Time now,
                                           const VmListSnapshot& snapshot);
   // All living nodes, including this one.
@@ -141,7 +141,7 @@
   static EndpointId EndpointOf(const GroupId& group);
 
  private:
-  struct Known {
+  struct TrackedEndpoint {
     Endpoint endpoint;
     ProbeTarget target;
     bool draining = false;
@@ -153,7 +153,7 @@
     std::int64_t running = 0;
     std::optional<Time> unreachable_since;
     // Peers that have reported on the endpoint.
-    std::set<NodeId> speakers;
+    std::set<NodeId> reporters;
     // Time of the newest evidence that the endpoint is complete.
     Time evidence_time;
     CloseReason reason = CloseReason::kStaleEvidence;
@@ -164,7 +164,7 @@
     Revision revision;
   };
   // What the evidence says about one endpoint.
-  struct Verdict {
+  struct EvidenceSummary {
     bool complete = false;
     bool denied = false;
     Time evidence_time;
@@ -176,37 +176,40 @@
               GateSettings settings,
               EventSink events);
 
-  void StoreRecord(const FabricDomainId& domain,
-                   std::optional<DomainRecord> record,
-                   Revision revision);
-  std::vector<ServingGateAction> Rebuild(Time now);
+  void UpdateRecord(const FabricDomainId& domain,
+                    std::optional<DomainRecord> record,
+                    Revision revision);
+  std::vector<ServingGateAction> RebuildEndpoints(Time now);
   void AddGroups(const DomainRecord& record,
-                 std::map<EndpointId, Known>& found) const;
-  void AddServices(std::map<EndpointId, Known>& found) const;
-  void Merge(Known&& found, std::vector<ServingGateAction>& actions);
+                 std::map<EndpointId, TrackedEndpoint>& found) const;
+  void AddServices(std::map<EndpointId, TrackedEndpoint>& found) const;
+  void MergeEndpoint(TrackedEndpoint&& found,
+                     std::vector<ServingGateAction>& actions);
   void ChooseTargets(Time now);
   std::vector<NodeId> NodesOf(const ZoneId& zone) const;
   std::vector<ServingGateAction> Review(Time now);
-  void ReviewOne(Time now,
-                 Known& known,
-                 std::vector<ServingGateAction>& actions);
-  Verdict Judge(Time now, const Known& known) const;
-  Duration MaxAge(const Known& known) const;
-  void Consider(Time now,
-                const Known& known,
-                const PresenceEntry& entry,
-                Time evidence,
-                Verdict& verdict) const;
-  void Open(Known& known, std::vector<ServingGateAction>& actions);
-  void Close(Known& known,
+  void ReviewEndpoint(Time now,
+                      TrackedEndpoint& tracked,
+                      std::vector<ServingGateAction>& actions);
+  EvidenceSummary EvaluateEvidence(Time now,
+                                   const TrackedEndpoint& tracked) const;
+  Duration MaxAge(const TrackedEndpoint& tracked) const;
+  void AddEvidence(Time now,
+                   const TrackedEndpoint& tracked,
+                   const PresenceEntry& entry,
+                   Time evidence,
+                   EvidenceSummary& summary) const;
+  void Open(TrackedEndpoint& tracked, std::vector<ServingGateAction>& actions);
+  void Close(TrackedEndpoint& tracked,
              CloseReason reason,
              std::vector<ServingGateAction>& actions);
-  void ReportDrained(Known& known, std::vector<ServingGateAction>& actions);
+  void ReportDrained(TrackedEndpoint& tracked,
+                     std::vector<ServingGateAction>& actions);
   void UpdateOwnLog(Time now);
   void UpdateZoneLog();
   void SendReports(Time now, std::vector<ServingGateAction>& actions);
   bool IsReportDue(Time now, bool changed) const;
-  bool HearsFromHere(Time now, const GatePeer& peer) const;
+  bool IsReportTarget(Time now, const GatePeer& peer) const;
   PresenceReport MakeReport(Time now,
                             const PresenceLog& log,
                             Duration oldest_age,
@@ -225,17 +228,17 @@
   // What this node knows of its whole zone, sent to other zones.
   PresenceLog zone_log_;
   std::map<NodeId, GatePeer> peers_;
-  std::map<NodeId, PeerPresence> heard_;
+  std::map<NodeId, PeerPresence> peer_presence_;
   std::map<FabricDomainId, DomainView> domains_;
   // Includes VMs that the newest list omits, because their addresses are still
   // needed while the list lags.
   std::map<VmId, VmEntry> vms_;
   std::set<VmId> listed_;
   Time list_as_of_;
-  std::map<EndpointId, Known> endpoints_;
+  std::map<EndpointId, TrackedEndpoint> endpoints_;
   Time last_report_;
-  std::int64_t reported_own_ = 0;
-  std::int64_t reported_zone_ = 0;
+  std::int64_t reported_own_version_ = 0;
+  std::int64_t reported_zone_version_ = 0;
 };
 
 class ServingGate::Builder {
--- a/coordination/groups/serving_gate_review.cc
+++ b/coordination/groups/serving_gate_review.cc
@@ -8,8 +8,8 @@
 // Opens and closes endpoints according to the current evidence.
 std::vector<ServingGateAction> ServingGate::Review(Time now) {
   std::vector<ServingGateAction> actions;
-  for (auto& [id, known] : endpoints_) {
-    ReviewOne(now, known, actions);
+  for (auto& [id, tracked] : endpoints_) {
+    ReviewEndpoint(now, tracked, actions);
   }
   std::erase_if(endpoints_, [](const auto& item) {
     return !item.second.exists && item.second.running <= 0;
@@ -17,113 +17,119 @@
   return actions;
 }
 
-void ServingGate::ReviewOne(Time now,
-                            Known& known,
-                            std::vector<ServingGateAction>& actions) {
-  const Verdict verdict = Judge(now, known);
-  known.evidence_time = verdict.evidence_time;
-  if (!known.exists) {
-    Close(known, CloseReason::kGone, actions);
-  } else if (known.draining) {
-    Close(known, CloseReason::kDraining, actions);
-  } else if (known.leaving) {
-    Close(known, CloseReason::kLeaving, actions);
-  } else if (verdict.denied) {
-    Close(known, CloseReason::kVmMissing, actions);
-  } else if (verdict.complete) {
-    Open(known, actions);
-  } else if (known.unreachable_since &&
-             verdict.evidence_time <= *known.unreachable_since) {
-    Close(known, CloseReason::kUnreachable, actions);
+void ServingGate::ReviewEndpoint(Time now,
+                                 TrackedEndpoint& tracked,
+                                 std::vector<ServingGateAction>& actions) {
+  const EvidenceSummary summary = EvaluateEvidence(now, tracked);
+  tracked.evidence_time = summary.evidence_time;
+  if (!tracked.exists) {
+    Close(tracked, CloseReason::kGone, actions);
+  } else if (tracked.draining) {
+    Close(tracked, CloseReason::kDraining, actions);
+  } else if (tracked.leaving) {
+    Close(tracked, CloseReason::kLeaving, actions);
+  } else if (summary.denied) {
+    Close(tracked, CloseReason::kVmMissing, actions);
+  } else if (summary.complete) {
+    Open(tracked, actions);
+  } else if (tracked.unreachable_since &&
+             summary.evidence_time <= *tracked.unreachable_since) {
+    Close(tracked, CloseReason::kUnreachable, actions);
   } else {
-    Close(known, CloseReason::kStaleEvidence, actions);
+    Close(tracked, CloseReason::kStaleEvidence, actions);
   }
-  ReportDrained(known, actions);
+  ReportDrained(tracked, actions);
 }
 
-ServingGate::Verdict ServingGate::Judge(Time now, const Known& known) const {
-  Verdict verdict;
-  const EndpointId& id = known.endpoint.id;
+ServingGate::EvidenceSummary ServingGate::EvaluateEvidence(
+    Time now,
+    const TrackedEndpoint& tracked) const {
+  EvidenceSummary summary;
+  const EndpointId& id = tracked.endpoint.id;
   if (const auto finding = prober_.Find(now, id)) {
-    Consider(now, known,
-             PresenceEntry{id, known.endpoint.generation, finding->presence,
-                           /*withdrawn=*/false},
-             finding->evidence_time, verdict);
+    AddEvidence(
+        now, tracked,
+        PresenceEntry{id, tracked.endpoint.generation, finding->presence,
+                      /*withdrawn=*/false},
+        finding->evidence_time, summary);
   }
-  for (const NodeId& speaker : known.speakers) {
-    const auto heard = heard_.find(speaker);
-    const auto peer = peers_.find(speaker);
-    if (heard == heard_.end() || peer == peers_.end() ||
-        peer->second.zone != known.endpoint.zone ||
-        !heard->second.evidence_time()) {
+  for (const NodeId& reporter : tracked.reporters) {
+    const auto presence_it = peer_presence_.find(reporter);
+    const auto peer = peers_.find(reporter);
+    if (presence_it == peer_presence_.end() || peer == peers_.end() ||
+        peer->second.zone != tracked.endpoint.zone ||
+        !presence_it->second.evidence_time()) {
       continue;
     }
-    if (const auto entry = heard->second.Find(id)) {
-      Consider(now, known, *entry, *heard->second.evidence_time(), verdict);
+    if (const auto entry = presence_it->second.Find(id)) {
+      AddEvidence(now, tracked, *entry, *presence_it->second.evidence_time(),
+                  summary);
     }
   }
-  return verdict;
+  return summary;
 }
 
-void ServingGate::Consider(Time now,
-                           const Known& known,
-                           const PresenceEntry& entry,
-                           Time evidence,
-                           Verdict& verdict) const {
-  if (now - evidence > MaxAge(known) ||
-      entry.generation < known.endpoint.generation) {
+void ServingGate::AddEvidence(Time now,
+                              const TrackedEndpoint& tracked,
+                              const PresenceEntry& entry,
+                              Time evidence,
+                              EvidenceSummary& summary) const {
+  if (now - evidence > MaxAge(tracked) ||
+      entry.generation < tracked.endpoint.generation) {
     return;
   }
   // A later generation means that this node's record is out of date.
   if (entry.presence != Presence::kComplete ||
-      entry.generation > known.endpoint.generation) {
-    verdict.denied = true;
+      entry.generation > tracked.endpoint.generation) {
+    summary.denied = true;
     return;
   }
-  verdict.evidence_time = std::max(verdict.evidence_time, evidence);
-  if (!known.unreachable_since || evidence > *known.unreachable_since) {
-    verdict.complete = true;
+  summary.evidence_time = std::max(summary.evidence_time, evidence);
+  if (!tracked.unreachable_since || evidence > *tracked.unreachable_since) {
+    summary.complete = true;
   }
 }
 
-void ServingGate::Open(Known& known, std::vector<ServingGateAction>& actions) {
-  if (known.open) {
+void ServingGate::Open(TrackedEndpoint& tracked,
+                       std::vector<ServingGateAction>& actions) {
+  if (tracked.open) {
     return;
   }
-  known.open = true;
-  known.drained_reported = false;
-  known.unreachable_since.reset();
+  tracked.open = true;
+  tracked.drained_reported = false;
+  tracked.unreachable_since.reset();
   events_({EventKind::kGroupServing,
-           known.endpoint.id.value(),
+           tracked.endpoint.id.value(),
            EventId(),
-           {{"generation", known.endpoint.generation.value()}}});
-  actions.emplace_back(EndpointOpened{known.endpoint});
+           {{"generation", tracked.endpoint.generation.value()}}});
+  actions.emplace_back(EndpointOpened{tracked.endpoint});
 }
 
-void ServingGate::Close(Known& known,
+void ServingGate::Close(TrackedEndpoint& tracked,
                         CloseReason reason,
                         std::vector<ServingGateAction>& actions) {
-  known.reason = reason;
-  if (!known.open) {
+  tracked.reason = reason;
+  if (!tracked.open) {
     return;
   }
-  known.open = false;
+  tracked.open = false;
   events_({EventKind::kGroupClosed,
-           known.endpoint.id.value(),
+           tracked.endpoint.id.value(),
            EventId(),
-           {{"generation", known.endpoint.generation.value()},
+           {{"generation", tracked.endpoint.generation.value()},
             {"reason", std::string(CloseReasonName(reason))}}});
-  actions.emplace_back(EndpointClosed{known.endpoint.id, reason});
+  actions.emplace_back(EndpointClosed{tracked.endpoint.id, reason});
 }
 
-void ServingGate::ReportDrained(Known& known,
+void ServingGate::ReportDrained(TrackedEndpoint& tracked,
                                 std::vector<ServingGateAction>& actions) {
-  const bool is_leaving = !known.exists || known.draining || known.leaving;
-  if (!is_leaving || known.running > 0 || known.drained_reported) {
+  const bool is_leaving =
+      !tracked.exists || tracked.draining || tracked.leaving;
+  if (!is_leaving || tracked.running > 0 || tracked.drained_reported) {
     return;
   }
-  known.drained_reported = true;
-  actions.emplace_back(EndpointDrained{known.endpoint.id});
+  tracked.drained_reported = true;
+  actions.emplace_back(EndpointDrained{tracked.endpoint.id});
 }
 
 }  // namespace gcw
--- a/coordination/groups/vm_tracker.cc
+++ b/coordination/groups/vm_tracker.cc
@@ -35,13 +35,13 @@
   domains_ = domains;
 }
 
-void VmTracker::SetWatch(const VmId& vm, Watch watch) {
+void VmTracker::SetProbeRate(const VmId& vm, ProbeRate rate) {
   const auto it = schedules_.find(vm);
-  if (it == schedules_.end() || it->second.watch == watch) {
+  if (it == schedules_.end() || it->second.rate == rate) {
     return;
   }
-  it->second.watch = watch;
-  if (watch == Watch::kClose) {
+  it->second.rate = rate;
+  if (rate == ProbeRate::kFast) {
     it->second.next = Time();
   }
 }
@@ -56,23 +56,23 @@
         !domains_.contains(entry.domain)) {
       continue;
     }
-    schedule.next = now + Interval(schedule.watch);
-    ++last_id_;
-    schedule.pending = last_id_;
-    sent_[last_id_] = Sent{vm, now};
-    probes.push_back(
-        ProbeVm{last_id_, vm, entry.purpose, entry.address, settings_.timeout});
+    schedule.next = now + Interval(schedule.rate);
+    ++last_probe_;
+    schedule.pending = last_probe_;
+    sent_probes_[last_probe_] = SentProbe{vm, now};
+    probes.push_back(ProbeVm{last_probe_, vm, entry.purpose, entry.address,
+                             settings_.timeout});
   }
   return probes;
 }
 
 void VmTracker::OnProbeReply(Time now, ProbeId id, const ProbeReply& reply) {
-  const auto it = sent_.find(id);
-  if (it == sent_.end()) {
+  const auto it = sent_probes_.find(id);
+  if (it == sent_probes_.end()) {
     return;
   }
-  const Sent sent = it->second;
-  sent_.erase(it);
+  const SentProbe sent = it->second;
+  sent_probes_.erase(it);
   Schedule& schedule = schedules_[sent.vm];
   if (schedule.pending == id) {
     schedule.pending.reset();
@@ -83,18 +83,18 @@
     return;
   }
   OnFailure(sent.at, sent.vm);
-  schedule.next = std::min(schedule.next, now + settings_.watched_interval);
+  schedule.next = std::min(schedule.next, now + settings_.fast_interval);
 }
 
 void VmTracker::ExpireProbes(Time now) {
-  std::erase_if(sent_, [&](const auto& item) {
-    const Sent& sent = item.second;
+  std::erase_if(sent_probes_, [&](const auto& item) {
+    const SentProbe& sent = item.second;
     if (now - sent.at <= settings_.timeout * 2) {
       return false;
     }
     Schedule& schedule = schedules_[sent.vm];
     schedule.pending.reset();
-    schedule.next = std::min(schedule.next, now + settings_.watched_interval);
+    schedule.next = std::min(schedule.next, now + settings_.fast_interval);
     OnFailure(sent.at, sent.vm);
     return true;
   });
@@ -144,14 +144,14 @@
          facts->status->state == EngineState::kIdle;
 }
 
-Duration VmTracker::Interval(Watch watch) const {
-  switch (watch) {
-    case Watch::kIdle:
+Duration VmTracker::Interval(ProbeRate rate) const {
+  switch (rate) {
+    case ProbeRate::kIdle:
       return settings_.idle_interval;
-    case Watch::kFirst:
-      return settings_.first_interval;
-    case Watch::kClose:
-      return settings_.watched_interval;
+    case ProbeRate::kFirstMember:
+      return settings_.first_member_interval;
+    case ProbeRate::kFast:
+      return settings_.fast_interval;
   }
   return settings_.idle_interval;
 }
--- a/coordination/groups/vm_tracker.h
+++ b/coordination/groups/vm_tracker.h
@@ -15,9 +15,9 @@
 struct TrackerSettings {
   // Probe interval of a VM that is expected to change: it loads, leaves or
   // drains, or another VM reported it missing.
-  Duration watched_interval = Duration::Millis(1000);
+  Duration fast_interval = Duration::Millis(1000);
   // Probe interval of the first VM of a serving group.
-  Duration first_interval = Duration::Millis(2000);
+  Duration first_member_interval = Duration::Millis(2000);
   // Probe interval of all other VMs.
   Duration idle_interval = Duration::Seconds(10);
   Duration timeout = Duration::Millis(500);
@@ -30,7 +30,7 @@
 };
 
 // How closely a VM is probed.
-enum class Watch { kIdle, kFirst, kClose };
+enum class ProbeRate { kIdle, kFirstMember, kFast };
 
 // What is known about one VM.
 struct VmFacts {
@@ -57,7 +57,7 @@
 
   // Sets the domains whose VMs are probed.
   void SetDomains(const std::set<FabricDomainId>& domains);
-  void SetWatch(const VmId& vm, Watch watch);
+  void SetProbeRate(const VmId& vm, ProbeRate rate);
 
   // Returns the probes that are due.
   std::vector<ProbeVm> Tick(Time now);
@@ -82,11 +82,11 @@
 
  private:
   struct Schedule {
-    Watch watch = Watch::kIdle;
+    ProbeRate rate = ProbeRate::kIdle;
     Time next;
     std::optional<ProbeId> pending;
   };
-  struct Sent {
+  struct SentProbe {
     VmId vm;
     Time at;
   };
@@ -94,15 +94,15 @@
   void OnStatus(Time sent, const VmId& vm, const EngineStatus& status);
   void OnFailure(Time sent, const VmId& vm);
   void ExpireProbes(Time now);
-  Duration Interval(Watch watch) const;
+  Duration Interval(ProbeRate rate) const;
 
   TrackerSettings settings_;
   Time list_as_of_;
   std::set<FabricDomainId> domains_;
   std::map<VmId, VmFacts> vms_;
   std::map<VmId, Schedule> schedules_;
-  std::map<ProbeId, Sent> sent_;
-  ProbeId last_id_;
+  std::map<ProbeId, SentProbe> sent_probes_;
+  ProbeId last_probe_;
 };
 
 }  // namespace gcw
--- a/tests/coordination/groups/domain_writer_test.cc
+++ b/tests/coordination/groups/domain_writer_test.cc
@@ -34,7 +34,7 @@
   }
 
   // Makes the call that is due.
-  StoreCall Call() {
+  StoreCall SendDueCall() {
     std::optional<StoreCall> call = writer_.Tick(now_);
     EXPECT_TRUE(call.has_value());
     ++id_;
@@ -43,7 +43,7 @@
   }
 
   void AnswerRead(const std::string& value, int revision, int at) {
-    EXPECT_TRUE(std::holds_alternative<StoreRange>(Call()));
+    EXPECT_TRUE(std::holds_alternative<StoreRange>(SendDueCall()));
     writer_.OnReply(
         now_, id_,
         StoreRangeReply{
@@ -51,7 +51,7 @@
             {StoreEntry{"domain/d", value, Revision(revision), LeaseId()}}});
   }
 
-  void Wait(Duration time) { now_ = now_ + time; }
+  void AdvanceTime(Duration time) { now_ = now_ + time; }
 
   WriterSettings settings_;
   DomainWriter writer_;
@@ -62,14 +62,14 @@
 // Guards against treating a committed write as failed, so that its orders are
 // never sent. The service writes, but its answer is lost; the writer must read
 // the record back.
-TEST_F(DomainWriterTest, ReadsBackAfterALostAnswer) {
+TEST_F(DomainWriterTest, ReadsBackAfterLostReply) {
   AnswerRead("a:4", 8, 9);
   EXPECT_FALSE(writer_.IsClaimed());
   ASSERT_TRUE(writer_.Propose(now_, writer_.record(), ChangeId("b")));
-  EXPECT_EQ(std::get<StorePut>(Call()).expected, Revision(8));
+  EXPECT_EQ(std::get<StorePut>(SendDueCall()).expected, Revision(8));
   writer_.OnReply(now_, id_, StoreNoAnswer{});
   EXPECT_EQ(writer_.state(), WriterState::kReading);
-  Wait(settings_.retry_interval);
+  AdvanceTime(settings_.retry_interval);
   AnswerRead("b:5", 10, 10);
   EXPECT_EQ(writer_.state(), WriterState::kReady);
   EXPECT_TRUE(writer_.IsClaimed());
@@ -79,25 +79,25 @@
 // Guards against assigning members by an outdated record after the service was
 // restored, or after a member that is behind answered a read. A revision lower
 // than one already seen must not be believed.
-TEST_F(DomainWriterTest, RefusesWhatIsOlderThanWhatItSaw) {
+TEST_F(DomainWriterTest, RejectsRevisionOlderThanSeen) {
   AnswerRead("a:4", 8, 20);
   ASSERT_TRUE(writer_.Propose(now_, writer_.record(), ChangeId("b")));
-  Call();
+  SendDueCall();
   writer_.OnReply(now_, id_, StoreNoAnswer{});
-  Wait(settings_.retry_interval);
+  AdvanceTime(settings_.retry_interval);
   AnswerRead("old:3", 6, 19);
   EXPECT_EQ(writer_.state(), WriterState::kReading);
   EXPECT_EQ(writer_.record().change, ChangeId("a"));
 }
 
-TEST_F(DomainWriterTest, StopsWhenOvertaken) {
+TEST_F(DomainWriterTest, StopsWhenSuperseded) {
   AnswerRead("a:4", 8, 9);
   ASSERT_TRUE(writer_.Propose(now_, writer_.record(), ChangeId("b")));
-  Call();
+  SendDueCall();
   writer_.OnReply(
       now_, id_,
       StoreConflict{StoreEntry{"domain/d", "c:6", Revision(11), LeaseId()}});
-  EXPECT_EQ(writer_.state(), WriterState::kOvertaken);
+  EXPECT_EQ(writer_.state(), WriterState::kSuperseded);
   EXPECT_FALSE(writer_.Propose(now_, writer_.record(), ChangeId("d")));
 }
 
--- a/tests/coordination/groups/group_keeper_test.cc
+++ b/tests/coordination/groups/group_keeper_test.cc
@@ -13,22 +13,22 @@
 
 // Describes a record with a fault, or a VM that runs another group than its
 // record says. Returns an empty string if there is none.
-std::string FindBreach(GroupsWorld& world) {
+std::string FindViolation(GroupsWorld& world) {
   for (const DomainRecord& record : world.Records()) {
     if (FindFault(record)) {
       return "faulty record of " + record.domain.value();
     }
     for (const GroupRecord& group : record.groups) {
       for (const VmId& vm : group.members) {
-        const EngineOrder& runs = world.engines().at(vm).order;
+        const EngineOrder& running = world.engines().at(vm).order;
         // All members of a serving group have confirmed its generation.
-        const bool is_in_place =
-            runs.group == group.id && (group.state == GroupState::kLoading ||
-                                       runs.generation == group.generation);
-        if (!runs.group.empty() && !is_in_place) {
+        const bool is_in_place = running.group == group.id &&
+                                 (group.state == GroupState::kLoading ||
+                                  running.generation == group.generation);
+        if (!running.group.empty() && !is_in_place) {
           return vm.value() + " is in " + group.id.value() + " and runs " +
-                 runs.group.value() + "/" +
-                 std::to_string(runs.generation.value());
+                 running.group.value() + "/" +
+                 std::to_string(running.generation.value());
         }
       }
     }
@@ -63,8 +63,8 @@
 std::string RunChecked(GroupsWorld& world, Duration time) {
   for (const Time end = world.now() + time; world.now() < end;) {
     world.Step();
-    if (std::string breach = FindBreach(world); !breach.empty()) {
-      return breach;
+    if (std::string violation = FindViolation(world); !violation.empty()) {
+      return violation;
     }
   }
   return "";
@@ -93,7 +93,7 @@
 // takes over and moves VMs, and the first resumes. Engines that ignore fencing
 // tokens would obey its late orders; the check of `send_before` right before
 // the write withholds them.
-TEST(GroupKeeperTest, KeeperThatWakesInTheMiddleOfAnOrderSendsNothing) {
+TEST(GroupKeeperTest, KeeperResumedInTheMiddleOfAnOrderSendsNothing) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     GroupsWorld world(seed, false);
     // Pauses the keeper in the step in which it first sends orders.
@@ -132,16 +132,17 @@
       world.engines().Restart(world.now(), VmId("d1-v0"));
       world.Run(Duration::Seconds(15));
       keeper->is_paused = false;
-      Duration lasted;
+      Duration violation_time;
       for (int step = 0; step < 400; ++step) {
         world.Step();
-        lasted =
-            FindBreach(world).empty() ? lasted : lasted + GroupsWorld::kStep;
+        violation_time = FindViolation(world).empty()
+                             ? violation_time
+                             : violation_time + GroupsWorld::kStep;
       }
-      longest = std::max(longest, lasted);
+      longest = std::max(longest, violation_time);
       EXPECT_EQ(CountServing(world), 3) << "seed " << seed;
     }
-    std::printf("fences %s: out of place for at most %lld ms\n",
+    std::printf("fencing tokens %s: out of place for at most %lld ms\n",
                 checks_fences ? "checked" : "ignored",
                 static_cast<long long>(longest.millis()));
     EXPECT_LE(longest, checks_fences ? Duration() : Duration::Seconds(12));
@@ -151,7 +152,7 @@
 // Guards against treating a committed change as refused and making it twice.
 // The service writes the record, but the answer is lost; the change id that is
 // read back shows that the write took effect.
-TEST(GroupKeeperTest, SettlesLostAnswersOfWrites) {
+TEST(GroupKeeperTest, ReadsBackAfterLostWriteReplies) {
   GroupsWorld world(3, true);
   world.link().faults().reply_lost = 0.5;
   ASSERT_EQ(RunChecked(world, Duration::Seconds(60)), "");
@@ -163,7 +164,7 @@
 // Guards against taking serving groups apart after the service was restored to
 // a state from before they formed. A record older than one already seen must
 // not be acted on.
-TEST(GroupKeeperTest, RefusesARestoredStore) {
+TEST(GroupKeeperTest, RejectsRestoredStore) {
   GroupsWorld world(4, true);
   ASSERT_EQ(RunChecked(world, Duration::Seconds(5)), "");
   world.link().Snapshot();
@@ -183,9 +184,9 @@
 // pause and resume, also a whole domain at once; keepers pause, are cut off and
 // lose their lease without noticing; the service fails, loses requests and
 // answers, and reads stale; the VM list is late in both directions.
-class Chaos {
+class FaultInjector {
  public:
-  Chaos(GroupsWorld& world, std::uint64_t seed)
+  FaultInjector(GroupsWorld& world, std::uint64_t seed)
       : world_(world), random_(SeededRandom(seed)) {
     for (const auto& [vm, engine] : world.engines().all()) {
       vms_.push_back(vm);
@@ -196,7 +197,7 @@
     faults.busy = 0.05;
   }
 
-  void Strike() {
+  void InjectFault() {
     const VmId& vm = vms_[DrawBelow(random_, vms_.size())];
     GroupsWorld::Node& node = world_.node(kNodes[DrawBelow(random_, 3)]);
     FakeEngines& engines = world_.engines();
@@ -216,7 +217,7 @@
         node.is_paused = true;
         return;
       case 6:
-        node.is_cut = true;
+        node.is_cut_off = true;
         return;
       case 7:
         world_.link().SetOutage(world_.now(), !world_.link().faults().outage);
@@ -228,7 +229,7 @@
                                       StoreLeaseRevoke{node.lease});
         return;
       case 9:
-        StrikeDomain();
+        PauseDomain();
         return;
       case 10:
         world_.unlisted().insert(vm);
@@ -239,10 +240,10 @@
     }
   }
 
-  void Heal() {
+  void ClearFaults() {
     for (auto& [id, node] : world_.nodes()) {
       node.is_paused = false;
-      node.is_cut = false;
+      node.is_cut_off = false;
       node.is_cut_from_store = false;
     }
     for (const VmId& vm : vms_) {
@@ -259,7 +260,7 @@
  private:
   static constexpr std::array<const char*, 3> kNodes = {"n1", "n2", "n3"};
 
-  void StrikeDomain() {
+  void PauseDomain() {
     for (const VmId& vm : vms_) {
       if (vm.value().starts_with("d1")) {
         world_.engines().Pause(world_.now(), vm);
@@ -272,37 +273,37 @@
   std::vector<VmId> vms_;
 };
 
-std::string RunChaos(std::uint64_t seed, bool checks_fences) {
+std::string RunWithFaults(std::uint64_t seed, bool checks_fences) {
   GroupsWorld world(seed, checks_fences);
-  Chaos chaos(world, seed);
+  FaultInjector injector(world, seed);
   const Random random = SeededRandom(seed + 7);
-  std::string breach = RunChecked(world, Duration::Seconds(15));
-  for (int round = 0; round < 12 && breach.empty(); ++round) {
-    chaos.Strike();
+  std::string violation = RunChecked(world, Duration::Seconds(15));
+  for (int round = 0; round < 12 && violation.empty(); ++round) {
+    injector.InjectFault();
     const auto pause = static_cast<std::int64_t>(DrawBelow(random, 9000));
-    breach = RunChecked(world, Duration::Millis(pause));
+    violation = RunChecked(world, Duration::Millis(pause));
     if (DrawBelow(random, 3) == 0) {
-      chaos.Heal();
+      injector.ClearFaults();
     }
   }
-  chaos.Heal();
-  if (breach.empty()) {
-    breach = RunChecked(world, Duration::Seconds(120));
+  injector.ClearFaults();
+  if (violation.empty()) {
+    violation = RunChecked(world, Duration::Seconds(120));
   }
-  if (breach.empty() && CountServing(world) < 3) {
-    return "groups did not come back";
+  if (violation.empty() && CountServing(world) < 3) {
+    return "groups did not recover";
   }
-  return breach;
+  return violation;
 }
 
-RC_GTEST_PROP(GroupKeeperProperty, OneGroupPerVmWithFences, ()) {
+RC_GTEST_PROP(GroupKeeperProperty, OneGroupPerVmWithFencingTokens, ()) {
   const auto seed = *rc::gen::inRange<std::uint64_t>(0, 1000000);
-  RC_ASSERT(RunChaos(seed, true) == "");
+  RC_ASSERT(RunWithFaults(seed, true) == "");
 }
 
-RC_GTEST_PROP(GroupKeeperProperty, OneGroupPerVmWithoutFences, ()) {
+RC_GTEST_PROP(GroupKeeperProperty, OneGroupPerVmWithoutFencingTokens, ()) {
   const auto seed = *rc::gen::inRange<std::uint64_t>(0, 1000000);
-  RC_ASSERT(RunChaos(seed, false) == "");
+  RC_ASSERT(RunWithFaults(seed, false) == "");
 }
 
 }  // namespace
--- a/tests/coordination/groups/repair_planner_test.cc
+++ b/tests/coordination/groups/repair_planner_test.cc
@@ -28,18 +28,18 @@
                                              .assignable = true};
       }
     }
-    Want("high", 1);
-    Want("low", 2);
+    AddWantedModel("high", 1);
+    AddWantedModel("low", 2);
   }
 
-  void Want(const char* model, int rank) {
+  void AddWantedModel(const char* model, int rank) {
     WantedModel wanted{ModelId(model), 2, Rank(rank), {}};
     wanted.targets[kZone] = GroupTarget{0, 0};
     view_.wanted.push_back(wanted);
   }
 
   // Adds a serving group of two VMs of `domain`, starting with VM `first`.
-  void Serve(const char* domain, const char* model, int first) {
+  void AddServingGroup(const char* domain, const char* model, int first) {
     const GroupId id(std::string(domain) + model + std::to_string(first));
     view_.records[FabricDomainId(domain)].groups.push_back(
         GroupRecord{id,
@@ -58,12 +58,12 @@
     }
   }
 
-  void Lose(const char* domain, int number) {
+  void LoseVm(const char* domain, int number) {
     view_.vms[Vm(domain, number)].condition = VmCondition::kLost;
     view_.vms[Vm(domain, number)].assignable = false;
   }
 
-  void TakeSpares(const char* domain) {
+  void RemoveSpares(const char* domain) {
     for (auto& [id, vm] : view_.vms) {
       vm.assignable = vm.assignable && vm.domain != FabricDomainId(domain);
     }
@@ -74,8 +74,8 @@
 };
 
 TEST_F(RepairPlannerTest, TakesASpareOfTheSameDomain) {
-  Serve("d1", "high", 0);
-  Lose("d1", 1);
+  AddServingGroup("d1", "high", 0);
+  LoseVm("d1", 1);
   const auto moves = RepairPlanner(settings_).Plan(kStart, view_);
   ASSERT_EQ(moves.size(), 1U);
   const auto& move = std::get<ReplaceMembers>(moves[0]);
@@ -84,24 +84,24 @@
 }
 
 TEST_F(RepairPlannerTest, BorrowsFromALowerRankButNotFromItsOwn) {
-  Serve("d1", "high", 0);
-  Serve("d1", "high", 2);
-  Serve("d1", "low", 4);
-  TakeSpares("d1");
-  TakeSpares("d2");
-  Lose("d1", 1);
+  AddServingGroup("d1", "high", 0);
+  AddServingGroup("d1", "high", 2);
+  AddServingGroup("d1", "low", 4);
+  RemoveSpares("d1");
+  RemoveSpares("d2");
+  LoseVm("d1", 1);
   const auto moves = RepairPlanner(settings_).Plan(kStart, view_);
   ASSERT_EQ(moves.size(), 1U);
   EXPECT_EQ(std::get<DrainGroup>(moves[0]).group, GroupId("d1low4"));
-  Lose("d1", 4);
-  Lose("d1", 5);
+  LoseVm("d1", 4);
+  LoseVm("d1", 5);
   EXPECT_TRUE(RepairPlanner(settings_).Plan(kStart, view_).empty());
 }
 
 TEST_F(RepairPlannerTest, RebuildsElsewhere) {
-  Serve("d1", "high", 0);
-  TakeSpares("d1");
-  Lose("d1", 1);
+  AddServingGroup("d1", "high", 0);
+  RemoveSpares("d1");
+  LoseVm("d1", 1);
   const auto moves = RepairPlanner(settings_).Plan(kStart, view_);
   ASSERT_EQ(moves.size(), 2U);
   EXPECT_EQ(std::get<FormGroup>(moves[0]).domain, FabricDomainId("d2"));
@@ -112,10 +112,10 @@
 // for a minute, so that they still load weights when it is back. All VMs of a
 // domain are lost at once and return.
 TEST_F(RepairPlannerTest, HoldsTheGroupsOfADarkDomain) {
-  Serve("d1", "high", 0);
-  Serve("d1", "high", 2);
+  AddServingGroup("d1", "high", 0);
+  AddServingGroup("d1", "high", 2);
   for (int i = 0; i < 8; ++i) {
-    Lose("d1", i);
+    LoseVm("d1", i);
   }
   RepairPlanner planner(settings_);
   EXPECT_TRUE(planner.Plan(kStart, view_).empty());
@@ -126,15 +126,15 @@
 }
 
 TEST_F(RepairPlannerTest, LoadsTheHighestNeedFirstWithinTheBudget) {
-  Serve("d1", "low", 0);
-  Serve("d1", "high", 2);
-  Lose("d1", 0);
-  Lose("d1", 2);
-  settings_.most_loads = 1;
+  AddServingGroup("d1", "low", 0);
+  AddServingGroup("d1", "high", 2);
+  LoseVm("d1", 0);
+  LoseVm("d1", 2);
+  settings_.max_loads = 1;
   const auto moves = RepairPlanner(settings_).Plan(kStart, view_);
   ASSERT_EQ(moves.size(), 1U);
   EXPECT_EQ(std::get<ReplaceMembers>(moves[0]).group, GroupId("d1high2"));
-  view_.load_wait = settings_.longest_load_wait + Duration::Millis(1);
+  view_.load_wait = settings_.max_load_wait + Duration::Millis(1);
   EXPECT_TRUE(RepairPlanner(settings_).Plan(kStart, view_).empty());
 }
 
@@ -142,7 +142,7 @@
 // minutes. One of its VMs restarts repeatedly and must not be taken back at
 // each return if there are spares.
 TEST_F(RepairPlannerTest, PrefersASpareToAVmThatFlaps) {
-  Serve("d1", "high", 0);
+  AddServingGroup("d1", "high", 0);
   view_.vms[Vm("d1", 1)].condition = VmCondition::kRestarted;
   auto moves = RepairPlanner(settings_).Plan(kStart, view_);
   ASSERT_EQ(moves.size(), 1U);
@@ -155,7 +155,7 @@
 }
 
 TEST_F(RepairPlannerTest, DrainsAGroupWhoseVmLeaves) {
-  Serve("d1", "high", 0);
+  AddServingGroup("d1", "high", 0);
   view_.vms[Vm("d1", 1)].condition = VmCondition::kLeaving;
   RepairPlanner planner(settings_);
   auto moves = planner.Plan(kStart, view_);
@@ -177,10 +177,10 @@
   EXPECT_FALSE(flaps.IsHeldOff(kStart, vm));
   flaps.OnLost(kStart, vm);
   EXPECT_TRUE(flaps.IsHeldOff(kStart, vm));
-  EXPECT_FALSE(flaps.IsHeldOff(kStart + settings.first_hold, vm));
+  EXPECT_FALSE(flaps.IsHeldOff(kStart + settings.initial_hold, vm));
   flaps.OnLost(kStart, vm);
-  EXPECT_TRUE(flaps.IsHeldOff(kStart + settings.first_hold, vm));
-  EXPECT_FALSE(flaps.IsHeldOff(kStart + settings.first_hold * 2, vm));
+  EXPECT_TRUE(flaps.IsHeldOff(kStart + settings.initial_hold, vm));
+  EXPECT_FALSE(flaps.IsHeldOff(kStart + settings.initial_hold * 2, vm));
 }
 
 }  // namespace
--- a/tests/coordination/groups/serving_gate_test.cc
+++ b/tests/coordination/groups/serving_gate_test.cc
@@ -15,16 +15,16 @@
 constexpr Duration kFarBound = GateSettings().max_remote_evidence_age;
 
 // Measures how long each open endpoint has lacked a VM.
-class GateWatch {
+class GateMonitor {
  public:
-  explicit GateWatch(GroupsWorld& world) : world_(world) {}
+  explicit GateMonitor(GroupsWorld& world) : world_(world) {}
 
   // Returns the first violation of the bound, or an empty string.
   std::string Run(Duration time) {
     for (const Time end = world_.now() + time; world_.now() < end;) {
       world_.Step();
-      if (std::string breach = Check(); !breach.empty()) {
-        return breach;
+      if (std::string violation = Check(); !violation.empty()) {
+        return violation;
       }
     }
     return "";
@@ -36,16 +36,17 @@
   std::string Check() {
     for (const DomainRecord& record : world_.Records()) {
       for (const GroupRecord& group : record.groups) {
-        const bool is_whole = std::all_of(
+        const bool is_complete = std::all_of(
             group.members.begin(), group.members.end(), [&](const VmId& vm) {
               return world_.engines().IsPresent(vm, group.id, group.generation);
             });
-        if (is_whole) {
-          whole_at_[group.id] = world_.now();
+        if (is_complete) {
+          complete_at_[group.id] = world_.now();
         }
         for (auto& [id, node] : world_.nodes()) {
-          if (std::string breach = CheckNode(node, group); !breach.empty()) {
-            return breach;
+          if (std::string violation = CheckNode(node, group);
+              !violation.empty()) {
+            return violation;
           }
         }
       }
@@ -58,7 +59,7 @@
     if (!node.gate.IsOpen(world_.now(), ServingGate::EndpointOf(group.id))) {
       return "";
     }
-    const Duration lacking = world_.now() - whole_at_[group.id];
+    const Duration lacking = world_.now() - complete_at_[group.id];
     longest_[node.id] = std::max(longest_[node.id], lacking);
     const Duration bound = node.zone == ZoneId("z1") ? kNearBound : kFarBound;
     if (lacking <= bound + GroupsWorld::kStep * 2) {
@@ -69,7 +70,7 @@
   }
 
   GroupsWorld& world_;
-  std::map<GroupId, Time> whole_at_;
+  std::map<GroupId, Time> complete_at_;
   std::map<NodeId, Duration> longest_;
 };
 
@@ -86,10 +87,10 @@
   return open;
 }
 
-TEST(ServingGateTest, OpensWholeGroupsInEachZone) {
+TEST(ServingGateTest, OpensCompleteGroupsInEachZone) {
   GroupsWorld world(1, true);
-  GateWatch watch(world);
-  ASSERT_EQ(watch.Run(Duration::Seconds(40)), "");
+  GateMonitor monitor(world);
+  ASSERT_EQ(monitor.Run(Duration::Seconds(40)), "");
   EXPECT_EQ(CountOpen(world, "n1"), 3);
   EXPECT_EQ(CountOpen(world, "n4"), 3);
 }
@@ -98,29 +99,31 @@
 // Evidence must expire: the record, the VM list and old reports do not show the
 // loss.
 TEST(ServingGateTest, ClosesWhenAVmIsLost) {
-  enum class Way { kKill, kPause, kRestart };
-  for (const Way way : {Way::kKill, Way::kPause, Way::kRestart}) {
+  enum class LossKind { kKill, kPause, kRestart };
+  for (const LossKind kind :
+       {LossKind::kKill, LossKind::kPause, LossKind::kRestart}) {
     for (const std::size_t rank : {0U, 1U}) {
       GroupsWorld world(2, true);
-      GateWatch watch(world);
-      ASSERT_EQ(watch.Run(Duration::Seconds(40)), "");
+      GateMonitor monitor(world);
+      ASSERT_EQ(monitor.Run(Duration::Seconds(40)), "");
       const VmId vm = world.Records()[0].groups[0].members[rank];
-      if (way == Way::kKill) {
+      if (kind == LossKind::kKill) {
         world.engines().Kill(world.now(), vm);
-      } else if (way == Way::kPause) {
+      } else if (kind == LossKind::kPause) {
         world.engines().Pause(world.now(), vm);
       } else {
         world.engines().Restart(world.now(), vm);
       }
-      ASSERT_EQ(watch.Run(Duration::Seconds(60)), "");
+      ASSERT_EQ(monitor.Run(Duration::Seconds(60)), "");
       EXPECT_EQ(CountOpen(world, "n1"), 3);
-      std::printf("way %d, rank %zu: last routable after %lld and %lld ms\n",
-                  static_cast<int>(way), rank,
-                  static_cast<long long>(watch.longest("n1").millis()),
-                  static_cast<long long>(watch.longest("n4").millis()));
+      std::printf(
+          "loss kind %d, member %zu: routable for up to %lld and %lld ms\n",
+          static_cast<int>(kind), rank,
+          static_cast<long long>(monitor.longest("n1").millis()),
+          static_cast<long long>(monitor.longest("n4").millis()));
       // Well below the bound while nothing else fails.
-      EXPECT_LE(watch.longest("n1"), Duration::Millis(3000));
-      EXPECT_LE(watch.longest("n4"), Duration::Millis(3500));
+      EXPECT_LE(monitor.longest("n1"), Duration::Millis(3000));
+      EXPECT_LE(monitor.longest("n4"), Duration::Millis(3500));
     }
   }
 }
@@ -130,16 +133,16 @@
 // must not count as evidence.
 TEST(ServingGateTest, ClosesEverythingWhenCutOffAndOpensWithoutTheStore) {
   GroupsWorld world(3, true);
-  GateWatch watch(world);
-  ASSERT_EQ(watch.Run(Duration::Seconds(40)), "");
-  world.node("n3").is_cut = true;
+  GateMonitor monitor(world);
+  ASSERT_EQ(monitor.Run(Duration::Seconds(40)), "");
+  world.node("n3").is_cut_off = true;
   world.link().SetOutage(world.now(), true);
-  ASSERT_EQ(watch.Run(kNearBound + Duration::Seconds(1)), "");
+  ASSERT_EQ(monitor.Run(kNearBound + Duration::Seconds(1)), "");
   EXPECT_EQ(CountOpen(world, "n3"), 0);
   // A cut-off node closes nothing on other nodes.
   EXPECT_EQ(CountOpen(world, "n1"), 3);
-  world.node("n3").is_cut = false;
-  ASSERT_EQ(watch.Run(Duration::Seconds(5)), "");
+  world.node("n3").is_cut_off = false;
+  ASSERT_EQ(monitor.Run(Duration::Seconds(5)), "");
   EXPECT_EQ(CountOpen(world, "n3"), 3);
 }
 
@@ -148,29 +151,29 @@
 // it must not report them as missing, which takes effect at once.
 TEST(ServingGateTest, NodeThatReachesNoEngineClosesNothingElsewhere) {
   GroupsWorld world(6, true);
-  GateWatch watch(world);
-  ASSERT_EQ(watch.Run(Duration::Seconds(40)), "");
+  GateMonitor monitor(world);
+  ASSERT_EQ(monitor.Run(Duration::Seconds(40)), "");
   world.node("n3").is_cut_from_engines = true;
   for (int step = 0; step < 200; ++step) {
-    ASSERT_EQ(watch.Run(GroupsWorld::kStep), "");
+    ASSERT_EQ(monitor.Run(GroupsWorld::kStep), "");
     ASSERT_EQ(CountOpen(world, "n1"), 3);
     ASSERT_EQ(CountOpen(world, "n2"), 3);
   }
 }
 
 // Guards against a report with a long transit time that opens a group whose VMs
-// nobody has probed since. Reports are delayed by more than the maximum age of
+// no node has probed since. Reports are delayed by more than the maximum age of
 // evidence. The age must count from the echo of the receiver's own time, not
 // from the arrival of the report.
-TEST(ServingGateTest, ReportsUnderWayForLongAreOld) {
+TEST(ServingGateTest, LongDelayedReportsCountAsOld) {
   GroupsWorld world(4, true);
-  GateWatch watch(world);
-  ASSERT_EQ(watch.Run(Duration::Seconds(40)), "");
+  GateMonitor monitor(world);
+  ASSERT_EQ(monitor.Run(Duration::Seconds(40)), "");
   world.network().faults().min_delay = Duration::Seconds(12);
   world.network().faults().max_delay = Duration::Seconds(13);
-  ASSERT_EQ(watch.Run(Duration::Seconds(20)), "");
+  ASSERT_EQ(monitor.Run(Duration::Seconds(20)), "");
   world.engines().Kill(world.now(), world.Records()[0].groups[0].members[2]);
-  ASSERT_EQ(watch.Run(Duration::Seconds(30)), "");
+  ASSERT_EQ(monitor.Run(Duration::Seconds(30)), "");
   EXPECT_EQ(CountOpen(world, "n4"), 0);
 }
 
@@ -179,36 +182,36 @@
 TEST(ServingGateTest, LeavingVmClosesItsGroup) {
   GroupsWorld world(5, true);
   world.faults().list_lag = Duration();
-  GateWatch watch(world);
-  ASSERT_EQ(watch.Run(Duration::Seconds(40)), "");
+  GateMonitor monitor(world);
+  ASSERT_EQ(monitor.Run(Duration::Seconds(40)), "");
   const GroupRecord group = world.Records()[0].groups[0];
   ServingGate& gate = world.node("n1").gate;
   const EndpointId endpoint = ServingGate::EndpointOf(group.id);
   gate.OnRequestStarted(endpoint);
   world.engines().at(group.members[0]).entry.state = VmState::kLeaving;
-  ASSERT_EQ(watch.Run(Duration::Seconds(4)), "");
+  ASSERT_EQ(monitor.Run(Duration::Seconds(4)), "");
   EXPECT_FALSE(gate.IsOpen(world.now(), endpoint));
   const auto actions = gate.OnRequestEnded(world.now(), endpoint);
   EXPECT_TRUE(std::any_of(actions.begin(), actions.end(), [](auto& action) {
     return std::holds_alternative<EndpointDrained>(action);
   }));
-  ASSERT_EQ(watch.Run(Duration::Seconds(60)), "");
+  ASSERT_EQ(monitor.Run(Duration::Seconds(60)), "");
   EXPECT_EQ(CountOpen(world, "n1"), 3);
 }
 
 std::string RunLosses(std::uint64_t seed) {
   GroupsWorld world(seed, true);
-  GateWatch watch(world);
+  GateMonitor monitor(world);
   const Random random = SeededRandom(seed + 5);
   world.network().faults().lost = 0.1;
   world.network().faults().doubled = 0.1;
   world.network().faults().max_delay = Duration::Millis(800);
-  std::string breach = watch.Run(Duration::Seconds(25));
+  std::string violation = monitor.Run(Duration::Seconds(25));
   std::vector<VmId> vms;
   for (const auto& [vm, engine] : world.engines().all()) {
     vms.push_back(vm);
   }
-  for (int round = 0; round < 10 && breach.empty(); ++round) {
+  for (int round = 0; round < 10 && violation.empty(); ++round) {
     const VmId& vm = vms[DrawBelow(random, vms.size())];
     auto node = world.nodes().begin();
     std::advance(node, DrawBelow(random, world.nodes().size()));
@@ -223,7 +226,7 @@
         world.engines().Kill(world.now(), vm);
         break;
       case 3:
-        node->second.is_cut = !node->second.is_cut;
+        node->second.is_cut_off = !node->second.is_cut_off;
         break;
       case 4:
         node->second.is_paused = !node->second.is_paused;
@@ -232,10 +235,10 @@
         world.engines().Resume(world.now(), vm);
         world.unlisted().insert(vm);
     }
-    breach = watch.Run(
+    violation = monitor.Run(
         Duration::Millis(static_cast<std::int64_t>(DrawBelow(random, 8000))));
   }
-  return breach;
+  return violation;
 }
 
 // Guards against a failure in which n2 held group d1-1-2 open for 7.1 s without
--- a/tests/support/groups_world.h
+++ b/tests/support/groups_world.h
@@ -37,7 +37,7 @@
     GroupKeeper keeper;
     ServingGate gate;
     bool is_paused = false;
-    bool is_cut = false;
+    bool is_cut_off = false;
     // Reaches engines and nodes, but not the key-value service.
     bool is_cut_from_store = false;
     // Reaches nodes, but no engine.
@@ -55,10 +55,10 @@
         link_(SeededRandom(seed + 1)),
         network_(SeededRandom(seed + 2)) {
     network_.SetConnected([this](const NodeId& a, const NodeId& b) {
-      return !nodes_.at(a).is_cut && !nodes_.at(b).is_cut;
+      return !nodes_.at(a).is_cut_off && !nodes_.at(b).is_cut_off;
     });
     link_.SetReaches([this](const std::string& caller) {
-      return Reaches(nodes_.at(NodeId(caller)));
+      return ReachesStore(nodes_.at(NodeId(caller)));
     });
     for (const char* domain : {"d1", "d2"}) {
       for (int i = 0; i < 6; ++i) {
@@ -85,8 +85,8 @@
     settings.tracker.idle_interval = Duration::Seconds(3);
     settings.writer.call_timeout = Duration::Millis(500);
     settings.writer.retry_interval = Duration::Millis(500);
-    settings.flap.first_hold = Duration::Seconds(5);
-    settings.flap.longest_hold = Duration::Seconds(20);
+    settings.flap.initial_hold = Duration::Seconds(5);
+    settings.flap.max_hold = Duration::Seconds(20);
     settings.planner.dark_hold = Duration::Seconds(10);
     settings.drain_hold = Duration::Seconds(6);
     settings.drain_limit = Duration::Seconds(40);
@@ -102,20 +102,20 @@
   void Step() {
     now_ = now_ + kStep;
     engines_.Tick(now_);
-    RunFlights();
+    DeliverOrders();
     AnswerProbes();
     for (auto& delivery : link_.Deliver(now_)) {
       Node& node = nodes_.at(NodeId(delivery.caller));
       if (!node.is_paused) {
-        Carry(node,
-              node.keeper.OnStoreReply(now_, delivery.id, delivery.reply));
+        ApplyActions(
+            node, node.keeper.OnStoreReply(now_, delivery.id, delivery.reply));
       }
     }
     for (auto& delivery : network_.Deliver(now_)) {
       Node& node = nodes_.at(delivery.to);
       if (!node.is_paused) {
-        Carry(node, node.gate.OnPresenceReport(now_, delivery.from,
-                                               delivery.message));
+        ApplyActions(node, node.gate.OnPresenceReport(now_, delivery.from,
+                                                      delivery.message));
       }
     }
     for (auto& [id, node] : nodes_) {
@@ -148,11 +148,11 @@
 
   // Stores the record and returns its number, which stands for its text.
   std::string Encode(const DomainRecord& record) {
-    texts_.push_back(record);
-    return std::to_string(texts_.size() - 1);
+    records_.push_back(record);
+    return std::to_string(records_.size() - 1);
   }
   DomainRecord Decode(std::string_view text) const {
-    return texts_.at(std::stoul(std::string(text)));
+    return records_.at(std::stoul(std::string(text)));
   }
 
   // Returns the holder of a domain's keeper role according to the service.
@@ -168,7 +168,7 @@
 
  private:
   // An order between a node and an engine.
-  struct Flight {
+  struct InFlightOrder {
     NodeId from;
     SendOrder send;
     Time at;
@@ -223,36 +223,38 @@
       node.next_renewal = now_ + kLease / 3;
       Renew(node);
     }
-    if (now_ >= node.next_list && !node.is_cut) {
+    if (now_ >= node.next_list && !node.is_cut_off) {
       node.next_list = now_ + Duration::Seconds(2);
       ReadList(node);
     }
     // Delivers the records as a watch would; the watch itself is not under
     // test.
-    if (Reaches(node)) {
+    if (ReachesStore(node)) {
       for (const auto& [key, entry] : link_.store().entries()) {
         if (key.starts_with("domain/")) {
           const DomainRecord record = Decode(entry.value);
           node.keeper.OnDomainRecord(record, entry.revision);
-          Carry(node, node.gate.OnDomainRecord(now_, record, entry.revision));
+          ApplyActions(node,
+                       node.gate.OnDomainRecord(now_, record, entry.revision));
         }
       }
     }
     if (now_ >= node.valid_until) {
       DropRoles(node);
     }
-    Carry(node, node.keeper.Tick(now_));
-    Carry(node, node.gate.Tick(now_));
+    ApplyActions(node, node.keeper.Tick(now_));
+    ApplyActions(node, node.gate.Tick(now_));
   }
 
-  bool Reaches(const Node& node) {
-    return !node.is_cut && !node.is_cut_from_store && !link_.faults().outage;
+  bool ReachesStore(const Node& node) {
+    return !node.is_cut_off && !node.is_cut_from_store &&
+           !link_.faults().outage;
   }
 
   // Renews the node's lease and takes free roles, without the delays that the
   // tests of leases cover.
   void Renew(Node& node) {
-    if (!Reaches(node) || node.zone != ZoneId("z1")) {
+    if (!ReachesStore(node) || node.zone != ZoneId("z1")) {
       return;
     }
     FakeStore& store = link_.store();
@@ -305,94 +307,97 @@
       --old;
     }
     node.keeper.OnVmList(now_, old->second);
-    Carry(node, node.gate.OnVmList(now_, old->second));
+    ApplyActions(node, node.gate.OnVmList(now_, old->second));
   }
 
   template <typename Action>
-  void Carry(Node& node, std::vector<Action> actions) {
+  void ApplyActions(Node& node, std::vector<Action> actions) {
     for (Action& action : actions) {
       if (const auto* probe = std::get_if<ProbeVm>(&action)) {
         Probe(node, *probe, std::is_same_v<Action, ServingGateAction>);
         continue;
       }
-      std::visit([&](auto& typed) { CarryOne(node, typed); }, action);
+      std::visit([&](auto& typed) { ApplyAction(node, typed); }, action);
     }
   }
 
   // Probes that fail get no answer, as after a silent connection.
   void Probe(const Node& node, const ProbeVm& probe, bool is_gate) {
     const auto status = engines_.Status(now_, probe.vm);
-    if (!node.is_cut && !node.is_cut_from_engines && status) {
-      probed_.push_back(Probed{node.id, is_gate, probe.id, *status});
+    if (!node.is_cut_off && !node.is_cut_from_engines && status) {
+      pending_probes_.push_back(
+          PendingProbe{node.id, is_gate, probe.id, *status});
     }
   }
 
   void AnswerProbes() {
-    for (const Probed& probed : std::exchange(probed_, {})) {
-      Node& node = nodes_.at(probed.node);
-      if (node.is_paused || node.is_cut) {
+    for (const PendingProbe& pending : std::exchange(pending_probes_, {})) {
+      Node& node = nodes_.at(pending.node);
+      if (node.is_paused || node.is_cut_off) {
         continue;
       }
-      if (probed.is_gate) {
-        Carry(node, node.gate.OnProbeReply(now_, probed.id, probed.status));
+      if (pending.is_gate) {
+        ApplyActions(node,
+                     node.gate.OnProbeReply(now_, pending.id, pending.status));
       } else {
-        node.keeper.OnProbeReply(now_, probed.id, probed.status);
+        node.keeper.OnProbeReply(now_, pending.id, pending.status);
       }
     }
   }
 
-  void CarryOne(Node& node, StoreRequest& request) {
+  void ApplyAction(Node& node, StoreRequest& request) {
     link_.Send(now_, node.id.value(), request.id, std::move(request.call));
   }
-  void CarryOne(Node& node, PeerSend<PresenceReport>& send) {
+  void ApplyAction(Node& node, PeerSend<PresenceReport>& send) {
     network_.Send(now_, node.id, send.to, std::move(send.message));
   }
-  void CarryOne(Node& node, SendOrder& send) {
+  void ApplyAction(Node& node, SendOrder& send) {
     ++orders_sent_;
-    flights_.push_back(
-        Flight{node.id, std::move(send), now_ + Delay(Duration::Millis(150))});
+    in_flight_orders_.push_back(InFlightOrder{
+        node.id, std::move(send), now_ + Delay(Duration::Millis(150))});
   }
-  void CarryOne(Node&, ProbeVm&) {}
-  void CarryOne(Node&, RecordCommitted&) {}
-  void CarryOne(Node&, EndpointOpened&) {}
-  void CarryOne(Node&, EndpointClosed&) {}
-  void CarryOne(Node&, EndpointDrained&) {}
+  void ApplyAction(Node&, ProbeVm&) {}
+  void ApplyAction(Node&, RecordCommitted&) {}
+  void ApplyAction(Node&, EndpointOpened&) {}
+  void ApplyAction(Node&, EndpointClosed&) {}
+  void ApplyAction(Node&, EndpointDrained&) {}
 
-  Duration Delay(Duration most) {
+  Duration Delay(Duration max_delay) {
     return Duration::Millis(static_cast<std::int64_t>(
-        DrawBelow(random_, static_cast<std::uint64_t>(most.millis()))));
+        DrawBelow(random_, static_cast<std::uint64_t>(max_delay.millis()))));
   }
 
   // Writes orders, checking the clock right before, and lets them arrive.
-  void RunFlights() {
-    std::vector<Flight> flights = std::exchange(flights_, {});
-    for (Flight& flight : flights) {
-      Node& node = nodes_.at(flight.from);
-      if (now_ < flight.at || (!flight.is_written && node.is_paused)) {
-        flights_.push_back(std::move(flight));
+  void DeliverOrders() {
+    std::vector<InFlightOrder> in_flight_orders =
+        std::exchange(in_flight_orders_, {});
+    for (InFlightOrder& in_flight : in_flight_orders) {
+      Node& node = nodes_.at(in_flight.from);
+      if (now_ < in_flight.at || (!in_flight.is_written && node.is_paused)) {
+        in_flight_orders_.push_back(std::move(in_flight));
         continue;
       }
-      if (flight.is_written) {
-        Arrive(node, flight);
-      } else if (now_ >= flight.send.send_before && !faults_.writes_late) {
-        node.keeper.OnOrderReply(now_, flight.send.id, OrderWithheld{});
-      } else if (!node.is_cut) {
-        flight.is_written = true;
-        flight.at = now_ + Delay(flight.send.timeout);
-        flights_.push_back(std::move(flight));
+      if (in_flight.is_written) {
+        Arrive(node, in_flight);
+      } else if (now_ >= in_flight.send.send_before && !faults_.writes_late) {
+        node.keeper.OnOrderReply(now_, in_flight.send.id, OrderWithheld{});
+      } else if (!node.is_cut_off) {
+        in_flight.is_written = true;
+        in_flight.at = now_ + Delay(in_flight.send.timeout);
+        in_flight_orders_.push_back(std::move(in_flight));
       }
     }
   }
 
-  void Arrive(Node& node, const Flight& flight) {
+  void Arrive(Node& node, const InFlightOrder& in_flight) {
     const auto reply =
-        engines_.Execute(now_, flight.send.vm, flight.send.order);
-    if (reply && !node.is_paused && !node.is_cut) {
-      node.keeper.OnOrderReply(now_, flight.send.id, *reply);
+        engines_.Execute(now_, in_flight.send.vm, in_flight.send.order);
+    if (reply && !node.is_paused && !node.is_cut_off) {
+      node.keeper.OnOrderReply(now_, in_flight.send.id, *reply);
     }
   }
 
-  struct Probed {
+  struct PendingProbe {
     NodeId node;
     bool is_gate;
     ProbeId id;
@@ -408,9 +413,9 @@
   std::map<NodeId, Node> nodes_;
   std::map<Time, VmListSnapshot> lists_;
   std::set<VmId> unlisted_;
-  std::vector<Flight> flights_;
-  std::vector<Probed> probed_;
-  std::vector<DomainRecord> texts_;
+  std::vector<InFlightOrder> in_flight_orders_;
+  std::vector<PendingProbe> pending_probes_;
+  std::vector<DomainRecord> records_;
   std::int64_t orders_sent_ = 0;
 };
 
