--- a/coordination/groups/repair_plan.h
+++ b/coordination/groups/repair_plan.h
@@ -12,20 +12,20 @@
 
 namespace gcw {
 
-// What the planner remembers from one round to the next, as one round uses it.
+// What the planner remembers between rounds, as the input of one round.
 struct PlanContext {
   Time now;
-  // Domains that are dark, and since when.
+  // The dark domains and when each became dark.
   std::map<FabricDomainId, Time> dark_since;
-  // Groups that lost a member, and since when.
+  // The broken groups and when each lost its first member.
   std::map<GroupId, Time> broken_since;
-  // How many loads may be started, and how many serving groups taken apart.
-  std::int64_t loads = 0;
-  std::int64_t borrows = 0;
+  // How many loads may start, and how many serving groups may be taken apart.
+  std::int64_t load_budget = 0;
+  std::int64_t borrow_budget = 0;
 };
 
-// One round of planning: chooses moves one after the other, each with what the
-// earlier ones left.
+// One planning round. Chooses moves one after another; each takes the earlier
+// ones into account.
 class RepairPlan {
  public:
   RepairPlan(const PlannerSettings& settings,
@@ -34,30 +34,31 @@
 
   std::vector<RepairMove> Run();
 
-  // How many serving groups the round takes apart for others.
+  // Number of serving groups that this round takes apart for others.
   std::int64_t borrowed() const { return borrowed_; }
 
  private:
-  // A group as the plan sees it.
-  struct Seat {
+  // The state of a group during the round.
+  struct GroupView {
     FabricDomainId domain;
-    const GroupRecord* group = nullptr;
+    const GroupRecord* record = nullptr;
     const WantedModel* model = nullptr;
     // Members that must be replaced.
-    std::vector<VmId> lost;
-    // Of these, those that are back but flap.
+    std::vector<VmId> to_replace;
+    // Those of `lost` that are running again but flap.
     std::vector<VmId> flapping;
     bool is_leaving = false;
     bool is_broken = false;
-    // The plan gives it other members or loads it again.
-    bool is_moved = false;
-    // No longer counted: the plan takes it apart.
-    bool is_taken = false;
+    // The round replaces members of the group or loads it again.
+    bool is_reloaded = false;
+    // The round takes the group apart, so the group no longer counts.
+    bool is_retired = false;
   };
 
-  void CollectFree();
-  void CollectSeats();
-  Seat Describe(const FabricDomainId& domain, const GroupRecord& group) const;
+  void CollectFreeVms();
+  void CollectGroups();
+  GroupView DescribeGroup(const FabricDomainId& domain,
+                          const GroupRecord& record) const;
   const WantedModel* FindModel(const ModelId& model) const;
   GroupTarget TargetOf(const WantedModel& model) const;
 
@@ -65,28 +66,28 @@
   void StartPlannedStops();
   void TrimExcess();
   void RepairBroken();
-  void Repair(Seat& seat);
-  bool RepairInPlace(Seat& seat);
-  bool Borrow(Seat& seat);
-  bool RebuildElsewhere(Seat& seat);
-  bool GiveUp(Seat& seat);
-  bool TakeFlappingBack(Seat& seat);
-  void Reload(Seat& seat, const std::vector<VmId>& removed);
+  void Repair(GroupView& group);
+  bool RepairInPlace(GroupView& group);
+  bool Borrow(GroupView& group);
+  bool RebuildElsewhere(GroupView& group);
+  bool GiveUp(GroupView& group);
+  bool ReinstateFlapping(GroupView& group);
+  void Reload(GroupView& group, const std::vector<VmId>& removed);
   void FillWanted();
   void FillSurplus();
-  bool Form(const WantedModel& model, RepairReason reason);
+  bool FormNewGroup(const WantedModel& model, RepairReason reason);
 
-  bool IsHeldDark(const FabricDomainId& domain) const;
-  bool IsSurplus(const Seat& seat) const;
-  // Orders groups by how much they are needed; the lowest is needed most.
+  bool IsInDarkHold(const FabricDomainId& domain) const;
+  bool IsSurplus(const GroupView& group) const;
+  // Sort key by need; the group with the lowest key is needed most.
   std::tuple<bool, std::int64_t, std::int64_t, Time> NeedOf(
-      const Seat& seat) const;
-  // Whether `a` may be taken apart for `b`.
-  bool NeedsLess(const Seat& a, const Seat& b) const;
+      const GroupView& group) const;
+  // True if `a` may be taken apart for `b`.
+  bool IsLessNeeded(const GroupView& a, const GroupView& b) const;
   std::int64_t CountGroups(const ModelId& model) const;
   std::int64_t CountServing(const ModelId& model) const;
-  const FabricDomainId* RoomiestDomain(std::int64_t vms) const;
-  // Whether `vms` VMs are better used in a group than kept as spares beside
+  const FabricDomainId* DomainWithMostFree(std::int64_t vms) const;
+  // True if `vms` VMs are worth more in a group than as spares in addition to
   // `spares_left` others.
   bool IsWorthMoreThanSpares(const FabricDomainId& domain,
                              std::int64_t spares_left,
@@ -96,9 +97,9 @@
   const PlannerSettings& settings_;
   const PlannerView& view_;
   PlanContext context_;
-  std::map<FabricDomainId, std::vector<VmId>> free_;
+  std::map<FabricDomainId, std::vector<VmId>> free_vms_;
   std::map<FabricDomainId, std::int64_t> vm_count_;
-  std::vector<Seat> seats_;
+  std::vector<GroupView> groups_;
   std::vector<RepairMove> moves_;
   std::int64_t borrowed_ = 0;
 };
--- a/coordination/groups/vm_tracker.h
+++ b/coordination/groups/vm_tracker.h
@@ -11,80 +11,82 @@
 
 namespace gcw {
 
-// Settings of the VM tracker.
+// Settings of `VmTracker`.
 struct TrackerSettings {
-  // Between probes of a VM that something is expected of: it loads, leaves,
-  // drains, or another VM said that it misses it.
-  Duration watched_interval = Duration::Millis(1000);
-  // Between probes of the first VM of a serving group.
-  Duration first_interval = Duration::Millis(2000);
-  // Between probes of all others.
+  // Probe interval of a VM that is expected to change: it loads, leaves or
+  // drains, or another VM reported it missing.
+  Duration fast_interval = Duration::Millis(1000);
+  // Probe interval of the first VM of a serving group.
+  Duration first_member_interval = Duration::Millis(2000);
+  // Probe interval of all other VMs.
   Duration idle_interval = Duration::Seconds(10);
   Duration timeout = Duration::Millis(500);
-  // A VM that answered nothing for this long since its first unanswered probe
-  // counts as lost.
+  // A VM that has answered nothing for this long since its first unanswered
+  // probe counts as lost.
   Duration loss_after = Duration::Millis(3000);
-  // How far the VM list may lag. A VM counts as gone only by a list that held
-  // this much later than the VM's last sign of life.
+  // Maximum lag of the VM list. A VM counts as gone only if a list that omits
+  // it is newer than the VM's last sign of life by more than this.
   Duration list_lag = Duration::Seconds(60);
 };
 
-// How closely a VM is watched.
-enum class Watch { kIdle, kFirst, kClose };
+// How closely a VM is probed.
+enum class ProbeRate { kIdle, kFirstMember, kFast };
 
-// What is known of one VM.
+// What is known about one VM.
 struct VmFacts {
-  // As last listed.
+  // The VM's newest list entry.
   VmEntry entry;
-  // Whether the newest list holds it.
+  // True if the newest list holds the VM.
   bool listed = false;
-  // When a list first held that left it out.
+  // The time of the newest list, if that list omits the VM.
   std::optional<Time> absent_as_of;
   // The newest answer and when its probe was sent.
   std::optional<EngineStatus> status;
   Time status_time;
-  // The first unanswered probe after the newest answer was sent then.
+  // When the first unanswered probe after the newest answer was sent.
   std::optional<Time> failing_since;
 };
 
-// Knows a domain's VMs by the VM list and by probes of its own.
+// Tracks VMs by the VM list and by its own probes.
 class VmTracker {
  public:
   explicit VmTracker(TrackerSettings settings);
 
-  // Lists that held earlier than one already known are ignored.
+  // Ignores a list older than the newest one known.
   void OnVmList(Time now, const VmListSnapshot& snapshot);
 
-  // Which domains' VMs are probed.
+  // Sets the domains whose VMs are probed.
   void SetDomains(const std::set<FabricDomainId>& domains);
-  void SetWatch(const VmId& vm, Watch watch);
+  void SetProbeRate(const VmId& vm, ProbeRate rate);
 
-  // The probes that are due.
+  // Returns the probes that are due.
   std::vector<ProbeVm> Tick(Time now);
   void OnProbeReply(Time now, ProbeId id, const ProbeReply& reply);
 
-  // Nothing for VMs that were never listed.
+  // Returns null for a VM that was never listed.
   const VmFacts* Find(const VmId& vm) const;
   const std::map<VmId, VmFacts>& all() const { return vms_; }
 
-  // It did not answer for the loss time.
+  // True if the VM has not answered for `loss_after`.
   bool IsUnreachable(Time now, const VmId& vm) const;
 
-  // Its last sign of life lies before a list that leaves it out, by more than
-  // the list's lag. A list that is late in showing a new VM cannot make it look
-  // gone, since a VM never listed is never gone.
+  // True if the VM is unreachable and a list that omits it is newer than its
+  // last sign of life by more than `list_lag`. A list that is late in showing a
+  // new VM cannot make it look gone, because a VM that was never listed is
+  // never gone.
   bool IsGone(Time now, const VmId& vm) const;
 
-  // Its engine answered a probe sent at `since` or later, and is in no group.
+  // True if the VM's engine answered a probe sent at `since` or later and is in
+  // no group.
   bool IsIdleSince(const VmId& vm, Time since) const;
 
  private:
   struct Schedule {
-    Watch watch = Watch::kIdle;
+    ProbeRate rate = ProbeRate::kIdle;
     Time next;
     std::optional<ProbeId> pending;
   };
-  struct Sent {
+  struct SentProbe {
     VmId vm;
     Time at;
   };
@@ -92,15 +94,15 @@
   void OnStatus(Time sent, const VmId& vm, const EngineStatus& status);
   void OnFailure(Time sent, const VmId& vm);
   void ExpireProbes(Time now);
-  Duration Interval(Watch watch) const;
+  Duration Interval(ProbeRate rate) const;
 
   TrackerSettings settings_;
   Time list_as_of_;
   std::set<FabricDomainId> domains_;
   std::map<VmId, VmFacts> vms_;
   std::map<VmId, Schedule> schedules_;
-  std::map<ProbeId, Sent> sent_;
-  ProbeId last_id_;
+  std::map<ProbeId, SentProbe> sent_probes_;
+  ProbeId last_probe_;
 };
 
 }  // namespace gcw
--- a/tests/coordination/groups/group_keeper_test.cc
+++ b/tests/coordination/groups/group_keeper_test.cc
@@ -11,24 +11,24 @@
 namespace gcw {
 namespace {
 
-// Says where a VM stands in two places of a record, or runs another group than
-// the record gives it; empty where none does.
-std::string FindBreach(GroupsWorld& world) {
+// Describes a record with a fault, or a VM that runs another group than its
+// record says. Returns an empty string if there is none.
+std::string FindViolation(GroupsWorld& world) {
   for (const DomainRecord& record : world.Records()) {
     if (FindFault(record)) {
       return "faulty record of " + record.domain.value();
     }
     for (const GroupRecord& group : record.groups) {
       for (const VmId& vm : group.members) {
-        const EngineOrder& runs = world.engines().at(vm).order;
+        const EngineOrder& running = world.engines().at(vm).order;
         // All members of a serving group have confirmed its generation.
-        const bool is_in_place =
-            runs.group == group.id && (group.state == GroupState::kLoading ||
-                                       runs.generation == group.generation);
-        if (!runs.group.empty() && !is_in_place) {
+        const bool is_in_place = running.group == group.id &&
+                                 (group.state == GroupState::kLoading ||
+                                  running.generation == group.generation);
+        if (!running.group.empty() && !is_in_place) {
           return vm.value() + " is in " + group.id.value() + " and runs " +
-                 runs.group.value() + "/" +
-                 std::to_string(runs.generation.value());
+                 running.group.value() + "/" +
+                 std::to_string(running.generation.value());
         }
       }
     }
@@ -59,12 +59,12 @@
   });
 }
 
-// Returns the first breach.
+// Returns the first violation.
 std::string RunChecked(GroupsWorld& world, Duration time) {
   for (const Time end = world.now() + time; world.now() < end;) {
     world.Step();
-    if (std::string breach = FindBreach(world); !breach.empty()) {
-      return breach;
+    if (std::string violation = FindViolation(world); !violation.empty()) {
+      return violation;
     }
   }
   return "";
@@ -76,9 +76,8 @@
   EXPECT_EQ(CountServing(world), 3);
 }
 
-// Symptom: a group stays down although its domain has spare VMs.
-// Events: a VM dies; its domain holds three spares.
-// Cause: nothing replaced the member and raised the generation.
+// Guards against a group that stays down although its domain has spare VMs. A
+// VM dies; its domain holds three spares.
 TEST(GroupKeeperTest, ReplacesADeadVmByASpare) {
   GroupsWorld world(2, true);
   ASSERT_EQ(RunChecked(world, Duration::Seconds(30)), "");
@@ -89,12 +88,12 @@
   EXPECT_EQ(CountServing(world), 3);
 }
 
-// Symptom: two groups share a VM, or a serving group loses one.
-// Events: a keeper is paused longer than its lease with orders not yet written;
-// another takes over and moves VMs; the first wakes and its orders leave.
-// Cause: engines that ignore fencing numbers obey whoever speaks last. The look
-// at `send_before` right before the write withholds the orders.
-TEST(GroupKeeperTest, KeeperThatWakesInTheMiddleOfAnOrderSendsNothing) {
+// Guards against two groups that share a VM, and serving groups that lose one.
+// A keeper pauses longer than its lease with orders not yet written, another
+// takes over and moves VMs, and the first resumes. Engines that ignore fencing
+// tokens would obey its late orders; the check of `send_before` right before
+// the write withholds them.
+TEST(GroupKeeperTest, KeeperResumedInTheMiddleOfAnOrderSendsNothing) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     GroupsWorld world(seed, false);
     // Pauses the keeper in the step in which it first sends orders.
@@ -113,10 +112,10 @@
   }
 }
 
-// What no look at the clock prevents: the sender is paused between the look and
-// the write. Engines that check fencing numbers refuse the order. Of those that
-// ignore them, some leave their group's generation; this lasts until the new
-// keeper has read their state back and ordered them again.
+// Covers what no check of the clock prevents: the sender pauses between the
+// check and the write. Engines that check fencing tokens refuse the order. Some
+// of those that ignore them leave their group's generation until the new keeper
+// has read their state back and ordered them again.
 TEST(GroupKeeperTest, OrderWrittenLateIsRefusedOrReconciled) {
   for (const bool checks_fences : {true, false}) {
     Duration longest;
@@ -133,26 +132,27 @@
       world.engines().Restart(world.now(), VmId("d1-v0"));
       world.Run(Duration::Seconds(15));
       keeper->is_paused = false;
-      Duration lasted;
+      Duration violation_time;
       for (int step = 0; step < 400; ++step) {
         world.Step();
-        lasted =
-            FindBreach(world).empty() ? lasted : lasted + GroupsWorld::kStep;
+        violation_time = FindViolation(world).empty()
+                             ? violation_time
+                             : violation_time + GroupsWorld::kStep;
       }
-      longest = std::max(longest, lasted);
+      longest = std::max(longest, violation_time);
       EXPECT_EQ(CountServing(world), 3) << "seed " << seed;
     }
-    std::printf("fences %s: out of place for at most %lld ms\n",
+    std::printf("fencing tokens %s: out of place for at most %lld ms\n",
                 checks_fences ? "checked" : "ignored",
                 static_cast<long long>(longest.millis()));
     EXPECT_LE(longest, checks_fences ? Duration() : Duration::Seconds(12));
   }
 }
 
-// Symptom: a change seems refused although it holds, and is made twice.
-// Events: the service writes the record, but the answer is lost.
-// Cause: a lost answer was taken for a failure. The change id read back tells.
-TEST(GroupKeeperTest, SettlesLostAnswersOfWrites) {
+// Guards against treating a committed change as refused and making it twice.
+// The service writes the record, but the answer is lost; the change id that is
+// read back shows that the write took effect.
+TEST(GroupKeeperTest, ReadsBackAfterLostWriteReplies) {
   GroupsWorld world(3, true);
   world.link().faults().reply_lost = 0.5;
   ASSERT_EQ(RunChecked(world, Duration::Seconds(60)), "");
@@ -161,17 +161,17 @@
   EXPECT_EQ(CountServing(world), 3);
 }
 
-// Symptom: serving groups are taken apart after the service was restored.
-// Events: groups form; the service is set back to before; keepers go on.
-// Cause: a record older than one already seen was acted on.
-TEST(GroupKeeperTest, RefusesARestoredStore) {
+// Guards against taking serving groups apart after the service was restored to
+// a state from before they formed. A record older than one already seen must
+// not be acted on.
+TEST(GroupKeeperTest, RejectsRestoredStore) {
   GroupsWorld world(4, true);
   ASSERT_EQ(RunChecked(world, Duration::Seconds(5)), "");
   world.link().Snapshot();
   ASSERT_EQ(RunChecked(world, Duration::Seconds(30)), "");
   ASSERT_EQ(CountServing(world), 3);
   world.link().Restore();
-  // The lease outlives the restore, so that the same keeper goes on.
+  // The lease outlives the restore, so that the same keeper continues.
   world.link().store().ExtendLeases(world.now());
   world.engines().Restart(world.now(), VmId("d1-v0"));
   for (int step = 0; step < 200; ++step) {
@@ -180,13 +180,13 @@
   }
 }
 
-// Things that go wrong, together and twice: engines die, restart, pause and
-// wake, also a whole domain; keepers pause, are cut off and lose their lease
-// unseen; the service goes away, loses requests and answers, reads stale; the
-// VM list is late in both directions.
-class Chaos {
+// Injects faults, also several at once and repeatedly: engines die, restart,
+// pause and resume, also a whole domain at once; keepers pause, are cut off and
+// lose their lease without noticing; the service fails, loses requests and
+// answers, and reads stale; the VM list is late in both directions.
+class FaultInjector {
  public:
-  Chaos(GroupsWorld& world, std::uint64_t seed)
+  FaultInjector(GroupsWorld& world, std::uint64_t seed)
       : world_(world), random_(SeededRandom(seed)) {
     for (const auto& [vm, engine] : world.engines().all()) {
       vms_.push_back(vm);
@@ -197,7 +197,7 @@
     faults.busy = 0.05;
   }
 
-  void Strike() {
+  void InjectFault() {
     const VmId& vm = vms_[DrawBelow(random_, vms_.size())];
     GroupsWorld::Node& node = world_.node(kNodes[DrawBelow(random_, 3)]);
     FakeEngines& engines = world_.engines();
@@ -217,19 +217,19 @@
         node.is_paused = true;
         return;
       case 6:
-        node.is_cut = true;
+        node.is_cut_off = true;
         return;
       case 7:
         world_.link().SetOutage(world_.now(), !world_.link().faults().outage);
         return;
       case 8:
-        // The service forgets a lease while its holder believes in it.
+        // The service drops a lease that its holder still believes in.
         node.is_cut_from_store = true;
         world_.link().store().Execute(world_.now(),
                                       StoreLeaseRevoke{node.lease});
         return;
       case 9:
-        StrikeDomain();
+        PauseDomain();
         return;
       case 10:
         world_.unlisted().insert(vm);
@@ -240,10 +240,10 @@
     }
   }
 
-  void Heal() {
+  void ClearFaults() {
     for (auto& [id, node] : world_.nodes()) {
       node.is_paused = false;
-      node.is_cut = false;
+      node.is_cut_off = false;
       node.is_cut_from_store = false;
     }
     for (const VmId& vm : vms_) {
@@ -260,7 +260,7 @@
  private:
   static constexpr std::array<const char*, 3> kNodes = {"n1", "n2", "n3"};
 
-  void StrikeDomain() {
+  void PauseDomain() {
     for (const VmId& vm : vms_) {
       if (vm.value().starts_with("d1")) {
         world_.engines().Pause(world_.now(), vm);
@@ -273,37 +273,37 @@
   std::vector<VmId> vms_;
 };
 
-std::string RunChaos(std::uint64_t seed, bool checks_fences) {
+std::string RunWithFaults(std::uint64_t seed, bool checks_fences) {
   GroupsWorld world(seed, checks_fences);
-  Chaos chaos(world, seed);
+  FaultInjector injector(world, seed);
   const Random random = SeededRandom(seed + 7);
-  std::string breach = RunChecked(world, Duration::Seconds(15));
-  for (int round = 0; round < 12 && breach.empty(); ++round) {
-    chaos.Strike();
+  std::string violation = RunChecked(world, Duration::Seconds(15));
+  for (int round = 0; round < 12 && violation.empty(); ++round) {
+    injector.InjectFault();
     const auto pause = static_cast<std::int64_t>(DrawBelow(random, 9000));
-    breach = RunChecked(world, Duration::Millis(pause));
+    violation = RunChecked(world, Duration::Millis(pause));
     if (DrawBelow(random, 3) == 0) {
-      chaos.Heal();
+      injector.ClearFaults();
     }
   }
-  chaos.Heal();
-  if (breach.empty()) {
-    breach = RunChecked(world, Duration::Seconds(120));
+  injector.ClearFaults();
+  if (violation.empty()) {
+    violation = RunChecked(world, Duration::Seconds(120));
   }
-  if (breach.empty() && CountServing(world) < 3) {
-    return "groups did not come back";
+  if (violation.empty() && CountServing(world) < 3) {
+    return "groups did not recover";
   }
-  return breach;
+  return violation;
 }
 
-RC_GTEST_PROP(GroupKeeperProperty, OneGroupPerVmWithFences, ()) {
+RC_GTEST_PROP(GroupKeeperProperty, OneGroupPerVmWithFencingTokens, ()) {
   const auto seed = *rc::gen::inRange<std::uint64_t>(0, 1000000);
-  RC_ASSERT(RunChaos(seed, true) == "");
+  RC_ASSERT(RunWithFaults(seed, true) == "");
 }
 
-RC_GTEST_PROP(GroupKeeperProperty, OneGroupPerVmWithoutFences, ()) {
+RC_GTEST_PROP(GroupKeeperProperty, OneGroupPerVmWithoutFencingTokens, ()) {
   const auto seed = *rc::gen::inRange<std::uint64_t>(0, 1000000);
-  RC_ASSERT(RunChaos(seed, false) == "");
+  RC_ASSERT(RunWithFaults(seed, false) == "");
 }
 
 }  // namespace
