--- a/state/cache_event.h
+++ b/state/cache_event.h
@@ -13,7 +13,7 @@
 
 // A prefix block that entered or left a model engine's cache.
 struct CacheEvent {
-  // Counts from 1 in each run of the engine's process.
+  // Counted from 1 in each run of the engine's process.
   std::int64_t sequence = 0;
   CacheEventKind kind = CacheEventKind::kStored;
   // Hash of the prompt up to the block's end; see docs/PLATFORM.md.
@@ -22,12 +22,12 @@
   friend bool operator==(const CacheEvent&, const CacheEvent&) = default;
 };
 
-// The events after the sequence number that was asked for. Where `first` is not
-// the number after it, the events between are lost.
+// Cache events after a requested sequence number. If `first` is not the number
+// that follows the requested one, the events in between are lost.
 struct CacheEventBatch {
   std::int64_t first = 1;
-  // The number of the first event that is not in the batch. Not above the asked
-  // number where the engine has started anew since.
+  // Sequence number of the first event after the batch. It is at most the
+  // requested number if the engine has restarted since.
   std::int64_t next = 1;
   std::vector<CacheEvent> events;
 
--- a/state/config_store.cc
+++ b/state/config_store.cc
@@ -26,7 +26,7 @@
   return hash;
 }
 
-// Differs for each version of each key.
+// Returns a hash that differs for each version of each key.
 std::uint64_t HashEntry(const ConfigEntry& entry) {
   const auto revision = static_cast<std::uint64_t>(entry.revision.value());
   const std::uint64_t hash =
@@ -47,7 +47,8 @@
                ? ConfigMergeResult::kKnown
                : ConfigMergeResult::kContradicts;
   }
-  // Sums of hashes can be updated one entry at a time.
+  // A bucket's digest is the sum of its entries' hashes, so that it can be
+  // updated one entry at a time.
   std::uint64_t& bucket = buckets_[BucketOf(entry.key)];
   if (held) {
     bucket -= HashEntry(it->second);
--- a/state/config_store.h
+++ b/state/config_store.h
@@ -15,7 +15,7 @@
 
 namespace gcw {
 
-// A change of one key that was committed.
+// A committed change of one key.
 struct ConfigVersion {
   ChangeId change;
   Revision revision;
@@ -23,15 +23,16 @@
   friend bool operator==(const ConfigVersion&, const ConfigVersion&) = default;
 };
 
-// The value of a configuration key as it is written to the key-value service.
+// Value of a configuration key as stored in the key-value service.
 struct ConfigRecord {
-  // Absent in a tombstone: the key was withdrawn. A tombstone is a value and
-  // not a deletion, so that it has a revision of its own and an older value
-  // that turns up late cannot bring the key back.
+  // Absent in a tombstone, which marks a withdrawn key. A tombstone is written
+  // as a value instead of deleting the key, so that it has a revision of its
+  // own and a late older value cannot restore the key.
   std::optional<std::string> value;
   ChangeId change;
-  // Earlier versions of this key, the newest first, at most `kHistoryLimit`.
-  // They settle a change whose answer was lost and that others built upon.
+  // Earlier versions of this key, newest first, at most `kHistoryLimit`. They
+  // show whether a change took effect whose reply was lost and that later
+  // changes built upon.
   std::vector<ConfigVersion> history;
 
   static constexpr std::size_t kHistoryLimit = 8;
@@ -39,14 +40,14 @@
   friend bool operator==(const ConfigRecord&, const ConfigRecord&) = default;
 };
 
-// How configuration records stand in the key-value service.
+// Serialization of configuration records in the key-value service.
 struct ConfigRecordCodec {
   std::function<std::string(const ConfigRecord&)> encode;
-  // Absent where the text is no record.
+  // Returns nothing if the text is not a valid record.
   std::function<std::optional<ConfigRecord>(std::string_view)> decode;
 };
 
-// A configuration key as nodes hold it.
+// A configuration key with the record that a node holds.
 struct ConfigEntry {
   std::string key;
   Revision revision;
@@ -55,26 +56,26 @@
   friend bool operator==(const ConfigEntry&, const ConfigEntry&) = default;
 };
 
-// A key with its revision, for comparing copies.
+// A key and its revision, for comparing the copies of two nodes.
 struct ConfigKeyRevision {
   std::string key;
   Revision revision;
 };
 
 enum class ConfigMergeResult {
-  // The entry is newer and was taken.
+  // The entry is newer and was stored.
   kApplied,
-  // The same version was held already.
+  // The same version is already held.
   kKnown,
   // A newer version is held; the entry was dropped.
   kOlder,
-  // Another change with the same revision is held: the key-value service went
-  // back in time and wrote a second history. The entry was dropped.
+  // Another change with the same revision is held: the key-value service was
+  // rolled back and wrote a second history. The entry was dropped.
   kContradicts,
 };
 
-// A node's copy of the operators' configuration. Each key only moves up in
-// revision, from whatever source and in whatever order versions arrive.
+// A node's copy of the operators' configuration. The revision of a key never
+// decreases, whatever the source and the order of the versions.
 class ConfigStore {
  public:
   static constexpr std::size_t kBucketCount = 64;
@@ -82,17 +83,17 @@
 
   ConfigMergeResult Merge(const ConfigEntry& entry);
 
-  // Null where the key was never written. May be a tombstone.
+  // Returns null if the key was never written. The record may be a tombstone.
   const ConfigEntry* Find(const std::string& key) const;
   const std::map<std::string, ConfigEntry>& entries() const { return entries_; }
-  // The highest revision of an entry.
+  // Highest revision of all entries.
   Revision newest() const { return newest_; }
 
-  // Equal for equal copies.
+  // Hash of all entries, equal for equal copies.
   std::uint64_t Digest() const;
-  // One hash for each group of keys.
+  // One hash per bucket of keys.
   const Buckets& bucket_digests() const { return buckets_; }
-  // What is held in the given groups of keys.
+  // Returns the keys held in the given buckets.
   std::vector<ConfigKeyRevision> KeysIn(
       const std::vector<std::uint8_t>& buckets) const;
   static std::uint8_t BucketOf(std::string_view key);
--- a/state/contract.h
+++ b/state/contract.h
@@ -10,27 +10,29 @@
 
 namespace gcw {
 
-// What a customer was promised. Paid contracts always go before trial ones.
+// Service class of a contract. Paid contracts always take precedence over trial
+// contracts.
 enum class Tier { kPaid, kTrial };
 
 std::string_view TierName(Tier tier);
 
-// What one customer may run, how much, and how it ranks when capacity is
-// short. Every limit that the customer meets follows from it.
+// What one customer may run, how much, and with which priority when capacity is
+// short. All limits enforced on the customer follow from it.
 struct Contract {
   ContractId id;
   std::string customer;
   Tier tier = Tier::kTrial;
-  // Within the tier; a lower number is served first.
+  // Priority within the tier; a lower number is served first.
   Rank rank;
   std::set<ModelId> models;
   std::set<ServiceId> services;
-  // Over all nodes together. Prompt and generated tokens both count.
+  // The limits hold for all nodes together. Prompt and generated tokens both
+  // count.
   double requests_per_second = 0;
   double tokens_per_second = 0;
   std::int64_t concurrency = 0;
   Time valid_from;
-  // No end where absent.
+  // Absent if the contract does not expire.
   std::optional<Time> valid_until;
   std::set<KeyDigest> keys;
 
@@ -51,7 +53,7 @@
   kKeyMalformed,
 };
 
-// Why a contract cannot be accepted; `field` names the setting at fault.
+// Why a contract is invalid; `field` names the invalid setting.
 struct ContractError {
   ContractErrorKind kind;
   std::string_view field;
@@ -59,10 +61,10 @@
 
 std::string_view ContractErrorKindName(ContractErrorKind kind);
 
-// The first reason why the contract cannot be accepted, if there is one.
+// Returns the first reason why the contract is invalid, if any.
 std::optional<ContractError> FindFault(const Contract& contract);
 
-// Checks and builds a contract.
+// Builds and validates a contract.
 class ContractBuilder {
  public:
   static constexpr double kMaxRequestsPerSecond = 1e6;
--- a/state/contract_entry.h
+++ b/state/contract_entry.h
@@ -8,12 +8,12 @@
 
 namespace gcw {
 
-// The value of a contract's key. A withdrawn contract leaves an entry without
-// contract behind, so that no node takes an older value for the newest.
+// Value of a contract's key. A withdrawn contract leaves an entry without a
+// contract, so that no node takes an older value for the newest.
 struct ContractEntry {
   ContractId id;
   std::optional<Contract> contract;
-  // Settles whether a write whose answer was lost took effect.
+  // Shows whether a write whose reply was lost took effect.
   ChangeId change;
 
   friend bool operator==(const ContractEntry&, const ContractEntry&) = default;
--- a/state/domain_record.cc
+++ b/state/domain_record.cc
@@ -43,8 +43,8 @@
   return std::nullopt;
 }
 
-// A member left an earlier generation than the one its group is in now. Were
-// it the same one, the engine could not tell whether it still belongs.
+// A leaving member must belong to an earlier generation than its group has now.
+// Otherwise its engine could not tell whether it still belongs to the group.
 std::optional<DomainRecordError> FindGenerationFault(
     const DomainRecord& record) {
   for (const LeavingMember& member : record.leaving) {
--- a/state/domain_record.h
+++ b/state/domain_record.h
@@ -11,30 +11,31 @@
 namespace gcw {
 
 enum class GroupState {
-  // Members are written down; load orders are on their way.
+  // The members are recorded; load orders are being sent.
   kLoading,
-  // All members confirmed this generation; nodes may route to it on evidence.
+  // All members confirmed this generation. Nodes route to the group once they
+  // have evidence that it serves.
   kServing,
-  // A planned stop: runs what it has, receives nothing new.
+  // Planned shutdown: the group finishes its requests and receives no new ones.
   kDraining,
 };
 
 std::string_view GroupStateName(GroupState state);
 
-// A replica group as the record of its fabric domain holds it.
+// A replica group in the record of its fabric domain.
 struct GroupRecord {
   GroupId id;
   ModelId model;
   Generation generation;
   GroupState state = GroupState::kLoading;
-  // In rank order; the first one takes requests for the group.
+  // In rank order; the first member receives the group's requests.
   std::vector<VmId> members;
 
   friend bool operator==(const GroupRecord&, const GroupRecord&) = default;
 };
 
-// A VM that was taken out of a group and may still run its engine part. It
-// joins no other group before its engine confirmed that it left, or the VM is
+// A VM that was removed from a group and may still run its part of the engine.
+// It joins no other group until its engine confirms that it left, or the VM is
 // confirmed gone.
 struct LeavingMember {
   VmId vm;
@@ -44,16 +45,16 @@
   friend bool operator==(const LeavingMember&, const LeavingMember&) = default;
 };
 
-// Everything that is agreed on about the groups of one fabric domain, kept
-// under one key. Since all members of a group share a domain, moving a VM
-// between groups is one compare-and-swap of this record.
+// The agreed state of all groups of one fabric domain, stored under one key.
+// All members of a group share a domain, so moving a VM between groups is one
+// compare-and-swap of this record.
 struct DomainRecord {
   FabricDomainId domain;
   std::vector<GroupRecord> groups;
   std::vector<LeavingMember> leaving;
-  // Fencing number of the keeper that wrote the record.
+  // Fencing token of the controller that wrote the record.
   FencingToken written_by;
-  // Settles whether a write whose answer was lost took effect.
+  // Shows whether a write whose reply was lost took effect.
   ChangeId change;
 
   friend bool operator==(const DomainRecord&, const DomainRecord&) = default;
@@ -72,7 +73,7 @@
   std::string_view subject;
 };
 
-// The first reason why the record may not be written, if there is one.
+// Returns the first reason why the record must not be written, if any.
 std::optional<DomainRecordError> FindFault(const DomainRecord& record);
 
 }  // namespace gcw
--- a/state/endpoint.h
+++ b/state/endpoint.h
@@ -9,8 +9,8 @@
 
 namespace gcw {
 
-// Something that requests can be sent to now: a replica group whose serving
-// gate is open, by its first VM, or a plain service's VM.
+// A target to which requests can be sent now: the first VM of a replica group
+// whose serving gate is open, or the VM of a plain service.
 struct Endpoint {
   EndpointId id;
   // Empty for plain services.
--- a/state/engine_order.h
+++ b/state/engine_order.h
@@ -19,7 +19,7 @@
   friend bool operator==(const GroupMember&, const GroupMember&) = default;
 };
 
-// What a domain's keeper tells one member's engine to do.
+// Order from the controller of a fabric domain to one member's engine.
 struct EngineOrder {
   EngineOrderKind kind = EngineOrderKind::kLoad;
   GroupId group;
@@ -37,14 +37,14 @@
   friend bool operator==(EngineOrderAccepted, EngineOrderAccepted) = default;
 };
 
-// The engine has seen a higher fencing number; nothing was done.
+// The engine has seen a higher fencing token and ignored the order.
 struct EngineOrderStale {
   FencingToken seen;
 
   friend bool operator==(EngineOrderStale, EngineOrderStale) = default;
 };
 
-// The engine is part of another group; nothing was done.
+// The engine belongs to another group and ignored the order.
 struct EngineOrderBusy {
   GroupId group;
 
--- a/state/engine_status.h
+++ b/state/engine_status.h
@@ -10,23 +10,23 @@
 
 enum class EngineState { kIdle, kLoading, kReady, kDraining, kFailed };
 
-// What one VM's engine says of itself.
+// Status that one VM's engine reports.
 struct EngineStatus {
   VmId vm;
   Incarnation incarnation;
-  // Empty while it belongs to none.
+  // Empty if the engine belongs to no group.
   GroupId group;
   ModelId model;
   Generation generation;
-  // Its place in the group; rank 0 takes requests.
+  // Rank of the engine in the group; rank 0 receives requests.
   std::int64_t rank = 0;
   EngineState state = EngineState::kIdle;
-  // The highest fencing number it has seen.
+  // Highest fencing token that the engine has seen.
   FencingToken fence;
-  // The members of this generation that it sees at work, itself included. Only
-  // rank 0 looks for others.
+  // Members of this generation that the engine sees running, itself included.
+  // Only rank 0 looks for other members.
   std::vector<VmId> members_seen;
-  // Requests that it holds, queued and running.
+  // Number of queued and running requests.
   std::int64_t active = 0;
 
   friend bool operator==(const EngineStatus&, const EngineStatus&) = default;
--- a/state/fleet_configuration.h
+++ b/state/fleet_configuration.h
@@ -10,85 +10,88 @@
 
 namespace gcw {
 
-// Counts the documents that operators put in force; higher is newer.
+// Version of the operators' document; a higher number is newer.
 using ConfigurationVersion = StrongNumber<struct ConfigurationVersionTag>;
-// A customer as operators name it to endpoints.
+// Name that operators give a customer and that endpoints receive.
 using CustomerId = StrongId<struct CustomerIdTag>;
 
-// A service's part of a route's requests.
+// Share of a route's requests that a service receives.
 struct ServiceShare {
   ServiceId service;
   std::int64_t weight = 1;
 };
 
-// What may be done again with a request of a route.
+// Whether a request of a route may run again.
 enum class Repetition {
-  // It may run once at most.
+  // The request runs at most once.
   kNever,
-  // It may run more than once, as a whole.
+  // The request may run more than once, each time from the start.
   kWhole,
-  // A stream that another endpoint can go on with after its last event.
+  // The response is a stream that another endpoint can resume after its last
+  // event.
   kResume,
 };
 
-// Where requests go whose host matches and whose path begins with the prefix.
+// Routes the requests whose host matches and whose path begins with the prefix.
 struct RouteRule {
   std::string name;
   std::string host;
   // Begins and ends with a slash.
   std::string prefix;
   Repetition repetition = Repetition::kNever;
-  // The answer is a stream of numbered events.
+  // The response is a stream of numbered events.
   bool streams = false;
-  // Longest time until the answer has ended.
+  // Maximum time until the response has ended.
   Duration time_limit = Duration::Seconds(60);
-  // An answer (a stream's first event) later than this is worth less.
+  // A response (for a stream, its first event) is worth less if it comes later
+  // than this.
   Duration latency_objective = Duration::Seconds(1);
-  // The same for the pauses between a stream's events.
+  // The same objective for the gaps between a stream's events.
   Duration pause_objective = Duration::Seconds(1);
   Rank rank;
   // Never empty.
   std::vector<ServiceShare> shares;
-  // Endpoints that one request may be sent to.
+  // Maximum number of attempts per request, each at an endpoint.
   std::int64_t most_attempts = 1;
-  // Needs no customer's key.
+  // Requests need no customer's key.
   bool open_to_all = false;
 };
 
-// A model that replica groups can serve, with the times of such a group.
+// A model that replica groups can serve, and the durations of such a group.
 struct ModelProfile {
   ModelId model;
   std::size_t group_size = 1;
-  // Part of the expected work, 0 to 1.
+  // Fraction of the expected work, 0 to 1.
   double work_share = 0;
-  // Factor on all times of the engine.
+  // Factor on all durations of the engine.
   double pace = 1;
-  // From the weight store onto a VM's host.
+  // Time to load the weights from the weight store onto a VM's host.
   Duration load_time;
-  // From the host into the engine.
+  // Time to load the weights from the host into the engine.
   Duration warm_time;
 };
 
-// How the engines of a service work; see docs/PLATFORM.md for the sources.
+// Performance model of a service's engines; see docs/PLATFORM.md for the
+// sources.
 struct EngineProfile {
-  // Requests that one batch holds.
+  // Maximum number of requests in a batch.
   std::int64_t batch_limit = 1;
   TokenCount cache_capacity;
-  // Token steps that one pass over a batch with generating requests makes.
+  // Token steps in one pass over a batch that has generating requests.
   double steps_per_pass = 1;
   double step_ms = 1;
   double step_ms_per_request = 0;
   double step_ms_per_1000_context_tokens = 0;
   double prompt_tokens_per_ms = 1;
   double ms_per_million_prompt_pairs = 0;
-  // Prompt tokens computed in one step at most.
+  // Maximum number of prompt tokens computed in one step.
   double chunk_tokens = 2048;
   Duration form_time;
   double loads_per_second = 1;
   std::int64_t loads_at_once = 1;
-  // Models whose weights a host keeps.
+  // Maximum number of models whose weights a host keeps.
   std::size_t staged_limit = 1;
-  // Of a typical request, in tokens.
+  // Size of a typical request in tokens.
   double usual_prompt_tokens = 1000;
   double usual_answer_tokens = 100;
   std::vector<ModelProfile> models;
@@ -96,7 +99,8 @@
 
 struct ServiceRule {
   ServiceId id;
-  // Connections that one endpoint takes from all nodes together.
+  // Maximum number of connections that one endpoint accepts from all nodes
+  // together.
   std::int64_t most_connections = 100;
   // Absent for plain services.
   std::optional<EngineProfile> engine;
@@ -105,11 +109,11 @@
 struct CustomerKeys {
   CustomerId customer;
   std::vector<std::string> keys;
-  // Goes before the route's rank where it is set.
+  // Overrides the route's rank if set.
   std::optional<Rank> rank;
 };
 
-// What a caller may send, and how long it may take.
+// Limits on the size and duration of a caller's request.
 struct CallerLimits {
   std::int64_t max_header_bytes = 16384;
   std::int64_t max_body_bytes = 4194304;
@@ -117,7 +121,7 @@
   Duration idle_timeout = Duration::Seconds(60);
 };
 
-// Everything that operators have set, as one document of one version.
+// All settings of the operators, as one versioned document.
 struct FleetConfiguration {
   ConfigurationVersion version;
   std::vector<RouteRule> routes;
--- a/state/fleet_overview.h
+++ b/state/fleet_overview.h
@@ -9,12 +9,13 @@
 
 namespace gcw {
 
-// What a node needs in order to serve, much smaller than all registrations.
+// The part of all registrations that a node needs in order to serve, much
+// smaller than all of them.
 struct FleetOverview {
-  // Plain services and the first members of open groups. Only what routing
-  // needs is filled in.
+  // Plain services and the first members of open groups. Only the fields that
+  // routing needs are set.
   std::vector<VmRegistration> endpoints;
-  // Where callers reach the nodes.
+  // Addresses at which callers reach the nodes.
   std::map<NodeId, Address> nodes;
 
   friend bool operator==(const FleetOverview&, const FleetOverview&) = default;
--- a/state/group_order.h
+++ b/state/group_order.h
@@ -9,62 +9,62 @@
 namespace gcw {
 
 enum class GroupOrderKind {
-  // Become a member of a group; sent to each member.
+  // Join a group; sent to each member.
   kJoin,
-  // To the first member once all are ready: take requests.
+  // Start to accept requests; sent to the first member once all are ready.
   kOpen,
-  // To the first member: run what it has, then stop serving.
+  // Finish the running requests, then stop serving; sent to the first member.
   kClose,
-  // Leave the group at once.
+  // Leave the group immediately.
   kLeave,
-  // Load a model's weights onto the host, beside all other work.
+  // Load a model's weights onto the host, in parallel with all other work.
   kStage,
 };
 
 std::string_view GroupOrderKindName(GroupOrderKind kind);
 
-// What the keeper tells one VM's engine to do.
+// Order from the controller to one VM's engine.
 struct GroupOrder {
   GroupOrderKind kind = GroupOrderKind::kJoin;
   GroupId group;
   Generation generation;
   ModelId model;
-  // Of a join, in rank order.
+  // Members in rank order, for `kJoin` only.
   std::vector<VmId> members;
-  // Engines refuse orders with a lower number than one they have seen.
+  // Engines refuse an order with a lower fencing token than one they have seen.
   FencingToken fence;
 };
 
 enum class GroupOrderVerdict {
-  // It has begun; the registration tells when it is done.
+  // The engine has begun; its registration shows when it is done.
   kBegun,
-  // The state asked for already holds.
+  // The requested state already holds.
   kDone,
-  // It does not fit the engine's state; nothing was done.
+  // The order does not fit the engine's state and was ignored.
   kMisfit,
-  // The engine has seen a higher fencing number or generation.
+  // The engine has seen a higher fencing token or generation.
   kStale,
-  // The VM at the address is another one.
+  // The address belongs to another VM.
   kOtherVm,
-  // Not understood.
+  // The engine did not understand the order.
   kRefused,
-  // It may have been carried out, or may still be, much later.
+  // The order may have been executed, or may still be, much later.
   kNoAnswer,
-  // No connection came about: it was not carried out.
+  // No connection was established, so the order was not executed.
   kUnreachable,
 };
 
-// What a question to a VM's engine showed.
+// Result of probing a VM's engine.
 enum class ProbeVerdict {
   // The engine answered for this VM.
   kAnswered,
-  // Another VM has the address.
+  // The address belongs to another VM.
   kOtherVm,
-  // The VM lives, but its engine said nothing.
+  // The VM is alive, but its engine did not answer.
   kConnected,
-  // Its process is gone.
+  // The VM refused the connection: the engine's process is gone.
   kRefused,
-  // No connection came about.
+  // No connection was established.
   kUnreachable,
 };
 
@@ -72,9 +72,9 @@
 
 struct ProbeReport {
   ProbeVerdict verdict = ProbeVerdict::kUnreachable;
-  // Factor on the engine's times; 1 where it works as it should.
+  // Factor on the engine's durations; 1 for a healthy engine.
   double pace = 1;
-  // Requests that it runs or that wait there.
+  // Number of running and queued requests.
   std::int64_t requests = 0;
 };
 
--- a/state/load_report.h
+++ b/state/load_report.h
@@ -7,8 +7,8 @@
 
 namespace gcw {
 
-// What a model engine or plain service last said of its load. It lags behind:
-// `taken_at` tells by how much.
+// The last load that a model engine or plain service reported, as of
+// `taken_at`.
 struct LoadReport {
   EndpointId endpoint;
   // Zero for plain services.
@@ -16,11 +16,11 @@
   Time taken_at;
   std::int64_t queued_requests = 0;
   std::int64_t running_requests = 0;
-  // Most requests run in one batch.
+  // Maximum number of requests in a batch.
   std::int64_t batch_limit = 0;
   // Prompt tokens waiting to be computed.
   TokenCount queued_prompt_tokens;
-  // KV cache in use and in all.
+  // KV cache in use and in total.
   TokenCount cache_used;
   TokenCount cache_capacity;
 };
--- a/state/node_record.h
+++ b/state/node_record.h
@@ -12,30 +12,30 @@
 
 namespace gcw {
 
-// What a node tells of itself, under `node/<id>` and to its peers.
+// State that a node publishes about itself, under `node/<id>` and to its peers.
 struct NodeRecord {
   NodeId id;
-  // Of the run that wrote the record, higher than those of earlier runs; zero
-  // where the revision of `node/<id>` serves as such.
+  // Incarnation of the run that wrote the record, higher than those of earlier
+  // runs. Zero if the revision of `node/<id>` serves as the incarnation.
   Incarnation incarnation;
   ZoneId zone;
   RegionId region;
-  // Where other nodes, callers and operators reach it.
+  // Addresses at which other nodes, callers and operators reach the node.
   Address peer_address;
   Address caller_address;
   Address operator_address;
-  // How much it can carry relative to other nodes.
+  // Capacity relative to other nodes.
   std::int64_t weight = 1;
-  // A planned stop has begun: callers are sent elsewhere.
+  // A planned shutdown has begun: callers are directed to other nodes.
   bool leaving = false;
 
   friend bool operator==(const NodeRecord&, const NodeRecord&) = default;
 };
 
-// How records stand in the key-value service.
+// Serialization of node records in the key-value service.
 struct NodeRecordCodec {
   std::function<std::string(const NodeRecord&)> encode;
-  // Absent where the text is no record.
+  // Returns nothing if the text is not a valid record.
   std::function<std::optional<NodeRecord>(std::string_view)> decode;
 };
 
--- a/state/prefix_index.cc
+++ b/state/prefix_index.cc
@@ -7,8 +7,9 @@
 namespace {
 
 constexpr std::size_t kWordBits = 64;
-// Of entries that only cache events brought. Those of this node's own requests
-// have later stamps, so that other nodes' sessions never push them out.
+// Stamp of entries that come only from cache events. Entries from this node's
+// own requests have later stamps, so that other nodes' sessions never evict
+// them.
 constexpr std::uint32_t kEventStamp = 1;
 constexpr Duration kSweepPeriod = Duration::Seconds(1);
 
@@ -52,8 +53,8 @@
                                 EndpointSlot slot,
                                 const CacheEventBatch& batch) {
   SlotState& state = slots_[static_cast<std::size_t>(slot.value())];
-  // Numbers that ran backwards mean a new run of the engine, with an empty
-  // cache.
+  // A sequence number that goes back means that the engine restarted with an
+  // empty cache.
   if (state.has_sequence && batch.next <= state.last_sequence) {
     Forget(slot);
   }
@@ -116,8 +117,8 @@
 
 void PrefixIndex::MarkDoubtful(Time now, EndpointSlot slot) {
   SlotState& state = slots_[static_cast<std::size_t>(slot.value())];
-  // What was doubtful before keeps its age: a gap each few seconds must not
-  // keep old entries for ever.
+  // Entries that are already unconfirmed keep their age; otherwise a gap every
+  // few seconds would keep old entries forever.
   if (!state.is_doubtful) {
     state.is_doubtful = true;
     state.doubtful_since = now;
@@ -141,8 +142,8 @@
   Sweep(drop);
 }
 
-// One pass over the table serves all endpoints that have waited for it: a pass
-// for each gap would take processor time in proportion to their number.
+// One pass over the table serves all endpoints that wait for it. A pass for
+// each gap would take processor time in proportion to the number of gaps.
 void PrefixIndex::Sweep(std::span<const Word> drop) {
   const auto is_zero = [](Word word) { return word == 0; };
   const bool has_drop = !std::ranges::all_of(drop, is_zero);
@@ -174,9 +175,10 @@
   }
 }
 
-// An endpoint that holds a block nearly always holds the ones before it, so
-// the holders not yet seen end at some depth, found by bisection. Where the
-// belief has holes, the match comes out too short, which costs time only.
+// An endpoint that holds a block nearly always holds the blocks before it, so
+// bisection finds the greatest depth that an endpoint outside `seen_` reaches.
+// If an endpoint's entries have holes, its match may be too short, which only
+// costs time.
 std::size_t PrefixIndex::DeepestHeld(
     std::span<const PrefixBlock> blocks) const {
   std::size_t low = 0;
--- a/state/prefix_index.h
+++ b/state/prefix_index.h
@@ -11,54 +11,57 @@
 
 namespace gcw {
 
-// Numbers the endpoints that a node connects to from 0, so that sets of them
-// are bit masks.
+// Number, from 0, of an endpoint that a node connects to. Sets of endpoints are
+// bit masks of these numbers.
 using EndpointSlot = StrongNumber<struct EndpointSlotTag>;
 
-// How much of a prompt an endpoint is believed to hold.
+// Part of a prompt that an endpoint probably has in its cache.
 struct PrefixMatch {
   EndpointSlot slot;
-  // Leading blocks.
+  // Number of leading blocks.
   std::int64_t blocks = 0;
-  // The belief dates from before a gap in the endpoint's cache events.
+  // The entry dates from before a gap in the endpoint's cache events and was
+  // not confirmed since.
   bool is_doubtful = false;
 };
 
 struct PrefixIndexSettings {
-  // Slots from 0 up to this number.
+  // All slots are below this number.
   std::int64_t max_endpoints = 128;
-  // Blocks remembered at most, rounded up to a power of two. One takes
-  // 12 + max_endpoints / 4 bytes.
+  // Maximum number of blocks, rounded up to a power of two. A block takes 12 +
+  // max_endpoints / 4 bytes.
   std::int64_t max_blocks = 262144;
-  // How long an entry that became doubtful is kept unless confirmed.
+  // How long an unconfirmed entry is kept.
   Duration doubt_span = Duration::Seconds(60);
 };
 
-// Which endpoint holds which blocks of prompts, from this node's dispatches and
-// from the engines' late cache events. All of it is belief: a wrong entry costs
-// time to first token, never an answer.
+// Estimates which endpoint has which prompt blocks in its cache, from this
+// node's dispatches and from the cache events that engines report with a delay.
+// A wrong entry costs time to first token but never changes an answer.
 //
-// Engines lose cache events. Without a mark, an eviction that was lost would
-// leave an entry that draws requests to an endpoint for ever. So after a gap
-// all that was known of the endpoint is doubtful, and what no later event or
-// dispatch confirms within `doubt_span` is dropped.
+// Engines lose cache events. If the event of an eviction is lost, the entry
+// would attract requests to the endpoint forever. So after a gap in the events,
+// all entries of the endpoint become unconfirmed, and those that no later event
+// or dispatch confirms within `doubt_span` are dropped.
 class PrefixIndex {
  public:
   explicit PrefixIndex(const PrefixIndexSettings& settings);
 
-  // The endpoint will hold these blocks, since it was sent a prompt with them.
+  // Records that the endpoint will hold these blocks, since it was sent a
+  // prompt with them.
   void OnDispatched(Time now,
                     EndpointSlot slot,
                     std::span<const PrefixBlock> blocks);
-  // Applies events that are new; returns false where some were missing.
+  // Applies events that are new; returns false if some were missing.
   bool OnCacheEvents(Time now, EndpointSlot slot, const CacheEventBatch& batch);
-  // The endpoint left or came back as a new generation: it holds nothing.
+  // Drops all entries of an endpoint that left or came back as a new
+  // generation.
   void Forget(EndpointSlot slot);
-  // Drops what stayed doubtful for too long.
+  // Drops entries that stayed unconfirmed for too long.
   void Tick(Time now);
 
   // Writes one match for each endpoint that holds at least the first block,
-  // the longest first. Costs O(log blocks) look-ups for each different length.
+  // longest match first. Costs O(log blocks) lookups per distinct match length.
   void Match(std::span<const PrefixBlock> blocks,
              std::vector<PrefixMatch>& matches);
 
@@ -80,14 +83,15 @@
 
   std::size_t BucketOf(PrefixBlock block) const;
   std::size_t Find(PrefixBlock block) const;
-  // The block's entry, made in place of the least recently used one of its
-  // bucket; `kNotFound` where all of those are more recent than `stamp`.
+  // Returns the block's entry. A new entry replaces the least recently used one
+  // of its bucket. Returns `kNotFound` if all entries of the bucket are more
+  // recent than `stamp`.
   std::size_t FindOrReplace(PrefixBlock block, std::uint32_t stamp);
   void Store(EndpointSlot slot, PrefixBlock block, std::uint32_t stamp);
   void Apply(EndpointSlot slot, const CacheEvent& event);
   void MarkDoubtful(Time now, EndpointSlot slot);
-  // Takes the confirmation from the entries of endpoints in `unconfirm_`, and
-  // drops unconfirmed entries of those in `drop`.
+  // Marks the entries of the endpoints in `unconfirm_` as unconfirmed, and
+  // drops the unconfirmed entries of the endpoints in `drop`.
   void Sweep(std::span<const Word> drop);
   void DropIfUnheld(std::size_t entry);
   std::size_t DeepestHeld(std::span<const PrefixBlock> blocks) const;
@@ -101,21 +105,21 @@
   std::span<const Word> Confirmed(std::size_t entry) const;
 
   Duration doubt_span_;
-  // Words in one mask of endpoints.
+  // Number of words in a mask of endpoints.
   std::size_t words_;
   std::size_t bucket_mask_;
-  // Entry i: block, use stamp, and two masks in `masks_`. A stamp of 0 marks a
-  // free entry.
+  // Entry i consists of a block, the stamp of its last use and two masks in
+  // `masks_`: held and confirmed. A stamp of 0 marks a free entry.
   std::vector<PrefixBlock> blocks_;
   std::vector<std::uint32_t> stamps_;
   std::vector<Word> masks_;
   std::uint32_t next_stamp_ = 1;
   std::int64_t known_blocks_ = 0;
   std::vector<SlotState> slots_;
-  // Endpoints whose entries become doubtful with the next sweep.
+  // Endpoints whose entries become unconfirmed with the next sweep.
   std::vector<Word> unconfirm_;
   Time next_sweep_;
-  // Endpoints that the match under way has found.
+  // Endpoints that the current match has found.
   std::vector<Word> seen_;
 };
 
--- a/state/route_table.cc
+++ b/state/route_table.cc
@@ -25,8 +25,8 @@
   if (prefixes == hosts_.end()) {
     return nullptr;
   }
-  // Every prefix ends with a slash, so only the path's beginnings up to a slash
-  // can match; the longest comes first.
+  // Every prefix ends with a slash, so only parts of the path that end with a
+  // slash can match; the longest is tried first.
   std::size_t end = path.rfind('/');
   while (end != std::string_view::npos) {
     const auto found =
--- a/state/route_table.h
+++ b/state/route_table.h
@@ -10,28 +10,28 @@
 
 namespace gcw {
 
-// A customer as a request's key names it.
+// The customer that a request's key belongs to.
 struct CustomerMatch {
   CustomerId customer;
   std::optional<Rank> rank;
 };
 
-// One version of the configuration, indexed for the path of a request.
+// One version of the configuration, indexed for request routing.
 class RouteTable {
  public:
   RouteTable() = default;
   explicit RouteTable(FleetConfiguration configuration);
-  // Its indexes point into the configuration that it holds.
+  // The indexes point into the configuration that the table holds.
   RouteTable(const RouteTable&) = delete;
   RouteTable& operator=(const RouteTable&) = delete;
 
-  // The route of that host with the longest prefix that begins the path; null
-  // where there is none. `path` has no query.
+  // Returns the host's route with the longest prefix that begins the path, or
+  // null if there is none. `path` must not contain the query.
   const RouteRule* Find(std::string_view host, std::string_view path) const;
-  // Null where no customer holds the key.
+  // Returns null if no customer has the key.
   const CustomerMatch* FindCustomer(const std::string& key) const;
   const ServiceRule* FindService(const ServiceId& service) const;
-  // Whether requests need a key unless their route is open to all.
+  // True if requests need a key unless their route is open to all.
   bool needs_keys() const { return !configuration_.customers.empty(); }
   const FleetConfiguration& configuration() const { return configuration_; }
 
--- a/state/state.h
+++ b/state/state.h
@@ -1,7 +1,8 @@
 #ifndef STATE_STATE_H_
 #define STATE_STATE_H_
 
-// Public header of the state library: what nodes know and agree on.
+// Public header of the state library: the types that nodes store, exchange and
+// agree on.
 
 #include "state/cache_event.h"
 #include "state/config_store.h"
--- a/state/store_types.h
+++ b/state/store_types.h
@@ -10,31 +10,32 @@
 
 namespace gcw {
 
-// Names a call to the key-value service until its reply arrives.
+// Identifies a call to the key-value service until its reply arrives.
 using StoreCallId = StrongNumber<struct StoreCallIdTag>;
 
-// Higher than any revision of a key, and still whole as a JSON number. A
-// compare-and-swap that expects it changes nothing, and its conflict shows the
-// key's present state, which a plain read need not.
+// Higher than any revision of a key, yet exactly representable as a JSON
+// number. A compare-and-swap that expects it changes nothing, and its conflict
+// returns the key's latest state, which a plain read need not do.
 inline constexpr Revision kNoRevision((std::int64_t{1} << 53) - 1);
 
 struct StoreEntry {
   std::string key;
   std::string value;
-  // Of the last write of this key.
+  // Revision of the last write of this key.
   Revision revision;
-  // Zero where the key hangs on no lease.
+  // Zero if the key is not attached to a lease.
   LeaseId lease;
 };
 
-// Reads all keys that begin with `prefix`, or a page of them.
+// Reads all keys that begin with `prefix`, or one page of them.
 struct StoreRange {
   std::string prefix;
-  // Where it is not empty, only keys behind this one: the next page.
+  // If not empty, reads only the keys after this one: the next page.
   std::string after = {};
 };
 
-// Writes `key` if its revision is `expected`; revision 0 means absent.
+// Writes `key` if its revision is `expected`; revision 0 means that the key
+// does not exist.
 struct StorePut {
   std::string key;
   std::string value;
@@ -61,7 +62,8 @@
   LeaseId lease;
 };
 
-// Waits for changes of keys below `prefix` after `after`, at most `wait`.
+// Waits at most `wait` for changes of keys below `prefix` that come after the
+// revision `after`.
 struct StoreWatch {
   std::string prefix;
   Revision after;
@@ -77,21 +79,21 @@
                                StoreWatch>;
 
 struct StoreRangeReply {
-  // The service's revision at the read.
+  // Revision of the service at the time of the read.
   Revision revision;
   std::vector<StoreEntry> entries;
-  // There are more keys behind the last one of `entries`.
+  // More keys follow the last one of `entries`.
   bool more = false;
 };
 
-// A put or delete that took effect, at this revision.
+// The put or delete took effect at this revision.
 struct StoreWritten {
   Revision revision;
 };
 
-// The key was not at the expected revision; nothing was written.
+// The key did not have the expected revision; nothing was written.
 struct StoreConflict {
-  // Absent where the key does not exist.
+  // Absent if the key does not exist.
   std::optional<StoreEntry> current;
 };
 
@@ -100,7 +102,7 @@
   Duration time_to_live;
 };
 
-// The lease has lapsed or never was.
+// The lease has expired or never existed.
 struct StoreLeaseUnknown {};
 
 struct StoreDeletion {
@@ -109,29 +111,30 @@
 };
 
 struct StoreWatchReply {
-  // Watch again after this revision.
+  // Revision after which the next watch continues.
   Revision revision;
   std::vector<StoreEntry> changed;
   std::vector<StoreDeletion> deleted;
-  // The service no longer holds the changes after the asked revision: read the
-  // range again.
+  // The service no longer holds the changes after the requested revision: the
+  // range must be read again.
   bool compacted = false;
 };
 
-// No answer. A write may have taken effect or may still do so.
+// No reply arrived. A write may have taken effect or may still do so.
 struct StoreNoAnswer {};
 
 enum class StoreRefusal {
-  // Its rate is used up, or it turns this node away.
+  // The rate limit is exceeded, or the service rejects this node.
   kRate,
-  // It does not know the call: it is another kind of service.
+  // The service does not know the call: it is another kind of service.
   kUnknownCall,
 };
 
-// A call that the service does not know is no better a moment later.
+// Retry delay after an unknown call, which would fail again if it were repeated
+// immediately.
 inline constexpr Duration kUnknownStoreCallWait = Duration::Seconds(5);
 
-// The service refused without acting.
+// The service refused the call and did not execute it.
 struct StoreBusy {
   Duration retry_after;
   StoreRefusal reason = StoreRefusal::kRate;
--- a/state/vm_list.h
+++ b/state/vm_list.h
@@ -9,15 +9,15 @@
 
 namespace gcw {
 
-// An IP address and port, as written in settings: "127.0.0.1:8080".
+// An IP address and port in the format of settings: "127.0.0.1:8080".
 using Address = StrongId<struct AddressTag>;
 
 enum class VmState { kLive, kLeaving };
 
-// What a VM runs: part of a replica group, or a plain service.
+// Workload of a VM: part of a replica group, or a plain service.
 enum class VmPurpose { kModelEngine, kPlainService };
 
-// One row of the platform's VM list. The list lags behind the VMs.
+// One row of the platform's VM list, which lags behind the actual VMs.
 struct VmEntry {
   VmId id;
   VmState state = VmState::kLive;
@@ -32,9 +32,9 @@
   friend bool operator==(const VmEntry&, const VmEntry&) = default;
 };
 
-// The list as one read of it returned it.
+// The VM list as returned by one read.
 struct VmListSnapshot {
-  // When the platform says that the list held.
+  // Time at which the list was accurate, according to the platform.
   Time as_of;
   std::vector<VmEntry> vms;
 };
--- a/state/vm_registration.h
+++ b/state/vm_registration.h
@@ -13,16 +13,16 @@
 
 namespace gcw {
 
-// What a VM's engine says of its part in a replica group.
+// Phase of an engine's membership in a replica group, as the engine reports it.
 enum class MemberPhase {
-  // Loads its weights.
+  // The engine loads its weights.
   kJoining,
   kReady,
-  // As the first member: takes requests.
+  // The first member accepts requests.
   kOpen,
-  // As the first member: runs what it has, takes nothing new.
+  // The first member finishes its requests and accepts no new ones.
   kClosing,
-  // A member was lost; what ran was cut off.
+  // A member was lost; the running requests were aborted.
   kBroken,
 };
 
@@ -31,7 +31,7 @@
 struct GroupMembership {
   GroupId group;
   Generation generation;
-  // The first member has rank 0 and takes the group's requests.
+  // The first member has rank 0 and receives the group's requests.
   std::int64_t rank = 0;
   MemberPhase phase = MemberPhase::kJoining;
 
@@ -42,31 +42,32 @@
 // One run of an endpoint's process on a VM, as it registered itself.
 struct VmRegistration {
   VmId id;
-  // Its start. A run that starts again under the same id has another one; it
-  // holds and knows nothing of the run before. Zero where it does not say.
+  // Identifies the run by its start. A run that restarts under the same id has
+  // another incarnation and none of the earlier run's state. Zero if the
+  // endpoint does not report it.
   Incarnation incarnation;
   ServiceId service;
   Address address;
   ZoneId zone;
-  // It will stop soon and takes nothing new.
+  // The endpoint will stop soon and accepts no new requests.
   bool draining = false;
-  // Requests that it runs at once.
+  // Maximum number of concurrent requests.
   std::int64_t places = 1;
-  // How much longer it is slow after its start.
+  // Remaining time for which the endpoint is slow after its start.
   Duration warm_up_left;
   // Empty for plain services.
   FabricDomainId domain;
-  // Models whose weights its host holds.
+  // Models whose weights the VM's host holds.
   std::vector<ModelId> staged;
-  // Models that its engine holds.
+  // Models that the engine holds.
   std::vector<ModelId> models;
   std::optional<GroupMembership> membership;
 
   bool HasStaged(const ModelId& model) const {
     return std::find(staged.begin(), staged.end(), model) != staged.end();
   }
-  // Whether it can join a group of the model without a load from the weight
-  // store.
+  // True if the VM can join a group of the model without loading the weights
+  // from the weight store.
   bool HasAtHand(const ModelId& model) const {
     return HasStaged(model) || (!models.empty() && models.front() == model);
   }
--- a/state/wanted_model.h
+++ b/state/wanted_model.h
@@ -9,34 +9,34 @@
 
 namespace gcw {
 
-// How many groups of a model a zone should have.
+// Number of groups of a model that a zone should have.
 struct GroupTarget {
-  // Fewer than this many serving groups count as downtime.
+  // Fewer serving groups than this count as downtime.
   std::int64_t wanted = 0;
-  // Free VMs may form groups up to this many, so that accelerators are not left
-  // idle. Groups above `wanted` are the first to give VMs up.
+  // Free VMs may form groups up to this number, so that accelerators are not
+  // left idle. Groups above `wanted` are the first to give up VMs.
   std::int64_t most = 0;
 
   friend bool operator==(const GroupTarget&, const GroupTarget&) = default;
 };
 
-// A model that operators want served, as settings hold it.
+// A model that operators want to be served, as configured in settings.
 struct WantedModel {
   ModelId model;
   std::int64_t vms_per_group = 1;
-  // When VMs are short, a lower number is served first.
+  // Priority when VMs are short; a lower number is served first.
   Rank rank;
   std::map<ZoneId, GroupTarget> targets;
 
   friend bool operator==(const WantedModel&, const WantedModel&) = default;
 };
 
-// What one second of each kind of loss costs an operator; only their ratio
+// Cost to an operator of one second of each kind of loss; only the ratio
 // matters.
 struct RepairWeights {
-  // A wanted group that cannot serve.
+  // A required group that cannot serve.
   double group_downtime = 1;
-  // An accelerator whose group is incomplete, or that has none.
+  // An accelerator whose group is incomplete, or that has no group.
   double stranded_accelerator = 1;
 
   friend bool operator==(const RepairWeights&, const RepairWeights&) = default;
--- a/state/weight_store_status.h
+++ b/state/weight_store_status.h
@@ -5,7 +5,7 @@
 
 namespace gcw {
 
-// How busy the weight store is, in bytes.
+// Load of the weight store in bytes.
 struct WeightStoreStatus {
   std::int64_t bytes_per_second = 0;
   std::int64_t queue_bytes = 0;
--- a/tests/state/config_store_test.cc
+++ b/tests/state/config_store_test.cc
@@ -14,10 +14,9 @@
   return {key, Revision(revision), {std::nullopt, ChangeId(change), {}}};
 }
 
-// Symptom: two nodes that heard the same versions hold different ones.
-// Sequence: versions arrive in any order, some of them twice.
-// Cause: taking what comes last for what is newest, or a digest that depends on
-// the way there.
+// Versions arrive in any order, some of them twice. The copies would differ if
+// the last version to arrive counted as the newest, or if the digest depended
+// on the order.
 RC_GTEST_PROP(ConfigStoreTest,
               CopiesAgreeInWhateverOrderVersionsArrive,
               (const std::vector<std::uint8_t>& keys, std::uint64_t seed)) {
--- a/tests/state/prefix_index_test.cc
+++ b/tests/state/prefix_index_test.cc
@@ -52,11 +52,9 @@
   EXPECT_EQ(matches[1].blocks, 6);
 }
 
-// Symptom: after an engine lost cache events, requests go on to an endpoint
-// that holds nothing of their prompts.
-// Sequence: blocks stored; the events of their eviction are lost; the next
-// batch begins later than the last one ended.
-// Cause: without a mark, nothing ever takes the old entries back.
+// The events of an eviction are lost, so the next batch begins later than the
+// last one ended. Unless a gap marks the older entries, they are never dropped
+// and requests keep going to an endpoint that holds nothing of their prompts.
 TEST(PrefixIndexTest, EntriesFromBeforeAGapBecomeDoubtfulAndAgeOut) {
   PrefixIndex index({.max_blocks = 4096, .doubt_span = Duration::Seconds(20)});
   const std::vector<PrefixBlock> prompt = Chain(7, 4);
@@ -72,10 +70,10 @@
   EXPECT_TRUE(MatchesOf(index, prompt).empty());
 }
 
-// Symptom: a session whose blocks were confirmed after a gap is sent elsewhere
+// The next turn of a session goes to the endpoint after a gap and confirms the
+// session's blocks. If entries expired per endpoint instead of one by one, the
+// confirmed ones would be dropped too, and the session would be sent elsewhere
 // and computed again.
-// Sequence: gap; the session's next turn goes to the endpoint; doubt ages out.
-// Cause: ageing by endpoint instead of by entry would drop the fresh ones too.
 TEST(PrefixIndexTest, EntriesConfirmedAfterAGapStay) {
   PrefixIndex index({.max_blocks = 4096, .doubt_span = Duration::Seconds(20)});
   const std::vector<PrefixBlock> prompt = Chain(7, 4);
@@ -89,9 +87,9 @@
   EXPECT_FALSE(MatchesOf(index, prompt)[0].is_doubtful);
 }
 
-// Symptom: the index takes an event for missing, or applies one twice.
-// Sequence: a batch arrives again, or a later one overlaps it.
-// Cause: batches are polled; an answer can be late and the question repeated.
+// Batches are polled, so a late response and a repeated poll deliver a batch
+// again or one that overlaps it. No event may count as missing or be applied
+// twice.
 TEST(PrefixIndexTest, OverlappingBatchesAreNoGap) {
   PrefixIndex index({.max_blocks = 4096});
   const CacheEvent first{1, CacheEventKind::kStored, 5};
@@ -101,10 +99,9 @@
   EXPECT_TRUE(MatchesOf(index, {5}).empty());
 }
 
-// Symptom: a restarted engine is believed to hold what it held before.
-// Sequence: the engine restarts under the same generation; its event numbers
-// begin again.
-// Cause: numbers at or below the last one seen look like a batch seen before.
+// An engine restarts under the same generation, and its sequence numbers begin
+// again. Numbers at or below the last one seen look like a known batch, and the
+// engine would still be assumed to hold its old blocks.
 TEST(PrefixIndexTest, NumbersThatRunBackwardsEmptyTheEndpoint) {
   PrefixIndex index({.max_blocks = 4096});
   index.OnCacheEvents(At(0), kFirst,
@@ -132,7 +129,7 @@
   EXPECT_LE(index.known_blocks(), 64);
 }
 
-// The index against a plain map, as long as it has room for everything.
+// Compares the index with a plain map while the index has room for all entries.
 RC_GTEST_PROP(PrefixIndexTest, AgreesWithAPlainMap, ()) {
   PrefixIndex index({.max_endpoints = 70, .max_blocks = 65536});
   std::map<std::int64_t, std::set<PrefixBlock>> held;
