--- a/core/clock.h
+++ b/core/clock.h
@@ -73,13 +73,13 @@
   std::int64_t millis_ = 0;
 };
 
-// Tells the time. The decision core never calls one: each event carries its
-// time.
+// Returns the current time. The decision core never calls a clock: each event
+// carries its time.
 using Clock = std::function<Time()>;
 
-// Monotonic time that also counts while the machine is suspended, shifted once
-// at start to the Unix epoch. A lease judged by a clock that stands still
-// during a suspend would look valid after it has lapsed.
+// Returns a monotonic clock that also counts while the machine is suspended,
+// shifted once at start to the Unix epoch. With a clock that stops during a
+// suspend, an expired lease would still look valid.
 Clock SystemClock();
 
 }  // namespace gcw
--- a/core/core.h
+++ b/core/core.h
@@ -1,8 +1,8 @@
 #ifndef CORE_CORE_H_
 #define CORE_CORE_H_
 
-// Public header of the core library: ids, units, clock, results and events.
-// No part of it does input or output.
+// Public header of the core library: ids, units, clock, results and events. The
+// library does no input or output.
 
 #include "core/clock.h"
 #include "core/event.h"
--- a/core/event.cc
+++ b/core/event.cc
@@ -129,7 +129,8 @@
   if (name == kUnknownKind) {
     return std::nullopt;
   }
-  // Kinds are numbered from 0 without gaps; past the last one there is no name.
+  // Kinds are numbered from 0 without gaps; numbers after the last kind have no
+  // name.
   for (int number = 0;; ++number) {
     const auto kind = static_cast<EventKind>(number);
     const std::string_view kind_name = EventKindName(kind);
--- a/core/event.h
+++ b/core/event.h
@@ -14,10 +14,10 @@
 
 namespace gcw {
 
-// Unique over all nodes: the node's id, its incarnation and a counter.
+// Unique across all nodes: the node's id, its incarnation and a counter.
 using EventId = StrongId<struct EventIdTag>;
 
-// What happened. One entry for each kind of decision the system explains.
+// Kind of an event, one for each kind of decision that the system explains.
 enum class EventKind {
   kNodeStarted,
   kNodeDraining,
@@ -77,21 +77,20 @@
   kConnectionSilent,
 };
 
-// The event kind's name as it stands in logs and time lines, such as
-// "group_serving".
+// Returns the event kind's name in logs and timelines, such as "group_serving".
 std::string_view EventKindName(EventKind kind);
 
-// The kind of that name; nothing where there is none.
+// Returns the kind of that name, or nothing if there is none.
 std::optional<EventKind> EventKindFromName(std::string_view name);
 
-// A typed detail of an event; `name` is a literal.
+// A typed attribute of an event; `name` is a string literal.
 struct EventField {
   std::string_view name;
   std::variant<std::int64_t, double, bool, std::string> value;
 };
 
-// Hybrid logical time: physical milliseconds, with a counter that orders events
-// of the same millisecond and keeps an effect after its cause on another node
+// Hybrid logical time: physical milliseconds and a counter. The counter orders
+// events of the same millisecond, and an effect after its cause on another node
 // whose clock is behind.
 struct HybridTime {
   Time physical;
@@ -100,17 +99,17 @@
   friend auto operator<=>(const HybridTime&, const HybridTime&) = default;
 };
 
-// An event as a module reports it, before the node stamps it.
+// An event as a module reports it, before the node assigns its id and time.
 struct EventDraft {
   EventKind kind;
-  // What the event is about: the id of a request, group, contract, ...
+  // Id of the request, group, contract or other object that the event is about.
   std::string subject;
-  // The event that led to this one; empty where nothing did.
+  // The event that caused this one; empty if none did.
   EventId cause;
   std::vector<EventField> fields;
 };
 
-// An event as it stands in the time line.
+// An event as stored in the timeline.
 struct TimelineEvent {
   EventId id;
   HybridTime time;
@@ -118,11 +117,11 @@
   EventDraft draft;
 };
 
-// Hook through which modules report events. Returns the id under which the
-// event can be named as the cause of later ones.
+// Hook through which modules report events. Returns the event's id, which later
+// events can name as their cause.
 using EventSink = std::function<EventId(EventDraft)>;
 
-// A sink that keeps nothing and returns empty ids.
+// Returns a sink that discards events and returns empty ids.
 EventSink DiscardEvents();
 
 }  // namespace gcw
--- a/core/event_causes.cc
+++ b/core/event_causes.cc
@@ -10,7 +10,8 @@
 namespace gcw {
 namespace {
 
-// The walk over one list of events. Events are named by their index in it.
+// Traverses the causes within a list of events. Events are identified by their
+// index in the list.
 class CauseWalk {
  public:
   explicit CauseWalk(const std::vector<TimelineEvent>& events)
@@ -42,7 +43,7 @@
   }
 
  private:
-  // Stops at an event that is already marked, so a cycle ends the walk.
+  // Stops at an event that is already marked, so that a cycle terminates.
   void MarkCauses(std::size_t index) {
     while (true) {
       const EventId& cause = events_[index].draft.cause;
--- a/core/event_causes.h
+++ b/core/event_causes.h
@@ -8,13 +8,14 @@
 
 namespace gcw {
 
-// How an event belongs to an explanation.
+// Relation of an event to the subject of an explanation.
 enum class EventRelation {
-  // Led, perhaps over several steps, to an event of the subject.
+  // The event led to an event of the subject, directly or over several steps.
   kCause,
-  // Is about the subject itself.
+  // The event is about the subject itself.
   kSubject,
-  // Followed from an event of the subject, perhaps over several steps.
+  // The event followed from an event of the subject, directly or over several
+  // steps.
   kEffect,
 };
 
@@ -25,18 +26,18 @@
   TimelineEvent event;
 };
 
-// Why something happened to a subject and what followed from it.
+// Causes and effects of the events about a subject.
 struct Explanation {
-  // In the order of the events given.
+  // Events in the order of the input.
   std::vector<ExplainedEvent> events;
-  // Causes that are named but not among the events given: dropped from a
-  // bounded log, or held by a node that was not asked.
+  // Causes that are named but not in the input: dropped from a bounded log, or
+  // held by a node that was not asked.
   std::vector<EventId> missing_causes;
 };
 
-// Walks the causes of all events about `subject`, backwards to what led to them
-// and forwards to what followed. Ends also when causes form a cycle, which
-// sound nodes never write but a damaged event may.
+// Follows the causes of all events about `subject`, backwards to what led to
+// them and forwards to their effects. Also terminates if causes form a cycle,
+// which healthy nodes never write but a corrupted event may contain.
 Explanation ExplainSubject(const std::vector<TimelineEvent>& events,
                            std::string_view subject);
 
--- a/core/event_id.cc
+++ b/core/event_id.cc
@@ -32,7 +32,7 @@
 
 std::optional<EventIdParts> ParseEventId(const EventId& id) {
   const std::string_view text = id.value();
-  // The node's id may itself contain separators, so the numbers are taken from
+  // The node's id may itself contain separators, so the numbers are parsed from
   // the end.
   const std::size_t last = text.rfind(kSeparator);
   if (last == std::string_view::npos || last == 0) {
--- a/core/event_id.h
+++ b/core/event_id.h
@@ -9,7 +9,7 @@
 
 namespace gcw {
 
-// What an event's id is made of. Written as `<node>/<incarnation>/<counter>`.
+// Parts of an event id, which is written as `<node>/<incarnation>/<counter>`.
 struct EventIdParts {
   NodeId node;
   Incarnation incarnation;
@@ -21,7 +21,7 @@
 
 EventId MakeEventId(const EventIdParts& parts);
 
-// Nothing where the id is not of that form.
+// Returns nothing if the id does not have that form.
 std::optional<EventIdParts> ParseEventId(const EventId& id);
 
 }  // namespace gcw
--- a/core/event_log.h
+++ b/core/event_log.h
@@ -18,7 +18,7 @@
 namespace gcw {
 
 enum class EventReadErrorKind {
-  // The id is not of the form `<node>/<incarnation>/<counter>`.
+  // The id does not have the form `<node>/<incarnation>/<counter>`.
   kMalformedId,
   // The id belongs to another node's log.
   kOtherNode,
@@ -28,22 +28,22 @@
   EventReadErrorKind kind;
 };
 
-// Some of a log's events, oldest first.
+// A page of a log's events, oldest first.
 struct EventPage {
   std::vector<TimelineEvent> events;
-  // Where the next read goes on: the id of the last event given, or the id that
-  // was asked with when there was none.
+  // Id to read on from: that of the last event in the page, or the requested id
+  // if the page is empty.
   EventId next;
-  // Events between the id asked with and the first one given that the log no
-  // longer holds.
+  // Number of events between the requested id and the first one in the page
+  // that the log no longer holds.
   std::int64_t dropped = 0;
-  // The id asked with is of an earlier run of this node; what that run wrote
-  // after it is lost and not counted in `dropped`.
+  // The requested id belongs to an earlier run of this node. The events that
+  // the run wrote after it are lost and not counted in `dropped`.
   bool restarted = false;
 };
 
-// Bounded memory of what this node decided, newest last; the oldest events are
-// dropped first. Not thread-safe: the control thread owns it.
+// Bounded in-memory log of this node's decisions, newest last. The oldest
+// events are dropped first. Not thread-safe: the control thread owns it.
 class EventLog {
  public:
   // Called for each event after it is stamped, for example to log it.
@@ -53,9 +53,9 @@
    public:
     Builder& SetNode(NodeId node);
     Builder& SetIncarnation(Incarnation incarnation);
-    // Source of physical time. A harness gives its virtual time.
+    // Source of physical time. A simulation passes its virtual time.
     Builder& SetClock(Clock clock);
-    // Number of events kept; at least one.
+    // Maximum number of events kept; at least one.
     Builder& SetCapacity(std::size_t capacity);
     Builder& SetMaxAhead(Duration max_ahead);
     Builder& SetObserver(Observer observer);
@@ -71,26 +71,29 @@
     Observer observer_;
   };
 
-  // Stamps the event with the next id and hybrid time, and keeps it.
+  // Assigns the next id and hybrid time to the event, and stores it.
   EventId Append(EventDraft draft);
-  // A sink that appends here; it must not outlive the log, nor the log move.
+  // Returns a sink that appends to this log. The log must outlive the sink and
+  // must not be moved.
   EventSink Sink();
 
-  // To be sent along with each message to a peer.
+  // Returns the time to send with a message to a peer.
   HybridTime Tick();
-  // Takes in the time that came with a peer's message.
+  // Merges the time received with a peer's message.
   Result<HybridTime, HybridTimeError> Observe(const HybridTime& remote);
 
-  // Up to `limit` events after the one named, an empty id meaning the start.
+  // Returns up to `limit` events after the given one; an empty id means the
+  // start of the log.
   Result<EventPage, EventReadError> ReadSince(const EventId& after,
                                               std::size_t limit) const;
-  // The newest events, at most `limit`; `dropped` counts all earlier ones.
+  // Returns the newest events, at most `limit`; `dropped` counts all earlier
+  // ones.
   EventPage ReadNewest(std::size_t limit) const;
-  // Causes and effects of a subject as far as this node's log knows them.
+  // Returns the causes and effects of a subject that are in this node's log.
   Explanation Why(std::string_view subject) const;
 
   std::size_t size() const { return events_.size(); }
-  // Events dropped over this run.
+  // Number of events dropped in this run.
   std::int64_t dropped() const { return first_counter_ - 1; }
 
  private:
@@ -103,7 +106,7 @@
   Observer observer_;
   HybridClock hybrid_clock_;
   std::deque<TimelineEvent> events_;
-  // Counter of the oldest event held, or of the next one when none is held.
+  // Counter of the oldest event held, or of the next one if the log is empty.
   std::int64_t first_counter_ = 1;
 };
 
--- a/core/hybrid_clock.h
+++ b/core/hybrid_clock.h
@@ -8,16 +8,17 @@
 namespace gcw {
 
 enum class HybridTimeErrorKind {
-  // The peer's physical time is ahead of ours by more than the bound.
+  // The peer's physical time is ahead of the local time by more than the limit.
   kTooFarAhead,
-  // The peer's logical counter is negative or so large that no sound peer can
+  // The peer's logical counter is negative or too large for a healthy peer to
   // have reached it.
   kLogicalOutOfRange,
 };
 
 struct HybridTimeError {
   HybridTimeErrorKind kind;
-  // How far the peer's physical time is ahead of ours; negative when behind.
+  // How far the peer's physical time is ahead of the local time; negative if it
+  // is behind.
   Duration ahead;
 };
 
@@ -25,24 +26,23 @@
 // never goes back, and orders an effect after its cause across nodes whose
 // physical clocks differ.
 //
-// A peer whose clock is far ahead would drag the time of every node that hears
-// of it into the future, and the time line would then tell a false order for as
-// long as it takes real time to catch up. One would notice time stamps in the
-// future on healthy nodes. So `Observe` refuses such a time and the clock stays
-// where it was.
+// A peer whose clock is far ahead would advance the time of every node that
+// receives it, and the timeline would show a wrong order until real time
+// catches up. The symptom would be timestamps in the future on healthy nodes.
+// So `Observe` rejects such a time and leaves the clock unchanged.
 class HybridClock {
  public:
-  // Far above the drift of VMs with time synchronisation, which is a few
+  // Far above the drift of VMs with time synchronization, which is a few
   // milliseconds.
   static constexpr Duration kDefaultMaxAhead = Duration::Seconds(10);
   static constexpr std::int64_t kMaxLogical = std::int64_t{1} << 32;
 
   explicit HybridClock(Duration max_ahead = kDefaultMaxAhead);
 
-  // The time of a local event or of a message about to be sent.
+  // Returns the time of a local event or of a message about to be sent.
   HybridTime Tick(Time now);
-  // Takes in the time of a message received and returns the time of its
-  // receipt, which is later than both.
+  // Merges the time of a received message and returns the time of its receipt,
+  // which is later than both.
   Result<HybridTime, HybridTimeError> Observe(Time now,
                                               const HybridTime& remote);
 
--- a/core/random.h
+++ b/core/random.h
@@ -7,16 +7,16 @@
 namespace gcw {
 
 // Source of uniformly distributed 64-bit numbers. Decisions take it as a hook,
-// so that a run repeats exactly for a seed.
+// so that a run is reproducible from its seed.
 using Random = std::function<std::uint64_t()>;
 
-// A seeded source with a period of 2^64.
+// Returns a seeded source with a period of 2^64.
 Random SeededRandom(std::uint64_t seed);
 
-// Uniform in [0, bound); `bound` must be positive.
+// Returns a number uniform in [0, bound); `bound` must be positive.
 std::uint64_t DrawBelow(const Random& random, std::uint64_t bound);
 
-// Uniform in [0, 1).
+// Returns a number uniform in [0, 1).
 double DrawUnit(const Random& random);
 
 }  // namespace gcw
--- a/core/result.h
+++ b/core/result.h
@@ -5,8 +5,8 @@
 
 namespace gcw {
 
-// Either a value or the typed reason why there is none. Each module defines
-// its own error type; a bare string is never one.
+// Either a value or a typed error. Each module defines its own error type,
+// never a plain string.
 template <typename Value, typename Error>
 using Result = std::variant<Value, Error>;
 
@@ -15,7 +15,7 @@
   return result.index() == 0;
 }
 
-// The value of a result known to hold one.
+// Returns the value of a result that is known to hold one.
 template <typename Value, typename Error>
 constexpr const Value& ValueOf(const std::variant<Value, Error>& result) {
   return std::get<0>(result);
@@ -26,7 +26,7 @@
   return std::get<0>(result);
 }
 
-// The error of a result known to hold one.
+// Returns the error of a result that is known to hold one.
 template <typename Value, typename Error>
 constexpr const Error& ErrorOf(const std::variant<Value, Error>& result) {
   return std::get<1>(result);
--- a/core/strong_id.h
+++ b/core/strong_id.h
@@ -12,8 +12,8 @@
 
 namespace gcw {
 
-// Textual identifier that the compiler keeps apart from identifiers of other
-// kinds. `Tag` is an empty struct that names the kind.
+// Textual identifier whose type differs from those of other kinds of
+// identifiers. `Tag` is an empty struct that names the kind.
 template <typename Tag>
 class StrongId {
  public:
@@ -32,7 +32,7 @@
   std::string value_;
 };
 
-// Integer quantity or counter that the compiler keeps apart from others.
+// Integer quantity or counter whose type differs from those of other kinds.
 template <typename Tag>
 class StrongNumber {
  public:
--- a/tests/core/event_log_test.cc
+++ b/tests/core/event_log_test.cc
@@ -47,10 +47,9 @@
   EXPECT_EQ(observed_, 1);
 }
 
-// Symptom: the operators' time line ended minutes before the fault that they
-// looked for.
-// Sequence: more events than one page holds; the page is asked for without an
-// id. Cause: reading from the start gives the oldest events.
+// There are more events than fit into one page, and the page is requested
+// without an id. Reading from the start would return the oldest events, so that
+// the operators' timeline ends minutes before the fault.
 TEST_F(EventLogTest, ReadsTheNewestAndCountsTheOthers) {
   for (const char* subject : {"a", "b", "c", "d"}) {
     Append(subject);
@@ -76,9 +75,8 @@
   EXPECT_EQ(third.next, second.next);
 }
 
-// Symptom: a time line has a hole that nobody sees.
-// Sequence: a reader pauses; meanwhile the ring drops events it has not read.
-// Cause: the memory for events is bounded.
+// The log is bounded: it drops events that a paused reader has not read. The
+// reader must see the gap in the timeline.
 TEST_F(EventLogTest, TellsHowManyEventsWereDropped) {
   const EventId first = Append("a");
   for (int more = 0; more < 5; ++more) {
@@ -92,10 +90,9 @@
   EXPECT_EQ(Read(EventId("n1/4/5")).dropped, 0);
 }
 
-// Symptom: after a restart of the node a reader gets no events.
-// Sequence: the reader asks with an id of the earlier run, whose counter is
-// higher than any of the new run.
-// Cause: counters start again with each incarnation.
+// A reader asks with an id of an earlier run, whose counter is higher than any
+// of the new run because counters restart with each incarnation. It must still
+// receive events.
 TEST_F(EventLogTest, StartsOverForAnIdOfAnEarlierRun) {
   Append("a");
   const EventPage page = Read(EventId("n1/3/900"));
@@ -130,16 +127,15 @@
   EXPECT_EQ(relations,
             (std::vector{EventRelation::kCause, EventRelation::kSubject}));
   EXPECT_EQ(log_.Why("vm-1").events.size(), 3U);
-  // The first event falls out of the ring: the gap is named.
+  // The log drops the first event, which is then listed as a missing cause.
   Append("request-1", group);
   const Explanation later = log_.Why("request-1");
   EXPECT_EQ(later.events.size(), 2U);
   EXPECT_EQ(later.missing_causes, std::vector{vm});
 }
 
-// Symptom: `gcwctl why` does not return.
-// Sequence: two damaged events name each other as their cause.
-// Cause: a walk along causes never comes to an end in a cycle.
+// Two corrupted events name each other as their cause. Without cycle detection,
+// `gcwctl why` would not return.
 TEST(ExplainSubjectTest, EndsWhenCausesFormACycle) {
   const auto event = [](const char* id, const char* subject,
                         const char* cause) {
--- a/tests/core/hybrid_clock_test.cc
+++ b/tests/core/hybrid_clock_test.cc
@@ -10,9 +10,9 @@
   return Time::FromMillis(millis);
 }
 
-// Symptom: events of one node stand in the wrong order in the time line.
-// Sequence: physical time goes back, or stands still, between two events.
-// Cause: two events of one node would get equal or falling time stamps.
+// Physical time goes back or stands still between two events. Equal or
+// decreasing timestamps would put a node's events in the wrong order in the
+// timeline.
 TEST(HybridClockTest, NeverGoesBackWhenPhysicalTimeDoes) {
   HybridClock clock;
   const HybridTime first = clock.Tick(At(100));
@@ -30,9 +30,9 @@
   EXPECT_EQ(ValueOf(received), (HybridTime{At(150), 8}));
 }
 
-// Symptom: healthy nodes stamp their events minutes in the future.
-// Sequence: one node's clock jumps ahead; it sends a message to the others.
-// Cause: a hybrid clock follows the greatest time it hears of.
+// A hybrid clock follows the greatest time that it receives. If one node's
+// clock jumps ahead and it sends a message, healthy nodes would stamp their
+// events minutes in the future.
 TEST(HybridClockTest, RefusesAPeerFarAheadAndStaysWhereItWas) {
   HybridClock clock(Duration::Millis(500));
   clock.Tick(At(100));
