--- a/tests/platform/platform_wire_test.cc
+++ b/tests/platform/platform_wire_test.cc
@@ -62,8 +62,8 @@
   EXPECT_EQ(ErrorOf(decoded).kind, CodecErrorKind::kOutOfRange);
 }
 
-// Any prefix of a document, or a document with a byte changed, is read or
-// refused with a type; the node stays up.
+// Any prefix of a document, and a document with a changed byte, is decoded or
+// rejected with a typed error; the node does not crash.
 RC_GTEST_PROP(ConfigurationDocumentProperty, TakesDamagedText, ()) {
   std::string text(kDocument);
   text.resize(*rc::gen::inRange<std::size_t>(0, text.size()));
@@ -84,9 +84,9 @@
   EXPECT_EQ(ValueOf(read).incarnation, Incarnation(1791877240332));
 }
 
-// Symptom: requests go to what is no endpoint. Sequence: another writer puts an
-// entry beside the endpoints' own. Cause: a state that is not named was taken
-// for a ready one.
+// Another writer puts an entry beside those of the endpoints. If an unknown
+// lifecycle counted as ready, requests would be sent to it although it is no
+// endpoint.
 TEST(RegistrationEntryTest, EntriesOfOtherWritersNameNoVm) {
   for (const char* text :
        {"", "\xff\xfe", "[]", R"({"backend":"b"})",
@@ -194,8 +194,8 @@
   EXPECT_EQ(made.Header("X-Request-Priority"), "");
 }
 
-// Symptom: a caller's requests begin before those of customers who rank higher.
-// Cause: the header that it sent was passed on.
+// A caller's own priority header must not be passed on. Otherwise its requests
+// would start before those of customers with a higher rank.
 TEST(EndpointWireTest, WhoGoesFirstIsNotTheCallersChoice) {
   const HttpRequest original{
       "POST", "/a", {{"x-request-priority", "0"}}, "body"};
@@ -280,7 +280,7 @@
   }
   EXPECT_TRUE(std::holds_alternative<StoreNoAnswer>(
       ReadStoreReply(put, {200, {}, "not json"})));
-  // A call that is not known must not be asked again at once.
+  // An unknown call must not be repeated immediately.
   const StoreReply unknown = ReadStoreReply(StoreRange{"x"}, {400, {}, ""});
   EXPECT_GE(std::get<StoreBusy>(unknown).retry_after, Duration::Seconds(1));
 }
