--- a/core/event_causes.cc
+++ b/core/event_causes.cc
@@ -10,11 +10,11 @@
 namespace gcw {
 namespace {
 
-// Traverses the causes within a list of events. Events are identified by their
+// Graph of the causes within a list of events. Events are identified by their
 // index in the list.
-class CauseWalk {
+class CauseGraph {
  public:
-  explicit CauseWalk(const std::vector<TimelineEvent>& events)
+  explicit CauseGraph(const std::vector<TimelineEvent>& events)
       : events_(events), relations_(events.size()) {
     for (std::size_t index = 0; index < events.size(); ++index) {
       index_of_.emplace(events[index].id, index);
@@ -28,17 +28,17 @@
   }
 
   Explanation Explain(std::string_view subject) {
-    std::vector<std::size_t> subjects;
+    std::vector<std::size_t> subject_events;
     for (std::size_t index = 0; index < events_.size(); ++index) {
       if (events_[index].draft.subject == subject) {
         relations_[index] = EventRelation::kSubject;
-        subjects.push_back(index);
+        subject_events.push_back(index);
       }
     }
-    for (const std::size_t index : subjects) {
+    for (const std::size_t index : subject_events) {
       MarkCauses(index);
     }
-    MarkEffects(subjects);
+    MarkEffects(subject_events);
     return Collect();
   }
 
@@ -52,7 +52,7 @@
       }
       const auto found = index_of_.find(cause);
       if (found == index_of_.end()) {
-        missing_.insert(cause);
+        missing_causes_.insert(cause);
         return;
       }
       index = found->second;
@@ -87,7 +87,8 @@
         explanation.events.push_back({*relations_[index], events_[index]});
       }
     }
-    explanation.missing_causes.assign(missing_.begin(), missing_.end());
+    explanation.missing_causes.assign(missing_causes_.begin(),
+                                      missing_causes_.end());
     return explanation;
   }
 
@@ -95,7 +96,7 @@
   std::unordered_map<EventId, std::size_t> index_of_;
   std::map<std::size_t, std::vector<std::size_t>> effects_of_;
   std::vector<std::optional<EventRelation>> relations_;
-  std::set<EventId> missing_;
+  std::set<EventId> missing_causes_;
 };
 
 }  // namespace
@@ -114,7 +115,7 @@
 
 Explanation ExplainSubject(const std::vector<TimelineEvent>& events,
                            std::string_view subject) {
-  return CauseWalk(events).Explain(subject);
+  return CauseGraph(events).Explain(subject);
 }
 
 }  // namespace gcw
--- a/core/event_id.cc
+++ b/core/event_id.cc
@@ -12,8 +12,8 @@
 std::optional<std::int64_t> ParseNumber(std::string_view text) {
   std::int64_t number = 0;
   const char* end = text.data() + text.size();
-  const auto [stop, error] = std::from_chars(text.data(), end, number);
-  if (error != std::errc() || stop != end || number < 0) {
+  const auto [parsed_end, error] = std::from_chars(text.data(), end, number);
+  if (error != std::errc() || parsed_end != end || number < 0) {
     return std::nullopt;
   }
   return number;
@@ -34,22 +34,26 @@
   const std::string_view text = id.value();
   // The node's id may itself contain separators, so the numbers are parsed from
   // the end.
-  const std::size_t last = text.rfind(kSeparator);
-  if (last == std::string_view::npos || last == 0) {
+  const std::size_t counter_separator = text.rfind(kSeparator);
+  if (counter_separator == std::string_view::npos || counter_separator == 0) {
     return std::nullopt;
   }
-  const std::size_t middle = text.rfind(kSeparator, last - 1);
-  if (middle == std::string_view::npos || middle == 0) {
+  const std::size_t incarnation_separator =
+      text.rfind(kSeparator, counter_separator - 1);
+  if (incarnation_separator == std::string_view::npos ||
+      incarnation_separator == 0) {
     return std::nullopt;
   }
   const auto incarnation =
-      ParseNumber(text.substr(middle + 1, last - middle - 1));
-  const auto counter = ParseNumber(text.substr(last + 1));
+      ParseNumber(text.substr(incarnation_separator + 1,
+                              counter_separator - incarnation_separator - 1));
+  const auto counter = ParseNumber(text.substr(counter_separator + 1));
   if (!incarnation || !counter) {
     return std::nullopt;
   }
-  return EventIdParts{NodeId(std::string(text.substr(0, middle))),
-                      Incarnation(*incarnation), *counter};
+  return EventIdParts{
+      NodeId(std::string(text.substr(0, incarnation_separator))),
+      Incarnation(*incarnation), *counter};
 }
 
 }  // namespace gcw
--- a/core/event_log.cc
+++ b/core/event_log.cc
@@ -95,7 +95,7 @@
   page.next = after;
   const auto held = static_cast<std::int64_t>(events_.size());
   const std::int64_t newest = first_counter_ + held - 1;
-  std::int64_t wanted = 1;
+  std::int64_t first_requested = 1;
   if (!after.empty()) {
     const auto parts = ParseEventId(after);
     if (!parts) {
@@ -105,11 +105,11 @@
       return EventReadError{EventReadErrorKind::kOtherNode};
     }
     page.restarted = parts->incarnation != incarnation_;
-    wanted = page.restarted ? 1 : std::min(parts->counter, newest) + 1;
+    first_requested = page.restarted ? 1 : std::min(parts->counter, newest) + 1;
   }
-  page.dropped = std::max<std::int64_t>(first_counter_ - wanted, 0);
+  page.dropped = std::max<std::int64_t>(first_counter_ - first_requested, 0);
   const std::int64_t skipped =
-      std::clamp<std::int64_t>(wanted - first_counter_, 0, held);
+      std::clamp<std::int64_t>(first_requested - first_counter_, 0, held);
   const auto begin = events_.begin() + skipped;
   const std::int64_t count =
       std::min<std::int64_t>(held - skipped, static_cast<std::int64_t>(limit));
--- a/state/config_store.cc
+++ b/state/config_store.cc
@@ -40,12 +40,12 @@
   const auto it = entries_.find(entry.key);
   const bool held = it != entries_.end();
   if (held && entry.revision < it->second.revision) {
-    return ConfigMergeResult::kOlder;
+    return ConfigMergeResult::kStale;
   }
   if (held && entry.revision == it->second.revision) {
     return entry.record.change == it->second.record.change
-               ? ConfigMergeResult::kKnown
-               : ConfigMergeResult::kContradicts;
+               ? ConfigMergeResult::kDuplicate
+               : ConfigMergeResult::kConflict;
   }
   // A bucket's digest is the sum of its entries' hashes, so that it can be
   // updated one entry at a time.
@@ -74,13 +74,13 @@
 
 std::vector<ConfigKeyRevision> ConfigStore::KeysIn(
     const std::vector<std::uint8_t>& buckets) const {
-  std::array<bool, kBucketCount> asked{};
+  std::array<bool, kBucketCount> selected{};
   for (const std::uint8_t bucket : buckets) {
-    asked[bucket % kBucketCount] = true;
+    selected[bucket % kBucketCount] = true;
   }
   std::vector<ConfigKeyRevision> keys;
   for (const auto& [key, entry] : entries_) {
-    if (asked[BucketOf(key)]) {
+    if (selected[BucketOf(key)]) {
       keys.push_back({key, entry.revision});
     }
   }
--- a/state/config_store.h
+++ b/state/config_store.h
@@ -66,12 +66,12 @@
   // The entry is newer and was stored.
   kApplied,
   // The same version is already held.
-  kKnown,
+  kDuplicate,
   // A newer version is held; the entry was dropped.
-  kOlder,
+  kStale,
   // Another change with the same revision is held: the key-value service was
   // rolled back and wrote a second history. The entry was dropped.
-  kContradicts,
+  kConflict,
 };
 
 // A node's copy of the operators' configuration. The revision of a key never
--- a/state/contract.cc
+++ b/state/contract.cc
@@ -167,8 +167,8 @@
 }
 
 Result<Contract, ContractError> ContractBuilder::Build() const {
-  if (const std::optional<ContractError> fault = FindFault(contract_)) {
-    return *fault;
+  if (const std::optional<ContractError> error = FindFault(contract_)) {
+    return *error;
   }
   return contract_;
 }
--- a/state/domain_record.cc
+++ b/state/domain_record.cc
@@ -5,39 +5,41 @@
 namespace gcw {
 namespace {
 
-DomainRecordError Fault(DomainRecordErrorKind kind, std::string_view subject) {
+DomainRecordError MakeError(DomainRecordErrorKind kind,
+                            std::string_view subject) {
   return DomainRecordError{kind, subject};
 }
 
-std::optional<DomainRecordError> FindGroupFault(const DomainRecord& record) {
+std::optional<DomainRecordError> ValidateGroups(const DomainRecord& record) {
   std::set<GroupId> groups;
   for (const GroupRecord& group : record.groups) {
     if (group.members.empty()) {
-      return Fault(DomainRecordErrorKind::kGroupEmpty, group.id.value());
+      return MakeError(DomainRecordErrorKind::kEmptyGroup, group.id.value());
     }
     if (!groups.insert(group.id).second) {
-      return Fault(DomainRecordErrorKind::kGroupTwice, group.id.value());
+      return MakeError(DomainRecordErrorKind::kDuplicateGroup,
+                       group.id.value());
     }
     if (group.generation < Generation(1)) {
-      return Fault(DomainRecordErrorKind::kGenerationWentBack,
-                   group.id.value());
+      return MakeError(DomainRecordErrorKind::kInvalidGeneration,
+                       group.id.value());
     }
   }
   return std::nullopt;
 }
 
-std::optional<DomainRecordError> FindVmFault(const DomainRecord& record) {
+std::optional<DomainRecordError> ValidateVms(const DomainRecord& record) {
   std::set<VmId> vms;
   for (const GroupRecord& group : record.groups) {
     for (const VmId& vm : group.members) {
       if (!vms.insert(vm).second) {
-        return Fault(DomainRecordErrorKind::kVmInTwoPlaces, vm.value());
+        return MakeError(DomainRecordErrorKind::kDuplicateVm, vm.value());
       }
     }
   }
   for (const LeavingMember& member : record.leaving) {
     if (!vms.insert(member.vm).second) {
-      return Fault(DomainRecordErrorKind::kVmInTwoPlaces, member.vm.value());
+      return MakeError(DomainRecordErrorKind::kDuplicateVm, member.vm.value());
     }
   }
   return std::nullopt;
@@ -45,13 +47,13 @@
 
 // A leaving member must belong to an earlier generation than its group has now.
 // Otherwise its engine could not tell whether it still belongs to the group.
-std::optional<DomainRecordError> FindGenerationFault(
+std::optional<DomainRecordError> ValidateGenerations(
     const DomainRecord& record) {
   for (const LeavingMember& member : record.leaving) {
     for (const GroupRecord& group : record.groups) {
       if (group.id == member.group && group.generation <= member.generation) {
-        return Fault(DomainRecordErrorKind::kGenerationWentBack,
-                     group.id.value());
+        return MakeError(DomainRecordErrorKind::kInvalidGeneration,
+                         group.id.value());
       }
     }
   }
@@ -73,13 +75,13 @@
 }
 
 std::optional<DomainRecordError> FindFault(const DomainRecord& record) {
-  if (const auto fault = FindGroupFault(record)) {
-    return fault;
+  if (const auto error = ValidateGroups(record)) {
+    return error;
   }
-  if (const auto fault = FindVmFault(record)) {
-    return fault;
+  if (const auto error = ValidateVms(record)) {
+    return error;
   }
-  return FindGenerationFault(record);
+  return ValidateGenerations(record);
 }
 
 }  // namespace gcw
--- a/state/domain_record.h
+++ b/state/domain_record.h
@@ -61,10 +61,10 @@
 };
 
 enum class DomainRecordErrorKind {
-  kVmInTwoPlaces,
-  kGroupTwice,
-  kGroupEmpty,
-  kGenerationWentBack,
+  kDuplicateVm,
+  kDuplicateGroup,
+  kEmptyGroup,
+  kInvalidGeneration,
 };
 
 struct DomainRecordError {
--- a/state/group_order.h
+++ b/state/group_order.h
@@ -13,7 +13,7 @@
   kJoin,
   // Start to accept requests; sent to the first member once all are ready.
   kOpen,
-  // Finish the running requests, then stop serving; sent to the first member.
+  // Finish all accepted requests, then stop serving; sent to the first member.
   kClose,
   // Leave the group immediately.
   kLeave,
--- a/state/prefix_index.cc
+++ b/state/prefix_index.cc
@@ -25,19 +25,19 @@
 }  // namespace
 
 PrefixIndex::PrefixIndex(const PrefixIndexSettings& settings)
-    : doubt_span_(settings.doubt_span),
-      words_(
+    : unconfirmed_ttl_(settings.unconfirmed_ttl),
+      words_per_mask_(
           (static_cast<std::size_t>(settings.max_endpoints) + kWordBits - 1) /
           kWordBits) {
-  const auto wanted = static_cast<std::size_t>(settings.max_blocks);
-  const std::size_t entries = std::bit_ceil(std::max(wanted, kWays));
+  const auto requested = static_cast<std::size_t>(settings.max_blocks);
+  const std::size_t entries = std::bit_ceil(std::max(requested, kWays));
   bucket_mask_ = entries / kWays - 1;
   blocks_.resize(entries);
   stamps_.resize(entries);
-  masks_.resize(entries * words_ * 2);
-  slots_.resize(words_ * kWordBits);
-  unconfirm_.resize(words_);
-  seen_.resize(words_);
+  masks_.resize(entries * words_per_mask_ * 2);
+  slots_.resize(words_per_mask_ * kWordBits);
+  pending_unconfirm_.resize(words_per_mask_);
+  matched_.resize(words_per_mask_);
 }
 
 void PrefixIndex::OnDispatched(Time /*now*/,
@@ -73,7 +73,7 @@
     state.last_sequence = event.sequence;
   }
   if (!is_complete) {
-    MarkDoubtful(now, slot);
+    MarkUnconfirmed(now, slot);
   }
   for (const CacheEvent& event : batch.events) {
     Apply(slot, event);
@@ -90,8 +90,8 @@
   }
   const std::size_t entry = Find(event.block);
   if (entry != kNotFound) {
-    Held(entry)[WordOf(slot)] &= ~BitOf(slot);
-    DropIfUnheld(entry);
+    HeldMask(entry)[WordOf(slot)] &= ~BitOf(slot);
+    FreeIfUnheld(entry);
   }
 }
 
@@ -103,27 +103,27 @@
     return;
   }
   stamps_[entry] = std::max(stamps_[entry], stamp);
-  Held(entry)[WordOf(slot)] |= BitOf(slot);
-  Confirmed(entry)[WordOf(slot)] |= BitOf(slot);
+  HeldMask(entry)[WordOf(slot)] |= BitOf(slot);
+  ConfirmedMask(entry)[WordOf(slot)] |= BitOf(slot);
 }
 
 void PrefixIndex::Forget(EndpointSlot slot) {
   for (std::size_t entry = 0; entry < blocks_.size(); ++entry) {
-    Held(entry)[WordOf(slot)] &= ~BitOf(slot);
-    DropIfUnheld(entry);
+    HeldMask(entry)[WordOf(slot)] &= ~BitOf(slot);
+    FreeIfUnheld(entry);
   }
   slots_[static_cast<std::size_t>(slot.value())] = SlotState();
 }
 
-void PrefixIndex::MarkDoubtful(Time now, EndpointSlot slot) {
+void PrefixIndex::MarkUnconfirmed(Time now, EndpointSlot slot) {
   SlotState& state = slots_[static_cast<std::size_t>(slot.value())];
   // Entries that are already unconfirmed keep their age; otherwise a gap every
   // few seconds would keep old entries forever.
-  if (!state.is_doubtful) {
-    state.is_doubtful = true;
-    state.doubtful_since = now;
+  if (!state.has_unconfirmed) {
+    state.has_unconfirmed = true;
+    state.unconfirmed_since = now;
   }
-  unconfirm_[WordOf(slot)] |= BitOf(slot);
+  pending_unconfirm_[WordOf(slot)] |= BitOf(slot);
 }
 
 void PrefixIndex::Tick(Time now) {
@@ -131,11 +131,12 @@
     return;
   }
   next_sweep_ = now + kSweepPeriod;
-  std::vector<Word> drop(words_);
+  std::vector<Word> drop(words_per_mask_);
   for (std::size_t index = 0; index < slots_.size(); ++index) {
     SlotState& state = slots_[index];
-    if (state.is_doubtful && now - state.doubtful_since >= doubt_span_) {
-      state.is_doubtful = false;
+    if (state.has_unconfirmed &&
+        now - state.unconfirmed_since >= unconfirmed_ttl_) {
+      state.has_unconfirmed = false;
       drop[index / kWordBits] |= Word{1} << (index % kWordBits);
     }
   }
@@ -147,45 +148,45 @@
 void PrefixIndex::Sweep(std::span<const Word> drop) {
   const auto is_zero = [](Word word) { return word == 0; };
   const bool has_drop = !std::ranges::all_of(drop, is_zero);
-  if (!has_drop && std::ranges::all_of(unconfirm_, is_zero)) {
+  if (!has_drop && std::ranges::all_of(pending_unconfirm_, is_zero)) {
     return;
   }
   for (std::size_t entry = 0; entry < blocks_.size(); ++entry) {
-    const std::span<Word> held = Held(entry);
-    const std::span<Word> confirmed = Confirmed(entry);
-    for (std::size_t word = 0; word < words_; ++word) {
-      confirmed[word] &= ~unconfirm_[word];
+    const std::span<Word> held = HeldMask(entry);
+    const std::span<Word> confirmed = ConfirmedMask(entry);
+    for (std::size_t word = 0; word < words_per_mask_; ++word) {
+      confirmed[word] &= ~pending_unconfirm_[word];
       held[word] &= confirmed[word] | ~drop[word];
     }
     if (has_drop) {
-      DropIfUnheld(entry);
+      FreeIfUnheld(entry);
     }
   }
-  std::ranges::fill(unconfirm_, 0);
+  std::ranges::fill(pending_unconfirm_, 0);
 }
 
 void PrefixIndex::Match(std::span<const PrefixBlock> blocks,
                         std::vector<PrefixMatch>& matches) {
   matches.clear();
-  std::fill(seen_.begin(), seen_.end(), 0);
-  std::size_t depth = DeepestHeld(blocks);
+  std::fill(matched_.begin(), matched_.end(), 0);
+  std::size_t depth = DeepestUnmatched(blocks);
   while (depth > 0) {
     AppendHolders(Find(blocks[depth - 1]), depth, matches);
-    depth = DeepestHeld(blocks.first(depth - 1));
+    depth = DeepestUnmatched(blocks.first(depth - 1));
   }
 }
 
 // An endpoint that holds a block nearly always holds the blocks before it, so
-// bisection finds the greatest depth that an endpoint outside `seen_` reaches.
-// If an endpoint's entries have holes, its match may be too short, which only
-// costs time.
-std::size_t PrefixIndex::DeepestHeld(
+// bisection finds the greatest depth that an endpoint outside `matched_`
+// reaches. If an endpoint's entries have holes, its match may be too short,
+// which only costs time.
+std::size_t PrefixIndex::DeepestUnmatched(
     std::span<const PrefixBlock> blocks) const {
   std::size_t low = 0;
   std::size_t high = blocks.size();
   while (low < high) {
     const std::size_t middle = (low + high + 1) / 2;
-    if (HoldsUnseen(Find(blocks[middle - 1]))) {
+    if (HasUnmatchedHolder(Find(blocks[middle - 1]))) {
       low = middle;
     } else {
       high = middle - 1;
@@ -194,13 +195,13 @@
   return low;
 }
 
-bool PrefixIndex::HoldsUnseen(std::size_t entry) const {
+bool PrefixIndex::HasUnmatchedHolder(std::size_t entry) const {
   if (entry == kNotFound) {
     return false;
   }
-  const std::span<const Word> held = Held(entry);
-  for (std::size_t word = 0; word < words_; ++word) {
-    if ((held[word] & ~seen_[word]) != 0) {
+  const std::span<const Word> held = HeldMask(entry);
+  for (std::size_t word = 0; word < words_per_mask_; ++word) {
+    if ((held[word] & ~matched_[word]) != 0) {
       return true;
     }
   }
@@ -210,15 +211,15 @@
 void PrefixIndex::AppendHolders(std::size_t entry,
                                 std::size_t depth,
                                 std::vector<PrefixMatch>& matches) {
-  const std::span<const Word> held = Held(entry);
-  const std::span<const Word> confirmed = Confirmed(entry);
-  for (std::size_t word = 0; word < words_; ++word) {
-    Word fresh = held[word] & ~seen_[word];
-    seen_[word] |= fresh;
-    while (fresh != 0) {
-      const auto bit = static_cast<std::size_t>(std::countr_zero(fresh));
+  const std::span<const Word> held = HeldMask(entry);
+  const std::span<const Word> confirmed = ConfirmedMask(entry);
+  for (std::size_t word = 0; word < words_per_mask_; ++word) {
+    Word unmatched = held[word] & ~matched_[word];
+    matched_[word] |= unmatched;
+    while (unmatched != 0) {
+      const auto bit = static_cast<std::size_t>(std::countr_zero(unmatched));
       const Word mask = Word{1} << bit;
-      fresh &= ~mask;
+      unmatched &= ~mask;
       const auto slot = static_cast<std::int64_t>(word * kWordBits + bit);
       matches.push_back({.slot = EndpointSlot(slot),
                          .blocks = static_cast<std::int64_t>(depth),
@@ -255,16 +256,16 @@
   known_blocks_ += stamps_[oldest] == 0 ? 1 : 0;
   blocks_[oldest] = block;
   stamps_[oldest] = stamp;
-  std::ranges::fill(Held(oldest), 0);
-  std::ranges::fill(Confirmed(oldest), 0);
+  std::ranges::fill(HeldMask(oldest), 0);
+  std::ranges::fill(ConfirmedMask(oldest), 0);
   return oldest;
 }
 
-void PrefixIndex::DropIfUnheld(std::size_t entry) {
+void PrefixIndex::FreeIfUnheld(std::size_t entry) {
   if (stamps_[entry] == 0) {
     return;
   }
-  const std::span<const Word> held = Held(entry);
+  const std::span<const Word> held = HeldMask(entry);
   if (std::ranges::all_of(held, [](Word word) { return word == 0; })) {
     stamps_[entry] = 0;
     --known_blocks_;
@@ -275,21 +276,22 @@
   return (static_cast<std::size_t>(block) & bucket_mask_) * kWays;
 }
 
-std::span<PrefixIndex::Word> PrefixIndex::Held(std::size_t entry) {
-  return {masks_.data() + entry * words_ * 2, words_};
+std::span<PrefixIndex::Word> PrefixIndex::HeldMask(std::size_t entry) {
+  return {masks_.data() + entry * words_per_mask_ * 2, words_per_mask_};
 }
 
-std::span<const PrefixIndex::Word> PrefixIndex::Held(std::size_t entry) const {
-  return {masks_.data() + entry * words_ * 2, words_};
+std::span<const PrefixIndex::Word> PrefixIndex::HeldMask(
+    std::size_t entry) const {
+  return {masks_.data() + entry * words_per_mask_ * 2, words_per_mask_};
 }
 
-std::span<PrefixIndex::Word> PrefixIndex::Confirmed(std::size_t entry) {
-  return {masks_.data() + (entry * 2 + 1) * words_, words_};
+std::span<PrefixIndex::Word> PrefixIndex::ConfirmedMask(std::size_t entry) {
+  return {masks_.data() + (entry * 2 + 1) * words_per_mask_, words_per_mask_};
 }
 
-std::span<const PrefixIndex::Word> PrefixIndex::Confirmed(
+std::span<const PrefixIndex::Word> PrefixIndex::ConfirmedMask(
     std::size_t entry) const {
-  return {masks_.data() + (entry * 2 + 1) * words_, words_};
+  return {masks_.data() + (entry * 2 + 1) * words_per_mask_, words_per_mask_};
 }
 
 std::size_t PrefixIndex::memory_bytes() const {
--- a/state/prefix_index.h
+++ b/state/prefix_index.h
@@ -32,7 +32,7 @@
   // max_endpoints / 4 bytes.
   std::int64_t max_blocks = 262144;
   // How long an unconfirmed entry is kept.
-  Duration doubt_span = Duration::Seconds(60);
+  Duration unconfirmed_ttl = Duration::Seconds(60);
 };
 
 // Estimates which endpoint has which prompt blocks in its cache, from this
@@ -42,7 +42,7 @@
 // Engines lose cache events. If the event of an eviction is lost, the entry
 // would attract requests to the endpoint forever. So after a gap in the events,
 // all entries of the endpoint become unconfirmed, and those that no later event
-// or dispatch confirms within `doubt_span` are dropped.
+// or dispatch confirms within `unconfirmed_ttl` are dropped.
 class PrefixIndex {
  public:
   explicit PrefixIndex(const PrefixIndexSettings& settings);
@@ -74,8 +74,8 @@
   struct SlotState {
     std::int64_t last_sequence = 0;
     bool has_sequence = false;
-    bool is_doubtful = false;
-    Time doubtful_since;
+    bool has_unconfirmed = false;
+    Time unconfirmed_since;
   };
 
   static constexpr std::size_t kWays = 8;
@@ -89,24 +89,24 @@
   std::size_t FindOrReplace(PrefixBlock block, std::uint32_t stamp);
   void Store(EndpointSlot slot, PrefixBlock block, std::uint32_t stamp);
   void Apply(EndpointSlot slot, const CacheEvent& event);
-  void MarkDoubtful(Time now, EndpointSlot slot);
-  // Marks the entries of the endpoints in `unconfirm_` as unconfirmed, and
-  // drops the unconfirmed entries of the endpoints in `drop`.
+  void MarkUnconfirmed(Time now, EndpointSlot slot);
+  // Marks the entries of the endpoints in `pending_unconfirm_` as unconfirmed,
+  // and drops the unconfirmed entries of the endpoints in `drop`.
   void Sweep(std::span<const Word> drop);
-  void DropIfUnheld(std::size_t entry);
-  std::size_t DeepestHeld(std::span<const PrefixBlock> blocks) const;
-  bool HoldsUnseen(std::size_t entry) const;
+  void FreeIfUnheld(std::size_t entry);
+  std::size_t DeepestUnmatched(std::span<const PrefixBlock> blocks) const;
+  bool HasUnmatchedHolder(std::size_t entry) const;
   void AppendHolders(std::size_t entry,
                      std::size_t depth,
                      std::vector<PrefixMatch>& matches);
-  std::span<Word> Held(std::size_t entry);
-  std::span<const Word> Held(std::size_t entry) const;
-  std::span<Word> Confirmed(std::size_t entry);
-  std::span<const Word> Confirmed(std::size_t entry) const;
+  std::span<Word> HeldMask(std::size_t entry);
+  std::span<const Word> HeldMask(std::size_t entry) const;
+  std::span<Word> ConfirmedMask(std::size_t entry);
+  std::span<const Word> ConfirmedMask(std::size_t entry) const;
 
-  Duration doubt_span_;
+  Duration unconfirmed_ttl_;
   // Number of words in a mask of endpoints.
-  std::size_t words_;
+  std::size_t words_per_mask_;
   std::size_t bucket_mask_;
   // Entry i consists of a block, the stamp of its last use and two masks in
   // `masks_`: held and confirmed. A stamp of 0 marks a free entry.
@@ -116,11 +116,11 @@
   std::uint32_t next_stamp_ = 1;
   std::int64_t known_blocks_ = 0;
   std::vector<SlotState> slots_;
-  // Endpoints whose entries become unconfirmed with the next sweep.
-  std::vector<Word> unconfirm_;
+  // Endpoints whose entries the next sweep marks as unconfirmed.
+  std::vector<Word> pending_unconfirm_;
   Time next_sweep_;
   // Endpoints that the current match has found.
-  std::vector<Word> seen_;
+  std::vector<Word> matched_;
 };
 
 }  // namespace gcw
--- a/state/route_table.cc
+++ b/state/route_table.cc
@@ -12,9 +12,9 @@
   for (const ServiceRule& service : configuration_.services) {
     services_.emplace(service.id, &service);
   }
-  for (const CustomerKeys& holder : configuration_.customers) {
-    for (const std::string& key : holder.keys) {
-      customers_.emplace(key, CustomerMatch{holder.customer, holder.rank});
+  for (const CustomerKeys& customer : configuration_.customers) {
+    for (const std::string& key : customer.keys) {
+      customers_.emplace(key, CustomerMatch{customer.customer, customer.rank});
     }
   }
 }
--- a/tests/core/event_log_test.cc
+++ b/tests/core/event_log_test.cc
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr std::size_t kCapacity = 3;
-constexpr std::size_t kAll = 100;
+constexpr std::size_t kLargeLimit = 100;
 
 class EventLogTest : public testing::Test {
  protected:
@@ -24,7 +24,7 @@
     return log_.Append({EventKind::kGroupServing, subject, cause, {}});
   }
 
-  EventPage Read(const EventId& after, std::size_t limit = kAll) {
+  EventPage Read(const EventId& after, std::size_t limit = kLargeLimit) {
     const auto page = log_.ReadSince(after, limit);
     EXPECT_TRUE(IsOk(page));
     return IsOk(page) ? ValueOf(page) : EventPage();
@@ -50,7 +50,7 @@
 // There are more events than fit into one page, and the page is requested
 // without an id. Reading from the start would return the oldest events, so that
 // the operators' timeline ends minutes before the fault.
-TEST_F(EventLogTest, ReadsTheNewestAndCountsTheOthers) {
+TEST_F(EventLogTest, ReadsTheNewestAndCountsTheRest) {
   for (const char* subject : {"a", "b", "c", "d"}) {
     Append(subject);
   }
@@ -63,11 +63,11 @@
   EXPECT_TRUE(Read(page.next).events.empty());
 }
 
-TEST_F(EventLogTest, ReadsOnInPages) {
+TEST_F(EventLogTest, ReadsInPages) {
   Append("a");
   Append("b");
   const EventPage first = Read(EventId(), 1);
-  const EventPage second = Read(first.next, kAll);
+  const EventPage second = Read(first.next, kLargeLimit);
   ASSERT_EQ(second.events.size(), 1U);
   EXPECT_EQ(second.events[0].draft.subject, "b");
   const EventPage third = Read(second.next);
@@ -77,9 +77,9 @@
 
 // The log is bounded: it drops events that a paused reader has not read. The
 // reader must see the gap in the timeline.
-TEST_F(EventLogTest, TellsHowManyEventsWereDropped) {
+TEST_F(EventLogTest, CountsDroppedEvents) {
   const EventId first = Append("a");
-  for (int more = 0; more < 5; ++more) {
+  for (int repeat = 0; repeat < 5; ++repeat) {
     Append("b");
   }
   EXPECT_EQ(log_.size(), kCapacity);
@@ -93,7 +93,7 @@
 // A reader asks with an id of an earlier run, whose counter is higher than any
 // of the new run because counters restart with each incarnation. It must still
 // receive events.
-TEST_F(EventLogTest, StartsOverForAnIdOfAnEarlierRun) {
+TEST_F(EventLogTest, ReadsFromTheStartForAnIdOfAnEarlierRun) {
   Append("a");
   const EventPage page = Read(EventId("n1/3/900"));
   EXPECT_TRUE(page.restarted);
@@ -101,9 +101,9 @@
   EXPECT_EQ(page.dropped, 0);
 }
 
-TEST_F(EventLogTest, RefusesIdsThatAreNotItsOwn) {
+TEST_F(EventLogTest, RejectsMalformedAndForeignIds) {
   const auto kind = [this](const char* id) {
-    return ErrorOf(log_.ReadSince(EventId(id), kAll)).kind;
+    return ErrorOf(log_.ReadSince(EventId(id), kLargeLimit)).kind;
   };
   EXPECT_EQ(kind("n2/4/1"), EventReadErrorKind::kOtherNode);
   for (const char* id : {"n1", "n1/4", "/4/1", "n1/4/", "n1/x/1", "n1/4/-1",
@@ -114,14 +114,14 @@
   EXPECT_TRUE(Read(EventId("n1/4/9223372036854775807")).events.empty());
 }
 
-TEST_F(EventLogTest, WhyGivesCausesAndEffectsButNotStrangers) {
+TEST_F(EventLogTest, WhyReturnsOnlyCausesAndEffects) {
   const EventId vm = Append("vm-1");
   const EventId group = Append("group-1", vm);
   Append("group-2", vm);
   std::vector<EventRelation> relations;
-  const Explanation group_why = log_.Why("group-1");
-  for (const ExplainedEvent& each : group_why.events) {
-    relations.push_back(each.relation);
+  const Explanation explanation = log_.Why("group-1");
+  for (const ExplainedEvent& explained : explanation.events) {
+    relations.push_back(explained.relation);
   }
   // group-2 shares the cause but is neither cause nor effect of group-1.
   EXPECT_EQ(relations,
@@ -136,7 +136,7 @@
 
 // Two corrupted events name each other as their cause. Without cycle detection,
 // `gcwctl why` would not return.
-TEST(ExplainSubjectTest, EndsWhenCausesFormACycle) {
+TEST(ExplainSubjectTest, TerminatesWhenCausesFormACycle) {
   const auto event = [](const char* id, const char* subject,
                         const char* cause) {
     return TimelineEvent{
@@ -145,12 +145,12 @@
         NodeId("n"),
         {EventKind::kGroupClosed, subject, EventId(cause), {}}};
   };
-  const Explanation why = ExplainSubject(
+  const Explanation explanation = ExplainSubject(
       {event("n/1/1", "a", "n/1/2"), event("n/1/2", "b", "n/1/1"),
        event("n/1/3", "c", "n/1/3")},
       "a");
-  EXPECT_EQ(why.events.size(), 2U);
-  EXPECT_TRUE(why.missing_causes.empty());
+  EXPECT_EQ(explanation.events.size(), 2U);
+  EXPECT_TRUE(explanation.missing_causes.empty());
 }
 
 }  // namespace
--- a/tests/core/hybrid_clock_test.cc
+++ b/tests/core/hybrid_clock_test.cc
@@ -22,7 +22,7 @@
   EXPECT_EQ(clock.Tick(At(101)), (HybridTime{At(101), 0}));
 }
 
-TEST(HybridClockTest, AReceiptIsLaterThanTheSending) {
+TEST(HybridClockTest, ReceiptIsLaterThanSending) {
   HybridClock clock;
   const HybridTime sent{At(150), 7};
   const auto received = clock.Observe(At(100), sent);
@@ -33,7 +33,7 @@
 // A hybrid clock follows the greatest time that it receives. If one node's
 // clock jumps ahead and it sends a message, healthy nodes would stamp their
 // events minutes in the future.
-TEST(HybridClockTest, RefusesAPeerFarAheadAndStaysWhereItWas) {
+TEST(HybridClockTest, RejectsAPeerFarAheadAndStaysUnchanged) {
   HybridClock clock(Duration::Millis(500));
   clock.Tick(At(100));
   const auto refused = clock.Observe(At(100), {At(601), 0});
@@ -44,7 +44,7 @@
   EXPECT_TRUE(IsOk(clock.Observe(At(100), {At(600), 0})));
 }
 
-TEST(HybridClockTest, RefusesACounterThatNoSoundPeerReaches) {
+TEST(HybridClockTest, RejectsALogicalCounterOutOfRange) {
   HybridClock clock;
   for (const std::int64_t logical : {std::int64_t{-1}, std::int64_t{1} << 62}) {
     const auto refused = clock.Observe(At(100), {At(100), logical});
@@ -53,7 +53,7 @@
   }
 }
 
-RC_GTEST_PROP(HybridClockTest, TimesOnlyRise, ()) {
+RC_GTEST_PROP(HybridClockTest, TimeOnlyIncreases, ()) {
   HybridClock clock;
   HybridTime last = clock.Tick(At(0));
   const auto steps = *rc::gen::container<std::vector<std::int64_t>>(
--- a/tests/core/random_test.cc
+++ b/tests/core/random_test.cc
@@ -5,7 +5,7 @@
 namespace gcw {
 namespace {
 
-TEST(SeededRandomTest, RepeatsForASeed) {
+TEST(SeededRandomTest, IsReproducibleForASeed) {
   const Random first = SeededRandom(7);
   const Random second = SeededRandom(7);
   for (int draw = 0; draw < 100; ++draw) {
--- a/tests/platform/platform_wire_test.cc
+++ b/tests/platform/platform_wire_test.cc
@@ -33,7 +33,7 @@
 "header_timeout_ms":3000,"idle_timeout_ms":15000},
 "tenants":[{"name":"t","api_keys":["k1","k2"],"priority":1}]})";
 
-TEST(ConfigurationDocumentTest, IsReadIntoTheProductsTypes) {
+TEST(ConfigurationDocumentTest, DecodesRoutesServicesAndCustomers) {
   const auto decoded = DecodeConfigurationDocument(kDocument);
   ASSERT_TRUE(IsOk(decoded)) << ErrorOf(decoded).field;
   const FleetConfiguration& configuration = ValueOf(decoded);
@@ -54,7 +54,7 @@
   EXPECT_EQ(configuration.customers[0].keys.size(), 2U);
 }
 
-TEST(ConfigurationDocumentTest, AFaultHasItsPlace) {
+TEST(ConfigurationDocumentTest, RejectsAGroupOfSizeZero) {
   std::string text(kDocument);
   text.replace(text.find("\"size\":6"), 8, "\"size\":0");
   const auto decoded = DecodeConfigurationDocument(text);
@@ -64,7 +64,7 @@
 
 // Any prefix of a document, and a document with a changed byte, is decoded or
 // rejected with a typed error; the node does not crash.
-RC_GTEST_PROP(ConfigurationDocumentProperty, TakesDamagedText, ()) {
+RC_GTEST_PROP(ConfigurationDocumentProperty, SurvivesCorruptedText, ()) {
   std::string text(kDocument);
   text.resize(*rc::gen::inRange<std::size_t>(0, text.size()));
   if (!text.empty()) {
@@ -76,7 +76,7 @@
             !CodecErrorKindName(ErrorOf(decoded).kind).empty());
 }
 
-TEST(RegistrationEntryTest, ReadsWhenTheRunBegan) {
+TEST(RegistrationEntryTest, ReadsTheStartOfTheRun) {
   const auto read = DecodeRegistrationEntry(VmId("i-1"), R"({"backend":"b",
       "address":"10.0.0.1:1","zone":"z","lifecycle":"ready","batch_slots":2,
       "born":1791877240332})");
@@ -87,7 +87,7 @@
 // Another writer puts an entry beside those of the endpoints. If an unknown
 // lifecycle counted as ready, requests would be sent to it although it is no
 // endpoint.
-TEST(RegistrationEntryTest, EntriesOfOtherWritersNameNoVm) {
+TEST(RegistrationEntryTest, RejectsMalformedEntries) {
   for (const char* text :
        {"", "\xff\xfe", "[]", R"({"backend":"b"})",
         R"({"backend":"b","address":"a:1","zone":"z","lifecycle":"asleep",
@@ -120,7 +120,7 @@
   EXPECT_FALSE(ValueOf(plain).membership.has_value());
 }
 
-TEST(RequestWireTest, ReadsWhatDecisionsNeed) {
+TEST(RequestWireTest, ReadsTheCallersHeaders) {
   HttpRequest request{"POST",
                       "/a/b?x=1",
                       {{"Host", "H.example:80"},
@@ -141,7 +141,7 @@
   EXPECT_EQ(read.patience, Duration::Seconds(8));
 }
 
-TEST(RequestWireTest, HeadersThatAreNoNumbersCountAsAbsent) {
+TEST(RequestWireTest, NonNumericHeadersCountAsAbsent) {
   HttpRequest request{"GET",
                       "/",
                       {{"X-Deadline-Ms", "soon"},
@@ -154,7 +154,7 @@
   EXPECT_EQ(read.prompt_tokens, TokenCount());
 }
 
-TEST(RequestWireTest, EveryRefusalThatCanPassPromisesNotRun) {
+TEST(RequestWireTest, AnswersCarryStatusAndRetryAfter) {
   const HttpResponse busy =
       MakeRefusalAnswer({RefusalKind::kNoCapacity, Duration::Millis(1250)});
   EXPECT_EQ(busy.status, 503);
@@ -165,7 +165,7 @@
   EXPECT_EQ(MakeUnknownAnswer({true}).status, 504);
 }
 
-TEST(EndpointWireTest, SetsItsOwnHeadersWhateverTheCallerSent) {
+TEST(EndpointWireTest, OverridesTheCallersHeaders) {
   HttpRequest original{"POST",
                        "/a/b?x=1",
                        {{"Host", "h"},
@@ -196,7 +196,7 @@
 
 // A caller's own priority header must not be passed on. Otherwise its requests
 // would start before those of customers with a higher rank.
-TEST(EndpointWireTest, WhoGoesFirstIsNotTheCallersChoice) {
+TEST(EndpointWireTest, IgnoresTheCallersPriority) {
   const HttpRequest original{
       "POST", "/a", {{"x-request-priority", "0"}}, "body"};
   SendForward send;
@@ -214,7 +214,7 @@
   EXPECT_EQ(number(1000, Urgency::kDeferred), 9);
 }
 
-TEST(EndpointWireTest, TellsWhoseAnswerItIsAndWhetherItRan) {
+TEST(EndpointWireTest, ReadsWhichRequestAnAnswerIsForAndWhetherItRan) {
   HttpResponse head{200,
                     {{"X-Attempt-Id", "q1"},
                      {"X-Replica-Signature", "s"},
@@ -236,7 +236,7 @@
   EXPECT_FALSE(ReadEndpointAnswer(failed, RequestId("q1")).is_not_run);
 }
 
-TEST(EndpointWireTest, AMalformedLoadIsNone) {
+TEST(EndpointWireTest, AMalformedLoadIsAbsent) {
   for (const char* text : {"", "3", "3,0", "a,b,c", "3;0;8"}) {
     const HttpResponse head{200, {{"X-Replica-Load", text}}, ""};
     EXPECT_FALSE(ReadEndpointAnswer(head, RequestId()).load.has_value())
@@ -244,7 +244,7 @@
   }
 }
 
-TEST(GroupOrderWireTest, SpellsOrdersAndReadsVerdicts) {
+TEST(GroupOrderWireTest, EncodesOrdersAndReadsVerdicts) {
   GroupOrder order;
   order.kind = GroupOrderKind::kJoin;
   order.group = GroupId("g1");
@@ -261,7 +261,7 @@
   EXPECT_EQ(ReadGroupOrderStatus(400), GroupOrderVerdict::kRefused);
 }
 
-TEST(StoreWireTest, TellsAnOutageARefusalAndAConflictApart) {
+TEST(StoreWireTest, DistinguishesOutageRefusalAndConflict) {
   const StorePut put{"role/k", "n", Revision(), LeaseId(7)};
   EXPECT_TRUE(std::holds_alternative<StoreWritten>(
       ReadStoreReply(put, {200, {}, R"({"revision":412})"})));
@@ -285,7 +285,7 @@
   EXPECT_GE(std::get<StoreBusy>(unknown).retry_after, Duration::Seconds(1));
 }
 
-TEST(StoreWireTest, ReadsWatchesWithRemovalsAndLostHistory) {
+TEST(StoreWireTest, ReadsWatchesWithDeletionsAndCompaction) {
   const StoreWatch watch{"", Revision(411), Duration::Millis(900)};
   EXPECT_EQ(MakeStoreRequest(watch).target,
             "/kv-watch?prefix=&after=411&wait_ms=900");
@@ -301,7 +301,7 @@
                   .compacted);
 }
 
-RC_GTEST_PROP(StoreWireProperty, TakesAnyAnswer, (const std::string& body)) {
+RC_GTEST_PROP(StoreWireProperty, SurvivesAnyAnswer, (const std::string& body)) {
   const int status = *rc::gen::element(200, 404, 410, 412, 429, 500, 503);
   const StoreCall call = *rc::gen::element<StoreCall>(
       StoreRange{"a"}, StorePut{"a", "b", Revision(), LeaseId()},
@@ -311,18 +311,18 @@
 }
 
 RC_GTEST_PROP(Base64Property,
-              ReadsBackWhatItWrote,
+              DecodesWhatItEncoded,
               (const std::string& bytes)) {
   const auto read = DecodeBase64(EncodeBase64(bytes));
   RC_ASSERT(read.has_value());
   RC_ASSERT(*read == bytes);
 }
 
-RC_GTEST_PROP(Base64Property, TakesAnyText, (const std::string& text)) {
+RC_GTEST_PROP(Base64Property, SurvivesAnyText, (const std::string& text)) {
   DecodeBase64(text);
 }
 
-TEST(GroupOrderWireTest, ReadsAnEnginesPaceAndRequests) {
+TEST(GroupOrderWireTest, ReadsPaceAndRequests) {
   const ProbeReport report = ReadProbeAnswer(
       {200, {}, R"({"pace":2.5,"active":12,"queued":3,"busy":false})"});
   EXPECT_EQ(report.verdict, ProbeVerdict::kAnswered);
@@ -330,7 +330,7 @@
   EXPECT_EQ(report.requests, 15);
 }
 
-TEST(GroupOrderWireTest, AnAnswerThatCannotBeReadIsStillASignOfLife) {
+TEST(GroupOrderWireTest, AnUnreadableAnswerStillCountsAsAnswered) {
   const ProbeReport report = ReadProbeAnswer({200, {}, R"({"active":"many"})"});
   EXPECT_EQ(report.verdict, ProbeVerdict::kAnswered);
   EXPECT_DOUBLE_EQ(report.pace, 1);
--- a/tests/state/config_store_test.cc
+++ b/tests/state/config_store_test.cc
@@ -18,7 +18,7 @@
 // the last version to arrive counted as the newest, or if the digest depended
 // on the order.
 RC_GTEST_PROP(ConfigStoreTest,
-              CopiesAgreeInWhateverOrderVersionsArrive,
+              CopiesConvergeForAnyArrivalOrder,
               (const std::vector<std::uint8_t>& keys, std::uint64_t seed)) {
   std::vector<ConfigEntry> versions;
   std::map<std::string, Revision> newest;
@@ -28,9 +28,9 @@
     versions.push_back(Entry(name, revision, std::to_string(revision)));
     newest[name] = Revision(revision);
   }
-  ConfigStore in_order;
+  ConfigStore ordered;
   for (const ConfigEntry& version : versions) {
-    RC_ASSERT(in_order.Merge(version) == ConfigMergeResult::kApplied);
+    RC_ASSERT(ordered.Merge(version) == ConfigMergeResult::kApplied);
   }
   const Random random = SeededRandom(seed);
   std::vector<ConfigEntry> shuffled = versions;
@@ -42,22 +42,22 @@
   for (const ConfigEntry& version : shuffled) {
     other.Merge(version);
   }
-  RC_ASSERT(other.Digest() == in_order.Digest());
-  RC_ASSERT(other.entries() == in_order.entries());
+  RC_ASSERT(other.Digest() == ordered.Digest());
+  RC_ASSERT(other.entries() == ordered.entries());
   for (const auto& [key, revision] : newest) {
     RC_ASSERT(other.Find(key)->revision == revision);
   }
 }
 
-TEST(ConfigStoreTest, TellsASecondHistory) {
+TEST(ConfigStoreTest, ReportsAConflictingHistory) {
   ConfigStore store;
   store.Merge(Entry("contract/a", 5, "x"));
   EXPECT_EQ(store.Merge(Entry("contract/a", 5, "x")),
-            ConfigMergeResult::kKnown);
+            ConfigMergeResult::kDuplicate);
   EXPECT_EQ(store.Merge(Entry("contract/a", 4, "w")),
-            ConfigMergeResult::kOlder);
+            ConfigMergeResult::kStale);
   EXPECT_EQ(store.Merge(Entry("contract/a", 5, "y")),
-            ConfigMergeResult::kContradicts);
+            ConfigMergeResult::kConflict);
   EXPECT_EQ(store.Find("contract/a")->record.change, ChangeId("x"));
 }
 
--- a/tests/state/contract_test.cc
+++ b/tests/state/contract_test.cc
@@ -25,11 +25,11 @@
   return ErrorOf(builder.Build()).kind;
 }
 
-TEST(ContractBuilderTest, AcceptsAWholeContract) {
+TEST(ContractBuilderTest, AcceptsAValidContract) {
   EXPECT_TRUE(IsOk(ValidBuilder().Build()));
 }
 
-TEST(ContractBuilderTest, RefusesEachFieldOutOfRange) {
+TEST(ContractBuilderTest, RejectsInvalidFields) {
   EXPECT_EQ(KindOf(ContractBuilder()), ContractErrorKind::kIdMissing);
   EXPECT_EQ(KindOf(ValidBuilder().SetId(ContractId("a b"))),
             ContractErrorKind::kIdMalformed);
--- a/tests/state/route_table_test.cc
+++ b/tests/state/route_table_test.cc
@@ -13,7 +13,7 @@
   return rule;
 }
 
-TEST(RouteTableTest, TheLongestPrefixOfTheHostWins) {
+TEST(RouteTableTest, FindsTheLongestPrefixOfTheHost) {
   FleetConfiguration configuration;
   configuration.routes = {Rule("root", "/"), Rule("a", "/a/"),
                           Rule("ab", "/a/b/")};
@@ -26,7 +26,7 @@
   EXPECT_EQ(table.Find("h", ""), nullptr);
 }
 
-TEST(RouteTableTest, KeysNameTheirCustomer) {
+TEST(RouteTableTest, FindsTheCustomerOfAKey) {
   FleetConfiguration configuration;
   configuration.customers = {{CustomerId("c"), {"k1", "k2"}, Rank(1)}};
   const RouteTable table(std::move(configuration));
