--- a/core/event.cc
+++ b/core/event.cc
@@ -117,7 +117,7 @@
       return "order_refused";
     case EventKind::kOrderWithheld:
       return "order_withheld";
-    case EventKind::kDomainDark:
+    case EventKind::kDomainUnreachable:
       return "domain_dark";
     case EventKind::kConnectionSilent:
       return "connection_silent";
--- a/core/event.h
+++ b/core/event.h
@@ -73,7 +73,7 @@
   kOrderSent,
   kOrderRefused,
   kOrderWithheld,
-  kDomainDark,
+  kDomainUnreachable,
   kConnectionSilent,
 };
 
--- a/tests/platform/platform_wire_test.cc
+++ b/tests/platform/platform_wire_test.cc
@@ -154,7 +154,7 @@
   EXPECT_EQ(read.prompt_tokens, TokenCount());
 }
 
-TEST(RequestWireTest, AnswersCarryStatusAndRetryAfter) {
+TEST(RequestWireTest, RefusalsAndUnknownOutcomesHaveDistinctStatuses) {
   const HttpResponse busy =
       MakeRefusalAnswer({RefusalKind::kNoCapacity, Duration::Millis(1250)});
   EXPECT_EQ(busy.status, 503);
