--- a/core/event.cc
+++ b/core/event.cc
@@ -117,7 +117,7 @@
       return "order_refused";
     case EventKind::kOrderWithheld:
       return "order_withheld";
-    case EventKind::kDomainDark:
+    case EventKind::kDomainUnreachable:
       return "domain_dark";
     case EventKind::kConnectionSilent:
       return "connection_silent";
@@ -129,7 +129,8 @@
   if (name == kUnknownKind) {
     return std::nullopt;
   }
-  // Kinds are numbered from 0 without gaps; past the last one there is no name.
+  // Kinds are numbered from 0 without gaps; numbers after the last kind have no
+  // name.
   for (int number = 0;; ++number) {
     const auto kind = static_cast<EventKind>(number);
     const std::string_view kind_name = EventKindName(kind);
--- a/state/config_store.cc
+++ b/state/config_store.cc
@@ -26,7 +26,7 @@
   return hash;
 }
 
-// Differs for each version of each key.
+// Returns a hash that differs for each version of each key.
 std::uint64_t HashEntry(const ConfigEntry& entry) {
   const auto revision = static_cast<std::uint64_t>(entry.revision.value());
   const std::uint64_t hash =
@@ -40,14 +40,15 @@
   const auto it = entries_.find(entry.key);
   const bool held = it != entries_.end();
   if (held && entry.revision < it->second.revision) {
-    return ConfigMergeResult::kOlder;
+    return ConfigMergeResult::kStale;
   }
   if (held && entry.revision == it->second.revision) {
     return entry.record.change == it->second.record.change
-               ? ConfigMergeResult::kKnown
-               : ConfigMergeResult::kContradicts;
+               ? ConfigMergeResult::kDuplicate
+               : ConfigMergeResult::kConflict;
   }
-  // Sums of hashes can be updated one entry at a time.
+  // A bucket's digest is the sum of its entries' hashes, so that it can be
+  // updated one entry at a time.
   std::uint64_t& bucket = buckets_[BucketOf(entry.key)];
   if (held) {
     bucket -= HashEntry(it->second);
@@ -73,13 +74,13 @@
 
 std::vector<ConfigKeyRevision> ConfigStore::KeysIn(
     const std::vector<std::uint8_t>& buckets) const {
-  std::array<bool, kBucketCount> asked{};
+  std::array<bool, kBucketCount> selected{};
   for (const std::uint8_t bucket : buckets) {
-    asked[bucket % kBucketCount] = true;
+    selected[bucket % kBucketCount] = true;
   }
   std::vector<ConfigKeyRevision> keys;
   for (const auto& [key, entry] : entries_) {
-    if (asked[BucketOf(key)]) {
+    if (selected[BucketOf(key)]) {
       keys.push_back({key, entry.revision});
     }
   }
--- a/state/route_table.cc
+++ b/state/route_table.cc
@@ -12,9 +12,9 @@
   for (const ServiceRule& service : configuration_.services) {
     services_.emplace(service.id, &service);
   }
-  for (const CustomerKeys& holder : configuration_.customers) {
-    for (const std::string& key : holder.keys) {
-      customers_.emplace(key, CustomerMatch{holder.customer, holder.rank});
+  for (const CustomerKeys& customer : configuration_.customers) {
+    for (const std::string& key : customer.keys) {
+      customers_.emplace(key, CustomerMatch{customer.customer, customer.rank});
     }
   }
 }
@@ -25,8 +25,8 @@
   if (prefixes == hosts_.end()) {
     return nullptr;
   }
-  // Every prefix ends with a slash, so only the path's beginnings up to a slash
-  // can match; the longest comes first.
+  // Every prefix ends with a slash, so only parts of the path that end with a
+  // slash can match; the longest is tried first.
   std::size_t end = path.rfind('/');
   while (end != std::string_view::npos) {
     const auto found =
--- a/tests/core/hybrid_clock_test.cc
+++ b/tests/core/hybrid_clock_test.cc
@@ -10,9 +10,9 @@
   return Time::FromMillis(millis);
 }
 
-// Symptom: events of one node stand in the wrong order in the time line.
-// Sequence: physical time goes back, or stands still, between two events.
-// Cause: two events of one node would get equal or falling time stamps.
+// Physical time goes back or stands still between two events. Equal or
+// decreasing timestamps would put a node's events in the wrong order in the
+// timeline.
 TEST(HybridClockTest, NeverGoesBackWhenPhysicalTimeDoes) {
   HybridClock clock;
   const HybridTime first = clock.Tick(At(100));
@@ -22,7 +22,7 @@
   EXPECT_EQ(clock.Tick(At(101)), (HybridTime{At(101), 0}));
 }
 
-TEST(HybridClockTest, AReceiptIsLaterThanTheSending) {
+TEST(HybridClockTest, ReceiptIsLaterThanSending) {
   HybridClock clock;
   const HybridTime sent{At(150), 7};
   const auto received = clock.Observe(At(100), sent);
@@ -30,10 +30,10 @@
   EXPECT_EQ(ValueOf(received), (HybridTime{At(150), 8}));
 }
 
-// Symptom: healthy nodes stamp their events minutes in the future.
-// Sequence: one node's clock jumps ahead; it sends a message to the others.
-// Cause: a hybrid clock follows the greatest time it hears of.
-TEST(HybridClockTest, RefusesAPeerFarAheadAndStaysWhereItWas) {
+// A hybrid clock follows the greatest time that it receives. If one node's
+// clock jumps ahead and it sends a message, healthy nodes would stamp their
+// events minutes in the future.
+TEST(HybridClockTest, RejectsAPeerFarAheadAndStaysUnchanged) {
   HybridClock clock(Duration::Millis(500));
   clock.Tick(At(100));
   const auto refused = clock.Observe(At(100), {At(601), 0});
@@ -44,7 +44,7 @@
   EXPECT_TRUE(IsOk(clock.Observe(At(100), {At(600), 0})));
 }
 
-TEST(HybridClockTest, RefusesACounterThatNoSoundPeerReaches) {
+TEST(HybridClockTest, RejectsALogicalCounterOutOfRange) {
   HybridClock clock;
   for (const std::int64_t logical : {std::int64_t{-1}, std::int64_t{1} << 62}) {
     const auto refused = clock.Observe(At(100), {At(100), logical});
@@ -53,7 +53,7 @@
   }
 }
 
-RC_GTEST_PROP(HybridClockTest, TimesOnlyRise, ()) {
+RC_GTEST_PROP(HybridClockTest, TimeOnlyIncreases, ()) {
   HybridClock clock;
   HybridTime last = clock.Tick(At(0));
   const auto steps = *rc::gen::container<std::vector<std::int64_t>>(
