--- a/coordination/at_most_once/issued_keys.cc
+++ b/coordination/at_most_once/issued_keys.cc
@@ -20,7 +20,8 @@
   return value;
 }
 
-// Cuts off and returns what follows the last '.'.
+// Removes the last '.' and the text after it from `text`, and returns that
+// text.
 std::string_view TakeLast(std::string_view& text) {
   const std::size_t dot = text.rfind('.');
   if (dot == std::string_view::npos) {
@@ -31,8 +32,8 @@
   return last;
 }
 
-// Claims of issued keys are forgotten only after the key itself is refused,
-// and never for want of journal space, since they have no journal.
+// Keeps claims longer than the keys themselves, and never runs out of journal
+// space: issued keys have no journal.
 OnceShardSettings ClaimSettings(const IssuedKeysSettings& settings) {
   OnceShardSettings claims = settings.claims;
   claims.window = settings.valid_for + Duration::Seconds(1);
@@ -98,7 +99,7 @@
   if (!key) {
     return OnceMismatch{};
   }
-  // The process that knew has gone, or has forgotten.
+  // The issuing process has restarted, or the key was dropped from memory.
   if (key->incarnation != self_.incarnation || key->sequence < first_) {
     return OnceEarlierUnknown{};
   }
--- a/coordination/at_most_once/issued_keys.h
+++ b/coordination/at_most_once/issued_keys.h
@@ -12,41 +12,44 @@
 
 namespace gcw {
 
-// The parts of a key that the system issued. The process that issued it is the
-// only one that grants it, out of its memory, so that such keys need neither
-// the key-value service nor a clock.
+// An idempotency key that the system issued, split into its fields. Only the
+// process that issued a key grants it, from its own memory, so these keys need
+// neither the key-value service nor synchronized clocks.
 struct IssuedKey {
   NodeId home;
   Incarnation incarnation;
   std::int64_t sequence = 0;
-  // Guards against guessed keys.
+  // A random number that callers cannot guess.
   std::uint64_t nonce = 0;
 
-  // Text of the key, as callers send it.
+  // Returns the key in the text form that callers send.
   IdempotencyKey Format() const;
-  // Absent where the text is not an issued key.
+  // Returns nullopt if the text is not an issued key.
   static std::optional<IssuedKey> Parse(std::string_view text);
-  // As above, for a key in its contract's scope.
+  // Parses a key that is prefixed with its contract's id.
   static std::optional<IssuedKey> ParseScoped(const IdempotencyKey& key);
 };
 
 struct IssuedKeysSettings {
-  // A key that was not used for so long is refused as "outcome unknown".
+  // Time from issue after which a send with the key is refused as "outcome
+  // unknown".
   Duration valid_for = Duration::Seconds(86400);
-  // Most keys remembered. The oldest are refused first.
+  // Maximum number of keys in memory. When it is reached, the oldest keys are
+  // dropped and refused from then on.
   std::size_t most_keys = 200000;
   OnceShardSettings claims;
 };
 
-// Issues keys and grants them: the home of this process's keys.
+// Issues idempotency keys and decides the claims on the keys that this process
+// issued.
 class IssuedKeys {
  public:
   IssuedKeys(OnceMember self, IssuedKeysSettings settings, Random random);
 
-  // A fresh key for a caller of the contract.
+  // Issues a new key to a caller of the contract.
   IdempotencyKey Issue(Time now, const ContractId& contract);
 
-  // Decides a claim on a key whose home is this node.
+  // Decides a claim on a key that this node issued.
   OnceVerdict Claim(Time now, const OnceClaimRequest& request);
   void Finish(Time now, const OnceFinish& finish);
   void Tick(Time now);
@@ -63,8 +66,8 @@
   OnceMember self_;
   IssuedKeysSettings settings_;
   Random random_;
-  // Sequence number of `issued_.front()`. What lies below is forgotten and
-  // never granted.
+  // Sequence number of `issued_.front()`. Keys with lower numbers have been
+  // dropped and are never granted.
   std::int64_t first_ = 1;
   std::deque<Issued> issued_;
   OnceShard claims_;
--- a/coordination/at_most_once/once_client.cc
+++ b/coordination/at_most_once/once_client.cc
@@ -10,10 +10,11 @@
 
 namespace {
 
-// Redirections followed at once; later ones wait, since nodes whose views
-// differ may send a claim round in a circle.
+// Number of redirects that are followed immediately. Later ones wait for the
+// next retry, because nodes with different membership views can redirect a
+// claim in a loop.
 constexpr int kMostRedirects = 3;
-// Unanswered messages after which a node is no longer taken for the owner.
+// Number of unanswered messages after which the cached owner is dropped.
 constexpr int kMostUnanswered = 2;
 
 }  // namespace
@@ -101,7 +102,7 @@
     return actions;
   }
   Send& send = sends_.at(request->second);
-  // A claim is used once, however often it is granted.
+  // Ignores repeated grants: a claim is used only once.
   if (send.granted) {
     return actions;
   }
@@ -144,7 +145,7 @@
                    Drop(request);
                    Refuse(request, RefusalKind::kOnceMismatch, actions);
                  },
-                 // Asked again by `Tick`, or given back there.
+                 // `Tick` sends the claim again or gives it back.
                  [&](const OnceUndecided&) {},
                  [&](const OnceElsewhere& elsewhere) {
                    owners_[OnceShardOf(send.key, settings_.shard_count)] =
@@ -158,8 +159,8 @@
 }
 
 void OnceClient::Run(Time now, Send& send, OnceClientActions& actions) {
-  // This node may have been suspended since it asked.
-  // A copy, since giving back drops the send.
+  // The request id is copied because `GiveBack` erases the send. The grant may
+  // have expired: this node may have been suspended since it claimed.
   const RequestId request = send.send.request;
   if (!GrantHolds(now, send)) {
     GiveBack(now, request, RefusalKind::kOnceUnavailable, actions);
@@ -209,8 +210,8 @@
   return actions;
 }
 
-// From here on `MayWrite` is false for the request and a late grant finds
-// nothing, so that a claim reported as not run can never run later.
+// After this call `MayWrite` is false for the request and a late grant finds no
+// send, so a claim reported as not run can never run later.
 void OnceClient::End(Time now,
                      const RequestId& request,
                      OnceOutcome outcome,
@@ -250,7 +251,7 @@
 void OnceClient::SendReport(Time now,
                             OpenReport& report,
                             OnceClientActions& actions) {
-  // The owner may have changed since the claim.
+  // The shard's owner may have changed since the claim.
   if (report.sends > 0 && report.sends % kMostUnanswered == 0) {
     ForgetOwner(report.finish.key);
   }
@@ -340,7 +341,7 @@
 }
 
 std::unique_ptr<OnceClient> OnceClient::Builder::Build() const {
-  // Not make_unique: the constructor is private.
+  // `std::make_unique` cannot call the private constructor.
   return std::unique_ptr<OnceClient>(new OnceClient(self_, settings_, events_));
 }
 
--- a/coordination/at_most_once/once_client.h
+++ b/coordination/at_most_once/once_client.h
@@ -18,55 +18,59 @@
 
 struct OnceClientSettings {
   std::int64_t shard_count = 64;
-  // Time after which an unanswered claim is asked again.
+  // Interval at which an unanswered claim is sent again.
   Duration claim_retry = Duration::Millis(200);
-  // Claims that are undecided for so long are given back and refused.
+  // A claim without a decision after this time is given back, and the send is
+  // refused.
   Duration claim_timeout = Duration::Seconds(4);
-  // The first byte must leave within this time of the first claim message,
-  // judged by this node's clock right before the write. Must be far below
-  // `OnceShardSettings::window`.
+  // The first byte of the request must be written within this time of the first
+  // claim message, checked by this node's clock right before the write. Must be
+  // far below `OnceShardSettings::window`.
   Duration grant_time_to_live = Duration::Seconds(30);
-  // A send that meets its predecessor still running waits so long for its
-  // answer, asking again at `still_running_retry`.
+  // If an earlier send with the same key is still running, a send waits up to
+  // `wait_for_earlier` for its answer and asks again every
+  // `still_running_retry`.
   Duration wait_for_earlier = Duration::Seconds(10);
   Duration still_running_retry = Duration::Millis(250);
-  // Reports of ended claims are repeated until acknowledged, so many times.
+  // The report of an ended claim is sent every `finish_retry` until
+  // acknowledged, at most `most_finish_sends` times.
   Duration finish_retry = Duration::Millis(500);
   int most_finish_sends = 40;
-  // Larger answers are not kept for a second send.
+  // Larger answers are not kept for replay.
   std::size_t largest_answer_bytes = 65536;
-  // When a refused caller should come back.
+  // Retry-after delay of refusals.
   Duration retry_after = Duration::Seconds(1);
 };
 
-// One send of a request that may not be repeated.
+// One send of a request that must run at most once.
 struct OnceSend {
   RequestId request;
   ContractId contract;
-  // As the caller gave it. A request without one needs no claim: the node runs
-  // it without asking here, since nobody else can send it again.
+  // The key as given by the caller. A request without a key needs no claim and
+  // is granted at once, because no other node can receive a second send of it.
   IdempotencyKey key;
   Fingerprint fingerprint;
   Time deadline;
 };
 
-// The send may be dispatched; ask `MayWrite` right before its first byte.
+// The send may be dispatched. Call `MayWrite` right before its first byte is
+// written.
 struct OnceRun {
   RequestId request;
 };
-// Give the caller the first answer.
+// The caller gets the answer of the first send.
 struct OnceReplay {
   RequestId request;
   OnceAnswer answer;
 };
-// This send was not run and will not be. `kOnceUnavailable` says nothing of
+// This send has not run and never will. `kOnceUnavailable` says nothing about
 // earlier sends with the same key.
 struct OnceRefuse {
   RequestId request;
   Refusal refusal;
 };
-// This send was not run; an earlier one ran (`certain`) or may have run, and
-// its answer is not known here.
+// This send has not run. An earlier one ran (`certain`) or may have run, and
+// its answer is not available.
 struct OnceTellEarlier {
   RequestId request;
   bool certain = false;
@@ -76,8 +80,8 @@
     variant<OncePeerSend, OnceRun, OnceReplay, OnceRefuse, OnceTellEarlier>;
 using OnceClientActions = std::vector<OnceClientAction>;
 
-// At the node that received the request: finds the key's owner, claims, and
-// sees to it that a claim is used at most once.
+// Runs on the node that received the request: finds the owner of the key,
+// claims the key, and makes sure that a claim is used at most once.
 class OnceClient {
  public:
   class Builder;
@@ -90,14 +94,16 @@
   void OnFinishAck(const OnceFinishAck& ack);
   OnceClientActions Tick(Time now);
 
-  // Asked in `before_send` of every attempt, with a clock that counts suspended
-  // time. False: write nothing, and report `OnceNotRun` by `Finish`.
+  // Called from `before_send` of every attempt, with a clock that also counts
+  // suspended time. If false, nothing may be written and the caller of this
+  // function reports `OnceNotRun` with `Finish`.
   bool MayWrite(Time now, const RequestId& request);
-  // How the dispatched send ended; once for each `OnceRun`.
+  // Reports how a dispatched send ended. Called once for each `OnceRun`.
   OnceClientActions Finish(Time now,
                            const RequestId& request,
                            OnceOutcome outcome);
-  // The caller has gone or the request is given up before `OnceRun`.
+  // Ends a send before `OnceRun`: the caller disconnected or the request was
+  // given up.
   OnceClientActions Abandon(Time now, const RequestId& request);
 
   Revision seen() const { return seen_; }
@@ -110,20 +116,22 @@
 
   struct Send {
     OnceSend send;
-    // Empty where the caller gave no key.
+    // Empty if the caller gave no key.
     OnceClaimId claim;
-    // The key in the contract's scope; empty where the caller gave none.
+    // The key prefixed with the contract's id, or empty if the caller gave
+    // none.
     IdempotencyKey key;
-    // Time of the first claim message; the grant counts from here.
+    // Time of the first claim message, at which the grant's time to live
+    // starts.
     Time first_sent;
     Time next_ask;
     int unanswered = 0;
     int redirects = 0;
     bool granted = false;
-    // The owner said that an earlier send still runs.
+    // The owner replied that an earlier send is still running.
     bool earlier_runs = false;
   };
-  // An ended claim whose report is not acknowledged yet.
+  // The report of an ended claim that the owner has not acknowledged yet.
   struct OpenReport {
     OnceFinish finish;
     Time next_send;
@@ -145,7 +153,7 @@
            const RequestId& request,
            OnceOutcome outcome,
            OnceClientActions& actions);
-  // Ends a send that nothing has to be reported of.
+  // Ends a send without a report to the owner.
   void Drop(const RequestId& request);
   void GiveBack(Time now,
                 const RequestId& request,
@@ -154,7 +162,7 @@
   void Refuse(const RequestId& request,
               RefusalKind kind,
               OnceClientActions& actions);
-  // A report reached a node that knows who owns the key.
+  // Updates the owner of a reported key after a redirect.
   void RedirectReport(const OnceClaimReply& reply);
   void SendReport(Time now, OpenReport& report, OnceClientActions& actions);
   void Report(EventKind kind, const RequestId& request, std::string_view why);
@@ -166,7 +174,7 @@
   std::unordered_map<RequestId, Send> sends_;
   std::unordered_map<OnceClaimId, RequestId> requests_;
   std::map<OnceClaimId, OpenReport> reports_;
-  // Owners learnt from replies.
+  // Shard owners learned from replies.
   std::map<OnceShardId, NodeId> owners_;
   std::int64_t last_claim_ = 0;
   Revision seen_;
--- a/coordination/at_most_once/once_journal.cc
+++ b/coordination/at_most_once/once_journal.cc
@@ -10,10 +10,11 @@
 namespace {
 
 constexpr std::string_view kMagic = "gcw-once-1\n";
-// Separators, lengths, fingerprint and state of one entry at most.
+// Upper bound of the bytes of one entry's separators, lengths, fingerprint and
+// state.
 constexpr std::size_t kEntryOverhead = 36;
 
-// Fields are `<length>:<bytes>`, numbers `<decimal>;`.
+// Encodes strings as `<length>:<bytes>` and numbers as `<decimal>;`.
 class Writer {
  public:
   explicit Writer(std::size_t expected) { text_.reserve(expected); }
--- a/coordination/at_most_once/once_journal.h
+++ b/coordination/at_most_once/once_journal.h
@@ -10,20 +10,21 @@
 
 namespace gcw {
 
-// What the key-value service holds of one shard: its owner and its claims.
-// Both stand in one value, so that the compare-and-swap that makes a new owner
-// also makes every later write of the old one fail.
+// The record of one shard in the key-value service: its owner and its claims.
+// Both are in one value, so that the compare-and-swap that installs a new owner
+// makes every later write of the previous owner fail.
 struct OnceJournal {
-  // Empty where the last owner released the shard.
+  // Empty if the last owner released the shard.
   OnceMember owner;
-  // Settles whether a write whose answer was lost took effect.
+  // Identifies the write. An owner whose write got no answer finds out by it
+  // whether the write took effect.
   ChangeId change;
-  // For how long after its last write the owner may grant claims that stand in
-  // no journal. A new owner distrusts the journal, and counts the window from
-  // then.
+  // Time after its last confirmed write during which the owner may grant claims
+  // that are not in the journal. A new owner therefore does not trust the
+  // journal to be complete, and starts the window at the end of this lease.
   Duration outage_lease;
-  // Claims may have been granted that stand in no journal: keys without an
-  // entry are refused for a window.
+  // True if claims may have been granted that are not in the journal. Keys
+  // without an entry are then refused for one window.
   bool may_miss_claims = false;
   std::vector<OnceEntry> entries;
 
@@ -34,14 +35,14 @@
 
 struct OnceJournalError {
   OnceJournalErrorKind kind;
-  // Byte at which reading stopped.
+  // Byte offset at which decoding failed.
   std::size_t offset = 0;
 };
 
 std::string EncodeOnceJournal(const OnceJournal& journal);
 Result<OnceJournal, OnceJournalError> DecodeOnceJournal(std::string_view text);
 
-// Bytes that the entry takes in the journal.
+// Upper bound of the entry's encoded size in bytes.
 std::size_t OnceEntryBytes(const IdempotencyKey& key,
                            const OnceClaimId& holder);
 
--- a/coordination/at_most_once/once_messages.h
+++ b/coordination/at_most_once/once_messages.h
@@ -10,9 +10,9 @@
 
 namespace gcw {
 
-// One send of a request that may not be repeated, unique over all nodes and
-// their incarnations. A claim id runs at most once, whatever its owner says
-// twice: its own node sees to that.
+// Identifies one send of a request that must run at most once, unique over all
+// nodes and their incarnations. The node that made the id runs it at most once,
+// even if the owner grants it repeatedly.
 using OnceClaimId = StrongId<struct OnceClaimIdTag>;
 
 struct OnceHeader {
@@ -22,7 +22,7 @@
   friend bool operator==(const OnceHeader&, const OnceHeader&) = default;
 };
 
-// The first answer, kept so that a second send gets it too.
+// The answer of the first send, kept for replay to later sends.
 struct OnceAnswer {
   int status = 0;
   std::vector<OnceHeader> headers;
@@ -31,40 +31,40 @@
   friend bool operator==(const OnceAnswer&, const OnceAnswer&) = default;
 };
 
-// How the send that held a claim ended.
-// The claim is given back: no byte of the request left, or the endpoint
-// refused it without running it, and this send will not be tried again.
+// The variants of `OnceOutcome` say how the send that held a claim ended.
+// The claim is given back: no byte of the request was written, or the endpoint
+// refused it without running it, and this send will not be retried.
 struct OnceNotRun {};
 struct OnceAnswered {
   OnceAnswer answer;
 };
-// It ran, and the answer is larger than may be kept.
+// The request ran, and its answer is too large to be kept.
 struct OnceAnsweredTooLarge {};
-// It may have run.
+// The request may have run.
 struct OnceMayHaveRun {};
 
 using OnceOutcome = std::
     variant<OnceNotRun, OnceAnswered, OnceAnsweredTooLarge, OnceMayHaveRun>;
 
-// What the owner of a key says of a send.
+// The variants of `OnceVerdict` are the owner's decision on a send.
 // The send may run.
 struct OnceGranted {};
-// The send must not run; here is the first answer.
+// The send must not run. The answer of the first send is attached.
 struct OnceReplayed {
   OnceAnswer answer;
 };
-// An earlier send ran; its answer is no longer held.
+// An earlier send ran, and its answer is not available any more.
 struct OnceAnswerGone {};
-// An earlier send may have run; nobody can say any more.
+// An earlier send may have run. This can no longer be determined.
 struct OnceEarlierUnknown {};
-// An earlier send still runs.
+// An earlier send is still running.
 struct OnceStillRunning {};
-// The key stands for another request.
+// The key was used for a different request.
 struct OnceMismatch {};
-// The owner cannot decide now; this send was not recorded, or is recorded and
-// will be given back by its node.
+// The owner cannot decide now. The send was not recorded, or it was recorded
+// and its node will give the claim back.
 struct OnceUndecided {};
-// Another node is believed to own the key.
+// Redirects the sender to the node that is believed to own the key.
 struct OnceElsewhere {
   NodeId owner;
 };
@@ -78,17 +78,19 @@
                                  OnceUndecided,
                                  OnceElsewhere>;
 
-// Asks for leave to run. Repeated with the same claim id until answered.
+// Asks the owner for permission to run. Sent with the same claim id until
+// answered.
 struct OnceClaimRequest {
   OnceClaimId claim;
-  // Scoped to the contract by the node, at most `kMaxOnceKeyLength` long.
+  // The key prefixed with the contract's id by the node, at most
+  // `kMaxOnceKeyLength` bytes long.
   IdempotencyKey key;
   Fingerprint fingerprint;
-  // When the send is over at the latest, counted from now. Afterwards the owner
-  // calls an unreported outcome unknown.
+  // Maximum time from now until the send has ended. After it, the owner treats
+  // an unreported outcome as unknown.
   Duration runs_at_most;
-  // Highest revision of the key-value service that the sender has seen: a
-  // service restored to the past is noticed by it.
+  // Highest revision of the key-value service that the sender has seen. It lets
+  // the receiver detect that the service was restored to an earlier state.
   Revision seen;
 };
 
@@ -98,7 +100,7 @@
   Revision seen;
 };
 
-// Reports how a granted or abandoned claim ended. Repeated until acknowledged.
+// Reports how a granted or abandoned claim ended. Sent until acknowledged.
 struct OnceFinish {
   OnceClaimId claim;
   IdempotencyKey key;
@@ -112,10 +114,10 @@
 using OnceMessage =
     std::variant<OnceClaimRequest, OnceClaimReply, OnceFinish, OnceFinishAck>;
 
-// The node hands messages to itself back to itself.
+// A message of a node to itself is delivered locally.
 using OncePeerSend = PeerSend<OnceMessage>;
 
-// Longer keys are hashed by the node before they get here.
+// Longer keys are hashed by the node before they are sent to the owner.
 inline constexpr std::size_t kMaxOnceKeyLength = 160;
 
 }  // namespace gcw
--- a/coordination/at_most_once/once_owner.cc
+++ b/coordination/at_most_once/once_owner.cc
@@ -162,9 +162,9 @@
   seen_ = std::max(seen_, revision);
 }
 
-// The record of one shard is older than this node knows it to have been, so
-// that the others' may be too. They are given up at the next tick, since the
-// shard that noticed is still at work.
+// Called when the record of one shard is older than a state that this node
+// knows, so the records of the other shards may be too. The shards are given up
+// at the next tick, because the calling shard is still in use.
 void OnceOwner::OnRewound(const std::string& key) {
   rewound_ = true;
   rewind_pending_ = true;
@@ -221,7 +221,7 @@
 }
 
 std::unique_ptr<OnceOwner> OnceOwner::Builder::Build() const {
-  // Not make_unique: the constructor is private.
+  // `std::make_unique` cannot call the private constructor.
   return std::unique_ptr<OnceOwner>(
       new OnceOwner(self_, settings_, issued_, random_, events_));
 }
--- a/coordination/at_most_once/once_owner.h
+++ b/coordination/at_most_once/once_owner.h
@@ -17,13 +17,14 @@
 using OnceOwnerAction = std::variant<StoreRequest, OncePeerSend>;
 using OnceOwnerActions = std::vector<OnceOwnerAction>;
 
-// Decides at one node which sends may run: for the shards of callers' keys that
-// the node owns, and for the keys that it issued itself.
+// Decides on one node which sends may run: for the shards of callers' keys that
+// the node owns, and for the keys that it issued.
 class OnceOwner {
  public:
   class Builder;
 
-  // The nodes that may own shards, this one among them unless it is leaving.
+  // Sets the nodes that may own shards. This node is included unless it is
+  // leaving.
   OnceOwnerActions OnMembers(Time now, std::vector<OnceMember> members);
   OnceOwnerActions OnClaim(Time now,
                            const NodeId& from,
@@ -35,21 +36,24 @@
                                 StoreCallId id,
                                 const StoreReply& reply);
   OnceOwnerActions Tick(Time now);
-  // Planned stop: journals what is open, then gives every shard up.
+  // Starts a planned stop: writes the unwritten claims to the journal, then
+  // releases every shard.
   OnceOwnerActions Release(Time now);
   bool released() const;
 
-  // A key for `POST /v1/idempotency-keys`.
+  // Issues a key for `POST /v1/idempotency-keys`.
   IdempotencyKey IssueKey(Time now, const ContractId& contract);
 
-  // Tells the highest revision of the key-value service that others saw.
+  // Raises the highest known revision of the key-value service to one that
+  // another component saw.
   void OnRevisionSeen(Revision revision);
   Revision seen() const { return seen_; }
-  // The service was restored to the past: claims are refused until an operator
-  // accepts that.
+  // True if the key-value service was restored to an earlier state. Claims on
+  // callers' keys are then refused until an operator accepts the restored
+  // state.
   bool rewound() const { return rewound_; }
-  // An operator's word that the restored service is the one to go on with.
-  // Until the window has passed, keys without an entry are refused.
+  // Accepts the restored service on an operator's order. Keys without an entry
+  // are refused until the window has passed.
   void AcceptRewound(Time now);
 
   std::int64_t owned_shards() const;
@@ -80,7 +84,7 @@
   std::int64_t last_change_ = 0;
   Revision seen_;
   bool rewound_ = false;
-  // The shard at which the rewind showed; the others follow at the next tick.
+  // A shard has detected the rewind. All shards are given up at the next tick.
   bool rewind_pending_ = false;
   bool releasing_ = false;
 };
--- a/coordination/at_most_once/once_placement.cc
+++ b/coordination/at_most_once/once_placement.cc
@@ -21,8 +21,8 @@
   return hash;
 }
 
-// Spreads every bit over the whole word, since FNV leaves some bits of short
-// texts alike.
+// Spreads every bit over the whole word. FNV leaves some bits of the hashes of
+// short texts equal.
 std::uint64_t Mix(std::uint64_t word) {
   word ^= word >> 30;
   word *= 0xbf58476d1ce4e5b9ULL;
@@ -45,7 +45,7 @@
 }
 
 std::string OnceShardKey(OnceShardId shard) {
-  // Fixed width, so that no shard's key is the prefix of another's.
+  // The width is fixed so that no shard's key is a prefix of another's.
   constexpr std::size_t kDigits = 4;
   std::string digits = std::to_string(shard.value());
   if (digits.size() < kDigits) {
--- a/coordination/at_most_once/once_placement.h
+++ b/coordination/at_most_once/once_placement.h
@@ -10,10 +10,10 @@
 
 namespace gcw {
 
-// One part of the keys; all keys of a shard have one owner.
+// A partition of the keys. All keys of a shard have one owner.
 using OnceShardId = StrongNumber<struct OnceShardIdTag>;
 
-// A node that may own shards. A leaving node is none.
+// A node that may own shards. A leaving node is not a member.
 struct OnceMember {
   NodeId node;
   Incarnation incarnation;
@@ -21,18 +21,19 @@
   friend auto operator<=>(const OnceMember&, const OnceMember&) = default;
 };
 
-// The key as the once modules use it: `<contract>/<key>`, so that callers of
-// different contracts never meet. Contract ids hold no '/'.
+// Returns `<contract>/<key>`, so that keys of different contracts never
+// collide. Contract ids contain no '/'.
 IdempotencyKey ScopedOnceKey(const ContractId& contract,
                              const IdempotencyKey& key);
 
 OnceShardId OnceShardOf(const IdempotencyKey& key, std::int64_t shard_count);
 
-// Key of the shard's journal in the key-value service.
+// Returns the key of the shard's journal in the key-value service.
 std::string OnceShardKey(OnceShardId shard);
 
-// The member that takes an ownerless shard, by rendezvous hashing: when a
-// member goes, only its shards move. Absent where there is no member.
+// Returns the member that takes over a shard without an owner, by rendezvous
+// hashing: if a member leaves, only its shards move. Returns nullopt if there
+// are no members.
 std::optional<OnceMember> PreferredOnceOwner(
     OnceShardId shard,
     const std::vector<OnceMember>& members);
--- a/coordination/at_most_once/once_shard.cc
+++ b/coordination/at_most_once/once_shard.cc
@@ -9,11 +9,12 @@
 
 namespace {
 
-// How long an entry taken over counts as running before its outcome is called
-// unknown: its sender reports to the new owner within this time, if ever.
+// Time for which a loaded claim counts as running before its outcome counts as
+// unknown. If its sender reports to the new owner at all, it does so within
+// this time.
 constexpr Duration kTakenOverRunsAtMost = Duration::Seconds(10);
 
-// Claims that are remembered as given back. Their late messages come within
+// Number of given back claims that are kept. Their late messages arrive within
 // seconds.
 constexpr std::size_t kMostReturned = 256;
 
@@ -30,8 +31,8 @@
 OnceShard::OnceShard(OnceShardSettings settings) : settings_(settings) {}
 
 OnceShardDecision OnceShard::Claim(Time now, const OnceClaimRequest& request) {
-  // A message that its own report overtook. Its node would not use a grant, so
-  // that holding the key for it would block the caller's next send.
+  // The report of this claim overtook the claim message. Its node would not use
+  // a grant, so holding the key would only block the caller's next send.
   if (std::find(returned_.begin(), returned_.end(), request.claim) !=
       returned_.end()) {
     return OnceVerdict(OnceUndecided{});
@@ -114,7 +115,7 @@
     return;
   }
   Claimed& claimed = found->second;
-  // A report that comes late never takes back that the request ran.
+  // A late report never changes the state from run to not run.
   const bool open = claimed.state == OnceClaimState::kClaimed;
   const bool unknown = claimed.state == OnceClaimState::kMayHaveRun;
   const OnceClaimState before = claimed.state;
--- a/coordination/at_most_once/once_shard.h
+++ b/coordination/at_most_once/once_shard.h
@@ -12,18 +12,18 @@
 
 namespace gcw {
 
-// What is known of a key's first send.
+// State of a key's latest claim.
 enum class OnceClaimState {
   // A claim holds the key and has not ended.
   kClaimed,
-  // The claim was given back; the next send may run.
+  // The claim was given back. The next send may run.
   kNotRun,
   kAnswered,
-  // The holder ended without knowing whether it ran.
+  // The holder ended, and the request may have run.
   kMayHaveRun,
 };
 
-// One key as the journal holds it. Answers are not journaled.
+// The journal entry of a key. Answers are not journaled.
 struct OnceEntry {
   IdempotencyKey key;
   Fingerprint fingerprint;
@@ -34,51 +34,51 @@
 };
 
 struct OnceShardSettings {
-  // How long a key is remembered after its last claim, by the clock of the
-  // node that holds it. Must be far above the sender's use of a grant
-  // (`OnceClientSettings::grant_time_to_live`).
+  // Time for which a key is kept after its last claim, by the clock of the node
+  // that holds it. Must be far above the time for which the sender may use a
+  // grant (`OnceClientSettings::grant_time_to_live`).
   Duration window = Duration::Seconds(3600);
-  // Most bytes that the entries may take in the journal. New keys are refused
-  // when it is full; no key is forgotten early.
+  // Maximum size of the journal's entries. New keys are refused when it is
+  // reached; no key is dropped early.
   std::size_t most_journal_bytes = 262144;
-  // Most bytes of answers kept; the oldest go first.
+  // Maximum total size of the kept answers. The oldest are evicted first.
   std::size_t most_answer_bytes = 1048576;
   // Larger answers are not kept.
   std::size_t largest_answer_bytes = 65536;
 };
 
-// A claim was recorded, or had been, and may be granted once the record of this
-// version is kept where a new owner finds it.
+// The claim is recorded. It may be granted once a version of the shard that is
+// not lower than this one is stored where a new owner finds it.
 struct OnceRecorded {
   std::int64_t version = 0;
 };
 
 using OnceShardDecision = std::variant<OnceRecorded, OnceVerdict>;
 
-// The claims of one shard. Knows nothing of who owns it and where it is kept.
+// The claims of one shard, without its ownership and its storage.
 class OnceShard {
  public:
   explicit OnceShard(OnceShardSettings settings);
 
   OnceShardDecision Claim(Time now, const OnceClaimRequest& request);
-  // Records how a claim ended. Reports of claims that do not hold the key
-  // change nothing.
+  // Records how a claim ended. The report of a claim that does not hold the key
+  // is ignored.
   void Finish(Time now, const OnceFinish& finish);
-  // Forgets what is older than the window.
+  // Drops keys that are older than the window.
   void Tick(Time now);
 
-  // Takes over the entries of a journal. Their ages start anew, since the
-  // clock that dated them is not this node's.
+  // Loads the entries of a journal. Their ages start at zero, because they were
+  // dated by another node's clock.
   void Load(Time now, const std::vector<OnceEntry>& entries);
-  // Claims may have been granted until `last_grant` that the loaded journal
-  // does not know. Refuses keys without an entry until the window has passed
-  // since, and keys that it says were given back: they may have been claimed
-  // again.
+  // Called if claims that are not in the loaded journal may have been granted
+  // until `last_grant`. Until one window after it, keys without an entry are
+  // refused. Entries that were given back become `kMayHaveRun`, because they
+  // may have been claimed again.
   void RefuseUnknownKeys(Time last_grant);
   bool refuses_unknown_keys(Time now) const;
 
   std::vector<OnceEntry> Entries() const;
-  // Grows with each change that belongs into the journal.
+  // Increases with each change that must be written to the journal.
   std::int64_t version() const { return version_; }
   std::size_t size() const { return claims_.size(); }
   std::size_t journal_bytes() const { return journal_bytes_; }
@@ -90,11 +90,11 @@
     OnceClaimState state = OnceClaimState::kClaimed;
     Time claimed_at;
     Duration runs_at_most;
-    // Version at which the holder was recorded.
+    // Version of the shard at which the holder was recorded.
     std::int64_t version = 0;
     std::optional<OnceAnswer> answer;
   };
-  // When to look whether a key can be forgotten.
+  // Time at which a key is checked for expiry.
   struct Expiry {
     Time at;
     IdempotencyKey key;
@@ -118,7 +118,7 @@
   std::unordered_map<IdempotencyKey, Claimed> claims_;
   std::deque<Expiry> expiries_;
   std::deque<IdempotencyKey> answered_;
-  // Claims given back last.
+  // The most recently given back claims.
   std::deque<OnceClaimId> returned_;
   std::size_t journal_bytes_ = 0;
   std::size_t answer_bytes_ = 0;
--- a/coordination/at_most_once/once_shard_owner.cc
+++ b/coordination/at_most_once/once_shard_owner.cc
@@ -28,7 +28,7 @@
     hooks_.reply(claim, OnceElsewhere{known_owner_.node});
     return;
   }
-  // The sender asks again while it waits; one answer is enough.
+  // The sender repeats its claim while it waits. Only the latest copy is kept.
   std::erase_if(arriving_, [&](const OncePendingClaim& other) {
     return other.request.claim == claim.request.claim;
   });
@@ -43,8 +43,8 @@
     return;
   }
   const std::int64_t version = std::get<OnceRecorded>(decision).version;
-  // A grant before the journal holds the claim would be lost with this node,
-  // and the next owner would grant the caller's second send as well.
+  // A grant before the claim is in the journal would be lost if this node
+  // fails, and the next owner would grant the caller's second send as well.
   if (version <= durable_version_ || MayGrantUnjournaled(now)) {
     hooks_.reply(claim, OnceGranted{});
     return;
@@ -139,8 +139,8 @@
                               const Call& call,
                               const StoreRangeReply& reply) {
   if (reply.revision < call.seen) {
-    // A stale read, or a service restored to the past: nothing can be built on
-    // either. If it was restored, a write will tell.
+    // The read is stale, or the service was restored to an earlier state. The
+    // result is unusable in both cases. A write will reveal a restore.
     OnNoAnswer(now, call, settings_.store_retry);
     return;
   }
@@ -187,10 +187,10 @@
   base_ = revision;
   shard_ = OnceShard(settings_.shard);
   shard_.Load(now, journal.entries);
-  // The last owner may have granted claims that no journal holds, and may still
-  // do so until its outage lease ends. Its lease began before this node read
-  // the record, so that a wait by this node's own clock is long enough however
-  // the two clocks are set.
+  // The last owner may have granted claims that are not in the journal, and may
+  // go on doing so until its outage lease ends. That lease began before this
+  // node read the record, so waiting for its length by this node's own clock is
+  // enough, whatever the offset between the two clocks.
   const bool released = journal.owner.node.empty();
   const bool outage_lease = !released && journal.outage_lease > Duration();
   if (outage_lease || journal.may_miss_claims || distrusts_record_) {
--- a/coordination/at_most_once/once_shard_owner.h
+++ b/coordination/at_most_once/once_shard_owner.h
@@ -17,59 +17,64 @@
 
 struct OnceOwnerSettings {
   std::int64_t shard_count = 64;
-  // Least time between two journal writes of a shard. Claims that arrive in
-  // between share the next one. All shards together write at most
-  // `shard_count / journal_gap`.
+  // Minimum interval between two journal writes of a shard. Claims that arrive
+  // in between are written together. All shards together make at most
+  // `shard_count / journal_gap` writes per unit of time.
   Duration journal_gap = Duration::Millis(200);
-  // A call without a reply counts as unanswered after this time, or three times
-  // what the last answered call took, and twice as long after each unanswered
-  // one: a slow service must not be taken for one that loses its answers.
+  // Timeout of a call to the key-value service. It is three times the duration
+  // of the last answered call if that is longer, and doubles after each
+  // unanswered call up to `longest_store_timeout`, so that a slow service is
+  // not mistaken for one that loses its answers.
   Duration store_timeout = Duration::Millis(750);
   Duration longest_store_timeout = Duration::Seconds(8);
-  // Time to wait before asking the service again after it failed.
+  // Delay before the next call after the service failed.
   Duration store_retry = Duration::Millis(250);
-  // An ended claim reaches the journal by then even without new claims.
+  // Maximum delay until an ended claim is written to the journal, even without
+  // new claims.
   Duration finish_delay = Duration::Seconds(3);
-  // For how long after the last confirmed write an owner that the service does
-  // not answer may grant claims that it cannot journal. Zero: never. See
-  // docs/design/0011-at-most-once.md before raising it.
+  // Time after its last confirmed write during which an owner that gets no
+  // answer from the service may grant claims that it cannot journal. Zero
+  // disables this. See docs/design/0011-at-most-once.md before raising it.
   Duration outage_lease;
-  // The service counts as down for a shard once a write is unanswered so long.
+  // The service counts as down for a shard once a write has been unanswered for
+  // this time.
   Duration outage_after = Duration::Millis(500);
-  // How long a node believes who owns a shard without reading it again.
+  // Time for which a node caches the owner of a shard that it read.
   Duration owner_known_for = Duration::Seconds(1);
-  // Largest drift of two nodes' clocks over a window and an outage lease.
+  // Maximum drift between two nodes' clocks over a window and an outage lease.
   Duration margin = Duration::Seconds(1);
   OnceShardSettings shard;
 };
 
-// Where a claim came from.
+// A claim and the node that sent it.
 struct OncePendingClaim {
   NodeId from;
   OnceClaimRequest request;
 };
 
-// What a shard's owner needs of the node around it.
+// Callbacks by which a shard's owner uses its node.
 struct OnceOwnerHooks {
-  // Makes a call to the key-value service.
+  // Sends a call to the key-value service.
   std::function<StoreCallId(StoreCall)> call_store;
   std::function<void(const OncePendingClaim&, OnceVerdict)> reply;
   std::function<ChangeId()> next_change;
-  // Highest revision that this node has heard of.
+  // Returns the highest revision that this node knows of.
   std::function<Revision()> seen;
   std::function<void(Revision)> on_revision;
-  // Whether this incarnation of the node lives, as far as this node knows.
+  // Returns whether this incarnation of the node is alive in this node's view.
   std::function<bool(const OnceMember&)> alive;
-  // The member that should take the shard; empty where there is none.
+  // Returns the member that should take over the shard, or an empty one if
+  // there is none.
   std::function<OnceMember()> preferred;
-  // Reports that the service was restored to the past.
+  // Reports that the service was restored to an earlier state.
   std::function<void(const std::string& key)> on_rewound;
   EventSink events;
 };
 
-// Owns one shard, or tries to: takes it over, journals its claims, and answers
-// them. Several nodes may believe that they own it; a grant always waits for a
-// journal write that only the last one can make.
+// Owns one shard or tries to: takes it over, journals its claims and answers
+// them. Several nodes may believe that they own the shard at once. A grant is
+// safe because it waits for a journal write that only the last owner can make,
+// unless an outage lease applies.
 class OnceShardOwner {
  public:
   OnceShardOwner(OnceShardId id,
@@ -78,47 +83,49 @@
                  OnceOwnerHooks hooks);
 
   void Claim(Time now, const OncePendingClaim& claim);
-  // Returns whether the report was taken in. Only the owner takes it; another
-  // node says who owns the shard, if it knows.
+  // Returns whether the report was accepted. Only the owner accepts it. Another
+  // node redirects the sender to the owner, if known.
   bool Finish(Time now, const NodeId& from, const OnceFinish& finish);
-  // Takes the shard over if its owner is gone and this node is to follow it.
+  // Starts to take over the shard if its owner is gone and this node is the
+  // preferred successor.
   void LookAfter(Time now);
-  // Returns whether the reply was for this shard.
+  // Returns whether the reply belongs to a call of this shard.
   bool OnStoreReply(Time now, StoreCallId id, const StoreReply& reply);
   void Tick(Time now);
-  // Gives the shard up, so that the next owner need not wait.
+  // Releases the shard, so that the next owner does not have to wait.
   void Release(Time now);
-  // The service was restored to the past: gives the shard up unwritten, and
-  // distrusts the record when it takes the shard the next time.
+  // Called after the service was restored to an earlier state. Gives the shard
+  // up without a write, and treats the record as incomplete at the next
+  // takeover.
   void OnRewound(Time now);
 
   bool owned() const { return state_ == State::kOwned; }
-  // Nothing is owned, asked for or being written.
+  // True if the shard is not owned and no call is pending.
   bool idle() const { return state_ == State::kNone && !call_; }
   const OnceShard& shard() const { return shard_; }
 
  private:
   enum class State {
     kNone,
-    // Reads the record to find out who owns the shard.
+    // Reads the record to find the shard's owner.
     kReading,
-    // Writes itself down as the owner.
+    // Writes this node into the record as the owner.
     kTaking,
     kOwned,
-    // Writes down that nobody owns the shard.
+    // Writes a record without an owner.
     kReleasing,
   };
   struct Call {
     StoreCallId id;
     Time sent;
     bool write = false;
-    // Version of the shard that the write holds.
+    // Version of the shard that the write contains.
     std::int64_t version = 0;
-    // What this node had heard of when it made the call. An answer below it
-    // comes from the past.
+    // Highest revision that this node knew of when it made the call. A reply
+    // with a lower revision comes from an earlier state.
     Revision seen;
   };
-  // A recorded claim that waits for the journal.
+  // A recorded claim that waits for the journal write.
   struct Waiting {
     OncePendingClaim claim;
     std::int64_t version = 0;
@@ -155,31 +162,32 @@
 
   std::optional<Call> call_;
   Duration timeout_;
-  // No call is made before this time.
+  // Time before which no call is made.
   Time next_call_;
   Time last_write_;
-  // Revision of the record on which the next write builds.
+  // Revision of the record that the next write replaces.
   Revision base_;
-  // Own writes whose fate is open.
+  // This node's writes that have not been confirmed.
   std::set<ChangeId> open_changes_;
-  // Version of the shard that the record is known to hold.
+  // Version of the shard that is known to be stored in the record.
   std::int64_t durable_version_ = 0;
-  // When the shard changed after that.
+  // Time at which the shard first changed after `durable_version_`.
   std::optional<Time> dirty_since_;
-  // When the last write known to be committed was sent.
+  // Time at which the last confirmed write was sent.
   Time confirmed_;
-  // When the first of the writes since then was sent.
+  // Time at which the first write since the last confirmed one was sent.
   std::optional<Time> unanswered_since_;
   bool release_wanted_ = false;
-  // The service was restored to the past: its record may miss claims.
+  // True if the service was restored to an earlier state, whose record may miss
+  // claims.
   bool distrusts_record_ = false;
 
-  // Who owned the shard when the record was read last, and until when that is
-  // believed without reading again.
+  // Owner of the shard according to the last read, and the end of the time for
+  // which it is cached.
   OnceMember known_owner_;
   Time known_until_;
 
-  // Claims that wait for the takeover.
+  // Claims that wait until the shard is taken over.
   std::vector<OncePendingClaim> arriving_;
   std::vector<Waiting> waiting_;
 };
--- a/coordination/at_most_once/once_shard_owner_calls.cc
+++ b/coordination/at_most_once/once_shard_owner_calls.cc
@@ -1,5 +1,5 @@
-// The calls of a shard's owner to the key-value service, and what follows from
-// their replies.
+// The shard owner's calls to the key-value service and the handling of their
+// replies.
 
 #include <algorithm>
 #include <utility>
@@ -24,7 +24,7 @@
   if (dirty_since_ && now - *dirty_since_ >= settings_.finish_delay) {
     return true;
   }
-  // An outage lease is renewed by writing the record.
+  // Writing the record renews the outage lease.
   return settings_.outage_lease > Duration() &&
          now - last_write_ >= settings_.outage_lease / 3;
 }
@@ -85,8 +85,8 @@
 }
 
 void OnceShardOwner::OnWritten(Time now, const Call& call, Revision revision) {
-  // Revisions only grow. One that this node had heard of before it wrote means
-  // that the service has lost what came after, claims among it.
+  // Revisions only increase. If the write got a revision that this node already
+  // knew of, the service has lost all later changes, claims among them.
   if (revision <= call.seen) {
     Rewound(now);
     return;
@@ -120,7 +120,7 @@
 void OnceShardOwner::OnConflict(Time now, const StoreConflict& conflict) {
   const Revision current =
       conflict.current ? conflict.current->revision : Revision();
-  // A record's revision never falls, and the record is never deleted.
+  // A record's revision never decreases, and the record is never deleted.
   if (current < base_) {
     Rewound(now);
     return;
@@ -136,8 +136,9 @@
     Lose(now, OnceMember());
     return;
   }
-  // An own write whose answer was lost took effect after all. What this node
-  // holds contains what that write holds.
+  // The conflicting write is this node's own: it took effect although its
+  // answer was lost. The current state of this node includes everything in that
+  // write.
   if (open_changes_.contains(ValueOf(journal).change)) {
     base_ = current;
     StartWrite(now, state_);
