--- a/coordination/at_most_once/once_shard_owner.cc
+++ b/coordination/at_most_once/once_shard_owner.cc
@@ -115,7 +115,7 @@
          now < confirmed_ + settings_.outage_lease - settings_.margin;
 }
 
-// Taking over ----------------------------------------------------------------
+// Takeover --------------------------------------------------------------------
 
 bool OnceShardOwner::KnowsOwner(Time now) const {
   return now < known_until_ && known_owner_ != self_ &&
--- a/coordination/at_most_once/once_shard_owner.h
+++ b/coordination/at_most_once/once_shard_owner.h
@@ -72,9 +72,9 @@
 };
 
 // Owns one shard or tries to: takes it over, journals its claims and answers
-// them. Several nodes may believe that they own the shard at once. A grant is
-// safe because it waits for a journal write that only the last owner can make,
-// unless an outage lease applies.
+// them. Several nodes may believe that they own the shard at the same time, so
+// a grant waits for a journal write that only the last owner can make (except
+// during an outage, under an outage lease).
 class OnceShardOwner {
  public:
   OnceShardOwner(OnceShardId id,
--- a/coordination/requests/attempt_log.cc
+++ b/coordination/requests/attempt_log.cc
@@ -36,7 +36,7 @@
       found->second != AttemptState::kWritten) {
     return PieceDecision::kIgnore;
   }
-  // Pieces of two attempts are never mixed: two runs of a model differ.
+  // Pieces of two attempts are never mixed, because two runs of a model differ.
   if (chosen_ && *chosen_ != attempt) {
     return PieceDecision::kIgnore;
   }
@@ -72,7 +72,8 @@
   }
   const bool not_run = failure.refused_without_running ||
                        failure.progress == AttemptProgress::kNothingSent;
-  // An attempt whose answer has begun ran, whatever it says afterwards.
+  // An attempt whose answer has begun did run, even if it later claims
+  // otherwise.
   const bool delivered = chosen_ == attempt;
   found->second =
       not_run && !delivered ? AttemptState::kNotRun : AttemptState::kFailed;
@@ -101,7 +102,7 @@
   }
   for (auto& [attempt, state] : attempts_) {
     if (state == AttemptState::kStarted) {
-      // `MayWrite` is false from here on.
+      // `MayWrite` returns false for the attempt from here on.
       state = AttemptState::kNotRun;
     }
   }
--- a/coordination/requests/attempt_log.h
+++ b/coordination/requests/attempt_log.h
@@ -10,35 +10,33 @@
 
 namespace gcw {
 
-// How far an attempt got. The transport's `HttpProgress` in the words of the
-// decisions.
+// How far an attempt got. Mirrors the transport's `HttpProgress`.
 enum class AttemptProgress {
-  // No byte was given to the kernel: the attempt was not run.
+  // No byte was handed to the kernel, so the attempt did not run.
   kNothingSent,
-  // It may have run.
+  // The attempt may have run.
   kMaybeSent,
-  // The answer's head arrived, so it ran.
+  // The head of the answer arrived, so the attempt ran.
   kAnswerBegun,
 };
 
 struct AttemptFailure {
   AttemptProgress progress = AttemptProgress::kNothingSent;
-  // The endpoint said that it did not run the request, in a whole answer with
-  // this attempt's id.
+  // The endpoint answered completely, with this attempt's id, that it did not
+  // run the request.
   bool refused_without_running = false;
 };
 
 struct AttemptPolicy {
-  // Whether running the request twice does no harm.
+  // True if running the request twice does no harm.
   bool repeatable = true;
-  // Whether a stream can be continued at another endpoint after its first
-  // tokens.
+  // True if a stream can continue at another endpoint after its first tokens.
   bool resumable = false;
   int most_attempts = 3;
   Time deadline;
 };
 
-// Try again at another endpoint, which continues after `resume_from` tokens.
+// Retry at another endpoint, which continues after `resume_from` tokens.
 struct AttemptAgain {
   TokenCount resume_from;
 };
@@ -48,12 +46,12 @@
 };
 // Tell the caller that the request may have run.
 struct TellOutcomeUnknown {};
-// The caller holds a part of the answer: end it with an explicit error.
+// The caller has received a part of the answer: end it with an explicit error.
 struct TellBroken {};
-// Another attempt still runs; nothing to tell yet.
+// Another attempt is still running. Tell the caller nothing yet.
 struct AttemptPending {};
-// The attempt is not known, was given up, or the caller has been told: nothing
-// of this may reach the caller.
+// The attempt is unknown or was given up, or the caller already has the final
+// answer. Nothing of this attempt may reach the caller.
 struct AttemptIgnored {};
 
 using AttemptDecision = std::variant<AttemptAgain,
@@ -66,46 +64,51 @@
 // What to do with a piece of an answer.
 enum class PieceDecision {
   kDeliver,
-  // The caller has it already.
+  // The caller has received it already.
   kSkip,
-  // It belongs to an attempt that may not reach the caller.
+  // It belongs to an attempt whose pieces may not reach the caller.
   kIgnore,
-  // A piece is missing before it: the attempt has failed.
+  // An earlier piece is missing, so the attempt has failed.
   kGap,
 };
 
-// What the caller was told in the end.
+// The final answer that the caller got.
 enum class RequestOutcome { kAnsweredWhole, kNotRun, kUnknown, kBroken };
 
-// The attempts of one request and what the caller may be told. Nobody else
-// decides whether a request was run.
+// Tracks the attempts of one request and decides what the caller may be told.
+// It is the only place that decides whether a request was run.
 class AttemptLog {
  public:
   explicit AttemptLog(AttemptPolicy policy);
 
-  // A new attempt. Earlier ones must have ended, unless the request is
-  // repeatable (a hedge). False where none may start: told, too many, or an
-  // earlier attempt of a request that may not be repeated may have run.
+  // Starts an attempt. Earlier attempts must have ended, unless the request is
+  // repeatable (a hedge). Returns false if no attempt may start: the caller has
+  // the final answer, the deadline or the maximum number of attempts is
+  // reached, or an earlier attempt of a request that is not repeatable may have
+  // run.
   bool Start(Time now, const AttemptId& attempt);
-  // Right before the first byte: from here on the attempt may have run. False
-  // where it must not be written.
+  // Called right before the first byte is written. Returns false if the attempt
+  // must not be written. If true, the attempt counts as possibly run from then
+  // on.
   bool MayWrite(Time now, const AttemptId& attempt);
-  // A piece with its index; `count` pieces long. The first attempt whose piece
-  // is delivered is the only one that reaches the caller from then on.
+  // Handles a piece of an answer that starts at token `index` and is `count`
+  // tokens long. Once a piece of an attempt is delivered, only that attempt
+  // reaches the caller.
   PieceDecision OnPiece(const AttemptId& attempt,
                         TokenCount index,
                         TokenCount count);
-  // The whole answer arrived. True where it goes to the caller.
+  // Called when the whole answer has arrived. Returns true if the answer goes
+  // to the caller.
   bool OnAnswered(const AttemptId& attempt);
   AttemptDecision OnFailed(Time now,
                            const AttemptId& attempt,
                            const AttemptFailure& failure);
-  // The caller's deadline passed, or no endpoint can be had.
+  // Called when the caller's deadline has passed or no endpoint is available.
   AttemptDecision GiveUp(RefusalKind reason);
 
-  // What the caller was told, once that is decided.
+  // The final answer that the caller got, once decided.
   std::optional<RequestOutcome> outcome() const { return outcome_; }
-  // Whether any attempt may have run or may still do so.
+  // True if any attempt may have run or may still run.
   bool may_have_run() const;
   TokenCount delivered() const { return delivered_; }
 
--- a/coordination/requests/fingerprint_guard.cc
+++ b/coordination/requests/fingerprint_guard.cc
@@ -10,8 +10,8 @@
 
 namespace {
 
-// All suspects share one desk: only a place that knows every suspect can keep
-// two of them apart.
+// All suspects share one permit issuer. Only an issuer that knows every suspect
+// can keep two of them on different endpoints.
 constexpr std::string_view kDeskKey = "fingerprint-permits";
 
 }  // namespace
@@ -58,7 +58,7 @@
   return found != proven_.end() && now < found->second;
 }
 
-// Runs and their ends ---------------------------------------------------------
+// Attempts --------------------------------------------------------------------
 
 void FingerprintGuard::OnStarted(Time now,
                                  const AttemptId& attempt,
@@ -157,8 +157,8 @@
   } else if (proven_.erase(running.fingerprint) == 0) {
     suspects_.AddLossInCompany(now, running.fingerprint);
   } else {
-    // It ended well before: more likely another request is to blame. The next
-    // loss counts.
+    // The fingerprint completed before, so another request is the likelier
+    // cause. The next loss counts.
     return;
   }
   Spread(now, running.fingerprint, actions);
@@ -239,8 +239,8 @@
   return PermitReply{request.attempt, desk_.Ask(now, request, level)};
 }
 
-// The desk counts the loss before it hands out the fingerprint's next permit:
-// by the rumor alone it might learn of the loss too late.
+// The permit issuer must count the loss before it grants the fingerprint's next
+// permit. The gossiped delta alone might arrive too late.
 void FingerprintGuard::OnDone(Time now, const PermitDone& done) {
   if (done.loss) {
     suspects_.Merge(now, *done.loss);
@@ -301,7 +301,7 @@
   }
   for (const AttemptId& attempt : late) {
     asking_.erase(attempt);
-    // The desk may have granted meanwhile.
+    // The issuer may have granted the permit in the meantime.
     SendToDesk(PermitDone{attempt, std::nullopt}, actions);
     Refuse(attempt, actions);
   }
@@ -326,7 +326,7 @@
 }
 
 std::unique_ptr<FingerprintGuard> FingerprintGuard::Builder::Build() const {
-  // Not make_unique: the constructor is private.
+  // `std::make_unique` cannot call the private constructor.
   return std::unique_ptr<FingerprintGuard>(
       new FingerprintGuard(self_, settings_, events_));
 }
--- a/coordination/requests/fingerprint_guard.h
+++ b/coordination/requests/fingerprint_guard.h
@@ -21,26 +21,27 @@
 struct FingerprintGuardSettings {
   SuspectSettings suspects;
   PermitDeskSettings permits;
-  // A fingerprint that ended well is not suspected at its next loss, for so
-  // long.
+  // After an attempt of a fingerprint completes, the first loss within this
+  // time does not make the fingerprint a suspect.
   Duration proven_for = Duration::Seconds(1800);
   std::size_t most_proven = 20000;
   Duration permit_retry = Duration::Millis(200);
-  // Sign of life of a running permit.
+  // Interval at which the permit of a running attempt is renewed.
   Duration permit_renewal = Duration::Seconds(2);
-  // A suspect that gets no permit for so long is refused.
+  // A suspect without a permit after this time is refused.
   Duration permit_timeout = Duration::Seconds(20);
   Duration retry_after = Duration::Seconds(5);
 };
 
-// Nothing is known against the request.
+// The request may go to any endpoint.
 struct GuardFree {};
-// An unproven copy of the request runs at this endpoint; the next one goes
-// there too, so that copies sent at once take one endpoint of this node's.
+// Another attempt of this fingerprint, which is not proven, runs at this
+// endpoint. The next attempt goes there too, so that copies sent at once risk
+// only one endpoint per node.
 struct GuardPinned {
   EndpointId endpoint;
 };
-// Ask for a permit before dispatch.
+// A permit is required before dispatch.
 struct GuardSuspect {};
 // Refuse with `RefusalKind::kFingerprintBlocked`.
 struct GuardBlocked {};
@@ -58,7 +59,7 @@
   AttemptId attempt;
   Refusal refusal;
 };
-// Spread to every node, by membership.
+// Sent to every node by the membership's gossip.
 struct GuardSpread {
   FingerprintDelta delta;
 };
@@ -67,38 +68,38 @@
     std::variant<GuardPermit, GuardRefuse, GuardSpread, GuardPeerSend>;
 using GuardActions = std::vector<GuardAction>;
 
-// Keeps a request that crashes endpoints from taking more than a few of them,
-// and keeps healthy requests that ran beside it from being refused.
+// Limits how many endpoints a crashing request can take down, without refusing
+// healthy requests that ran beside it.
 class FingerprintGuard {
  public:
   class Builder;
 
-  // Nodes among which the permit desk is chosen.
+  // Sets the nodes among which the permit issuer is chosen.
   void OnMembers(Time now, const std::vector<NodeId>& members);
 
   GuardVerdict Judge(Time now, Fingerprint fingerprint) const;
-  // Asks for a permit; `GuardPermit` or `GuardRefuse` follows.
+  // Requests a permit. `GuardPermit` or `GuardRefuse` follows.
   GuardActions AskPermit(Time now,
                          const AttemptId& attempt,
                          Fingerprint fingerprint,
                          std::vector<EndpointId> candidates);
-  // The attempt's request is about to be written to the endpoint.
+  // Called right before the attempt is written to the endpoint.
   void OnStarted(Time now,
                  const AttemptId& attempt,
                  Fingerprint fingerprint,
                  const EndpointId& endpoint);
-  // `completed`: the endpoint answered the whole request.
+  // `completed` means that the endpoint answered the whole request.
   GuardActions OnFinished(Time now, const AttemptId& attempt, bool completed);
-  // The endpoint was lost while requests may have run there. Losses with a
-  // known cause (a planned stop, a dark fabric domain) are not reported here.
-  // Call it before `OnFinished` of the attempts that broke with it.
+  // Called when an endpoint is lost while requests may have run there, before
+  // `OnFinished` of the attempts that broke with it. Losses with a known cause
+  // (a planned stop, a fabric domain that is down) are not reported here.
   GuardActions OnEndpointLost(Time now, const EndpointId& endpoint);
 
   GuardActions OnMessage(Time now,
                          const NodeId& from,
                          const GuardMessage& message);
   void OnDelta(Time now, const FingerprintDelta& delta);
-  // The operators' override, from `setting/...`.
+  // Sets the fingerprints that operators have allowed, from `setting/...`.
   void SetAllowed(std::set<Fingerprint> allowed);
   GuardActions Tick(Time now);
 
@@ -111,11 +112,13 @@
   struct Running {
     Fingerprint fingerprint;
     EndpointId endpoint;
-    // Runs by a permit, alone among suspects.
+    // True if the attempt runs with a permit, as the only suspect on its
+    // endpoint.
     bool permitted = false;
     Time next_renewal;
   };
-  // Running attempts of one fingerprint, and where the last one went.
+  // Number of running attempts of one fingerprint, and the endpoint of the
+  // latest.
   struct Copies {
     EndpointId endpoint;
     std::int64_t count = 0;
@@ -152,7 +155,7 @@
   std::optional<NodeId> desk_node_;
   std::map<AttemptId, Running> running_;
   std::map<AttemptId, Asking> asking_;
-  // Endpoints of the attempts that have a permit.
+  // Endpoints of the attempts that hold a permit.
   std::map<AttemptId, EndpointId> permitted_;
   std::unordered_map<Fingerprint, Copies> copies_;
   std::unordered_map<Fingerprint, Time> proven_;
--- a/coordination/requests/guard_messages.h
+++ b/coordination/requests/guard_messages.h
@@ -11,23 +11,24 @@
 
 namespace gcw {
 
-// Asks the permit desk for an endpoint on which a suspect may run alone among
-// suspects. Repeated until answered, and as a sign of life while it runs.
+// Asks the permit issuer for an endpoint at which the suspect runs as the only
+// suspect. Sent until answered, and as a renewal while the attempt runs.
 struct PermitRequest {
   AttemptId attempt;
   Fingerprint fingerprint;
-  // Best first.
+  // In order of preference.
   std::vector<EndpointId> candidates;
-  // Where it runs already, by an earlier permit; empty before.
+  // The endpoint at which the attempt runs with an earlier permit, or empty if
+  // it does not run yet.
   EndpointId running_at;
 };
 
 struct PermitGranted {
   EndpointId endpoint;
 };
-// Another copy runs, or every candidate runs another suspect.
+// Another copy is running, or every candidate already runs a suspect.
 struct PermitWait {};
-// The fingerprint is refused.
+// The fingerprint is blocked.
 struct PermitBlocked {};
 
 using PermitVerdict = std::variant<PermitGranted, PermitWait, PermitBlocked>;
@@ -40,7 +41,7 @@
 // The attempt has ended.
 struct PermitDone {
   AttemptId attempt;
-  // Present where its endpoint was lost with it.
+  // Set if the endpoint was lost during the attempt.
   std::optional<FingerprintDelta> loss;
 };
 
--- a/coordination/requests/permit_desk.cc
+++ b/coordination/requests/permit_desk.cc
@@ -36,7 +36,8 @@
   if (level == SuspectLevel::kBlocked) {
     return PermitBlocked{};
   }
-  // Permits of an earlier desk are not known before their holders called.
+  // The predecessor's permits are unknown until their holders have renewed
+  // them.
   if (now < *opened_ + settings_.hold || InUse(request.fingerprint)) {
     return PermitWait{};
   }
--- a/coordination/requests/permit_desk.h
+++ b/coordination/requests/permit_desk.h
@@ -11,19 +11,20 @@
 namespace gcw {
 
 struct PermitDeskSettings {
-  // A permit whose holder was not heard of for so long is taken back. A desk
-  // that has just opened waits as long, until the holders of its predecessor's
-  // permits have called.
+  // A permit that is not renewed for this time is revoked. A newly opened
+  // issuer also waits for this time before its first grant, so that holders of
+  // its predecessor's permits can renew them.
   Duration hold = Duration::Seconds(10);
 };
 
-// Hands out permits for suspects: each runs at one endpoint at a time, and no
-// endpoint runs two. So the next loss names its cause.
+// Grants permits to suspects: each fingerprint runs at one endpoint at a time,
+// and no endpoint runs two suspects. The next loss therefore identifies its
+// cause.
 class PermitDesk {
  public:
   explicit PermitDesk(PermitDeskSettings settings);
 
-  // This node became the one that hands out permits.
+  // Called when this node becomes the permit issuer.
   void Open(Time now);
   void Close();
   bool open() const { return opened_.has_value(); }
--- a/coordination/requests/refusals.h
+++ b/coordination/requests/refusals.h
@@ -6,10 +6,11 @@
 
 namespace gcw {
 
-// The refusal of a request that its contract's share does not cover.
+// Returns the reason for refusing a request that its contract's share does not
+// cover.
 RefusalKind RefusalOfShare(ShareOutcome outcome);
 
-// False where the same request would be refused at any time.
+// False if the request would be refused again at any time.
 bool ComingBackHelps(RefusalKind kind);
 
 }  // namespace gcw
--- a/coordination/requests/request.h
+++ b/coordination/requests/request.h
@@ -12,7 +12,7 @@
 
 struct ModelTarget {
   ModelId model;
-  // Empty where no adapter is asked for.
+  // Empty if no adapter is requested.
   AdapterId adapter;
 
   friend bool operator==(const ModelTarget&, const ModelTarget&) = default;
@@ -26,8 +26,8 @@
 
 using RequestTarget = std::variant<ModelTarget, ServiceTarget>;
 
-// What the decisions need to know of a caller's request. The body stays with
-// the transport.
+// The properties of a caller's request on which decisions are based. The body
+// stays in the transport.
 struct RequestProfile {
   RequestId id;
   ContractId contract;
@@ -36,17 +36,17 @@
   RequestTarget target;
   // Estimated from the prompt's length.
   TokenCount prompt_tokens;
-  // Most tokens the caller lets the model generate.
+  // Maximum number of tokens that the model may generate.
   TokenCount max_generated_tokens;
-  // One per whole block of the prompt, in order.
+  // One entry for each complete block of the prompt, in order.
   std::vector<PrefixBlock> prefix_blocks;
   Fingerprint fingerprint;
-  // Whether running it twice does no harm.
+  // True if running the request twice does no harm.
   bool repeatable = true;
-  // Empty where the caller gave none.
+  // Empty if the caller gave none.
   IdempotencyKey idempotency_key;
   Time arrived;
-  // The caller has given up by then.
+  // The caller no longer waits for the answer after this time.
   Time deadline;
 };
 
@@ -63,22 +63,22 @@
   kConcurrency,
   kQueueFull,
   kNoCapacity,
-  // Trial work gives way to paid work.
+  // Trial work yields to paid work.
   kTrialNoHeadroom,
-  // It could not have been answered before its deadline.
+  // The request could not have been answered before its deadline.
   kDeadline,
   kNoEndpoint,
   kRetryBudget,
-  // It crashed endpoints before.
+  // The request has crashed endpoints.
   kFingerprintBlocked,
-  // The node does not know the newest configuration yet.
+  // The node has not received the newest configuration yet.
   kNotReady,
   kDraining,
-  // The owner of its idempotency key cannot be reached.
+  // The owner of the idempotency key is unreachable.
   kOnceUnavailable,
-  // The key is in use for another request.
+  // The idempotency key was used for another request.
   kOnceMismatch,
-  // The first send with this key still runs.
+  // The first send with this key is still running.
   kOnceInProgress,
   kEndpointRefused,
 };
@@ -88,8 +88,8 @@
 // The final answer to a request that was not run.
 struct Refusal {
   RefusalKind kind = RefusalKind::kNoCapacity;
-  // When to come back, spread so that callers do not return together. Zero
-  // where coming back will not help.
+  // Delay before the caller should retry, with jitter so that callers do not
+  // return together. Zero if a retry cannot succeed.
   Duration retry_after;
 
   friend bool operator==(const Refusal&, const Refusal&) = default;
--- a/coordination/requests/request_desk.cc
+++ b/coordination/requests/request_desk.cc
@@ -6,8 +6,8 @@
 namespace gcw {
 namespace {
 
-// The process that the attempt went to is gone, or no longer part of the
-// replica group that it was chosen for.
+// True if the process that the attempt went to is gone, or no longer belongs to
+// the replica group that it was chosen for.
 bool IsGone(const Endpoint& endpoint, const ProbeReply& reply) {
   if (const auto* failed = std::get_if<ProbeFailed>(&reply)) {
     return failed->failure == ProbeFailure::kRefused;
@@ -57,8 +57,9 @@
   } else if (refusal_) {
     GiveUp(now, request, *refusal_);
   } else if (IsKeyed(request.profile)) {
-    // The claim comes before the limits: a second send that the limits refuse
-    // would be told "not run" although the first one may have run.
+    // The claim comes before the limits. Otherwise a second send that the
+    // limits refuse would be told "not run" although the first one may have
+    // run.
     request.phase = Phase::kClaiming;
     Apply(now,
           modules_.once->Start(now, OnceSend{id, request.profile.contract,
@@ -82,7 +83,8 @@
     Forget(now, id, TokenCount());
     return TakeActions();
   }
-  // A claimed request goes on, so that a second send gets its answer.
+  // A claimed request continues without its caller, so that a second send gets
+  // its answer.
   if (!request->claimed && request->phase == Phase::kRunning) {
     actions_.emplace_back(NodeAction(CancelAttempt{id, request->attempt->id}));
   }
--- a/coordination/requests/request_desk.h
+++ b/coordination/requests/request_desk.h
@@ -24,19 +24,20 @@
 
 struct RequestDeskSettings {
   int most_attempts = 3;
-  // Endpoints that a suspected request offers to the permit desk.
+  // Number of endpoints that a suspect offers to the permit issuer as
+  // candidates.
   std::size_t permit_candidates = 3;
-  // How long an endpoint may take to answer whether it lives, after an attempt
+  // Time within which an endpoint must answer a liveness probe after an attempt
   // there broke.
   Duration check_timeout = Duration::Millis(500);
-  // A request that may not be repeated must leave within this time of its first
-  // claim; see `OnceClientSettings::grant_time_to_live`.
+  // A request that may not be repeated must be written within this time of its
+  // first claim. See `OnceClientSettings::grant_time_to_live`.
   Duration grant_time_to_live = Duration::Seconds(30);
-  // When a caller whose trial request was stopped should come back.
+  // Retry-after delay for a trial request that was preempted.
   Duration preempted_retry_after = Duration::Seconds(5);
 };
 
-// The modules that decide on requests. All outlive the desk.
+// The modules that decide on requests. All of them outlive `RequestDesk`.
 struct RequestModules {
   Admission* admission = nullptr;
   Router* router = nullptr;
@@ -44,11 +45,11 @@
   FingerprintGuard* guard = nullptr;
   RetryBudget* retries = nullptr;
   RetryAfterPlanner* retry_after = nullptr;
-  // Whether the endpoint's serving gate is open at that time.
+  // Returns whether the endpoint's serving gate is open at that time.
   std::function<bool(Time, const EndpointId&)> is_open;
 };
 
-// An endpoint turned out to be gone when an attempt there broke.
+// An endpoint was found to be lost when an attempt there broke.
 struct EndpointFoundLost {
   EndpointId endpoint;
 };
@@ -72,7 +73,8 @@
 // and retries to exactly one final answer.
 class RequestDesk {
  public:
-  // `attempt_prefix` makes attempt ids unique over nodes and their runs.
+  // `attempt_prefix` makes attempt ids unique over nodes and their
+  // incarnations.
   RequestDesk(RequestDeskSettings settings,
               RequestModules modules,
               std::string attempt_prefix,
@@ -90,7 +92,8 @@
   RequestDeskActions OnGuard(Time now, const GuardActions& actions);
   RequestDeskActions Tick(Time now);
 
-  // Refuses new requests from now on with this reason; nothing to accept again.
+  // Refuses new requests for this reason from now on, or accepts them again if
+  // it is nullopt.
   void SetRefusal(std::optional<RefusalKind> refusal);
   std::size_t open_requests() const { return requests_.size(); }
   bool Has(const RequestId& request) const {
@@ -103,7 +106,7 @@
     kOffered,
     kAwaitingPermit,
     kRunning,
-    // The attempt broke; whether its endpoint lives is being asked.
+    // The attempt broke, and a probe checks whether its endpoint is alive.
     kChecking,
   };
   struct Attempt {
@@ -119,22 +122,22 @@
     RequestProfile profile;
     AttemptLog log;
     Phase phase = Phase::kOffered;
-    // A claim was granted and its outcome has to be reported.
+    // A claim was granted, and its outcome must be reported.
     bool claimed = false;
     bool admitted = false;
-    // The caller left; nothing is told any more.
+    // The caller disconnected and gets no answer.
     bool abandoned = false;
     bool preempted = false;
     EnginePriority priority;
-    // Where a trial request may go; empty for everywhere.
+    // Endpoints to which a trial request may go. Empty means any endpoint.
     std::vector<EndpointId> allowed;
     std::vector<EndpointId> excluded;
     std::optional<Attempt> attempt;
-    // The attempt that was dispatched last.
+    // The most recently dispatched attempt.
     AttemptId last_attempt;
     std::int64_t attempts = 0;
     TokenCount resume_from;
-    // The broken end that waits for the endpoint's check.
+    // The failure of an attempt that waits for the endpoint's probe.
     std::optional<AttemptBroke> broke;
     OnceOutcome outcome = OnceNotRun{};
     EventId last_event;
@@ -166,7 +169,7 @@
   void GiveUp(Time now, Request& request, RefusalKind reason);
   void Conclude(Time now, Request& request, const AttemptDecision& decision);
   void TellRefusal(Time now, Request& request, Refusal refusal);
-  // Tells the other modules that the request is over, and forgets it.
+  // Reports the request's end to the other modules and removes it.
   void Forget(Time now, const RequestId& id, TokenCount generated);
   void Apply(Time now, const std::vector<AdmissionAction>& actions);
   void Apply(Time now, const OnceClientActions& actions);
@@ -187,7 +190,7 @@
   std::unordered_map<AttemptId, RequestId> attempts_;
   std::map<ProbeId, Check> checks_;
   std::map<EndpointId, ProbeId> check_of_;
-  // Requests ordered by deadline, to be given up in time.
+  // Requests by deadline.
   std::multimap<Time, RequestId> deadlines_;
   std::int64_t last_attempt_ = 0;
   ProbeId last_probe_;
--- a/coordination/requests/request_desk_attempts.cc
+++ b/coordination/requests/request_desk_attempts.cc
@@ -1,5 +1,5 @@
-// The attempts of a request: where they go, how they end, and what is tried
-// after that.
+// The part of `RequestDesk` that starts and ends attempts and decides on
+// retries.
 
 #include "coordination/requests/request_desk.h"
 
@@ -9,7 +9,7 @@
 namespace gcw {
 namespace {
 
-// An attempt that broke in one of these ways may have taken its endpoint along.
+// True if an attempt that broke this way may have taken its endpoint down.
 bool MayHaveLostEndpoint(const AttemptBroke& broke) {
   if (broke.progress == AttemptProgress::kNothingSent) {
     return false;
@@ -54,9 +54,9 @@
   Dispatch(now, request, *route, NextAttemptId());
 }
 
-// A node that was paused wakes up with endpoints that opened long ago, and may
-// get here before its next tick; so the gate is asked once more, and an
-// endpoint without fresh evidence is left out.
+// Checks the serving gate again and excludes endpoints that fail the check: a
+// node that resumes from a pause may get here before its next tick, with
+// endpoints that opened long ago and have no fresh evidence.
 std::optional<Route> RequestDesk::ChooseRoute(Time now,
                                               Request& request,
                                               RefusalKind& reason) {
--- a/coordination/requests/request_desk_modules.cc
+++ b/coordination/requests/request_desk_modules.cc
@@ -1,4 +1,4 @@
-// What the modules behind the desk decided about its requests.
+// The part of `RequestDesk` that applies the decisions of the other modules.
 
 #include "coordination/requests/request_desk.h"
 
--- a/coordination/requests/retry_after.cc
+++ b/coordination/requests/retry_after.cc
@@ -53,8 +53,8 @@
   const auto now_millis = static_cast<double>(now.millis());
   const auto shortest = static_cast<double>(settings_.shortest.millis());
   const auto longest = static_cast<double>(settings_.longest.millis());
-  // The line never grows past the longest wait; beyond it, callers share its
-  // end and only the jitter keeps them apart.
+  // The schedule never extends past the longest delay. When it is full, callers
+  // share its last slot and only the jitter separates them.
   last_place_ = std::clamp(last_place_ + 1000 / return_rate_,
                            now_millis + shortest, now_millis + longest);
   const double millis = Jittered(last_place_ - now_millis);
--- a/coordination/requests/retry_after.h
+++ b/coordination/requests/retry_after.h
@@ -8,26 +8,26 @@
 struct RetryAfterSettings {
   Duration shortest = Duration::Millis(500);
   Duration longest = Duration::Seconds(30);
-  // Share of a return time by which it is moved at random, either way.
+  // Fraction by which a delay is randomly lengthened or shortened.
   double jitter = 0.25;
-  // Callers sent back per second before the room is known.
+  // Return rate in callers per second until `SetReturnRate` is first called.
   double initial_return_rate = 5;
-  // Lowest rate at which callers are asked back while there is no room.
+  // Minimum return rate, used when there is no spare capacity.
   double min_return_rate = 1;
 };
 
-// Tells refused callers when to come back. Callers that all return at once
-// make the next overload, so each refusal takes the next place in a line of
-// return times as far apart as the room allows, moved by random jitter. The
-// more are refused, the later they return.
+// Plans when refused callers should retry. Callers that all return at once
+// cause the next overload, so each refusal gets the next slot of a schedule
+// that is spaced by the return rate, with random jitter. The more callers are
+// refused, the later they return.
 class RetryAfterPlanner {
  public:
   RetryAfterPlanner(const RetryAfterSettings& settings, Random random);
 
-  // Requests per second that this node could take beyond what it serves now;
-  // measured by the node about each second.
+  // Sets the number of requests per second that this node could take in
+  // addition to its current load. The node measures it about once a second.
   void SetReturnRate(double requests_per_second);
-  // When to come back; zero for kinds that coming back does not help.
+  // Returns the delay before a retry, or zero if a retry cannot succeed.
   Duration Plan(Time now, RefusalKind kind);
 
  private:
@@ -36,11 +36,11 @@
   RetryAfterSettings settings_;
   Random random_;
   double return_rate_;
-  // Milliseconds since the epoch of the last place given away.
+  // Latest assigned slot, in milliseconds since the epoch.
   double last_place_ = 0;
 };
 
-// Whether a refusal for this reason can pass by itself.
+// True if the reason can go away without a change of the request.
 bool CanPassByItself(RefusalKind kind);
 
 }  // namespace gcw
--- a/coordination/requests/retry_budget.h
+++ b/coordination/requests/retry_budget.h
@@ -10,27 +10,29 @@
 namespace gcw {
 
 struct RetryBudgetSettings {
-  // Retries that each first attempt earns, for its contract and for the node.
+  // Retries earned by each first attempt, for its contract and for the node.
   double contract_share = 0.2;
   double node_share = 0.1;
-  // Retries that may be saved up.
+  // Maximum number of saved retries.
   double contract_burst = 10;
   double node_burst = 50;
-  // Earned without traffic, so that rare requests can be retried too.
+  // Retries earned per second without traffic, so that rare requests can be
+  // retried too.
   double contract_per_second = 0.1;
   double node_per_second = 1;
-  // Attempts of one request at most.
+  // Maximum number of attempts of one request.
   std::int64_t max_attempts = 3;
-  // Contracts idle for this long are forgotten; by then they are full again.
+  // Contracts that are idle for this time are dropped. Their budgets are full
+  // again by then.
   Duration forget_after = Duration::Seconds(120);
 };
 
 enum class RetryVerdict {
   kAllowed,
-  // A byte may have left and the request may not run twice.
+  // A byte may have been written, and the request may not run twice.
   kNotRepeatable,
   kTooManyAttempts,
-  // It would not be answered before its deadline.
+  // The retry would not be answered before the deadline.
   kDeadline,
   kContractBudget,
   kNodeBudget,
@@ -38,31 +40,33 @@
 
 std::string_view RetryVerdictName(RetryVerdict verdict);
 
-// What is known when an attempt has failed.
+// Describes a failed attempt to `RetryBudget`.
 struct FailedAttempt {
-  // Attempts made so far, with this one.
+  // Number of attempts so far, including this one.
   std::int64_t attempts = 1;
-  // No byte of the request left this node, or the endpoint itself refused it.
+  // True if no byte of the request was written or the endpoint refused to run
+  // it.
   bool was_not_run = false;
-  // Expected time to a first byte from the next endpoint.
+  // Expected time to first byte at the next endpoint.
   Duration expected_first_byte = Duration();
 };
 
-// Limits extra work by retries. Without it, endpoints that fail multiply the
-// load on those that are left, which then fail too, and the overload keeps
-// itself going after its cause is gone. A budget is a share of first attempts,
-// so that the load is at most 1 + `node_share` times the callers' demand.
+// Limits the load that retries add. Without a limit, failing endpoints multiply
+// the load on the remaining ones until these fail too, and the overload
+// continues after its cause is gone. The budget is a share of first attempts,
+// so the load is at most 1 + `node_share` times the callers' demand.
 class RetryBudget {
  public:
   explicit RetryBudget(const RetryBudgetSettings& settings);
 
-  // A first attempt was made.
+  // Earns budget for a first attempt.
   void OnFirstAttempt(Time now, const ContractId& contract);
-  // Whether the request may be tried again, and spends the budget if so.
+  // Decides whether the request may be retried, and takes one retry from the
+  // budgets if so.
   RetryVerdict Spend(Time now,
                      const RequestProfile& profile,
                      const FailedAttempt& failed);
-  // Forgets contracts that are idle.
+  // Drops idle contracts.
   void Tick(Time now);
 
   double node_balance() const { return node_.balance; }
--- a/tests/coordination/at_most_once/once_failure_test.cc
+++ b/tests/coordination/at_most_once/once_failure_test.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Three nodes without random faults or callers.
+// Returns settings for three nodes without random faults or callers.
 OnceWorldSettings Quiet() {
   OnceWorldSettings settings;
   settings.nodes = 3;
@@ -22,7 +22,7 @@
   return settings;
 }
 
-// The node that owns the key's shard in a world that has settled.
+// Returns the node that owns the key's shard once ownership has settled.
 std::int64_t OwnerOf(const std::string& key) {
   std::vector<OnceMember> members;
   for (std::int64_t node = 0; node < 3; ++node) {
@@ -39,10 +39,9 @@
 
 }  // namespace
 
-// Symptom: a passport is printed twice.
-// Sequence of events: the first send is granted; the owner of its key dies
-// before the answer; the caller sends again through another node.
-// Cause: the claim was known to the dead owner only.
+// Guards against a request that runs twice because only the dead owner knew the
+// claim: the owner of the key dies after the grant and before the answer, and
+// the caller sends again through another node.
 TEST(OnceFailureTest, OwnerDiesAfterGrant) {
   OnceWorld world(Quiet());
   world.Run(Duration::Seconds(1));
@@ -61,11 +60,9 @@
   EXPECT_EQ(world.violation(), "");
 }
 
-// Symptom: a reservation is confirmed twice.
-// Sequence of events: the sender is granted the key and paused; the window in
-// which keys are remembered passes; the caller sends again, which runs; the
-// sender wakes and writes its request.
-// Cause: the sender trusts a grant that has lapsed.
+// Guards against a request that runs twice because the sender uses an expired
+// grant: it is paused after the grant, the window in which keys are kept
+// passes, a second send runs, and then the sender resumes.
 TEST(OnceFailureTest, PausedSenderWakesAfterWindow) {
   OnceWorldSettings settings = Quiet();
   settings.owner.shard.window = Duration::Seconds(60);
@@ -86,11 +83,9 @@
   EXPECT_EQ(world.violation(), "");
 }
 
-// Symptom: keys that were used run again after the operators restored the
-// key-value service from a backup.
-// Sequence of events: backup; a key runs; restore; the key's owner dies or
-// writes on; the caller sends again.
-// Cause: the restored journal lacks the claim.
+// Guards against used keys that run again after operators restore the key-value
+// service from a backup that lacks their claims. After the restore, the key's
+// owner dies or goes on writing, and the caller sends again.
 TEST(OnceFailureTest, RestoredStoreIsNoticed) {
   OnceWorld world(Quiet());
   world.SendKey(0, "before");
@@ -109,7 +104,8 @@
   EXPECT_EQ(world.Executions("key3"), 1);
   EXPECT_EQ(Find(world, again).told, Told::kNotRun);
 
-  // An operator accepts the loss: what the journal does not know stays refused.
+  // After an operator accepts the loss, keys that are not in the journal are
+  // still refused.
   for (std::int64_t node = 0; node < 3; ++node) {
     if (world.owner(node) != nullptr) {
       world.owner(node)->AcceptRewound(world.now());
@@ -123,10 +119,9 @@
   EXPECT_EQ(world.violation(), "");
 }
 
-// Symptom: no reservation can be confirmed while the key-value service is down.
-// Sequence of events: an outage; sends with keys that the system issued, with
-// keys of the callers' own that ran before, and with new ones.
-// Cause: a claim that must reach the journal cannot.
+// Guards against a total refusal while the key-value service is down. Issued
+// keys and callers' keys that ran before must still be answered. Only new
+// callers' keys, whose claims cannot be journaled, are refused.
 TEST(OnceFailureTest, OutageRefusesOnlyNewCallersKeys) {
   OnceWorld world(Quiet());
   world.Run(Duration::Seconds(1));
@@ -149,13 +144,11 @@
   EXPECT_EQ(world.violation(), "");
 }
 
-// Symptom: a reservation is confirmed twice after an outage.
-// Sequence of events: owners may grant on an outage lease; an outage begins; a
-// key that was given back before and a new one run; their owner dies; the
-// service returns; another node takes the shards and is replaced in its turn;
-// the caller sends again.
-// Cause: the journal holds no claim of the outage, and neither owner after it
-// knows that.
+// Guards against requests that run twice after an outage in which owners
+// granted claims under an outage lease. A key that was given back before the
+// outage and a new key run during it. Then their owner dies, the service
+// returns, and two other nodes own the shards in turn. The journal holds no
+// claim of the outage, and both owners must account for that.
 TEST(OnceFailureTest, ClaimsOfAnOutageAreNotForgotten) {
   OnceWorldSettings settings = Quiet();
   settings.owner.outage_lease = Duration::Seconds(60);
@@ -195,9 +188,8 @@
   EXPECT_EQ(world.violation(), "");
 }
 
-// Symptom: a key that the system issued runs again after its node restarted.
-// Sequence of events: issue, run, kill, restart, send again.
-// Cause: the new process knows nothing of the old one's keys.
+// Guards against an issued key that runs again after its node restarted: the
+// new process does not know the keys of the old one.
 TEST(OnceFailureTest, IssuedKeyOfEarlierIncarnationIsUnknown) {
   OnceWorld world(Quiet());
   world.Run(Duration::Seconds(1));
@@ -214,7 +206,7 @@
   EXPECT_EQ(world.Executions(key), 1);
 }
 
-// A caller that gives up and sends again at once gets the first answer.
+// A caller that sends again while the first send runs gets the first answer.
 TEST(OnceFailureTest, SecondSendWaitsForTheFirst) {
   OnceWorld world(Quiet());
   world.Run(Duration::Seconds(1));
@@ -226,10 +218,8 @@
               (Find(world, second).told == Told::kAnswered));
 }
 
-// Symptom: second sends are refused after each planned stop.
-// Sequence of events: a key runs; its owner is stopped as planned; the caller
-// sends again.
-// Cause: the shard waits for a lapse instead of being released.
+// Guards against refusals after a planned stop: the stopping owner must release
+// its shards instead of letting the next owner wait for the lease to expire.
 TEST(OnceFailureTest, PlannedStopReleasesShards) {
   OnceWorldSettings settings = Quiet();
   settings.owner.outage_lease = Duration::Seconds(120);
@@ -266,10 +256,8 @@
   EXPECT_EQ(shard.size(), 1U);
 }
 
-// Symptom: a request that was answered runs again.
-// Sequence of events: the sender reports the answer; a report "not run" of the
-// same claim follows, for example late and out of order.
-// Cause: the last report wins.
+// Guards against an answered request that runs again because a late or
+// reordered "not run" report of the same claim overwrites the answer.
 TEST(OnceShardTest, AnAnswerIsNotTakenBack) {
   OnceShard shard(OnceShardSettings{});
   OnceClaimRequest request;
--- a/tests/coordination/at_most_once/once_random_test.cc
+++ b/tests/coordination/at_most_once/once_random_test.cc
@@ -28,7 +28,7 @@
 struct Fault {
   int kind = 0;
   int node = 0;
-  // Seconds before it comes, and how long it lasts.
+  // Seconds before the fault starts, and its length in seconds.
   int wait = 0;
   int length = 0;
 };
@@ -77,8 +77,8 @@
   OnceWorldSettings settings;
   settings.nodes = kNodes;
   settings.seed = *rc::gen::arbitrary<std::uint64_t>();
-  // Few, so that keys are sent again soon, or many, so that they are sent again
-  // long after the faults.
+  // With few keys, a key is sent again soon. With many, it is sent again long
+  // after the faults.
   settings.remembered_keys = *rc::gen::element<std::size_t>(10, 50, 500);
   settings.owner.shard_count = 8;
   settings.client.shard_count = 8;
@@ -110,23 +110,22 @@
 
 }  // namespace
 
-// Symptom: a reservation is confirmed twice, or a caller hears "not run" of a
-// request that ran.
-// Sequence of events: any of kills, pauses, cuts, false suspicions, store
-// outages, lost answers of writes, stale reads, shifted clocks, planned stops,
-// lost, doubled and reordered messages, together and repeatedly, while callers
-// send again through other nodes.
-// Cause: a claim that was granted and is then unknown to the next owner.
+// Guards against a request that runs twice, or that runs after its caller was
+// told "not run", because the next owner does not know a granted claim. Kills,
+// pauses, network partitions, false suspicions, store outages, lost write
+// replies, stale reads, clock shifts, planned stops, and lost, duplicated and
+// reordered messages occur together and repeatedly, while callers send again
+// through other nodes.
 RC_GTEST_PROP(OnceRandomTest, NeverTwiceAndNeverFalselyNotRun, ()) {
   RunRandomFaults(AnyWorld(Duration()));
 }
 
-// The same where owners may grant during an outage on a lease.
+// The same, with owners that may grant under an outage lease.
 RC_GTEST_PROP(OnceRandomTest, NeverTwiceWithOutageLease, ()) {
   RunRandomFaults(AnyWorld(Duration::Seconds(*rc::gen::element(6, 30))));
 }
 
-// A sender that stalls between its last check and the first byte.
+// The same, with senders that stall between the last check and the first byte.
 RC_GTEST_PROP(OnceRandomTest, NeverTwiceWithStalledSenders, ()) {
   OnceWorldSettings settings = AnyWorld(Duration());
   settings.longest_stall = Duration::Seconds(20);
--- a/tests/coordination/requests/attempt_log_test.cc
+++ b/tests/coordination/requests/attempt_log_test.cc
@@ -11,13 +11,12 @@
 
 namespace {
 
-// A stand-in endpoint's side of one attempt: what truly happened.
+// What really happened at the endpoint of one attempt.
 struct Truth {
   bool ran = false;
 };
 
-// Ends the attempt in one of the ways in which an exchange can end, and says
-// what the transport would report of it.
+// Ends the attempt in a random way and returns what the transport would report.
 AttemptFailure EndSomehow(AttemptLog& log,
                           Time now,
                           const AttemptId& attempt,
@@ -39,11 +38,10 @@
 
 }  // namespace
 
-// Symptom: a caller hears "not run" of a request that ran, or a request that
-// may not be repeated runs twice.
-// Sequence of events: attempts fail before the write, after it and in the
-// middle of the answer, are refused, overlap as hedges and report late.
-// Cause: one attempt's failure is taken for the request's.
+// Guards against a "not run" answer to a request that ran, and against a second
+// run of a request that may not be repeated. Attempts fail before the write,
+// after it and in the middle of the answer, are refused, overlap as hedges and
+// report late. The fault is to take one attempt's failure for the request's.
 RC_GTEST_PROP(AttemptLogTest, NotRunMeansNotRun, ()) {
   AttemptPolicy policy;
   policy.repeatable = *rc::gen::arbitrary<bool>();
@@ -80,9 +78,8 @@
   RC_ASSERT(log.outcome().has_value());
 }
 
-// Symptom: a reservation is confirmed twice.
-// Sequence of events: the request is written and the connection resets.
-// Cause: it is tried again although it may have run.
+// Guards against a second run: the connection resets after the request was
+// written, so the request may have run and must not be retried.
 TEST(AttemptLogTest, UnrepeatableIsNotTriedAgainOnceWritten) {
   AttemptPolicy policy;
   policy.repeatable = false;
@@ -101,10 +98,10 @@
   EXPECT_FALSE(log.Start(Time(), AttemptId("third")));
 }
 
-// Symptom: the caller's answer holds words of two runs.
-// Sequence of events: a stream breaks and is resumed elsewhere; the first
-// attempt's pieces arrive late; a hedge's pieces arrive in between.
-// Cause: pieces are taken by request instead of by attempt.
+// Guards against an answer that mixes two runs, because pieces are matched by
+// request instead of by attempt. A stream breaks and is resumed at another
+// endpoint, while late pieces of the first attempt and pieces of a hedge
+// arrive.
 TEST(AttemptLogTest, OnlyOneAttemptReachesTheCaller) {
   AttemptPolicy policy;
   policy.resumable = true;
@@ -139,7 +136,7 @@
   EXPECT_EQ(log.outcome(), RequestOutcome::kAnsweredWhole);
 }
 
-// A stream that cannot be resumed ends as broken, never as whole or not run.
+// A stream that cannot be resumed ends as broken, never as complete or not run.
 TEST(AttemptLogTest, BrokenStreamIsToldAsBroken) {
   AttemptPolicy policy;
   policy.deadline = Time::FromMillis(1000);
--- a/tests/coordination/requests/fingerprint_guard_test.cc
+++ b/tests/coordination/requests/fingerprint_guard_test.cc
@@ -18,7 +18,8 @@
 
 constexpr Fingerprint kCrasher(666);
 
-// Nodes with a guard each, endpoints that die of the crasher, and callers.
+// Simulates nodes with a guard each, endpoints that crash on `kCrasher`, and
+// callers.
 class GuardWorld {
  public:
   using Message = std::variant<GuardMessage, FingerprintDelta>;
@@ -36,7 +37,8 @@
     for (int index = 0; index < endpoints; ++index) {
       alive_.insert(EndpointId("e" + std::to_string(index)));
     }
-    // Past the time in which the desk waits for earlier permits.
+    // The permit issuer grants nothing until its predecessor's permits have
+    // expired.
     Run(Duration::Seconds(12));
   }
 
@@ -53,7 +55,7 @@
     }
   }
 
-  // Whether the node still lets the crasher go to an endpoint.
+  // Returns whether the node refuses the fingerprint.
   bool Refuses(std::size_t node, Fingerprint fingerprint) {
     return std::holds_alternative<GuardBlocked>(
         guards_[node]->Judge(now_, fingerprint));
@@ -143,7 +145,7 @@
     for (std::size_t node = 0; node < guards_.size(); ++node) {
       Carry(node, guards_[node]->OnEndpointLost(now_, endpoint));
     }
-    // Each broken request is sent again, the crasher too.
+    // Callers send each broken request again, the crasher included.
     for (const AttemptId& attempt : broken) {
       const Attempt typed = owner_.at(attempt);
       timers_.emplace(now_ + Duration::Millis(30),
@@ -197,12 +199,12 @@
 
 }  // namespace
 
-// Symptom: one request takes down one endpoint after the other, or requests
-// that ran beside it are refused in its place.
-// Sequence of events: the crasher is sent again and again through random nodes,
-// one copy at a time, among many healthy requests, which are retried after each
-// loss, some of them equal; deltas are late and doubled.
-// Cause: losses are counted at one node only, or all that ran are blamed.
+// Guards against one request that takes down endpoint after endpoint, and
+// against healthy requests that are refused in its place, because losses are
+// counted on one node only or all requests that ran on the endpoint are blamed.
+// The crasher is sent repeatedly through random nodes, one copy at a time,
+// among many healthy requests. These are retried after each loss, and some are
+// equal. Deltas arrive late and duplicated.
 RC_GTEST_PROP(FingerprintGuardTest, CrasherTakesTwoEndpoints, ()) {
   GuardWorld world(5, 12, *rc::gen::arbitrary<std::uint64_t>());
   world.network().faults().doubled = *rc::gen::element(0.0, 0.3);
@@ -226,10 +228,9 @@
   }
 }
 
-// Symptom: a caller sends many copies of a crasher at once and takes the fleet.
-// Sequence of events: copies at the same moment through every node, over and
-// over.
-// Cause: each copy starts before the first loss is known.
+// Guards against a caller that takes down the fleet by repeatedly sending
+// copies of a crasher through every node at the same moment: each copy starts
+// before the first loss is known.
 RC_GTEST_PROP(FingerprintGuardTest, CopiesAtOnceTakeOneEndpointANode, ()) {
   constexpr std::size_t kNodes = 5;
   GuardWorld world(kNodes, 20, *rc::gen::arbitrary<std::uint64_t>());
@@ -243,7 +244,7 @@
   RC_ASSERT(world.lost <= static_cast<int>(kNodes) + 1);
 }
 
-// The operators' override, and expiry.
+// A block ends when operators allow the fingerprint, or when it expires.
 TEST(FingerprintGuardTest, BlockEndsByOverrideOrExpiry) {
   SuspectTable table(SuspectSettings{});
   const Time start = Time::FromMillis(1000);
--- a/tests/coordination/requests/retry_test.cc
+++ b/tests/coordination/requests/retry_test.cc
@@ -17,10 +17,9 @@
   return profile;
 }
 
-// Symptom: after a fault, load stays above what the endpoints can bear though
-// callers ask no more than before.
-// Sequence: a third of the endpoints fail; each failure is tried again.
-// Cause: retries in proportion to failures instead of to first attempts.
+// Guards against an overload that continues after a fault although callers ask
+// for no more than before: a third of the endpoints fail, each failure is
+// retried, and retries grow with failures instead of with first attempts.
 TEST(RetryBudgetTest, RetriesAreAShareOfFirstAttempts) {
   RetryBudget budget{RetryBudgetSettings()};
   int retries = 0;
@@ -29,14 +28,13 @@
     budget.OnFirstAttempt(Millis(0), profile.contract);
     retries += budget.Spend(Millis(0), profile, {}) == RetryVerdict::kAllowed;
   }
-  // A tenth of the attempts and what was saved up.
+  // A tenth of the attempts, plus the initial budget.
   EXPECT_LE(retries, 4000 / 10 + 50);
   EXPECT_GE(retries, 4000 / 10);
 }
 
-// Symptom: one contract's failing requests leave no retries for the others.
-// Sequence: a contract floods with requests that fail.
-// Cause: a single budget for the node.
+// Guards against a contract whose failing requests use up the retries of all
+// others, as with a single budget for the node.
 TEST(RetryBudgetTest, AContractSpendsItsOwnBudgetFirst) {
   RetryBudget budget{RetryBudgetSettings()};
   const RequestProfile flood = RequestOf("flood");
@@ -49,9 +47,8 @@
             RetryVerdict::kAllowed);
 }
 
-// Symptom: a reservation is confirmed twice.
-// Sequence: the endpoint's connection breaks after the request left.
-// Cause: a retry of what may have run.
+// Guards against a second run: the connection breaks after the request was
+// written, so the request may have run and must not be retried.
 TEST(RetryBudgetTest, WhatMayHaveRunIsNotRepeated) {
   RetryBudget budget{RetryBudgetSettings()};
   RequestProfile profile = RequestOf("team");
@@ -80,10 +77,9 @@
   EXPECT_EQ(budget.known_contracts(), 0U);
 }
 
-// Symptom: the callers refused in one overload all return in the same second
-// and make the next one.
-// Sequence: 200 refusals within a moment.
-// Cause: the same time to come back for all.
+// Guards against callers that are refused in one overload and all return in the
+// same second, which causes the next overload. All 200 refusals happen at the
+// same moment.
 TEST(RetryAfterTest, RefusedCallersReturnApart) {
   RetryAfterPlanner planner(RetryAfterSettings(), SeededRandom(3));
   planner.SetReturnRate(20);
--- a/tests/support/once_world.h
+++ b/tests/support/once_world.h
@@ -18,37 +18,38 @@
 struct OnceWorldSettings {
   std::int64_t nodes = 4;
   std::uint64_t seed = 1;
-  // Until the other nodes notice that one has gone or come.
+  // Time until the other nodes notice that a node has left or joined.
   Duration detection = Duration::Seconds(2);
   OnceOwnerSettings owner;
   OnceClientSettings client;
   IssuedKeysSettings issued;
-  // Sends of callers each second, and the share that repeats an earlier key.
+  // Sends per second of all callers, and the probability that a send repeats an
+  // earlier key.
   double sends_per_second = 20;
   double repeated = 0.5;
-  // Most recent keys that are sent again.
+  // Number of recent keys from which repeated sends are drawn.
   std::size_t remembered_keys = 50;
-  // Share of keys that the system issued.
+  // Probability that a new key is issued by the system.
   double issued_keys = 0.25;
-  // Shares of attempts that end so.
+  // Probabilities of these ends of an attempt.
   double endpoint_refuses = 0.05;
   double answer_lost = 0.05;
-  // Longest time between the last check and the first byte.
+  // Maximum time between the last check and the first byte.
   Duration longest_stall = Duration::Millis(20);
 };
 
-// What a caller was told of one send.
+// What the caller of a send was told.
 enum class Told { kNothing, kAnswered, kReplayed, kNotRun, kUnknown, kEarlier };
 
-// Several nodes, the key-value service, callers that send again, and a plain
-// service that counts how often each key ran, in virtual time.
+// Simulates in virtual time several nodes, the key-value service, callers that
+// send again, and a service that counts how often each key ran.
 class OnceWorld {
  public:
   struct Send {
     std::string key;
     bool first = true;
     Time at;
-    // When the node was allowed to run it.
+    // Time at which the node was allowed to run the request.
     std::optional<Time> run_at;
     Time told_at;
     Told told = Told::kNothing;
@@ -105,7 +106,7 @@
     store_cut_.insert(id);
     After(length, [this, id] { store_cut_.erase(id); });
   }
-  // Others take a living node for dead.
+  // The other nodes consider a running node dead.
   void Suspect(std::int64_t index, Duration length) {
     const NodeId id = NodeAt(index).id;
     suspected_.insert(id);
@@ -122,7 +123,7 @@
   void ShiftClock(std::int64_t index, Duration by) {
     NodeAt(index).clock_offset = NodeAt(index).clock_offset + by;
   }
-  // A planned stop: shards are released before the process ends.
+  // Stops the node as planned: its shards are released before the process ends.
   void Stop(std::int64_t index, Duration down) {
     Node& node = NodeAt(index);
     if (!node.owner || Paused(node)) {
@@ -175,7 +176,7 @@
   const std::map<RequestId, Send>& sends() const { return sends_; }
   OnceOwner* owner(std::int64_t index) { return NodeAt(index).owner.get(); }
 
-  // A send of a caller through the node; empty where the node is down.
+  // Sends the key through the node. Returns an empty id if the node is down.
   RequestId SendKey(std::int64_t index, const std::string& key) {
     Node& node = NodeAt(index);
     if (!node.client) {
@@ -201,7 +202,7 @@
                : std::string();
   }
 
-  // The first invariant that does not hold; empty where all do.
+  // The first violated invariant, or empty if none is.
   const std::string& violation() const { return violation_; }
   std::int64_t Executions(const std::string& key) const {
     const auto found = executed_by_.find(key);
@@ -217,7 +218,8 @@
     Incarnation incarnation;
     std::unique_ptr<OnceOwner> owner;
     std::unique_ptr<OnceClient> client;
-    // What has arrived and is not handled yet, for example during a pause.
+    // Events that have arrived and are not handled yet, for example during a
+    // pause.
     std::vector<Job> work;
     Duration clock_offset;
     Time paused_until;
@@ -371,7 +373,7 @@
     }
   }
 
-  // The plain service --------------------------------------------------------
+  // Simulated service --------------------------------------------------------
 
   void Dispatch(Node& node, const RequestId& request) {
     sends_.at(request).run_at = now_;
@@ -472,7 +474,8 @@
   Random random_;
   FakeStoreLink store_;
   FakeNetwork<OnceMessage> network_;
-  // Unix time of the start, so that clocks shifted back stay positive.
+  // Start of the virtual time, late enough that clocks shifted back stay
+  // positive.
   Time now_ = Time::FromMillis(1'800'000'000'000);
   std::multimap<Time, Job> timers_;
   std::map<NodeId, Node> nodes_;
