--- a/coordination/at_most_once/issued_keys.cc
+++ b/coordination/at_most_once/issued_keys.cc
@@ -22,7 +22,7 @@
 
 // Removes the last '.' and the text after it from `text`, and returns that
 // text.
-std::string_view TakeLast(std::string_view& text) {
+std::string_view TakeLastField(std::string_view& text) {
   const std::size_t dot = text.rfind('.');
   if (dot == std::string_view::npos) {
     return {};
@@ -36,8 +36,8 @@
 // space: issued keys have no journal.
 OnceShardSettings ClaimSettings(const IssuedKeysSettings& settings) {
   OnceShardSettings claims = settings.claims;
-  claims.window = settings.valid_for + Duration::Seconds(1);
-  claims.most_journal_bytes = settings.most_keys * 1024;
+  claims.window = settings.key_ttl + Duration::Seconds(1);
+  claims.max_journal_bytes = settings.max_keys * 1024;
   return claims;
 }
 
@@ -54,9 +54,11 @@
     return std::nullopt;
   }
   text.remove_prefix(kPrefix.size());
-  const std::optional<std::uint64_t> nonce = ParseNumber(TakeLast(text));
-  const std::optional<std::uint64_t> sequence = ParseNumber(TakeLast(text));
-  const std::optional<std::uint64_t> incarnation = ParseNumber(TakeLast(text));
+  const std::optional<std::uint64_t> nonce = ParseNumber(TakeLastField(text));
+  const std::optional<std::uint64_t> sequence =
+      ParseNumber(TakeLastField(text));
+  const std::optional<std::uint64_t> incarnation =
+      ParseNumber(TakeLastField(text));
   if (!nonce || !sequence || !incarnation || text.empty()) {
     return std::nullopt;
   }
@@ -83,11 +85,12 @@
       claims_(ClaimSettings(settings)) {}
 
 IdempotencyKey IssuedKeys::Issue(Time now, const ContractId& contract) {
-  if (issued_.size() >= settings_.most_keys) {
+  if (issued_.size() >= settings_.max_keys) {
     issued_.pop_front();
-    ++first_;
+    ++first_sequence_;
   }
-  const auto sequence = first_ + static_cast<std::int64_t>(issued_.size());
+  const auto sequence =
+      first_sequence_ + static_cast<std::int64_t>(issued_.size());
   const std::uint64_t nonce = random_();
   issued_.push_back(Issued{nonce, now, contract});
   return IssuedKey{self_.node, self_.incarnation, sequence, nonce}.Format();
@@ -100,10 +103,11 @@
     return OnceMismatch{};
   }
   // The issuing process has restarted, or the key was dropped from memory.
-  if (key->incarnation != self_.incarnation || key->sequence < first_) {
+  if (key->incarnation != self_.incarnation ||
+      key->sequence < first_sequence_) {
     return OnceEarlierUnknown{};
   }
-  if (!Knows(*key, request.key)) {
+  if (!IsIssued(*key, request.key)) {
     return OnceMismatch{};
   }
   const OnceShardDecision decision = claims_.Claim(now, request);
@@ -113,9 +117,9 @@
   return std::get<OnceVerdict>(decision);
 }
 
-bool IssuedKeys::Knows(const IssuedKey& key,
-                       const IdempotencyKey& scoped) const {
-  const auto index = static_cast<std::size_t>(key.sequence - first_);
+bool IssuedKeys::IsIssued(const IssuedKey& key,
+                          const IdempotencyKey& scoped) const {
+  const auto index = static_cast<std::size_t>(key.sequence - first_sequence_);
   if (index >= issued_.size()) {
     return false;
   }
@@ -129,9 +133,9 @@
 }
 
 void IssuedKeys::Tick(Time now) {
-  while (!issued_.empty() && issued_.front().at + settings_.valid_for <= now) {
+  while (!issued_.empty() && issued_.front().at + settings_.key_ttl <= now) {
     issued_.pop_front();
-    ++first_;
+    ++first_sequence_;
   }
   claims_.Tick(now);
 }
--- a/coordination/at_most_once/issued_keys.h
+++ b/coordination/at_most_once/issued_keys.h
@@ -33,10 +33,10 @@
 struct IssuedKeysSettings {
   // Time from issue after which a send with the key is refused as "outcome
   // unknown".
-  Duration valid_for = Duration::Seconds(86400);
+  Duration key_ttl = Duration::Seconds(86400);
   // Maximum number of keys in memory. When it is reached, the oldest keys are
   // dropped and refused from then on.
-  std::size_t most_keys = 200000;
+  std::size_t max_keys = 200000;
   OnceShardSettings claims;
 };
 
@@ -61,14 +61,14 @@
     ContractId contract;
   };
 
-  bool Knows(const IssuedKey& key, const IdempotencyKey& scoped) const;
+  bool IsIssued(const IssuedKey& key, const IdempotencyKey& scoped) const;
 
   OnceMember self_;
   IssuedKeysSettings settings_;
   Random random_;
   // Sequence number of `issued_.front()`. Keys with lower numbers have been
   // dropped and are never granted.
-  std::int64_t first_ = 1;
+  std::int64_t first_sequence_ = 1;
   std::deque<Issued> issued_;
   OnceShard claims_;
 };
--- a/coordination/at_most_once/once_client.cc
+++ b/coordination/at_most_once/once_client.cc
@@ -13,9 +13,9 @@
 // Number of redirects that are followed immediately. Later ones wait for the
 // next retry, because nodes with different membership views can redirect a
 // claim in a loop.
-constexpr int kMostRedirects = 3;
+constexpr int kMaxRedirects = 3;
 // Number of unanswered messages after which the cached owner is dropped.
-constexpr int kMostUnanswered = 2;
+constexpr int kMaxUnanswered = 2;
 
 }  // namespace
 
@@ -55,19 +55,19 @@
   requests_[fresh.claim] = send.request;
   Send& stored =
       sends_.insert_or_assign(send.request, std::move(fresh)).first->second;
-  Ask(now, stored, actions);
+  SendClaim(now, stored, actions);
   return actions;
 }
 
-void OnceClient::Ask(Time now, Send& send, OnceClientActions& actions) {
-  if (send.unanswered >= kMostUnanswered) {
+void OnceClient::SendClaim(Time now, Send& send, OnceClientActions& actions) {
+  if (send.unanswered >= kMaxUnanswered) {
     ForgetOwner(send.key);
     send.unanswered = 0;
   }
   ++send.unanswered;
-  send.next_ask = now + settings_.claim_retry;
+  send.next_claim = now + settings_.claim_retry;
   const Duration runs_at_most =
-      std::max(send.send.deadline - now, settings_.grant_time_to_live);
+      std::max(send.send.deadline - now, settings_.grant_ttl);
   actions.emplace_back(
       OncePeerSend{OwnerOf(send.key),
                    OnceClaimRequest{send.claim, send.key, send.send.fingerprint,
@@ -129,17 +129,17 @@
                  },
                  [&](const OnceAnswerGone&) {
                    Drop(request);
-                   actions.emplace_back(OnceTellEarlier{request, true});
+                   actions.emplace_back(OnceReportEarlier{request, true});
                    Report(EventKind::kOnceReplayed, request, "answer_gone");
                  },
                  [&](const OnceEarlierUnknown&) {
                    Drop(request);
-                   actions.emplace_back(OnceTellEarlier{request, false});
+                   actions.emplace_back(OnceReportEarlier{request, false});
                    Report(EventKind::kOnceRefused, request, "earlier_unknown");
                  },
                  [&](const OnceStillRunning&) {
-                   send.earlier_runs = true;
-                   send.next_ask = now + settings_.still_running_retry;
+                   send.earlier_running = true;
+                   send.next_claim = now + settings_.still_running_retry;
                  },
                  [&](const OnceMismatch&) {
                    Drop(request);
@@ -150,8 +150,8 @@
                  [&](const OnceElsewhere& elsewhere) {
                    owners_[OnceShardOf(send.key, settings_.shard_count)] =
                        elsewhere.owner;
-                   if (++send.redirects <= kMostRedirects) {
-                     Ask(now, send, actions);
+                   if (++send.redirects <= kMaxRedirects) {
+                     SendClaim(now, send, actions);
                    }
                  },
              },
@@ -172,8 +172,7 @@
 }
 
 bool OnceClient::GrantHolds(Time now, const Send& send) const {
-  return send.key.empty() ||
-         now < send.first_sent + settings_.grant_time_to_live;
+  return send.key.empty() || now < send.first_sent + settings_.grant_ttl;
 }
 
 // Running --------------------------------------------------------------------
@@ -194,7 +193,7 @@
   }
   const auto* answered = std::get_if<OnceAnswered>(&outcome);
   if (answered != nullptr &&
-      answered->answer.body.size() > settings_.largest_answer_bytes) {
+      answered->answer.body.size() > settings_.max_answer_bytes) {
     outcome = OnceAnsweredTooLarge{};
   }
   End(now, request, std::move(outcome), actions);
@@ -221,7 +220,7 @@
   if (send.key.empty()) {
     return;
   }
-  OpenReport& report = reports_[send.claim];
+  PendingReport& report = reports_[send.claim];
   report.finish = OnceFinish{send.claim, send.key, std::move(outcome)};
   SendReport(now, report, actions);
 }
@@ -249,10 +248,10 @@
 }
 
 void OnceClient::SendReport(Time now,
-                            OpenReport& report,
+                            PendingReport& report,
                             OnceClientActions& actions) {
   // The shard's owner may have changed since the claim.
-  if (report.sends > 0 && report.sends % kMostUnanswered == 0) {
+  if (report.sends > 0 && report.sends % kMaxUnanswered == 0) {
     ForgetOwner(report.finish.key);
   }
   ++report.sends;
@@ -276,26 +275,26 @@
 
 OnceClientActions OnceClient::Tick(Time now) {
   OnceClientActions actions;
-  std::vector<RequestId> late;
+  std::vector<RequestId> expired;
   for (auto& [request, send] : sends_) {
     if (send.granted) {
       continue;
     }
-    if (now >= GivesUpAt(send)) {
-      late.push_back(request);
-    } else if (now >= send.next_ask) {
-      Ask(now, send, actions);
+    if (now >= GiveUpTime(send)) {
+      expired.push_back(request);
+    } else if (now >= send.next_claim) {
+      SendClaim(now, send, actions);
     }
   }
-  for (const RequestId& request : late) {
-    const bool earlier_runs = sends_.at(request).earlier_runs;
+  for (const RequestId& request : expired) {
+    const bool earlier_running = sends_.at(request).earlier_running;
     GiveBack(now, request,
-             earlier_runs ? RefusalKind::kOnceInProgress
-                          : RefusalKind::kOnceUnavailable,
+             earlier_running ? RefusalKind::kOnceInProgress
+                             : RefusalKind::kOnceUnavailable,
              actions);
   }
   std::erase_if(reports_, [&](const auto& report) {
-    return report.second.sends >= settings_.most_finish_sends &&
+    return report.second.sends >= settings_.max_finish_sends &&
            now >= report.second.next_send;
   });
   for (auto& [claim, report] : reports_) {
@@ -306,10 +305,10 @@
   return actions;
 }
 
-Time OnceClient::GivesUpAt(const Send& send) const {
-  const Duration patience =
-      send.earlier_runs ? settings_.wait_for_earlier : settings_.claim_timeout;
-  return std::min(send.first_sent + patience, send.send.deadline);
+Time OnceClient::GiveUpTime(const Send& send) const {
+  const Duration timeout = send.earlier_running ? settings_.earlier_send_timeout
+                                                : settings_.claim_timeout;
+  return std::min(send.first_sent + timeout, send.send.deadline);
 }
 
 void OnceClient::OnRevisionSeen(Revision revision) {
--- a/coordination/at_most_once/once_client.h
+++ b/coordination/at_most_once/once_client.h
@@ -26,18 +26,18 @@
   // The first byte of the request must be written within this time of the first
   // claim message, checked by this node's clock right before the write. Must be
   // far below `OnceShardSettings::window`.
-  Duration grant_time_to_live = Duration::Seconds(30);
+  Duration grant_ttl = Duration::Seconds(30);
   // If an earlier send with the same key is still running, a send waits up to
-  // `wait_for_earlier` for its answer and asks again every
+  // `earlier_send_timeout` for its answer and asks again every
   // `still_running_retry`.
-  Duration wait_for_earlier = Duration::Seconds(10);
+  Duration earlier_send_timeout = Duration::Seconds(10);
   Duration still_running_retry = Duration::Millis(250);
   // The report of an ended claim is sent every `finish_retry` until
-  // acknowledged, at most `most_finish_sends` times.
+  // acknowledged, at most `max_finish_sends` times.
   Duration finish_retry = Duration::Millis(500);
-  int most_finish_sends = 40;
+  int max_finish_sends = 40;
   // Larger answers are not kept for replay.
-  std::size_t largest_answer_bytes = 65536;
+  std::size_t max_answer_bytes = 65536;
   // Retry-after delay of refusals.
   Duration retry_after = Duration::Seconds(1);
 };
@@ -71,13 +71,13 @@
 };
 // This send has not run. An earlier one ran (`certain`) or may have run, and
 // its answer is not available.
-struct OnceTellEarlier {
+struct OnceReportEarlier {
   RequestId request;
   bool certain = false;
 };
 
 using OnceClientAction = std::
-    variant<OncePeerSend, OnceRun, OnceReplay, OnceRefuse, OnceTellEarlier>;
+    variant<OncePeerSend, OnceRun, OnceReplay, OnceRefuse, OnceReportEarlier>;
 using OnceClientActions = std::vector<OnceClientAction>;
 
 // Runs on the node that received the request: finds the owner of the key,
@@ -124,21 +124,21 @@
     // Time of the first claim message, at which the grant's time to live
     // starts.
     Time first_sent;
-    Time next_ask;
+    Time next_claim;
     int unanswered = 0;
     int redirects = 0;
     bool granted = false;
     // The owner replied that an earlier send is still running.
-    bool earlier_runs = false;
+    bool earlier_running = false;
   };
   // The report of an ended claim that the owner has not acknowledged yet.
-  struct OpenReport {
+  struct PendingReport {
     OnceFinish finish;
     Time next_send;
     int sends = 0;
   };
 
-  void Ask(Time now, Send& send, OnceClientActions& actions);
+  void SendClaim(Time now, Send& send, OnceClientActions& actions);
   NodeId OwnerOf(const IdempotencyKey& key) const;
   void ForgetOwner(const IdempotencyKey& key);
   void OnVerdict(Time now,
@@ -147,7 +147,7 @@
                  OnceClientActions& actions);
   void Run(Time now, Send& send, OnceClientActions& actions);
   bool GrantHolds(Time now, const Send& send) const;
-  Time GivesUpAt(const Send& send) const;
+  Time GiveUpTime(const Send& send) const;
   // Ends the send and reports its outcome to the owner.
   void End(Time now,
            const RequestId& request,
@@ -164,7 +164,7 @@
               OnceClientActions& actions);
   // Updates the owner of a reported key after a redirect.
   void RedirectReport(const OnceClaimReply& reply);
-  void SendReport(Time now, OpenReport& report, OnceClientActions& actions);
+  void SendReport(Time now, PendingReport& report, OnceClientActions& actions);
   void Report(EventKind kind, const RequestId& request, std::string_view why);
 
   OnceMember self_;
@@ -173,7 +173,7 @@
   std::vector<OnceMember> members_;
   std::unordered_map<RequestId, Send> sends_;
   std::unordered_map<OnceClaimId, RequestId> requests_;
-  std::map<OnceClaimId, OpenReport> reports_;
+  std::map<OnceClaimId, PendingReport> reports_;
   // Shard owners learned from replies.
   std::map<OnceShardId, NodeId> owners_;
   std::int64_t last_claim_ = 0;
--- a/coordination/at_most_once/once_owner.cc
+++ b/coordination/at_most_once/once_owner.cc
@@ -71,7 +71,7 @@
   }
   for (auto& [id, shard] : shards_) {
     if (PreferredOnceOwner(id, members_) == self_) {
-      shard->LookAfter(now);
+      shard->StartTakeoverIfNeeded(now);
     }
   }
   return TakeActions();
--- a/coordination/at_most_once/once_shard.cc
+++ b/coordination/at_most_once/once_shard.cc
@@ -12,11 +12,11 @@
 // Time for which a loaded claim counts as running before its outcome counts as
 // unknown. If its sender reports to the new owner at all, it does so within
 // this time.
-constexpr Duration kTakenOverRunsAtMost = Duration::Seconds(10);
+constexpr Duration kLoadedClaimRunDuration = Duration::Seconds(10);
 
 // Number of given back claims that are kept. Their late messages arrive within
 // seconds.
-constexpr std::size_t kMostReturned = 256;
+constexpr std::size_t kMaxReturned = 256;
 
 std::size_t AnswerBytes(const OnceAnswer& answer) {
   std::size_t bytes = sizeof(OnceAnswer) + answer.body.size();
@@ -50,19 +50,19 @@
     return OnceVerdict(OnceEarlierUnknown{});
   }
   const std::size_t bytes = OnceEntryBytes(request.key, request.claim);
-  if (journal_bytes_ + bytes > settings_.most_journal_bytes) {
+  if (journal_bytes_ + bytes > settings_.max_journal_bytes) {
     return OnceVerdict(OnceUndecided{});
   }
   journal_bytes_ += bytes;
-  Claimed& claimed = claims_[request.key];
+  ClaimRecord& claimed = claims_[request.key];
   claimed.fingerprint = request.fingerprint;
   claimed.holder = request.claim;
-  return Hold(now, request, claimed);
+  return RecordHolder(now, request, claimed);
 }
 
 OnceShardDecision OnceShard::ClaimKnown(Time now,
                                         const OnceClaimRequest& request,
-                                        Claimed& claimed) {
+                                        ClaimRecord& claimed) {
   if (claimed.fingerprint != request.fingerprint) {
     return OnceVerdict(OnceMismatch{});
   }
@@ -80,7 +80,7 @@
       if (holder) {
         return OnceVerdict(OnceUndecided{});
       }
-      return Hold(now, request, claimed);
+      return RecordHolder(now, request, claimed);
     case OnceClaimState::kAnswered:
       if (claimed.answer) {
         return OnceVerdict(OnceReplayed{*claimed.answer});
@@ -92,9 +92,9 @@
   return OnceVerdict(OnceUndecided{});
 }
 
-OnceRecorded OnceShard::Hold(Time now,
-                             const OnceClaimRequest& request,
-                             Claimed& claimed) {
+OnceRecorded OnceShard::RecordHolder(Time now,
+                                     const OnceClaimRequest& request,
+                                     ClaimRecord& claimed) {
   journal_bytes_ -= claimed.holder.value().size();
   journal_bytes_ += request.claim.value().size();
   claimed.holder = request.claim;
@@ -114,7 +114,7 @@
   if (found == claims_.end() || found->second.holder != finish.claim) {
     return;
   }
-  Claimed& claimed = found->second;
+  ClaimRecord& claimed = found->second;
   // A late report never changes the state from run to not run.
   const bool open = claimed.state == OnceClaimState::kClaimed;
   const bool unknown = claimed.state == OnceClaimState::kMayHaveRun;
@@ -128,7 +128,7 @@
                  [&](const OnceAnswered& answered) {
                    if (open || unknown) {
                      claimed.state = OnceClaimState::kAnswered;
-                     KeepAnswer(finish.key, claimed, answered.answer);
+                     CacheAnswer(finish.key, claimed, answered.answer);
                    }
                  },
                  [&](const OnceAnsweredTooLarge&) {
@@ -151,22 +151,22 @@
 
 void OnceShard::RememberReturned(const OnceClaimId& claim) {
   returned_.push_back(claim);
-  if (returned_.size() > kMostReturned) {
+  if (returned_.size() > kMaxReturned) {
     returned_.pop_front();
   }
 }
 
-void OnceShard::KeepAnswer(const IdempotencyKey& key,
-                           Claimed& claimed,
-                           const OnceAnswer& answer) {
+void OnceShard::CacheAnswer(const IdempotencyKey& key,
+                            ClaimRecord& claimed,
+                            const OnceAnswer& answer) {
   const std::size_t bytes = AnswerBytes(answer);
-  if (bytes > settings_.largest_answer_bytes) {
+  if (bytes > settings_.max_answer_bytes) {
     return;
   }
   claimed.answer = answer;
   answer_bytes_ += bytes;
   answered_.push_back(key);
-  while (answer_bytes_ > settings_.most_answer_bytes) {
+  while (answer_bytes_ > settings_.answer_cache_bytes) {
     DropOldestAnswer();
   }
 }
@@ -195,10 +195,10 @@
     journal_bytes_ -= OnceEntryBytes(key, found->second.holder);
     claims_.erase(found);
   }
-  SkipForgottenAnswers();
+  DropEvictedAnswers();
 }
 
-void OnceShard::SkipForgottenAnswers() {
+void OnceShard::DropEvictedAnswers() {
   while (!answered_.empty()) {
     const auto oldest = claims_.find(answered_.front());
     if (oldest != claims_.end() && oldest->second.answer) {
@@ -211,12 +211,12 @@
 void OnceShard::Load(Time now, const std::vector<OnceEntry>& entries) {
   ++version_;
   for (const OnceEntry& entry : entries) {
-    Claimed claimed;
+    ClaimRecord claimed;
     claimed.fingerprint = entry.fingerprint;
     claimed.holder = entry.holder;
     claimed.state = entry.state;
     claimed.claimed_at = now;
-    claimed.runs_at_most = kTakenOverRunsAtMost;
+    claimed.runs_at_most = kLoadedClaimRunDuration;
     claimed.version = version_;
     claims_[entry.key] = std::move(claimed);
     journal_bytes_ += OnceEntryBytes(entry.key, entry.holder);
--- a/coordination/at_most_once/once_shard.h
+++ b/coordination/at_most_once/once_shard.h
@@ -36,15 +36,15 @@
 struct OnceShardSettings {
   // Time for which a key is kept after its last claim, by the clock of the node
   // that holds it. Must be far above the time for which the sender may use a
-  // grant (`OnceClientSettings::grant_time_to_live`).
+  // grant (`OnceClientSettings::grant_ttl`).
   Duration window = Duration::Seconds(3600);
   // Maximum size of the journal's entries. New keys are refused when it is
   // reached; no key is dropped early.
-  std::size_t most_journal_bytes = 262144;
+  std::size_t max_journal_bytes = 262144;
   // Maximum total size of the kept answers. The oldest are evicted first.
-  std::size_t most_answer_bytes = 1048576;
+  std::size_t answer_cache_bytes = 1048576;
   // Larger answers are not kept.
-  std::size_t largest_answer_bytes = 65536;
+  std::size_t max_answer_bytes = 65536;
 };
 
 // The claim is recorded. It may be granted once a version of the shard that is
@@ -84,7 +84,7 @@
   std::size_t journal_bytes() const { return journal_bytes_; }
 
  private:
-  struct Claimed {
+  struct ClaimRecord {
     Fingerprint fingerprint;
     OnceClaimId holder;
     OnceClaimState state = OnceClaimState::kClaimed;
@@ -103,19 +103,19 @@
   OnceShardDecision ClaimNew(Time now, const OnceClaimRequest& request);
   OnceShardDecision ClaimKnown(Time now,
                                const OnceClaimRequest& request,
-                               Claimed& claimed);
-  OnceRecorded Hold(Time now,
-                    const OnceClaimRequest& request,
-                    Claimed& claimed);
-  void KeepAnswer(const IdempotencyKey& key,
-                  Claimed& claimed,
-                  const OnceAnswer& answer);
+                               ClaimRecord& claimed);
+  OnceRecorded RecordHolder(Time now,
+                            const OnceClaimRequest& request,
+                            ClaimRecord& claimed);
+  void CacheAnswer(const IdempotencyKey& key,
+                   ClaimRecord& claimed,
+                   const OnceAnswer& answer);
   void RememberReturned(const OnceClaimId& claim);
   void DropOldestAnswer();
-  void SkipForgottenAnswers();
+  void DropEvictedAnswers();
 
   OnceShardSettings settings_;
-  std::unordered_map<IdempotencyKey, Claimed> claims_;
+  std::unordered_map<IdempotencyKey, ClaimRecord> claims_;
   std::deque<Expiry> expiries_;
   std::deque<IdempotencyKey> answered_;
   // The most recently given back claims.
--- a/coordination/at_most_once/once_shard_owner.cc
+++ b/coordination/at_most_once/once_shard_owner.cc
@@ -29,11 +29,11 @@
     return;
   }
   // The sender repeats its claim while it waits. Only the latest copy is kept.
-  std::erase_if(arriving_, [&](const OncePendingClaim& other) {
+  std::erase_if(pending_claims_, [&](const OncePendingClaim& other) {
     return other.request.claim == claim.request.claim;
   });
-  arriving_.push_back(claim);
-  LookAfter(now);
+  pending_claims_.push_back(claim);
+  StartTakeoverIfNeeded(now);
 }
 
 void OnceShardOwner::Decide(Time now, const OncePendingClaim& claim) {
@@ -55,9 +55,10 @@
   waiting_.push_back(Waiting{claim, version});
 }
 
-void OnceShardOwner::DecideArriving(Time now) {
-  const std::vector<OncePendingClaim> arriving = std::exchange(arriving_, {});
-  for (const OncePendingClaim& claim : arriving) {
+void OnceShardOwner::DecidePending(Time now) {
+  const std::vector<OncePendingClaim> pending =
+      std::exchange(pending_claims_, {});
+  for (const OncePendingClaim& claim : pending) {
     Decide(now, claim);
   }
 }
@@ -79,9 +80,10 @@
   }
 }
 
-void OnceShardOwner::AnswerArriving(const OnceVerdict& verdict) {
-  const std::vector<OncePendingClaim> arriving = std::exchange(arriving_, {});
-  for (const OncePendingClaim& claim : arriving) {
+void OnceShardOwner::ReplyToPending(const OnceVerdict& verdict) {
+  const std::vector<OncePendingClaim> pending =
+      std::exchange(pending_claims_, {});
+  for (const OncePendingClaim& claim : pending) {
     hooks_.reply(claim, verdict);
   }
 }
@@ -97,7 +99,7 @@
     return false;
   }
   if (state_ != State::kOwned) {
-    LookAfter(now);
+    StartTakeoverIfNeeded(now);
     return false;
   }
   shard_.Finish(now, finish);
@@ -111,8 +113,9 @@
   if (settings_.outage_lease == Duration() || !unanswered_since_) {
     return false;
   }
-  return now - *unanswered_since_ >= settings_.outage_after &&
-         now < confirmed_ + settings_.outage_lease - settings_.margin;
+  return now - *unanswered_since_ >= settings_.outage_threshold &&
+         now < last_confirmed_write_ + settings_.outage_lease -
+                   settings_.max_clock_drift;
 }
 
 // Takeover --------------------------------------------------------------------
@@ -122,7 +125,7 @@
          hooks_.alive(known_owner_);
 }
 
-void OnceShardOwner::LookAfter(Time now) {
+void OnceShardOwner::StartTakeoverIfNeeded(Time now) {
   if (state_ == State::kNone && !call_ && now >= next_call_ &&
       !release_wanted_ && !KnowsOwner(now)) {
     StartRead(now);
@@ -150,7 +153,7 @@
       std::find_if(reply.entries.begin(), reply.entries.end(),
                    [&](const StoreEntry& each) { return each.key == key_; });
   if (entry == reply.entries.end()) {
-    Consider(now, Revision(), OnceJournal());
+    ConsiderTakeover(now, Revision(), OnceJournal());
     return;
   }
   const auto journal = DecodeOnceJournal(entry->value);
@@ -159,32 +162,32 @@
     OnNoAnswer(now, call, settings_.store_retry);
     return;
   }
-  Consider(now, entry->revision, ValueOf(journal));
+  ConsiderTakeover(now, entry->revision, ValueOf(journal));
 }
 
-void OnceShardOwner::Consider(Time now,
-                              Revision revision,
-                              const OnceJournal& journal) {
+void OnceShardOwner::ConsiderTakeover(Time now,
+                                      Revision revision,
+                                      const OnceJournal& journal) {
   if (journal.owner != self_ && hooks_.alive(journal.owner)) {
     known_owner_ = journal.owner;
-    known_until_ = now + settings_.owner_known_for;
-    AnswerArriving(OnceElsewhere{journal.owner.node});
+    known_until_ = now + settings_.owner_cache_ttl;
+    ReplyToPending(OnceElsewhere{journal.owner.node});
     return;
   }
   const OnceMember preferred = hooks_.preferred();
   if (preferred != self_) {
-    AnswerArriving(preferred.node.empty()
+    ReplyToPending(preferred.node.empty()
                        ? OnceVerdict(OnceUndecided{})
                        : OnceVerdict(OnceElsewhere{preferred.node}));
     return;
   }
-  Take(now, revision, journal);
+  TakeOver(now, revision, journal);
 }
 
-void OnceShardOwner::Take(Time now,
-                          Revision revision,
-                          const OnceJournal& journal) {
-  base_ = revision;
+void OnceShardOwner::TakeOver(Time now,
+                              Revision revision,
+                              const OnceJournal& journal) {
+  base_revision_ = revision;
   shard_ = OnceShard(settings_.shard);
   shard_.Load(now, journal.entries);
   // The last owner may have granted claims that are not in the journal, and may
@@ -193,8 +196,9 @@
   // enough, whatever the offset between the two clocks.
   const bool released = journal.owner.node.empty();
   const bool outage_lease = !released && journal.outage_lease > Duration();
-  if (outage_lease || journal.may_miss_claims || distrusts_record_) {
-    shard_.RefuseUnknownKeys(now + journal.outage_lease + settings_.margin);
+  if (outage_lease || journal.may_miss_claims || record_incomplete_) {
+    shard_.RefuseUnknownKeys(now + journal.outage_lease +
+                             settings_.max_clock_drift);
   }
   durable_version_ = 0;
   dirty_since_.reset();
@@ -203,37 +207,37 @@
   StartWrite(now, State::kTaking);
 }
 
-void OnceShardOwner::Lose(Time now, const OnceMember& owner) {
+void OnceShardOwner::OnOwnershipLost(Time now, const OnceMember& owner) {
   if (state_ == State::kOwned) {
     Report(EventKind::kShardLost, "taken_over");
   }
   state_ = State::kNone;
   known_owner_ = owner;
-  known_until_ = now + settings_.owner_known_for;
+  known_until_ = now + settings_.owner_cache_ttl;
   for (const Waiting& waiting : waiting_) {
-    arriving_.push_back(waiting.claim);
+    pending_claims_.push_back(waiting.claim);
   }
   waiting_.clear();
   open_changes_.clear();
   unanswered_since_.reset();
   shard_ = OnceShard(settings_.shard);
-  AnswerArriving(KnowsOwner(now) ? OnceVerdict(OnceElsewhere{owner.node})
+  ReplyToPending(KnowsOwner(now) ? OnceVerdict(OnceElsewhere{owner.node})
                                  : OnceVerdict(OnceUndecided{}));
 }
 
 void OnceShardOwner::Release(Time now) {
   release_wanted_ = true;
-  AnswerArriving(OnceUndecided{});
+  ReplyToPending(OnceUndecided{});
   WriteIfDue(now);
 }
 
 void OnceShardOwner::OnRewound(Time now) {
-  distrusts_record_ = true;
+  record_incomplete_ = true;
   call_.reset();
-  Lose(now, OnceMember());
+  OnOwnershipLost(now, OnceMember());
 }
 
-void OnceShardOwner::Rewound(Time now) {
+void OnceShardOwner::ReportRewind(Time now) {
   hooks_.on_rewound(key_);
   OnRewound(now);
 }
--- a/coordination/at_most_once/once_shard_owner.h
+++ b/coordination/at_most_once/once_shard_owner.h
@@ -19,30 +19,30 @@
   std::int64_t shard_count = 64;
   // Minimum interval between two journal writes of a shard. Claims that arrive
   // in between are written together. All shards together make at most
-  // `shard_count / journal_gap` writes per unit of time.
-  Duration journal_gap = Duration::Millis(200);
+  // `shard_count / journal_interval` writes per unit of time.
+  Duration journal_interval = Duration::Millis(200);
   // Timeout of a call to the key-value service. It is three times the duration
   // of the last answered call if that is longer, and doubles after each
-  // unanswered call up to `longest_store_timeout`, so that a slow service is
+  // unanswered call up to `max_store_timeout`, so that a slow service is
   // not mistaken for one that loses its answers.
   Duration store_timeout = Duration::Millis(750);
-  Duration longest_store_timeout = Duration::Seconds(8);
+  Duration max_store_timeout = Duration::Seconds(8);
   // Delay before the next call after the service failed.
   Duration store_retry = Duration::Millis(250);
   // Maximum delay until an ended claim is written to the journal, even without
   // new claims.
-  Duration finish_delay = Duration::Seconds(3);
+  Duration max_finish_delay = Duration::Seconds(3);
   // Time after its last confirmed write during which an owner that gets no
   // answer from the service may grant claims that it cannot journal. Zero
   // disables this. See docs/design/0011-at-most-once.md before raising it.
   Duration outage_lease;
   // The service counts as down for a shard once a write has been unanswered for
   // this time.
-  Duration outage_after = Duration::Millis(500);
+  Duration outage_threshold = Duration::Millis(500);
   // Time for which a node caches the owner of a shard that it read.
-  Duration owner_known_for = Duration::Seconds(1);
+  Duration owner_cache_ttl = Duration::Seconds(1);
   // Maximum drift between two nodes' clocks over a window and an outage lease.
-  Duration margin = Duration::Seconds(1);
+  Duration max_clock_drift = Duration::Seconds(1);
   OnceShardSettings shard;
 };
 
@@ -88,7 +88,7 @@
   bool Finish(Time now, const NodeId& from, const OnceFinish& finish);
   // Starts to take over the shard if its owner is gone and this node is the
   // preferred successor.
-  void LookAfter(Time now);
+  void StartTakeoverIfNeeded(Time now);
   // Returns whether the reply belongs to a call of this shard.
   bool OnStoreReply(Time now, StoreCallId id, const StoreReply& reply);
   void Tick(Time now);
@@ -138,18 +138,20 @@
   bool WriteDue(Time now) const;
 
   void OnRecord(Time now, const Call& call, const StoreRangeReply& reply);
-  void Consider(Time now, Revision revision, const OnceJournal& journal);
-  void Take(Time now, Revision revision, const OnceJournal& journal);
+  void ConsiderTakeover(Time now,
+                        Revision revision,
+                        const OnceJournal& journal);
+  void TakeOver(Time now, Revision revision, const OnceJournal& journal);
   void OnWritten(Time now, const Call& call, Revision revision);
   void OnConflict(Time now, const StoreConflict& conflict);
   void OnNoAnswer(Time now, const Call& call, Duration retry_after);
-  void Rewound(Time now);
-  void Lose(Time now, const OnceMember& owner);
+  void ReportRewind(Time now);
+  void OnOwnershipLost(Time now, const OnceMember& owner);
 
   void Decide(Time now, const OncePendingClaim& claim);
-  void DecideArriving(Time now);
+  void DecidePending(Time now);
   void GrantUpTo(Time now, std::int64_t version);
-  void AnswerArriving(const OnceVerdict& verdict);
+  void ReplyToPending(const OnceVerdict& verdict);
   bool MayGrantUnjournaled(Time now) const;
   void Report(EventKind kind, std::string_view why);
 
@@ -166,7 +168,7 @@
   Time next_call_;
   Time last_write_;
   // Revision of the record that the next write replaces.
-  Revision base_;
+  Revision base_revision_;
   // This node's writes that have not been confirmed.
   std::set<ChangeId> open_changes_;
   // Version of the shard that is known to be stored in the record.
@@ -174,13 +176,13 @@
   // Time at which the shard first changed after `durable_version_`.
   std::optional<Time> dirty_since_;
   // Time at which the last confirmed write was sent.
-  Time confirmed_;
+  Time last_confirmed_write_;
   // Time at which the first write since the last confirmed one was sent.
   std::optional<Time> unanswered_since_;
   bool release_wanted_ = false;
   // True if the service was restored to an earlier state, whose record may miss
   // claims.
-  bool distrusts_record_ = false;
+  bool record_incomplete_ = false;
 
   // Owner of the shard according to the last read, and the end of the time for
   // which it is cached.
@@ -188,7 +190,7 @@
   Time known_until_;
 
   // Claims that wait until the shard is taken over.
-  std::vector<OncePendingClaim> arriving_;
+  std::vector<OncePendingClaim> pending_claims_;
   std::vector<Waiting> waiting_;
 };
 
--- a/coordination/at_most_once/once_shard_owner_calls.cc
+++ b/coordination/at_most_once/once_shard_owner_calls.cc
@@ -15,13 +15,13 @@
   if (release_wanted_) {
     return true;
   }
-  if (now - last_write_ < settings_.journal_gap) {
+  if (now - last_write_ < settings_.journal_interval) {
     return false;
   }
   if (!waiting_.empty()) {
     return true;
   }
-  if (dirty_since_ && now - *dirty_since_ >= settings_.finish_delay) {
+  if (dirty_since_ && now - *dirty_since_ >= settings_.max_finish_delay) {
     return true;
   }
   // Writing the record renews the outage lease.
@@ -48,7 +48,7 @@
   journal.entries = shard_.Entries();
   open_changes_.insert(journal.change);
   const StoreCallId id = hooks_.call_store(
-      StorePut{key_, EncodeOnceJournal(journal), base_, LeaseId()});
+      StorePut{key_, EncodeOnceJournal(journal), base_revision_, LeaseId()});
   call_ = Call{id, now, true, shard_.version(), hooks_.seen()};
   last_write_ = now;
   if (!unanswered_since_) {
@@ -66,7 +66,7 @@
   call_.reset();
   if (!std::holds_alternative<StoreNoAnswer>(reply)) {
     timeout_ = std::clamp((now - call.sent) * 3, settings_.store_timeout,
-                          settings_.longest_store_timeout);
+                          settings_.max_store_timeout);
   }
   std::visit(
       Overloaded{
@@ -88,13 +88,13 @@
   // Revisions only increase. If the write got a revision that this node already
   // knew of, the service has lost all later changes, claims among them.
   if (revision <= call.seen) {
-    Rewound(now);
+    ReportRewind(now);
     return;
   }
   hooks_.on_revision(revision);
-  base_ = revision;
+  base_revision_ = revision;
   open_changes_.clear();
-  confirmed_ = call.sent;
+  last_confirmed_write_ = call.sent;
   unanswered_since_.reset();
   durable_version_ = call.version;
   dirty_since_.reset();
@@ -104,14 +104,14 @@
   if (state_ == State::kReleasing) {
     GrantUpTo(now, durable_version_);
     Report(EventKind::kShardLost, "released");
-    Lose(now, OnceMember());
+    OnOwnershipLost(now, OnceMember());
     return;
   }
   if (state_ == State::kTaking) {
     Report(EventKind::kShardAcquired, "taken");
-    distrusts_record_ = false;
+    record_incomplete_ = false;
     state_ = State::kOwned;
-    DecideArriving(now);
+    DecidePending(now);
   }
   GrantUpTo(now, durable_version_);
   WriteIfDue(now);
@@ -121,30 +121,30 @@
   const Revision current =
       conflict.current ? conflict.current->revision : Revision();
   // A record's revision never decreases, and the record is never deleted.
-  if (current < base_) {
-    Rewound(now);
+  if (current < base_revision_) {
+    ReportRewind(now);
     return;
   }
   if (!conflict.current) {
-    Lose(now, OnceMember());
+    OnOwnershipLost(now, OnceMember());
     return;
   }
   hooks_.on_revision(current);
   const auto journal = DecodeOnceJournal(conflict.current->value);
   if (!IsOk(journal)) {
     Report(EventKind::kOnceRefused, "journal_unreadable");
-    Lose(now, OnceMember());
+    OnOwnershipLost(now, OnceMember());
     return;
   }
   // The conflicting write is this node's own: it took effect although its
   // answer was lost. The current state of this node includes everything in that
   // write.
   if (open_changes_.contains(ValueOf(journal).change)) {
-    base_ = current;
+    base_revision_ = current;
     StartWrite(now, state_);
     return;
   }
-  Lose(now, ValueOf(journal).owner);
+  OnOwnershipLost(now, ValueOf(journal).owner);
 }
 
 void OnceShardOwner::OnNoAnswer(Time now,
@@ -155,14 +155,14 @@
     return;
   }
   state_ = State::kNone;
-  AnswerArriving(OnceUndecided{});
+  ReplyToPending(OnceUndecided{});
 }
 
 void OnceShardOwner::Tick(Time now) {
   if (call_ && now - call_->sent >= timeout_) {
     const Call call = *call_;
     call_.reset();
-    timeout_ = std::min(timeout_ * 2, settings_.longest_store_timeout);
+    timeout_ = std::min(timeout_ * 2, settings_.max_store_timeout);
     OnNoAnswer(now, call, settings_.store_retry);
   }
   shard_.Tick(now);
@@ -171,8 +171,8 @@
   if (unfinished && !call_ && now >= next_call_) {
     StartWrite(now, state_);
   }
-  if (!arriving_.empty()) {
-    LookAfter(now);
+  if (!pending_claims_.empty()) {
+    StartTakeoverIfNeeded(now);
   }
   WriteIfDue(now);
   if (MayGrantUnjournaled(now)) {
--- a/coordination/requests/attempt_log.cc
+++ b/coordination/requests/attempt_log.cc
@@ -8,7 +8,7 @@
 
 bool AttemptLog::Start(Time now, const AttemptId& attempt) {
   if (outcome_ || now >= policy_.deadline || attempts_.contains(attempt) ||
-      attempts_.size() >= static_cast<std::size_t>(policy_.most_attempts)) {
+      attempts_.size() >= static_cast<std::size_t>(policy_.max_attempts)) {
     return false;
   }
   if (!policy_.repeatable && (AnyRunning() || may_have_run())) {
@@ -88,8 +88,8 @@
   if (AnyRunning()) {
     return AttemptPending{};
   }
-  if (MayTryAgain(now)) {
-    return AttemptAgain{delivered_};
+  if (MayRetry(now)) {
+    return AttemptRetry{delivered_};
   }
   return Conclude(failure.refused_without_running
                       ? RefusalKind::kEndpointRefused
@@ -139,9 +139,9 @@
                      [](const auto& each) { return !Ended(each.second); });
 }
 
-bool AttemptLog::MayTryAgain(Time now) const {
+bool AttemptLog::MayRetry(Time now) const {
   return now < policy_.deadline &&
-         attempts_.size() < static_cast<std::size_t>(policy_.most_attempts) &&
+         attempts_.size() < static_cast<std::size_t>(policy_.max_attempts) &&
          (policy_.repeatable || !may_have_run());
 }
 
--- a/coordination/requests/attempt_log.h
+++ b/coordination/requests/attempt_log.h
@@ -32,12 +32,12 @@
   bool repeatable = true;
   // True if a stream can continue at another endpoint after its first tokens.
   bool resumable = false;
-  int most_attempts = 3;
+  int max_attempts = 3;
   Time deadline;
 };
 
 // Retry at another endpoint, which continues after `resume_from` tokens.
-struct AttemptAgain {
+struct AttemptRetry {
   TokenCount resume_from;
 };
 // Tell the caller that the request was not run.
@@ -54,7 +54,7 @@
 // answer. Nothing of this attempt may reach the caller.
 struct AttemptIgnored {};
 
-using AttemptDecision = std::variant<AttemptAgain,
+using AttemptDecision = std::variant<AttemptRetry,
                                      TellNotRun,
                                      TellOutcomeUnknown,
                                      TellBroken,
@@ -118,7 +118,7 @@
   static bool Ended(AttemptState state);
   bool AnyRunning() const;
   AttemptDecision Conclude(RefusalKind reason);
-  bool MayTryAgain(Time now) const;
+  bool MayRetry(Time now) const;
 
   AttemptPolicy policy_;
   std::map<AttemptId, AttemptState> attempts_;
--- a/coordination/requests/fingerprint_guard.cc
+++ b/coordination/requests/fingerprint_guard.cc
@@ -12,7 +12,7 @@
 
 // All suspects share one permit issuer. Only an issuer that knows every suspect
 // can keep two of them on different endpoints.
-constexpr std::string_view kDeskKey = "fingerprint-permits";
+constexpr std::string_view kIssuerKey = "fingerprint-permits";
 
 }  // namespace
 
@@ -23,18 +23,19 @@
       settings_(settings),
       events_(std::move(events)),
       suspects_(settings.suspects),
-      desk_(settings.permits) {}
+      permit_issuer_(settings.permits) {}
 
 void FingerprintGuard::OnMembers(Time now, const std::vector<NodeId>& members) {
-  desk_node_ = RendezvousOwner(kDeskKey, members);
-  if (desk_node_ == self_) {
-    desk_.Open(now);
+  issuer_node_ = RendezvousOwner(kIssuerKey, members);
+  if (issuer_node_ == self_) {
+    permit_issuer_.Open(now);
   } else {
-    desk_.Close();
+    permit_issuer_.Close();
   }
 }
 
-GuardVerdict FingerprintGuard::Judge(Time now, Fingerprint fingerprint) const {
+GuardVerdict FingerprintGuard::Classify(Time now,
+                                        Fingerprint fingerprint) const {
   switch (suspects_.Level(now, fingerprint)) {
     case SuspectLevel::kBlocked:
       return GuardBlocked{};
@@ -43,17 +44,17 @@
     case SuspectLevel::kNone:
       break;
   }
-  if (Proven(now, fingerprint)) {
-    return GuardFree{};
+  if (IsProven(now, fingerprint)) {
+    return GuardAllowed{};
   }
   const auto copies = copies_.find(fingerprint);
   if (copies == copies_.end()) {
-    return GuardFree{};
+    return GuardAllowed{};
   }
   return GuardPinned{copies->second.endpoint};
 }
 
-bool FingerprintGuard::Proven(Time now, Fingerprint fingerprint) const {
+bool FingerprintGuard::IsProven(Time now, Fingerprint fingerprint) const {
   const auto found = proven_.find(fingerprint);
   return found != proven_.end() && now < found->second;
 }
@@ -79,7 +80,7 @@
   const auto found = running_.find(attempt);
   if (found == running_.end()) {
     if (permitted_.erase(attempt) > 0) {
-      SendToDesk(PermitDone{attempt, std::nullopt}, actions);
+      SendToIssuer(PermitDone{attempt, std::nullopt}, actions);
     }
     return actions;
   }
@@ -87,15 +88,15 @@
   Forget(attempt);
   if (running.permitted) {
     permitted_.erase(attempt);
-    SendToDesk(PermitDone{attempt, std::nullopt}, actions);
+    SendToIssuer(PermitDone{attempt, std::nullopt}, actions);
   }
   if (!completed) {
     return actions;
   }
-  Prove(now, running.fingerprint);
+  MarkProven(now, running.fingerprint);
   if (suspects_.Level(now, running.fingerprint) == SuspectLevel::kSuspect) {
     suspects_.Clear(now, running.fingerprint);
-    Spread(now, running.fingerprint, actions);
+    BroadcastSuspect(now, running.fingerprint, actions);
   }
   return actions;
 }
@@ -114,8 +115,9 @@
     AddLoss(now, running, actions);
     if (running.permitted) {
       permitted_.erase(attempt);
-      SendToDesk(PermitDone{attempt, suspects_.Delta(now, running.fingerprint)},
-                 actions);
+      SendToIssuer(
+          PermitDone{attempt, suspects_.Delta(now, running.fingerprint)},
+          actions);
     }
   }
   return actions;
@@ -130,11 +132,11 @@
   running_.erase(found);
 }
 
-void FingerprintGuard::Prove(Time now, Fingerprint fingerprint) {
-  const Time expires = now + settings_.proven_for;
+void FingerprintGuard::MarkProven(Time now, Fingerprint fingerprint) {
+  const Time expires = now + settings_.proven_ttl;
   proven_[fingerprint] = expires;
   proofs_.push_back(Proof{fingerprint, expires});
-  while (proofs_.size() > settings_.most_proven) {
+  while (proofs_.size() > settings_.max_proven) {
     DropOldestProof();
   }
 }
@@ -161,7 +163,7 @@
     // cause. The next loss counts.
     return;
   }
-  Spread(now, running.fingerprint, actions);
+  BroadcastSuspect(now, running.fingerprint, actions);
   if (before != SuspectLevel::kBlocked &&
       suspects_.Level(now, running.fingerprint) == SuspectLevel::kBlocked) {
     events_(EventDraft{EventKind::kFingerprintBlocked,
@@ -171,9 +173,9 @@
   }
 }
 
-void FingerprintGuard::Spread(Time now,
-                              Fingerprint fingerprint,
-                              GuardActions& actions) {
+void FingerprintGuard::BroadcastSuspect(Time now,
+                                        Fingerprint fingerprint,
+                                        GuardActions& actions) {
   actions.emplace_back(GuardSpread{suspects_.Delta(now, fingerprint)});
 }
 
@@ -193,28 +195,31 @@
 
 // Permits --------------------------------------------------------------------
 
-GuardActions FingerprintGuard::AskPermit(Time now,
-                                         const AttemptId& attempt,
-                                         Fingerprint fingerprint,
-                                         std::vector<EndpointId> candidates) {
+GuardActions FingerprintGuard::RequestPermit(
+    Time now,
+    const AttemptId& attempt,
+    Fingerprint fingerprint,
+    std::vector<EndpointId> candidates) {
   GuardActions actions;
-  Asking& asking = asking_[attempt];
-  asking.request =
+  PendingPermit& pending = pending_permits_[attempt];
+  pending.request =
       PermitRequest{attempt, fingerprint, std::move(candidates), EndpointId()};
-  asking.since = now;
-  Ask(now, asking, actions);
+  pending.since = now;
+  SendPermitRequest(now, pending, actions);
   return actions;
 }
 
-void FingerprintGuard::Ask(Time now, Asking& asking, GuardActions& actions) {
-  asking.next_ask = now + settings_.permit_retry;
-  SendToDesk(asking.request, actions);
+void FingerprintGuard::SendPermitRequest(Time now,
+                                         PendingPermit& pending,
+                                         GuardActions& actions) {
+  pending.next_request = now + settings_.permit_retry;
+  SendToIssuer(pending.request, actions);
 }
 
-void FingerprintGuard::SendToDesk(GuardMessage message,
-                                  GuardActions& actions) const {
-  if (desk_node_) {
-    actions.emplace_back(GuardPeerSend{*desk_node_, std::move(message)});
+void FingerprintGuard::SendToIssuer(GuardMessage message,
+                                    GuardActions& actions) const {
+  if (issuer_node_) {
+    actions.emplace_back(GuardPeerSend{*issuer_node_, std::move(message)});
   }
 }
 
@@ -222,21 +227,23 @@
                                          const NodeId& from,
                                          const GuardMessage& message) {
   GuardActions actions;
-  std::visit(
-      Overloaded{
-          [&](const PermitRequest& request) {
-            actions.emplace_back(GuardPeerSend{from, Answer(now, request)});
-          },
-          [&](const PermitReply& reply) { OnReply(reply, actions); },
-          [&](const PermitDone& done) { OnDone(now, done); },
-      },
-      message);
+  std::visit(Overloaded{
+                 [&](const PermitRequest& request) {
+                   actions.emplace_back(
+                       GuardPeerSend{from, MakePermitReply(now, request)});
+                 },
+                 [&](const PermitReply& reply) { OnReply(reply, actions); },
+                 [&](const PermitDone& done) { OnDone(now, done); },
+             },
+             message);
   return actions;
 }
 
-PermitReply FingerprintGuard::Answer(Time now, const PermitRequest& request) {
+PermitReply FingerprintGuard::MakePermitReply(Time now,
+                                              const PermitRequest& request) {
   const SuspectLevel level = suspects_.Level(now, request.fingerprint);
-  return PermitReply{request.attempt, desk_.Ask(now, request, level)};
+  return PermitReply{request.attempt,
+                     permit_issuer_.Decide(now, request, level)};
 }
 
 // The permit issuer must count the loss before it grants the fingerprint's next
@@ -245,21 +252,21 @@
   if (done.loss) {
     suspects_.Merge(now, *done.loss);
   }
-  desk_.Done(done.attempt);
+  permit_issuer_.Release(done.attempt);
 }
 
 void FingerprintGuard::OnReply(const PermitReply& reply,
                                GuardActions& actions) {
-  const auto asking = asking_.find(reply.attempt);
-  if (asking == asking_.end()) {
+  const auto pending = pending_permits_.find(reply.attempt);
+  if (pending == pending_permits_.end()) {
     return;
   }
   if (const auto* granted = std::get_if<PermitGranted>(&reply.verdict)) {
-    asking_.erase(asking);
+    pending_permits_.erase(pending);
     permitted_[reply.attempt] = granted->endpoint;
     actions.emplace_back(GuardPermit{reply.attempt, granted->endpoint});
   } else if (std::holds_alternative<PermitBlocked>(reply.verdict)) {
-    asking_.erase(asking);
+    pending_permits_.erase(pending);
     Refuse(reply.attempt, actions);
   }
 }
@@ -274,7 +281,7 @@
   for (auto& [attempt, running] : running_) {
     if (running.permitted && now >= running.next_renewal) {
       running.next_renewal = now + settings_.permit_renewal;
-      SendToDesk(
+      SendToIssuer(
           PermitRequest{attempt, running.fingerprint, {}, running.endpoint},
           actions);
     }
@@ -284,25 +291,25 @@
 GuardActions FingerprintGuard::Tick(Time now) {
   GuardActions actions;
   suspects_.Tick(now);
-  desk_.Tick(now);
+  permit_issuer_.Tick(now);
   while (!proofs_.empty() && proofs_.front().expires <= now) {
     DropOldestProof();
   }
   RenewPermits(now, actions);
-  std::vector<AttemptId> late;
-  for (auto& [attempt, asking] : asking_) {
-    if (now - asking.since >= settings_.permit_timeout ||
-        suspects_.Level(now, asking.request.fingerprint) ==
+  std::vector<AttemptId> expired;
+  for (auto& [attempt, pending] : pending_permits_) {
+    if (now - pending.since >= settings_.permit_timeout ||
+        suspects_.Level(now, pending.request.fingerprint) ==
             SuspectLevel::kBlocked) {
-      late.push_back(attempt);
-    } else if (now >= asking.next_ask) {
-      Ask(now, asking, actions);
+      expired.push_back(attempt);
+    } else if (now >= pending.next_request) {
+      SendPermitRequest(now, pending, actions);
     }
   }
-  for (const AttemptId& attempt : late) {
-    asking_.erase(attempt);
+  for (const AttemptId& attempt : expired) {
+    pending_permits_.erase(attempt);
     // The issuer may have granted the permit in the meantime.
-    SendToDesk(PermitDone{attempt, std::nullopt}, actions);
+    SendToIssuer(PermitDone{attempt, std::nullopt}, actions);
     Refuse(attempt, actions);
   }
   return actions;
--- a/coordination/requests/fingerprint_guard.h
+++ b/coordination/requests/fingerprint_guard.h
@@ -13,18 +13,18 @@
 #include "coordination/membership/membership_messages.h"
 #include "coordination/membership/suspect_table.h"
 #include "coordination/requests/guard_messages.h"
-#include "coordination/requests/permit_desk.h"
+#include "coordination/requests/permit_issuer.h"
 #include "coordination/requests/request.h"
 
 namespace gcw {
 
 struct FingerprintGuardSettings {
   SuspectSettings suspects;
-  PermitDeskSettings permits;
+  PermitIssuerSettings permits;
   // After an attempt of a fingerprint completes, the first loss within this
   // time does not make the fingerprint a suspect.
-  Duration proven_for = Duration::Seconds(1800);
-  std::size_t most_proven = 20000;
+  Duration proven_ttl = Duration::Seconds(1800);
+  std::size_t max_proven = 20000;
   Duration permit_retry = Duration::Millis(200);
   // Interval at which the permit of a running attempt is renewed.
   Duration permit_renewal = Duration::Seconds(2);
@@ -34,7 +34,7 @@
 };
 
 // The request may go to any endpoint.
-struct GuardFree {};
+struct GuardAllowed {};
 // Another attempt of this fingerprint, which is not proven, runs at this
 // endpoint. The next attempt goes there too, so that copies sent at once risk
 // only one endpoint per node.
@@ -47,7 +47,7 @@
 struct GuardBlocked {};
 
 using GuardVerdict =
-    std::variant<GuardFree, GuardPinned, GuardSuspect, GuardBlocked>;
+    std::variant<GuardAllowed, GuardPinned, GuardSuspect, GuardBlocked>;
 
 // Dispatch the attempt to this endpoint.
 struct GuardPermit {
@@ -77,12 +77,12 @@
   // Sets the nodes among which the permit issuer is chosen.
   void OnMembers(Time now, const std::vector<NodeId>& members);
 
-  GuardVerdict Judge(Time now, Fingerprint fingerprint) const;
+  GuardVerdict Classify(Time now, Fingerprint fingerprint) const;
   // Requests a permit. `GuardPermit` or `GuardRefuse` follows.
-  GuardActions AskPermit(Time now,
-                         const AttemptId& attempt,
-                         Fingerprint fingerprint,
-                         std::vector<EndpointId> candidates);
+  GuardActions RequestPermit(Time now,
+                             const AttemptId& attempt,
+                             Fingerprint fingerprint,
+                             std::vector<EndpointId> candidates);
   // Called right before the attempt is written to the endpoint.
   void OnStarted(Time now,
                  const AttemptId& attempt,
@@ -127,34 +127,38 @@
     Fingerprint fingerprint;
     Time expires;
   };
-  struct Asking {
+  struct PendingPermit {
     PermitRequest request;
     Time since;
-    Time next_ask;
+    Time next_request;
   };
 
-  void Spread(Time now, Fingerprint fingerprint, GuardActions& actions);
+  void BroadcastSuspect(Time now,
+                        Fingerprint fingerprint,
+                        GuardActions& actions);
   void AddLoss(Time now, const Running& running, GuardActions& actions);
-  void Ask(Time now, Asking& asking, GuardActions& actions);
-  void SendToDesk(GuardMessage message, GuardActions& actions) const;
-  PermitReply Answer(Time now, const PermitRequest& request);
+  void SendPermitRequest(Time now,
+                         PendingPermit& pending,
+                         GuardActions& actions);
+  void SendToIssuer(GuardMessage message, GuardActions& actions) const;
+  PermitReply MakePermitReply(Time now, const PermitRequest& request);
   void OnReply(const PermitReply& reply, GuardActions& actions);
   void OnDone(Time now, const PermitDone& done);
   void Refuse(const AttemptId& attempt, GuardActions& actions);
   void RenewPermits(Time now, GuardActions& actions);
   void Forget(const AttemptId& attempt);
-  bool Proven(Time now, Fingerprint fingerprint) const;
-  void Prove(Time now, Fingerprint fingerprint);
+  bool IsProven(Time now, Fingerprint fingerprint) const;
+  void MarkProven(Time now, Fingerprint fingerprint);
   void DropOldestProof();
 
   NodeId self_;
   FingerprintGuardSettings settings_;
   EventSink events_;
   SuspectTable suspects_;
-  PermitDesk desk_;
-  std::optional<NodeId> desk_node_;
+  PermitIssuer permit_issuer_;
+  std::optional<NodeId> issuer_node_;
   std::map<AttemptId, Running> running_;
-  std::map<AttemptId, Asking> asking_;
+  std::map<AttemptId, PendingPermit> pending_permits_;
   // Endpoints of the attempts that hold a permit.
   std::map<AttemptId, EndpointId> permitted_;
   std::unordered_map<Fingerprint, Copies> copies_;
--- a/coordination/requests/permit_desk.cc
+++ b/coordination/requests/permit_issuer.cc
@@ -1,26 +1,27 @@
-#include "coordination/requests/permit_desk.h"
+#include "coordination/requests/permit_issuer.h"
 
 #include <algorithm>
 
 namespace gcw {
 
-PermitDesk::PermitDesk(PermitDeskSettings settings) : settings_(settings) {}
+PermitIssuer::PermitIssuer(PermitIssuerSettings settings)
+    : settings_(settings) {}
 
-void PermitDesk::Open(Time now) {
-  if (!opened_) {
-    opened_ = now;
+void PermitIssuer::Open(Time now) {
+  if (!opened_at_) {
+    opened_at_ = now;
   }
 }
 
-void PermitDesk::Close() {
-  opened_.reset();
+void PermitIssuer::Close() {
+  opened_at_.reset();
   permits_.clear();
 }
 
-PermitVerdict PermitDesk::Ask(Time now,
-                              const PermitRequest& request,
-                              SuspectLevel level) {
-  if (!opened_) {
+PermitVerdict PermitIssuer::Decide(Time now,
+                                   const PermitRequest& request,
+                                   SuspectLevel level) {
+  if (!opened_at_) {
     return PermitWait{};
   }
   if (!request.running_at.empty()) {
@@ -30,7 +31,7 @@
   }
   const auto held = permits_.find(request.attempt);
   if (held != permits_.end()) {
-    held->second.heard = now;
+    held->second.last_renewed = now;
     return PermitGranted{held->second.endpoint};
   }
   if (level == SuspectLevel::kBlocked) {
@@ -38,7 +39,7 @@
   }
   // The predecessor's permits are unknown until their holders have renewed
   // them.
-  if (now < *opened_ + settings_.hold || InUse(request.fingerprint)) {
+  if (now < *opened_at_ + settings_.permit_ttl || InUse(request.fingerprint)) {
     return PermitWait{};
   }
   const auto free = std::find_if(
@@ -51,23 +52,23 @@
   return PermitGranted{*free};
 }
 
-void PermitDesk::Done(const AttemptId& attempt) {
+void PermitIssuer::Release(const AttemptId& attempt) {
   permits_.erase(attempt);
 }
 
-void PermitDesk::Tick(Time now) {
+void PermitIssuer::Tick(Time now) {
   std::erase_if(permits_, [&](const auto& permit) {
-    return now - permit.second.heard >= settings_.hold;
+    return now - permit.second.last_renewed >= settings_.permit_ttl;
   });
 }
 
-bool PermitDesk::InUse(Fingerprint fingerprint) const {
+bool PermitIssuer::InUse(Fingerprint fingerprint) const {
   return std::any_of(permits_.begin(), permits_.end(), [&](const auto& permit) {
     return permit.second.fingerprint == fingerprint;
   });
 }
 
-bool PermitDesk::InUse(const EndpointId& endpoint) const {
+bool PermitIssuer::InUse(const EndpointId& endpoint) const {
   return std::any_of(permits_.begin(), permits_.end(), [&](const auto& permit) {
     return permit.second.endpoint == endpoint;
   });
--- a/coordination/requests/permit_desk.h
+++ b/coordination/requests/permit_issuer.h
@@ -1,5 +1,5 @@
-#ifndef COORDINATION_REQUESTS_PERMIT_DESK_H_
-#define COORDINATION_REQUESTS_PERMIT_DESK_H_
+#ifndef COORDINATION_REQUESTS_PERMIT_ISSUER_H_
+#define COORDINATION_REQUESTS_PERMIT_ISSUER_H_
 
 #include <map>
 #include <optional>
@@ -10,44 +10,46 @@
 
 namespace gcw {
 
-struct PermitDeskSettings {
+struct PermitIssuerSettings {
   // A permit that is not renewed for this time is revoked. A newly opened
   // issuer also waits for this time before its first grant, so that holders of
   // its predecessor's permits can renew them.
-  Duration hold = Duration::Seconds(10);
+  Duration permit_ttl = Duration::Seconds(10);
 };
 
 // Grants permits to suspects: each fingerprint runs at one endpoint at a time,
 // and no endpoint runs two suspects. The next loss therefore identifies its
 // cause.
-class PermitDesk {
+class PermitIssuer {
  public:
-  explicit PermitDesk(PermitDeskSettings settings);
+  explicit PermitIssuer(PermitIssuerSettings settings);
 
   // Called when this node becomes the permit issuer.
   void Open(Time now);
   void Close();
-  bool open() const { return opened_.has_value(); }
+  bool open() const { return opened_at_.has_value(); }
 
-  PermitVerdict Ask(Time now, const PermitRequest& request, SuspectLevel level);
-  void Done(const AttemptId& attempt);
+  PermitVerdict Decide(Time now,
+                       const PermitRequest& request,
+                       SuspectLevel level);
+  void Release(const AttemptId& attempt);
   void Tick(Time now);
 
  private:
   struct Permit {
     Fingerprint fingerprint;
     EndpointId endpoint;
-    Time heard;
+    Time last_renewed;
   };
 
   bool InUse(Fingerprint fingerprint) const;
   bool InUse(const EndpointId& endpoint) const;
 
-  PermitDeskSettings settings_;
-  std::optional<Time> opened_;
+  PermitIssuerSettings settings_;
+  std::optional<Time> opened_at_;
   std::map<AttemptId, Permit> permits_;
 };
 
 }  // namespace gcw
 
-#endif  // COORDINATION_REQUESTS_PERMIT_DESK_H_
+#endif  // COORDINATION_REQUESTS_PERMIT_ISSUER_H_
--- a/coordination/requests/request_desk.cc
+++ b/coordination/requests/request_desk.cc
@@ -8,7 +8,7 @@
 
 // True if the process that the attempt went to is gone, or no longer belongs to
 // the replica group that it was chosen for.
-bool IsGone(const Endpoint& endpoint, const ProbeReply& reply) {
+bool IsEndpointGone(const Endpoint& endpoint, const ProbeReply& reply) {
   if (const auto* failed = std::get_if<ProbeFailed>(&reply)) {
     return failed->failure == ProbeFailure::kRefused;
   }
@@ -17,11 +17,11 @@
                                status->state == EngineState::kFailed);
 }
 
-AttemptPolicy PolicyFor(const RequestProfile& profile, int most_attempts) {
+AttemptPolicy PolicyFor(const RequestProfile& profile, int max_attempts) {
   AttemptPolicy policy;
   policy.repeatable = profile.repeatable;
   policy.resumable = std::holds_alternative<ModelTarget>(profile.target);
-  policy.most_attempts = most_attempts;
+  policy.max_attempts = max_attempts;
   policy.deadline = profile.deadline;
   return policy;
 }
@@ -47,7 +47,7 @@
     profile.rank = contract->rank;
   }
   const RequestId id = profile.id;
-  AttemptLog log(PolicyFor(profile, settings_.most_attempts));
+  AttemptLog log(PolicyFor(profile, settings_.max_attempts));
   Request& request =
       requests_.try_emplace(id, std::move(profile), std::move(log))
           .first->second;
@@ -116,8 +116,8 @@
           },
           [&](const AttemptRefused&) {
             EndAttempt(now, *request, false);
-            Settle(now, *request,
-                   AttemptFailure{AttemptProgress::kMaybeSent, true});
+            OnAttemptFailed(now, *request,
+                            AttemptFailure{AttemptProgress::kMaybeSent, true});
           },
           [&](const AttemptBroke& broke) { OnBroke(now, *request, broke); }},
       ended.end);
@@ -132,7 +132,7 @@
     return TakeActions();
   }
   const bool failed = std::holds_alternative<ProbeFailed>(reply);
-  const bool gone = IsGone(check->second.endpoint, reply);
+  const bool gone = IsEndpointGone(check->second.endpoint, reply);
   FinishCheck(now, id, gone, !failed && !gone);
   return TakeActions();
 }
--- a/coordination/requests/request_desk.h
+++ b/coordination/requests/request_desk.h
@@ -23,16 +23,16 @@
 namespace gcw {
 
 struct RequestDeskSettings {
-  int most_attempts = 3;
+  int max_attempts = 3;
   // Number of endpoints that a suspect offers to the permit issuer as
   // candidates.
-  std::size_t permit_candidates = 3;
+  std::size_t max_permit_candidates = 3;
   // Time within which an endpoint must answer a liveness probe after an attempt
   // there broke.
   Duration check_timeout = Duration::Millis(500);
   // A request that may not be repeated must be written within this time of its
-  // first claim. See `OnceClientSettings::grant_time_to_live`.
-  Duration grant_time_to_live = Duration::Seconds(30);
+  // first claim. See `OnceClientSettings::grant_ttl`.
+  Duration grant_ttl = Duration::Seconds(30);
   // Retry-after delay for a trial request that was preempted.
   Duration preempted_retry_after = Duration::Seconds(5);
 };
@@ -155,17 +155,19 @@
   std::optional<Route> ChooseRoute(Time now,
                                    Request& request,
                                    RefusalKind& reason);
-  void AskPermit(Time now, Request& request);
+  void RequestPermit(Time now, Request& request);
   void Dispatch(Time now, Request& request, const Route& route, AttemptId id);
   AttemptId NextAttemptId();
-  bool MayLeave(Time now, Request& request);
+  bool MayDispatch(Time now, Request& request);
   void EndAttempt(Time now, Request& request, bool completed);
   void OnAnswered(Time now, Request& request, const AttemptAnswered& answered);
   void OnBroke(Time now, Request& request, const AttemptBroke& broke);
   void StartCheck(Time now, Request& request);
   void FinishCheck(Time now, ProbeId id, bool lost, bool alive);
-  void Settle(Time now, Request& request, const AttemptFailure& failure);
-  void TryAgain(Time now, Request& request, const AttemptAgain& again);
+  void OnAttemptFailed(Time now,
+                       Request& request,
+                       const AttemptFailure& failure);
+  void Retry(Time now, Request& request, const AttemptRetry& again);
   void GiveUp(Time now, Request& request, RefusalKind reason);
   void Conclude(Time now, Request& request, const AttemptDecision& decision);
   void TellRefusal(Time now, Request& request, Refusal refusal);
@@ -189,7 +191,7 @@
   std::unordered_map<RequestId, Request> requests_;
   std::unordered_map<AttemptId, RequestId> attempts_;
   std::map<ProbeId, Check> checks_;
-  std::map<EndpointId, ProbeId> check_of_;
+  std::map<EndpointId, ProbeId> check_by_endpoint_;
   // Requests by deadline.
   std::multimap<Time, RequestId> deadlines_;
   std::int64_t last_attempt_ = 0;
--- a/coordination/requests/request_desk_attempts.cc
+++ b/coordination/requests/request_desk_attempts.cc
@@ -27,13 +27,13 @@
     return;
   }
   const GuardVerdict verdict =
-      modules_.guard->Judge(now, request.profile.fingerprint);
+      modules_.guard->Classify(now, request.profile.fingerprint);
   if (std::holds_alternative<GuardBlocked>(verdict)) {
     GiveUp(now, request, RefusalKind::kFingerprintBlocked);
     return;
   }
   if (std::holds_alternative<GuardSuspect>(verdict)) {
-    AskPermit(now, request);
+    RequestPermit(now, request);
     return;
   }
   if (const auto* pinned = std::get_if<GuardPinned>(&verdict)) {
@@ -75,10 +75,10 @@
   }
 }
 
-void RequestDesk::AskPermit(Time now, Request& request) {
+void RequestDesk::RequestPermit(Time now, Request& request) {
   std::vector<EndpointId> excluded = request.excluded;
   std::vector<EndpointId> candidates;
-  while (candidates.size() < settings_.permit_candidates) {
+  while (candidates.size() < settings_.max_permit_candidates) {
     const Result<Route, RefusalKind> route =
         modules_.router->Choose(now, request.profile, excluded);
     if (!IsOk(route)) {
@@ -94,15 +94,15 @@
   const AttemptId id = NextAttemptId();
   attempts_.emplace(id, request.profile.id);
   request.phase = Phase::kAwaitingPermit;
-  Apply(now, modules_.guard->AskPermit(now, id, request.profile.fingerprint,
-                                       std::move(candidates)));
+  Apply(now, modules_.guard->RequestPermit(now, id, request.profile.fingerprint,
+                                           std::move(candidates)));
 }
 
 void RequestDesk::Dispatch(Time now,
                            Request& request,
                            const Route& route,
                            AttemptId id) {
-  if (!MayLeave(now, request)) {
+  if (!MayDispatch(now, request)) {
     GiveUp(now, request, RefusalKind::kOnceUnavailable);
     return;
   }
@@ -133,10 +133,9 @@
   actions_.emplace_back(NodeAction(DispatchAttempt{
       request.profile.id, attempt.id, attempt.endpoint, request.priority,
       request.profile.deadline,
-      request.claimed
-          ? std::min(request.profile.deadline,
-                     request.profile.arrived + settings_.grant_time_to_live)
-          : request.profile.deadline,
+      request.claimed ? std::min(request.profile.deadline,
+                                 request.profile.arrived + settings_.grant_ttl)
+                      : request.profile.deadline,
       request.resume_from, !request.profile.repeatable, request.claimed}));
   request.phase = Phase::kRunning;
   request.attempt = std::move(attempt);
@@ -146,7 +145,7 @@
   return AttemptId(attempt_prefix_ + std::to_string(++last_attempt_));
 }
 
-bool RequestDesk::MayLeave(Time now, Request& request) {
+bool RequestDesk::MayDispatch(Time now, Request& request) {
   return !request.claimed || modules_.once->MayWrite(now, request.profile.id);
 }
 
@@ -197,19 +196,19 @@
     return;
   }
   EndAttempt(now, request, false);
-  Settle(now, request, AttemptFailure{broke.progress, false});
+  OnAttemptFailed(now, request, AttemptFailure{broke.progress, false});
 }
 
 void RequestDesk::StartCheck(Time now, Request& request) {
   request.phase = Phase::kChecking;
   const Endpoint& endpoint = request.attempt->endpoint;
-  const auto running = check_of_.find(endpoint.id);
-  if (running != check_of_.end()) {
+  const auto running = check_by_endpoint_.find(endpoint.id);
+  if (running != check_by_endpoint_.end()) {
     checks_.at(running->second).waiting.push_back(request.profile.id);
     return;
   }
   const ProbeId id = ++last_probe_;
-  check_of_.emplace(endpoint.id, id);
+  check_by_endpoint_.emplace(endpoint.id, id);
   checks_.emplace(
       id,
       Check{endpoint, {request.profile.id}, now + settings_.check_timeout * 2});
@@ -230,7 +229,7 @@
   }
   const Check check = std::move(found->second);
   checks_.erase(found);
-  check_of_.erase(check.endpoint.id);
+  check_by_endpoint_.erase(check.endpoint.id);
   if (alive) {
     actions_.emplace_back(NodeAction(DropConnections{check.endpoint.address}));
   } else {
@@ -245,13 +244,14 @@
       continue;
     }
     EndAttempt(now, *request, false);
-    Settle(now, *request, AttemptFailure{request->broke->progress, false});
+    OnAttemptFailed(now, *request,
+                    AttemptFailure{request->broke->progress, false});
   }
 }
 
-void RequestDesk::Settle(Time now,
-                         Request& request,
-                         const AttemptFailure& failure) {
+void RequestDesk::OnAttemptFailed(Time now,
+                                  Request& request,
+                                  const AttemptFailure& failure) {
   const RequestId id = request.profile.id;
   if (request.broke) {
     const TokenCount news = request.broke->delivered - request.log.delivered();
@@ -278,9 +278,7 @@
   Conclude(now, request, decision);
 }
 
-void RequestDesk::TryAgain(Time now,
-                           Request& request,
-                           const AttemptAgain& again) {
+void RequestDesk::Retry(Time now, Request& request, const AttemptRetry& again) {
   const FailedAttempt failed{request.attempts, !request.log.may_have_run(),
                              Duration()};
   const RetryVerdict verdict =
@@ -302,27 +300,26 @@
                            const AttemptDecision& decision) {
   const RequestId id = request.profile.id;
   std::visit(
-      Overloaded{
-          [&](const AttemptAgain& again) { TryAgain(now, request, again); },
-          [&](const TellNotRun& told) {
-            TellRefusal(now, request,
-                        Refusal{told.reason,
-                                modules_.retry_after->Plan(now, told.reason)});
-          },
-          [&](const TellOutcomeUnknown&) {
-            request.outcome = OnceMayHaveRun{};
-            actions_.emplace_back(NodeAction(TellUnknown{id}));
-            Report(request, EventKind::kRequestOutcomeUnknown, {});
-            Forget(now, id, request.log.delivered());
-          },
-          [&](const TellBroken&) {
-            request.outcome = OnceMayHaveRun{};
-            actions_.emplace_back(NodeAction(TellStreamBroken{id}));
-            Report(request, EventKind::kRequestOutcomeUnknown,
-                   {{"delivered", request.log.delivered().value()}});
-            Forget(now, id, request.log.delivered());
-          },
-          [](const AttemptPending&) {}, [](const AttemptIgnored&) {}},
+      Overloaded{[&](const AttemptRetry& again) { Retry(now, request, again); },
+                 [&](const TellNotRun& told) {
+                   TellRefusal(now, request,
+                               Refusal{told.reason, modules_.retry_after->Plan(
+                                                        now, told.reason)});
+                 },
+                 [&](const TellOutcomeUnknown&) {
+                   request.outcome = OnceMayHaveRun{};
+                   actions_.emplace_back(NodeAction(TellUnknown{id}));
+                   Report(request, EventKind::kRequestOutcomeUnknown, {});
+                   Forget(now, id, request.log.delivered());
+                 },
+                 [&](const TellBroken&) {
+                   request.outcome = OnceMayHaveRun{};
+                   actions_.emplace_back(NodeAction(TellStreamBroken{id}));
+                   Report(request, EventKind::kRequestOutcomeUnknown,
+                          {{"delivered", request.log.delivered().value()}});
+                   Forget(now, id, request.log.delivered());
+                 },
+                 [](const AttemptPending&) {}, [](const AttemptIgnored&) {}},
       decision);
 }
 
--- a/coordination/requests/request_desk_modules.cc
+++ b/coordination/requests/request_desk_modules.cc
@@ -83,7 +83,7 @@
                      TellRefusal(now, *request, refuse.refusal);
                    }
                  },
-                 [&](const OnceTellEarlier& earlier) {
+                 [&](const OnceReportEarlier& earlier) {
                    if (Request* request = Find(earlier.request)) {
                      request->phase = Phase::kOffered;
                      Report(*request, EventKind::kOnceRefused, {});
--- a/coordination/requests/retry_after.cc
+++ b/coordination/requests/retry_after.cc
@@ -6,7 +6,7 @@
 
 namespace gcw {
 
-bool CanPassByItself(RefusalKind kind) {
+bool IsTransient(RefusalKind kind) {
   switch (kind) {
     case RefusalKind::kRequestRate:
     case RefusalKind::kTokenRate:
@@ -47,19 +47,19 @@
 }
 
 Duration RetryAfterPlanner::Plan(Time now, RefusalKind kind) {
-  if (!CanPassByItself(kind)) {
+  if (!IsTransient(kind)) {
     return Duration();
   }
   const auto now_millis = static_cast<double>(now.millis());
-  const auto shortest = static_cast<double>(settings_.shortest.millis());
-  const auto longest = static_cast<double>(settings_.longest.millis());
+  const auto min_delay = static_cast<double>(settings_.min_delay.millis());
+  const auto max_delay = static_cast<double>(settings_.max_delay.millis());
   // The schedule never extends past the longest delay. When it is full, callers
   // share its last slot and only the jitter separates them.
-  last_place_ = std::clamp(last_place_ + 1000 / return_rate_,
-                           now_millis + shortest, now_millis + longest);
-  const double millis = Jittered(last_place_ - now_millis);
-  return Duration::Millis(
-      std::max(settings_.shortest.millis(), static_cast<std::int64_t>(millis)));
+  last_slot_ = std::clamp(last_slot_ + 1000 / return_rate_,
+                          now_millis + min_delay, now_millis + max_delay);
+  const double millis = Jittered(last_slot_ - now_millis);
+  return Duration::Millis(std::max(settings_.min_delay.millis(),
+                                   static_cast<std::int64_t>(millis)));
 }
 
 double RetryAfterPlanner::Jittered(double millis) const {
--- a/coordination/requests/retry_after.h
+++ b/coordination/requests/retry_after.h
@@ -6,8 +6,8 @@
 namespace gcw {
 
 struct RetryAfterSettings {
-  Duration shortest = Duration::Millis(500);
-  Duration longest = Duration::Seconds(30);
+  Duration min_delay = Duration::Millis(500);
+  Duration max_delay = Duration::Seconds(30);
   // Fraction by which a delay is randomly lengthened or shortened.
   double jitter = 0.25;
   // Return rate in callers per second until `SetReturnRate` is first called.
@@ -37,11 +37,11 @@
   Random random_;
   double return_rate_;
   // Latest assigned slot, in milliseconds since the epoch.
-  double last_place_ = 0;
+  double last_slot_ = 0;
 };
 
 // True if the reason can go away without a change of the request.
-bool CanPassByItself(RefusalKind kind);
+bool IsTransient(RefusalKind kind);
 
 }  // namespace gcw
 
--- a/coordination/requests/retry_budget.cc
+++ b/coordination/requests/retry_budget.cc
@@ -83,9 +83,9 @@
   if (now < next_clean_up_) {
     return;
   }
-  next_clean_up_ = now + settings_.forget_after;
+  next_clean_up_ = now + settings_.idle_timeout;
   std::erase_if(contracts_, [this, now](const auto& entry) {
-    return now - entry.second.refilled >= settings_.forget_after;
+    return now - entry.second.refilled >= settings_.idle_timeout;
   });
 }
 
--- a/coordination/requests/retry_budget.h
+++ b/coordination/requests/retry_budget.h
@@ -24,7 +24,7 @@
   std::int64_t max_attempts = 3;
   // Contracts that are idle for this time are dropped. Their budgets are full
   // again by then.
-  Duration forget_after = Duration::Seconds(120);
+  Duration idle_timeout = Duration::Seconds(120);
 };
 
 enum class RetryVerdict {
--- a/tests/coordination/at_most_once/once_failure_test.cc
+++ b/tests/coordination/at_most_once/once_failure_test.cc
@@ -11,12 +11,12 @@
 namespace {
 
 // Returns settings for three nodes without random faults or callers.
-OnceWorldSettings Quiet() {
+OnceWorldSettings FaultFreeSettings() {
   OnceWorldSettings settings;
   settings.nodes = 3;
   settings.sends_per_second = 0;
-  settings.endpoint_refuses = 0;
-  settings.answer_lost = 0;
+  settings.refusal_probability = 0;
+  settings.answer_loss_probability = 0;
   settings.owner.shard_count = 8;
   settings.client.shard_count = 8;
   return settings;
@@ -42,8 +42,8 @@
 // Guards against a request that runs twice because only the dead owner knew the
 // claim: the owner of the key dies after the grant and before the answer, and
 // the caller sends again through another node.
-TEST(OnceFailureTest, OwnerDiesAfterGrant) {
-  OnceWorld world(Quiet());
+TEST(OnceFailureTest, RunsOnceIfOwnerDiesAfterGrant) {
+  OnceWorld world(FaultFreeSettings());
   world.Run(Duration::Seconds(1));
   const std::int64_t owner = OwnerOf("key");
   const RequestId first = world.SendKey((owner + 1) % 3, "key");
@@ -63,8 +63,8 @@
 // Guards against a request that runs twice because the sender uses an expired
 // grant: it is paused after the grant, the window in which keys are kept
 // passes, a second send runs, and then the sender resumes.
-TEST(OnceFailureTest, PausedSenderWakesAfterWindow) {
-  OnceWorldSettings settings = Quiet();
+TEST(OnceFailureTest, PausedSenderDoesNotRunAfterWindow) {
+  OnceWorldSettings settings = FaultFreeSettings();
   settings.owner.shard.window = Duration::Seconds(60);
   OnceWorld world(settings);
   world.Run(Duration::Seconds(1));
@@ -86,8 +86,8 @@
 // Guards against used keys that run again after operators restore the key-value
 // service from a backup that lacks their claims. After the restore, the key's
 // owner dies or goes on writing, and the caller sends again.
-TEST(OnceFailureTest, RestoredStoreIsNoticed) {
-  OnceWorld world(Quiet());
+TEST(OnceFailureTest, RestoredStoreIsDetected) {
+  OnceWorld world(FaultFreeSettings());
   world.SendKey(0, "before");
   world.Run(Duration::Seconds(5));
   world.store().Snapshot();
@@ -123,7 +123,7 @@
 // keys and callers' keys that ran before must still be answered. Only new
 // callers' keys, whose claims cannot be journaled, are refused.
 TEST(OnceFailureTest, OutageRefusesOnlyNewCallersKeys) {
-  OnceWorld world(Quiet());
+  OnceWorld world(FaultFreeSettings());
   world.Run(Duration::Seconds(1));
   world.SendKey(0, "known");
   world.Run(Duration::Seconds(3));
@@ -150,7 +150,7 @@
 // returns, and two other nodes own the shards in turn. The journal holds no
 // claim of the outage, and both owners must account for that.
 TEST(OnceFailureTest, ClaimsOfAnOutageAreNotForgotten) {
-  OnceWorldSettings settings = Quiet();
+  OnceWorldSettings settings = FaultFreeSettings();
   settings.owner.outage_lease = Duration::Seconds(60);
   OnceWorld world(settings);
   world.Run(Duration::Seconds(1));
@@ -159,10 +159,10 @@
   while (OwnerOf(returned) != owner) {
     returned += "1";
   }
-  world.settings().endpoint_refuses = 1;
+  world.settings().refusal_probability = 1;
   world.SendKey(0, returned);
   world.Run(Duration::Seconds(10));
-  world.settings().endpoint_refuses = 0;
+  world.settings().refusal_probability = 0;
   world.Outage(Duration::Seconds(20));
   const RequestId first = world.SendKey(0, "new");
   const RequestId second = world.SendKey(0, returned);
@@ -191,7 +191,7 @@
 // Guards against an issued key that runs again after its node restarted: the
 // new process does not know the keys of the old one.
 TEST(OnceFailureTest, IssuedKeyOfEarlierIncarnationIsUnknown) {
-  OnceWorld world(Quiet());
+  OnceWorld world(FaultFreeSettings());
   world.Run(Duration::Seconds(1));
   const std::string key = world.IssueKey(1);
   world.SendKey(0, key);
@@ -208,7 +208,7 @@
 
 // A caller that sends again while the first send runs gets the first answer.
 TEST(OnceFailureTest, SecondSendWaitsForTheFirst) {
-  OnceWorld world(Quiet());
+  OnceWorld world(FaultFreeSettings());
   world.Run(Duration::Seconds(1));
   const RequestId first = world.SendKey(0, "key");
   const RequestId second = world.SendKey(1, "key");
@@ -221,7 +221,7 @@
 // Guards against refusals after a planned stop: the stopping owner must release
 // its shards instead of letting the next owner wait for the lease to expire.
 TEST(OnceFailureTest, PlannedStopReleasesShards) {
-  OnceWorldSettings settings = Quiet();
+  OnceWorldSettings settings = FaultFreeSettings();
   settings.owner.outage_lease = Duration::Seconds(120);
   OnceWorld world(settings);
   world.Run(Duration::Seconds(1));
@@ -239,7 +239,7 @@
 TEST(OnceShardTest, RefusesNewKeysWhenFullAndForgetsAfterTheWindow) {
   OnceShardSettings settings;
   settings.window = Duration::Seconds(10);
-  settings.most_journal_bytes = 100;
+  settings.max_journal_bytes = 100;
   OnceShard shard(settings);
   const auto claim = [&](std::int64_t second, const std::string& key) {
     OnceClaimRequest request;
@@ -258,7 +258,7 @@
 
 // Guards against an answered request that runs again because a late or
 // reordered "not run" report of the same claim overwrites the answer.
-TEST(OnceShardTest, AnAnswerIsNotTakenBack) {
+TEST(OnceShardTest, LateNotRunReportKeepsAnswer) {
   OnceShard shard(OnceShardSettings{});
   OnceClaimRequest request;
   request.claim = OnceClaimId("first");
--- a/tests/coordination/at_most_once/once_random_test.cc
+++ b/tests/coordination/at_most_once/once_random_test.cc
@@ -79,7 +79,7 @@
   settings.seed = *rc::gen::arbitrary<std::uint64_t>();
   // With few keys, a key is sent again soon. With many, it is sent again long
   // after the faults.
-  settings.remembered_keys = *rc::gen::element<std::size_t>(10, 50, 500);
+  settings.recent_key_count = *rc::gen::element<std::size_t>(10, 50, 500);
   settings.owner.shard_count = 8;
   settings.client.shard_count = 8;
   settings.owner.outage_lease = outage_lease;
@@ -128,7 +128,7 @@
 // The same, with senders that stall between the last check and the first byte.
 RC_GTEST_PROP(OnceRandomTest, NeverTwiceWithStalledSenders, ()) {
   OnceWorldSettings settings = AnyWorld(Duration());
-  settings.longest_stall = Duration::Seconds(20);
+  settings.max_stall = Duration::Seconds(20);
   RunRandomFaults(settings);
 }
 
--- a/tests/coordination/requests/attempt_log_test.cc
+++ b/tests/coordination/requests/attempt_log_test.cc
@@ -17,10 +17,10 @@
 };
 
 // Ends the attempt in a random way and returns what the transport would report.
-AttemptFailure EndSomehow(AttemptLog& log,
-                          Time now,
-                          const AttemptId& attempt,
-                          Truth& truth) {
+AttemptFailure EndRandomly(AttemptLog& log,
+                           Time now,
+                           const AttemptId& attempt,
+                           Truth& truth) {
   const bool written =
       *rc::gen::arbitrary<bool>() && log.MayWrite(now, attempt);
   if (!written) {
@@ -59,7 +59,7 @@
     if (!open.empty() && *rc::gen::arbitrary<bool>()) {
       const auto index = *rc::gen::inRange<std::size_t>(0, open.size());
       const AttemptFailure failure =
-          EndSomehow(log, now, open[index], truths[open[index]]);
+          EndRandomly(log, now, open[index], truths[open[index]]);
       log.OnFailed(now, open[index], failure);
       open.erase(open.begin() + static_cast<std::ptrdiff_t>(index));
     }
@@ -89,7 +89,7 @@
   const AttemptId reset("reset");
   ASSERT_TRUE(log.Start(Time(), refused));
   EXPECT_FALSE(log.Start(Time(), reset));
-  EXPECT_TRUE(std::holds_alternative<AttemptAgain>(
+  EXPECT_TRUE(std::holds_alternative<AttemptRetry>(
       log.OnFailed(Time(), refused, {AttemptProgress::kNothingSent, false})));
   ASSERT_TRUE(log.Start(Time(), reset));
   ASSERT_TRUE(log.MayWrite(Time(), reset));
@@ -124,8 +124,8 @@
   log.OnFailed(Time(), hedge, {AttemptProgress::kMaybeSent, false});
   const AttemptDecision decision =
       log.OnFailed(Time(), first, {AttemptProgress::kAnswerBegun, false});
-  ASSERT_TRUE(std::holds_alternative<AttemptAgain>(decision));
-  EXPECT_EQ(std::get<AttemptAgain>(decision).resume_from, TokenCount(1));
+  ASSERT_TRUE(std::holds_alternative<AttemptRetry>(decision));
+  EXPECT_EQ(std::get<AttemptRetry>(decision).resume_from, TokenCount(1));
   ASSERT_TRUE(log.Start(Time(), next));
   ASSERT_TRUE(log.MayWrite(Time(), next));
   EXPECT_EQ(piece(first, 1), PieceDecision::kIgnore);
--- a/tests/coordination/requests/fingerprint_guard_test.cc
+++ b/tests/coordination/requests/fingerprint_guard_test.cc
@@ -58,7 +58,7 @@
   // Returns whether the node refuses the fingerprint.
   bool Refuses(std::size_t node, Fingerprint fingerprint) {
     return std::holds_alternative<GuardBlocked>(
-        guards_[node]->Judge(now_, fingerprint));
+        guards_[node]->Classify(now_, fingerprint));
   }
 
   int lost = 0;
@@ -87,13 +87,13 @@
               std::get_if<FingerprintDelta>(&delivery.message)) {
         guards_[node]->OnDelta(now_, *delta);
       } else {
-        Carry(node, guards_[node]->OnMessage(
-                        now_, delivery.from,
-                        std::get<GuardMessage>(delivery.message)));
+        ApplyActions(node, guards_[node]->OnMessage(
+                               now_, delivery.from,
+                               std::get<GuardMessage>(delivery.message)));
       }
     }
     for (std::size_t node = 0; node < guards_.size(); ++node) {
-      Carry(node, guards_[node]->Tick(now_));
+      ApplyActions(node, guards_[node]->Tick(now_));
     }
   }
 
@@ -103,12 +103,12 @@
     if (candidates.empty()) {
       return;
     }
-    const GuardVerdict verdict = guards_[node]->Judge(now_, fingerprint);
+    const GuardVerdict verdict = guards_[node]->Classify(now_, fingerprint);
     if (std::holds_alternative<GuardBlocked>(verdict)) {
       Refuse(attempt);
     } else if (std::holds_alternative<GuardSuspect>(verdict)) {
-      Carry(node,
-            guards_[node]->AskPermit(now_, attempt, fingerprint, candidates));
+      ApplyActions(node, guards_[node]->RequestPermit(now_, attempt,
+                                                      fingerprint, candidates));
     } else if (const auto* pinned = std::get_if<GuardPinned>(&verdict)) {
       Start(attempt, pinned->endpoint);
     } else {
@@ -135,7 +135,7 @@
     running_[endpoint].erase(attempt);
     ++healthy_done;
     const std::size_t node = owner_.at(attempt).node;
-    Carry(node, guards_[node]->OnFinished(now_, attempt, true));
+    ApplyActions(node, guards_[node]->OnFinished(now_, attempt, true));
   }
 
   void Crash(const EndpointId& endpoint) {
@@ -143,7 +143,7 @@
     alive_.erase(endpoint);
     const std::set<AttemptId> broken = std::exchange(running_[endpoint], {});
     for (std::size_t node = 0; node < guards_.size(); ++node) {
-      Carry(node, guards_[node]->OnEndpointLost(now_, endpoint));
+      ApplyActions(node, guards_[node]->OnEndpointLost(now_, endpoint));
     }
     // Callers send each broken request again, the crasher included.
     for (const AttemptId& attempt : broken) {
@@ -159,15 +159,15 @@
     crasher_refused += crasher ? 1 : 0;
   }
 
-  void Carry(std::size_t node, const GuardActions& actions) {
+  void ApplyActions(std::size_t node, const GuardActions& actions) {
     for (const GuardAction& action : actions) {
       std::visit(Overloaded{
                      [&](const GuardPermit& permit) {
                        if (alive_.contains(permit.endpoint)) {
                          Start(permit.attempt, permit.endpoint);
                        } else {
-                         Carry(node, guards_[node]->OnFinished(
-                                         now_, permit.attempt, false));
+                         ApplyActions(node, guards_[node]->OnFinished(
+                                                now_, permit.attempt, false));
                          Dispatch(node, permit.attempt);
                        }
                      },
@@ -205,7 +205,7 @@
 // The crasher is sent repeatedly through random nodes, one copy at a time,
 // among many healthy requests. These are retried after each loss, and some are
 // equal. Deltas arrive late and duplicated.
-RC_GTEST_PROP(FingerprintGuardTest, CrasherTakesTwoEndpoints, ()) {
+RC_GTEST_PROP(FingerprintGuardTest, CrasherTakesDownTwoEndpoints, ()) {
   GuardWorld world(5, 12, *rc::gen::arbitrary<std::uint64_t>());
   world.network().faults().doubled = *rc::gen::element(0.0, 0.3);
   int sent = 0;
@@ -231,7 +231,7 @@
 // Guards against a caller that takes down the fleet by repeatedly sending
 // copies of a crasher through every node at the same moment: each copy starts
 // before the first loss is known.
-RC_GTEST_PROP(FingerprintGuardTest, CopiesAtOnceTakeOneEndpointANode, ()) {
+RC_GTEST_PROP(FingerprintGuardTest, SimultaneousCopiesCrashFewEndpoints, ()) {
   constexpr std::size_t kNodes = 5;
   GuardWorld world(kNodes, 20, *rc::gen::arbitrary<std::uint64_t>());
   for (int round = 0; round < 10; ++round) {
--- a/tests/coordination/requests/retry_test.cc
+++ b/tests/coordination/requests/retry_test.cc
@@ -49,7 +49,7 @@
 
 // Guards against a second run: the connection breaks after the request was
 // written, so the request may have run and must not be retried.
-TEST(RetryBudgetTest, WhatMayHaveRunIsNotRepeated) {
+TEST(RetryBudgetTest, PossiblyRunRequestIsNotRetried) {
   RetryBudget budget{RetryBudgetSettings()};
   RequestProfile profile = RequestOf("team");
   profile.repeatable = false;
@@ -91,7 +91,7 @@
   EXPECT_LE(*std::ranges::max_element(seconds), 40);
 }
 
-TEST(RetryAfterTest, ComingBackIsNotAskedForWhereItCannotHelp) {
+TEST(RetryAfterTest, NoRetryAfterForPermanentRefusals) {
   RetryAfterPlanner planner(RetryAfterSettings(), SeededRandom(3));
   EXPECT_EQ(planner.Plan(Millis(0), RefusalKind::kModelNotAllowed), Duration());
   EXPECT_GT(planner.Plan(Millis(0), RefusalKind::kRequestRate), Duration());
@@ -106,8 +106,8 @@
     now += *rc::gen::inRange(0, 3000);
     planner.SetReturnRate(*rc::gen::inRange(0, 50));
     const Duration after = planner.Plan(Millis(now), RefusalKind::kQueueFull);
-    RC_ASSERT(after >= settings.shortest);
-    RC_ASSERT(after <= settings.longest * 5 / 4);
+    RC_ASSERT(after >= settings.min_delay);
+    RC_ASSERT(after <= settings.max_delay * 5 / 4);
   }
 }
 
--- a/tests/support/once_world.h
+++ b/tests/support/once_world.h
@@ -28,14 +28,14 @@
   double sends_per_second = 20;
   double repeated = 0.5;
   // Number of recent keys from which repeated sends are drawn.
-  std::size_t remembered_keys = 50;
+  std::size_t recent_key_count = 50;
   // Probability that a new key is issued by the system.
   double issued_keys = 0.25;
   // Probabilities of these ends of an attempt.
-  double endpoint_refuses = 0.05;
-  double answer_lost = 0.05;
+  double refusal_probability = 0.05;
+  double answer_loss_probability = 0.05;
   // Maximum time between the last check and the first byte.
-  Duration longest_stall = Duration::Millis(20);
+  Duration max_stall = Duration::Millis(20);
 };
 
 // What the caller of a send was told.
@@ -73,7 +73,7 @@
     for (std::int64_t index = 0; index < settings.nodes; ++index) {
       Boot(NodeId("n" + std::to_string(index)));
     }
-    ShowMembers();
+    UpdateMembers();
   }
   OnceWorld(const OnceWorld&) = delete;
   OnceWorld& operator=(const OnceWorld&) = delete;
@@ -86,11 +86,11 @@
     node.client.reset();
     node.work.clear();
     node.back_at = now_ + down;
-    After(settings_.detection, [this] { ShowMembers(); });
+    After(settings_.detection, [this] { UpdateMembers(); });
     After(down, [this, id = node.id] {
       if (!nodes_.at(id).owner) {
         Boot(id);
-        After(settings_.detection, [this] { ShowMembers(); });
+        After(settings_.detection, [this] { UpdateMembers(); });
       }
     });
   }
@@ -110,10 +110,10 @@
   void Suspect(std::int64_t index, Duration length) {
     const NodeId id = NodeAt(index).id;
     suspected_.insert(id);
-    ShowMembers();
+    UpdateMembers();
     After(length, [this, id] {
       suspected_.erase(id);
-      ShowMembers();
+      UpdateMembers();
     });
   }
   void Outage(Duration length) {
@@ -130,8 +130,8 @@
       return;
     }
     leaving_.insert(node.id);
-    ShowMembers();
-    Carry(node, node.owner->Release(LocalTime(node)));
+    UpdateMembers();
+    ApplyActions(node, node.owner->Release(LocalTime(node)));
     After(Duration::Seconds(3), [this, index, down, id = node.id] {
       leaving_.erase(id);
       Kill(index, down);
@@ -157,10 +157,10 @@
       Node& node = nodes_.at(delivery.to);
       Enqueue(node, [this, &node, delivery] { OnMessage(node, delivery); });
     }
-    owed_sends_ += sending_ ? settings_.sends_per_second * 0.001 *
-                                  static_cast<double>(kStep.millis())
-                            : 0;
-    for (; DrawUnit(random_) < owed_sends_; owed_sends_ -= 1) {
+    due_sends_ += sending_ ? settings_.sends_per_second * 0.001 *
+                                 static_cast<double>(kStep.millis())
+                           : 0;
+    for (; DrawUnit(random_) < due_sends_; due_sends_ -= 1) {
       CallerSends();
     }
     for (auto& [id, node] : nodes_) {
@@ -191,7 +191,7 @@
       const OnceSend typed{request, ContractId("c"), IdempotencyKey(key),
                            Fingerprint(7),
                            LocalTime(node) + Duration::Seconds(15)};
-      Carry(node, node.client->Start(LocalTime(node), typed));
+      ApplyActions(node, node.client->Start(LocalTime(node), typed));
     });
     return request;
   }
@@ -240,9 +240,9 @@
       node.work.push_back(std::move(job));
     }
   }
-  Duration DrawDuration(Duration most) {
+  Duration DrawDuration(Duration max) {
     return Duration::Millis(static_cast<std::int64_t>(
-        DrawBelow(random_, static_cast<std::uint64_t>(most.millis()) + 1)));
+        DrawBelow(random_, static_cast<std::uint64_t>(max.millis()) + 1)));
   }
 
   void Boot(const NodeId& id) {
@@ -259,7 +259,7 @@
                       .SetSelf(id, node.incarnation)
                       .SetSettings(settings_.client)
                       .Build();
-    Enqueue(node, [this, &node] { TellMembers(node, Members()); });
+    Enqueue(node, [this, &node] { DeliverMembers(node, Members()); });
   }
 
   std::vector<OnceMember> Members() const {
@@ -271,7 +271,7 @@
     }
     return members;
   }
-  void ShowMembers() {
+  void UpdateMembers() {
     const std::vector<OnceMember> members = Members();
     for (auto& each : nodes_) {
       const NodeId& id = each.first;
@@ -280,12 +280,12 @@
       std::erase_if(view, [&](const OnceMember& member) {
         return member.node != id && suspected_.contains(member.node);
       });
-      Enqueue(node, [this, &node, view] { TellMembers(node, view); });
+      Enqueue(node, [this, &node, view] { DeliverMembers(node, view); });
     }
   }
-  void TellMembers(Node& node, const std::vector<OnceMember>& view) {
-    Carry(node, node.owner->OnMembers(LocalTime(node), view));
-    Carry(node, node.client->OnMembers(LocalTime(node), view));
+  void DeliverMembers(Node& node, const std::vector<OnceMember>& view) {
+    ApplyActions(node, node.owner->OnMembers(LocalTime(node), view));
+    ApplyActions(node, node.client->OnMembers(LocalTime(node), view));
   }
 
   void RunTimers() {
@@ -305,9 +305,9 @@
     }
     if (now_ >= node.next_tick) {
       node.next_tick = now_ + Duration::Millis(50);
-      Carry(node, node.owner->Tick(LocalTime(node)));
+      ApplyActions(node, node.owner->Tick(LocalTime(node)));
       node.client->OnRevisionSeen(node.owner->seen());
-      Carry(node, node.client->Tick(LocalTime(node)));
+      ApplyActions(node, node.client->Tick(LocalTime(node)));
     }
   }
 
@@ -316,8 +316,8 @@
       Node& node = each.second;
       if (StoreName(node) == delivery.caller) {
         Enqueue(node, [this, &node, delivery] {
-          Carry(node, node.owner->OnStoreReply(LocalTime(node), delivery.id,
-                                               delivery.reply));
+          ApplyActions(node, node.owner->OnStoreReply(
+                                 LocalTime(node), delivery.id, delivery.reply));
         });
       }
     }
@@ -331,20 +331,23 @@
     std::visit(
         Overloaded{
             [&](const OnceClaimRequest& claim) {
-              Carry(node, node.owner->OnClaim(now, delivery.from, claim));
+              ApplyActions(node,
+                           node.owner->OnClaim(now, delivery.from, claim));
             },
             [&](const OnceFinish& finish) {
-              Carry(node, node.owner->OnFinish(now, delivery.from, finish));
+              ApplyActions(node,
+                           node.owner->OnFinish(now, delivery.from, finish));
             },
             [&](const OnceClaimReply& reply) {
-              Carry(node, node.client->OnReply(now, delivery.from, reply));
+              ApplyActions(node,
+                           node.client->OnReply(now, delivery.from, reply));
             },
             [&](const OnceFinishAck& ack) { node.client->OnFinishAck(ack); },
         },
         delivery.message);
   }
 
-  void Carry(Node& node, const OnceOwnerActions& actions) {
+  void ApplyActions(Node& node, const OnceOwnerActions& actions) {
     for (const OnceOwnerAction& action : actions) {
       if (const auto* call = std::get_if<StoreRequest>(&action)) {
         store_.Send(now_, StoreName(node), call->id, call->call);
@@ -354,7 +357,7 @@
       }
     }
   }
-  void Carry(Node& node, const OnceClientActions& actions) {
+  void ApplyActions(Node& node, const OnceClientActions& actions) {
     for (const OnceClientAction& action : actions) {
       std::visit(
           Overloaded{
@@ -367,7 +370,7 @@
                 sends_.at(refuse.request).refusal = refuse.refusal.kind;
                 Tell(refuse.request, Told::kNotRun);
               },
-              [&](const OnceTellEarlier& earlier) { OnEarlier(earlier); },
+              [&](const OnceReportEarlier& earlier) { OnEarlier(earlier); },
           },
           action);
     }
@@ -387,16 +390,17 @@
   }
   void Write(Node& node, const RequestId& request) {
     if (!node.client->MayWrite(LocalTime(node), request) ||
-        DrawUnit(random_) < settings_.endpoint_refuses) {
+        DrawUnit(random_) < settings_.refusal_probability) {
       Tell(request, Told::kNotRun);
-      Carry(node, node.client->Finish(LocalTime(node), request, OnceNotRun{}));
+      ApplyActions(node,
+                   node.client->Finish(LocalTime(node), request, OnceNotRun{}));
       return;
     }
-    const bool lost = DrawUnit(random_) < settings_.answer_lost;
-    After(DrawDuration(settings_.longest_stall),
+    const bool lost = DrawUnit(random_) < settings_.answer_loss_probability;
+    After(DrawDuration(settings_.max_stall),
           [this, request] { Execute(request); });
     const Incarnation incarnation = node.incarnation;
-    After(settings_.longest_stall + DrawDuration(Duration::Millis(500)),
+    After(settings_.max_stall + DrawDuration(Duration::Millis(500)),
           [this, &node, request, lost, incarnation] {
             if (node.incarnation == incarnation) {
               Enqueue(node, [this, &node, request, lost] {
@@ -419,7 +423,7 @@
     if (!lost) {
       outcome = OnceAnswered{OnceAnswer{200, {}, request.value()}};
     }
-    Carry(node, node.client->Finish(LocalTime(node), request, outcome));
+    ApplyActions(node, node.client->Finish(LocalTime(node), request, outcome));
   }
 
   // Callers ------------------------------------------------------------------
@@ -438,7 +442,7 @@
     }
     SendKey(index, key);
     recent_.push_back(key);
-    if (recent_.size() > settings_.remembered_keys) {
+    if (recent_.size() > settings_.recent_key_count) {
       recent_.erase(recent_.begin());
     }
   }
@@ -449,7 +453,7 @@
                 executed_by_.at(key).front().value() == replay.answer.body,
             "replayed another request's answer", replay.request);
   }
-  void OnEarlier(const OnceTellEarlier& earlier) {
+  void OnEarlier(const OnceReportEarlier& earlier) {
     Tell(earlier.request, Told::kEarlier);
     Require(!earlier.certain || Executions(sends_.at(earlier.request).key) == 1,
             "told that an earlier send ran, but none did", earlier.request);
@@ -484,7 +488,7 @@
   std::set<NodeId> suspected_;
   std::set<NodeId> leaving_;
   bool sending_ = true;
-  double owed_sends_ = 0;
+  double due_sends_ = 0;
   std::map<RequestId, Send> sends_;
   std::set<std::string> keys_;
   std::vector<std::string> recent_;
