--- a/coordination/at_most_once/once_shard_owner.h
+++ b/coordination/at_most_once/once_shard_owner.h
@@ -180,8 +180,8 @@
   // Time at which the first write since the last confirmed one was sent.
   std::optional<Time> unanswered_since_;
   bool release_wanted_ = false;
-  // True if the service was restored to an earlier state, whose record may miss
-  // claims.
+  // True if the service was restored to an earlier state, so the record may
+  // miss claims.
   bool record_incomplete_ = false;
 
   // Owner of the shard according to the last read, and the end of the time for
