--- a/coordination/at_most_once/once_client.cc
+++ b/coordination/at_most_once/once_client.cc
@@ -10,11 +10,12 @@
 
 namespace {
 
-// Redirections followed at once; later ones wait, since nodes whose views
-// differ may send a claim round in a circle.
-constexpr int kMostRedirects = 3;
-// Unanswered messages after which a node is no longer taken for the owner.
-constexpr int kMostUnanswered = 2;
+// Number of redirects that are followed immediately. Later ones wait for the
+// next retry, because nodes with different membership views can redirect a
+// claim in a loop.
+constexpr int kMaxRedirects = 3;
+// Number of unanswered messages after which the cached owner is dropped.
+constexpr int kMaxUnanswered = 2;
 
 }  // namespace
 
@@ -54,19 +55,19 @@
   requests_[fresh.claim] = send.request;
   Send& stored =
       sends_.insert_or_assign(send.request, std::move(fresh)).first->second;
-  Ask(now, stored, actions);
+  SendClaim(now, stored, actions);
   return actions;
 }
 
-void OnceClient::Ask(Time now, Send& send, OnceClientActions& actions) {
-  if (send.unanswered >= kMostUnanswered) {
+void OnceClient::SendClaim(Time now, Send& send, OnceClientActions& actions) {
+  if (send.unanswered >= kMaxUnanswered) {
     ForgetOwner(send.key);
     send.unanswered = 0;
   }
   ++send.unanswered;
-  send.next_ask = now + settings_.claim_retry;
+  send.next_claim = now + settings_.claim_retry;
   const Duration runs_at_most =
-      std::max(send.send.deadline - now, settings_.grant_time_to_live);
+      std::max(send.send.deadline - now, settings_.grant_ttl);
   actions.emplace_back(
       OncePeerSend{OwnerOf(send.key),
                    OnceClaimRequest{send.claim, send.key, send.send.fingerprint,
@@ -101,7 +102,7 @@
     return actions;
   }
   Send& send = sends_.at(request->second);
-  // A claim is used once, however often it is granted.
+  // Ignores repeated grants: a claim is used only once.
   if (send.granted) {
     return actions;
   }
@@ -128,29 +129,29 @@
                  },
                  [&](const OnceAnswerGone&) {
                    Drop(request);
-                   actions.emplace_back(OnceTellEarlier{request, true});
+                   actions.emplace_back(OnceReportEarlier{request, true});
                    Report(EventKind::kOnceReplayed, request, "answer_gone");
                  },
                  [&](const OnceEarlierUnknown&) {
                    Drop(request);
-                   actions.emplace_back(OnceTellEarlier{request, false});
+                   actions.emplace_back(OnceReportEarlier{request, false});
                    Report(EventKind::kOnceRefused, request, "earlier_unknown");
                  },
                  [&](const OnceStillRunning&) {
-                   send.earlier_runs = true;
-                   send.next_ask = now + settings_.still_running_retry;
+                   send.earlier_running = true;
+                   send.next_claim = now + settings_.still_running_retry;
                  },
                  [&](const OnceMismatch&) {
                    Drop(request);
                    Refuse(request, RefusalKind::kOnceMismatch, actions);
                  },
-                 // Asked again by `Tick`, or given back there.
+                 // `Tick` sends the claim again or gives it back.
                  [&](const OnceUndecided&) {},
                  [&](const OnceElsewhere& elsewhere) {
                    owners_[OnceShardOf(send.key, settings_.shard_count)] =
                        elsewhere.owner;
-                   if (++send.redirects <= kMostRedirects) {
-                     Ask(now, send, actions);
+                   if (++send.redirects <= kMaxRedirects) {
+                     SendClaim(now, send, actions);
                    }
                  },
              },
@@ -158,8 +159,8 @@
 }
 
 void OnceClient::Run(Time now, Send& send, OnceClientActions& actions) {
-  // This node may have been suspended since it asked.
-  // A copy, since giving back drops the send.
+  // The request id is copied because `GiveBack` erases the send. The grant may
+  // have expired: this node may have been suspended since it claimed.
   const RequestId request = send.send.request;
   if (!GrantHolds(now, send)) {
     GiveBack(now, request, RefusalKind::kOnceUnavailable, actions);
@@ -171,8 +172,7 @@
 }
 
 bool OnceClient::GrantHolds(Time now, const Send& send) const {
-  return send.key.empty() ||
-         now < send.first_sent + settings_.grant_time_to_live;
+  return send.key.empty() || now < send.first_sent + settings_.grant_ttl;
 }
 
 // Running --------------------------------------------------------------------
@@ -193,7 +193,7 @@
   }
   const auto* answered = std::get_if<OnceAnswered>(&outcome);
   if (answered != nullptr &&
-      answered->answer.body.size() > settings_.largest_answer_bytes) {
+      answered->answer.body.size() > settings_.max_answer_bytes) {
     outcome = OnceAnsweredTooLarge{};
   }
   End(now, request, std::move(outcome), actions);
@@ -209,8 +209,8 @@
   return actions;
 }
 
-// From here on `MayWrite` is false for the request and a late grant finds
-// nothing, so that a claim reported as not run can never run later.
+// After this call `MayWrite` is false for the request and a late grant finds no
+// send, so a claim reported as not run can never run later.
 void OnceClient::End(Time now,
                      const RequestId& request,
                      OnceOutcome outcome,
@@ -220,7 +220,7 @@
   if (send.key.empty()) {
     return;
   }
-  OpenReport& report = reports_[send.claim];
+  PendingReport& report = reports_[send.claim];
   report.finish = OnceFinish{send.claim, send.key, std::move(outcome)};
   SendReport(now, report, actions);
 }
@@ -248,10 +248,10 @@
 }
 
 void OnceClient::SendReport(Time now,
-                            OpenReport& report,
+                            PendingReport& report,
                             OnceClientActions& actions) {
-  // The owner may have changed since the claim.
-  if (report.sends > 0 && report.sends % kMostUnanswered == 0) {
+  // The shard's owner may have changed since the claim.
+  if (report.sends > 0 && report.sends % kMaxUnanswered == 0) {
     ForgetOwner(report.finish.key);
   }
   ++report.sends;
@@ -275,26 +275,26 @@
 
 OnceClientActions OnceClient::Tick(Time now) {
   OnceClientActions actions;
-  std::vector<RequestId> late;
+  std::vector<RequestId> expired;
   for (auto& [request, send] : sends_) {
     if (send.granted) {
       continue;
     }
-    if (now >= GivesUpAt(send)) {
-      late.push_back(request);
-    } else if (now >= send.next_ask) {
-      Ask(now, send, actions);
+    if (now >= GiveUpTime(send)) {
+      expired.push_back(request);
+    } else if (now >= send.next_claim) {
+      SendClaim(now, send, actions);
     }
   }
-  for (const RequestId& request : late) {
-    const bool earlier_runs = sends_.at(request).earlier_runs;
+  for (const RequestId& request : expired) {
+    const bool earlier_running = sends_.at(request).earlier_running;
     GiveBack(now, request,
-             earlier_runs ? RefusalKind::kOnceInProgress
-                          : RefusalKind::kOnceUnavailable,
+             earlier_running ? RefusalKind::kOnceInProgress
+                             : RefusalKind::kOnceUnavailable,
              actions);
   }
   std::erase_if(reports_, [&](const auto& report) {
-    return report.second.sends >= settings_.most_finish_sends &&
+    return report.second.sends >= settings_.max_finish_sends &&
            now >= report.second.next_send;
   });
   for (auto& [claim, report] : reports_) {
@@ -305,10 +305,10 @@
   return actions;
 }
 
-Time OnceClient::GivesUpAt(const Send& send) const {
-  const Duration patience =
-      send.earlier_runs ? settings_.wait_for_earlier : settings_.claim_timeout;
-  return std::min(send.first_sent + patience, send.send.deadline);
+Time OnceClient::GiveUpTime(const Send& send) const {
+  const Duration timeout = send.earlier_running ? settings_.earlier_send_timeout
+                                                : settings_.claim_timeout;
+  return std::min(send.first_sent + timeout, send.send.deadline);
 }
 
 void OnceClient::OnRevisionSeen(Revision revision) {
@@ -340,7 +340,7 @@
 }
 
 std::unique_ptr<OnceClient> OnceClient::Builder::Build() const {
-  // Not make_unique: the constructor is private.
+  // `std::make_unique` cannot call the private constructor.
   return std::unique_ptr<OnceClient>(new OnceClient(self_, settings_, events_));
 }
 
--- a/coordination/requests/attempt_log.cc
+++ b/coordination/requests/attempt_log.cc
@@ -8,7 +8,7 @@
 
 bool AttemptLog::Start(Time now, const AttemptId& attempt) {
   if (outcome_ || now >= policy_.deadline || attempts_.contains(attempt) ||
-      attempts_.size() >= static_cast<std::size_t>(policy_.most_attempts)) {
+      attempts_.size() >= static_cast<std::size_t>(policy_.max_attempts)) {
     return false;
   }
   if (!policy_.repeatable && (AnyRunning() || may_have_run())) {
@@ -36,7 +36,7 @@
       found->second != AttemptState::kWritten) {
     return PieceDecision::kIgnore;
   }
-  // Pieces of two attempts are never mixed: two runs of a model differ.
+  // Pieces of two attempts are never mixed, because two runs of a model differ.
   if (chosen_ && *chosen_ != attempt) {
     return PieceDecision::kIgnore;
   }
@@ -72,7 +72,8 @@
   }
   const bool not_run = failure.refused_without_running ||
                        failure.progress == AttemptProgress::kNothingSent;
-  // An attempt whose answer has begun ran, whatever it says afterwards.
+  // An attempt whose answer has begun did run, even if it later claims
+  // otherwise.
   const bool delivered = chosen_ == attempt;
   found->second =
       not_run && !delivered ? AttemptState::kNotRun : AttemptState::kFailed;
@@ -87,8 +88,8 @@
   if (AnyRunning()) {
     return AttemptPending{};
   }
-  if (MayTryAgain(now)) {
-    return AttemptAgain{delivered_};
+  if (MayRetry(now)) {
+    return AttemptRetry{delivered_};
   }
   return Conclude(failure.refused_without_running
                       ? RefusalKind::kEndpointRefused
@@ -101,7 +102,7 @@
   }
   for (auto& [attempt, state] : attempts_) {
     if (state == AttemptState::kStarted) {
-      // `MayWrite` is false from here on.
+      // `MayWrite` returns false for the attempt from here on.
       state = AttemptState::kNotRun;
     }
   }
@@ -138,9 +139,9 @@
                      [](const auto& each) { return !Ended(each.second); });
 }
 
-bool AttemptLog::MayTryAgain(Time now) const {
+bool AttemptLog::MayRetry(Time now) const {
   return now < policy_.deadline &&
-         attempts_.size() < static_cast<std::size_t>(policy_.most_attempts) &&
+         attempts_.size() < static_cast<std::size_t>(policy_.max_attempts) &&
          (policy_.repeatable || !may_have_run());
 }
 
--- a/coordination/requests/request_desk_modules.cc
+++ b/coordination/requests/request_desk_modules.cc
@@ -1,4 +1,4 @@
-// What the modules behind the desk decided about its requests.
+// The part of `RequestDesk` that applies the decisions of the other modules.
 
 #include "coordination/requests/request_desk.h"
 
@@ -83,7 +83,7 @@
                      TellRefusal(now, *request, refuse.refusal);
                    }
                  },
-                 [&](const OnceTellEarlier& earlier) {
+                 [&](const OnceReportEarlier& earlier) {
                    if (Request* request = Find(earlier.request)) {
                      request->phase = Phase::kOffered;
                      Report(*request, EventKind::kOnceRefused, {});
--- a/tests/coordination/requests/attempt_log_test.cc
+++ b/tests/coordination/requests/attempt_log_test.cc
@@ -11,17 +11,16 @@
 
 namespace {
 
-// A stand-in endpoint's side of one attempt: what truly happened.
+// What really happened at the endpoint of one attempt.
 struct Truth {
   bool ran = false;
 };
 
-// Ends the attempt in one of the ways in which an exchange can end, and says
-// what the transport would report of it.
-AttemptFailure EndSomehow(AttemptLog& log,
-                          Time now,
-                          const AttemptId& attempt,
-                          Truth& truth) {
+// Ends the attempt in a random way and returns what the transport would report.
+AttemptFailure EndRandomly(AttemptLog& log,
+                           Time now,
+                           const AttemptId& attempt,
+                           Truth& truth) {
   const bool written =
       *rc::gen::arbitrary<bool>() && log.MayWrite(now, attempt);
   if (!written) {
@@ -39,11 +38,10 @@
 
 }  // namespace
 
-// Symptom: a caller hears "not run" of a request that ran, or a request that
-// may not be repeated runs twice.
-// Sequence of events: attempts fail before the write, after it and in the
-// middle of the answer, are refused, overlap as hedges and report late.
-// Cause: one attempt's failure is taken for the request's.
+// Guards against a "not run" answer to a request that ran, and against a second
+// run of a request that may not be repeated. Attempts fail before the write,
+// after it and in the middle of the answer, are refused, overlap as hedges and
+// report late. The fault is to take one attempt's failure for the request's.
 RC_GTEST_PROP(AttemptLogTest, NotRunMeansNotRun, ()) {
   AttemptPolicy policy;
   policy.repeatable = *rc::gen::arbitrary<bool>();
@@ -61,7 +59,7 @@
     if (!open.empty() && *rc::gen::arbitrary<bool>()) {
       const auto index = *rc::gen::inRange<std::size_t>(0, open.size());
       const AttemptFailure failure =
-          EndSomehow(log, now, open[index], truths[open[index]]);
+          EndRandomly(log, now, open[index], truths[open[index]]);
       log.OnFailed(now, open[index], failure);
       open.erase(open.begin() + static_cast<std::ptrdiff_t>(index));
     }
@@ -80,9 +78,8 @@
   RC_ASSERT(log.outcome().has_value());
 }
 
-// Symptom: a reservation is confirmed twice.
-// Sequence of events: the request is written and the connection resets.
-// Cause: it is tried again although it may have run.
+// Guards against a second run: the connection resets after the request was
+// written, so the request may have run and must not be retried.
 TEST(AttemptLogTest, UnrepeatableIsNotTriedAgainOnceWritten) {
   AttemptPolicy policy;
   policy.repeatable = false;
@@ -92,7 +89,7 @@
   const AttemptId reset("reset");
   ASSERT_TRUE(log.Start(Time(), refused));
   EXPECT_FALSE(log.Start(Time(), reset));
-  EXPECT_TRUE(std::holds_alternative<AttemptAgain>(
+  EXPECT_TRUE(std::holds_alternative<AttemptRetry>(
       log.OnFailed(Time(), refused, {AttemptProgress::kNothingSent, false})));
   ASSERT_TRUE(log.Start(Time(), reset));
   ASSERT_TRUE(log.MayWrite(Time(), reset));
@@ -101,10 +98,10 @@
   EXPECT_FALSE(log.Start(Time(), AttemptId("third")));
 }
 
-// Symptom: the caller's answer holds words of two runs.
-// Sequence of events: a stream breaks and is resumed elsewhere; the first
-// attempt's pieces arrive late; a hedge's pieces arrive in between.
-// Cause: pieces are taken by request instead of by attempt.
+// Guards against an answer that mixes two runs, because pieces are matched by
+// request instead of by attempt. A stream breaks and is resumed at another
+// endpoint, while late pieces of the first attempt and pieces of a hedge
+// arrive.
 TEST(AttemptLogTest, OnlyOneAttemptReachesTheCaller) {
   AttemptPolicy policy;
   policy.resumable = true;
@@ -127,8 +124,8 @@
   log.OnFailed(Time(), hedge, {AttemptProgress::kMaybeSent, false});
   const AttemptDecision decision =
       log.OnFailed(Time(), first, {AttemptProgress::kAnswerBegun, false});
-  ASSERT_TRUE(std::holds_alternative<AttemptAgain>(decision));
-  EXPECT_EQ(std::get<AttemptAgain>(decision).resume_from, TokenCount(1));
+  ASSERT_TRUE(std::holds_alternative<AttemptRetry>(decision));
+  EXPECT_EQ(std::get<AttemptRetry>(decision).resume_from, TokenCount(1));
   ASSERT_TRUE(log.Start(Time(), next));
   ASSERT_TRUE(log.MayWrite(Time(), next));
   EXPECT_EQ(piece(first, 1), PieceDecision::kIgnore);
@@ -139,7 +136,7 @@
   EXPECT_EQ(log.outcome(), RequestOutcome::kAnsweredWhole);
 }
 
-// A stream that cannot be resumed ends as broken, never as whole or not run.
+// A stream that cannot be resumed ends as broken, never as complete or not run.
 TEST(AttemptLogTest, BrokenStreamIsToldAsBroken) {
   AttemptPolicy policy;
   policy.deadline = Time::FromMillis(1000);
--- a/tests/coordination/requests/fingerprint_guard_test.cc
+++ b/tests/coordination/requests/fingerprint_guard_test.cc
@@ -18,7 +18,8 @@
 
 constexpr Fingerprint kCrasher(666);
 
-// Nodes with a guard each, endpoints that die of the crasher, and callers.
+// Simulates nodes with a guard each, endpoints that crash on `kCrasher`, and
+// callers.
 class GuardWorld {
  public:
   using Message = std::variant<GuardMessage, FingerprintDelta>;
@@ -36,7 +37,8 @@
     for (int index = 0; index < endpoints; ++index) {
       alive_.insert(EndpointId("e" + std::to_string(index)));
     }
-    // Past the time in which the desk waits for earlier permits.
+    // The permit issuer grants nothing until its predecessor's permits have
+    // expired.
     Run(Duration::Seconds(12));
   }
 
@@ -53,10 +55,10 @@
     }
   }
 
-  // Whether the node still lets the crasher go to an endpoint.
+  // Returns whether the node refuses the fingerprint.
   bool Refuses(std::size_t node, Fingerprint fingerprint) {
     return std::holds_alternative<GuardBlocked>(
-        guards_[node]->Judge(now_, fingerprint));
+        guards_[node]->Classify(now_, fingerprint));
   }
 
   int lost = 0;
@@ -85,13 +87,13 @@
               std::get_if<FingerprintDelta>(&delivery.message)) {
         guards_[node]->OnDelta(now_, *delta);
       } else {
-        Carry(node, guards_[node]->OnMessage(
-                        now_, delivery.from,
-                        std::get<GuardMessage>(delivery.message)));
+        ApplyActions(node, guards_[node]->OnMessage(
+                               now_, delivery.from,
+                               std::get<GuardMessage>(delivery.message)));
       }
     }
     for (std::size_t node = 0; node < guards_.size(); ++node) {
-      Carry(node, guards_[node]->Tick(now_));
+      ApplyActions(node, guards_[node]->Tick(now_));
     }
   }
 
@@ -101,12 +103,12 @@
     if (candidates.empty()) {
       return;
     }
-    const GuardVerdict verdict = guards_[node]->Judge(now_, fingerprint);
+    const GuardVerdict verdict = guards_[node]->Classify(now_, fingerprint);
     if (std::holds_alternative<GuardBlocked>(verdict)) {
       Refuse(attempt);
     } else if (std::holds_alternative<GuardSuspect>(verdict)) {
-      Carry(node,
-            guards_[node]->AskPermit(now_, attempt, fingerprint, candidates));
+      ApplyActions(node, guards_[node]->RequestPermit(now_, attempt,
+                                                      fingerprint, candidates));
     } else if (const auto* pinned = std::get_if<GuardPinned>(&verdict)) {
       Start(attempt, pinned->endpoint);
     } else {
@@ -133,7 +135,7 @@
     running_[endpoint].erase(attempt);
     ++healthy_done;
     const std::size_t node = owner_.at(attempt).node;
-    Carry(node, guards_[node]->OnFinished(now_, attempt, true));
+    ApplyActions(node, guards_[node]->OnFinished(now_, attempt, true));
   }
 
   void Crash(const EndpointId& endpoint) {
@@ -141,9 +143,9 @@
     alive_.erase(endpoint);
     const std::set<AttemptId> broken = std::exchange(running_[endpoint], {});
     for (std::size_t node = 0; node < guards_.size(); ++node) {
-      Carry(node, guards_[node]->OnEndpointLost(now_, endpoint));
+      ApplyActions(node, guards_[node]->OnEndpointLost(now_, endpoint));
     }
-    // Each broken request is sent again, the crasher too.
+    // Callers send each broken request again, the crasher included.
     for (const AttemptId& attempt : broken) {
       const Attempt typed = owner_.at(attempt);
       timers_.emplace(now_ + Duration::Millis(30),
@@ -157,15 +159,15 @@
     crasher_refused += crasher ? 1 : 0;
   }
 
-  void Carry(std::size_t node, const GuardActions& actions) {
+  void ApplyActions(std::size_t node, const GuardActions& actions) {
     for (const GuardAction& action : actions) {
       std::visit(Overloaded{
                      [&](const GuardPermit& permit) {
                        if (alive_.contains(permit.endpoint)) {
                          Start(permit.attempt, permit.endpoint);
                        } else {
-                         Carry(node, guards_[node]->OnFinished(
-                                         now_, permit.attempt, false));
+                         ApplyActions(node, guards_[node]->OnFinished(
+                                                now_, permit.attempt, false));
                          Dispatch(node, permit.attempt);
                        }
                      },
@@ -197,13 +199,13 @@
 
 }  // namespace
 
-// Symptom: one request takes down one endpoint after the other, or requests
-// that ran beside it are refused in its place.
-// Sequence of events: the crasher is sent again and again through random nodes,
-// one copy at a time, among many healthy requests, which are retried after each
-// loss, some of them equal; deltas are late and doubled.
-// Cause: losses are counted at one node only, or all that ran are blamed.
-RC_GTEST_PROP(FingerprintGuardTest, CrasherTakesTwoEndpoints, ()) {
+// Guards against one request that takes down endpoint after endpoint, and
+// against healthy requests that are refused in its place, because losses are
+// counted on one node only or all requests that ran on the endpoint are blamed.
+// The crasher is sent repeatedly through random nodes, one copy at a time,
+// among many healthy requests. These are retried after each loss, and some are
+// equal. Deltas arrive late and duplicated.
+RC_GTEST_PROP(FingerprintGuardTest, CrasherTakesDownTwoEndpoints, ()) {
   GuardWorld world(5, 12, *rc::gen::arbitrary<std::uint64_t>());
   world.network().faults().doubled = *rc::gen::element(0.0, 0.3);
   int sent = 0;
@@ -226,11 +228,10 @@
   }
 }
 
-// Symptom: a caller sends many copies of a crasher at once and takes the fleet.
-// Sequence of events: copies at the same moment through every node, over and
-// over.
-// Cause: each copy starts before the first loss is known.
-RC_GTEST_PROP(FingerprintGuardTest, CopiesAtOnceTakeOneEndpointANode, ()) {
+// Guards against a caller that takes down the fleet by repeatedly sending
+// copies of a crasher through every node at the same moment: each copy starts
+// before the first loss is known.
+RC_GTEST_PROP(FingerprintGuardTest, SimultaneousCopiesCrashFewEndpoints, ()) {
   constexpr std::size_t kNodes = 5;
   GuardWorld world(kNodes, 20, *rc::gen::arbitrary<std::uint64_t>());
   for (int round = 0; round < 10; ++round) {
@@ -243,7 +244,7 @@
   RC_ASSERT(world.lost <= static_cast<int>(kNodes) + 1);
 }
 
-// The operators' override, and expiry.
+// A block ends when operators allow the fingerprint, or when it expires.
 TEST(FingerprintGuardTest, BlockEndsByOverrideOrExpiry) {
   SuspectTable table(SuspectSettings{});
   const Time start = Time::FromMillis(1000);
