--- a/coordination/admission/admission.cc
+++ b/coordination/admission/admission.cc
@@ -8,7 +8,7 @@
 namespace gcw {
 namespace {
 
-// Trial requests come after every rank of paid ones at the engines.
+// Engines serve trial requests after paid requests of every rank.
 constexpr std::int64_t kTrialPriority = ContractBuilder::kMaxRank + 1;
 
 EnginePriority PriorityOf(Tier tier, Rank rank) {
@@ -124,8 +124,8 @@
   actions.emplace_back(Queued{id});
 }
 
-// Room that was never reported is the router's matter for paid work and for
-// plain services; trial work runs into measured room only.
+// Before the first report, paid requests and requests to plain services are
+// left to the router; trial requests to models need reported room.
 bool Admission::HasRoom(Time now, const Request& request) {
   const Target& target = *request.target;
   if (!target.room.is_known()) {
@@ -195,8 +195,9 @@
   StartAllWaiting(now, target, actions);
 }
 
-// Paid work is about to use these endpoints; a trial request left there would
-// lengthen each of its steps for as long as it runs.
+// Paid work is about to use the endpoints outside the trial pool. A trial
+// request left there would lengthen every step of the paid requests until it
+// ends.
 void Admission::PreemptOutside(const Target& target, Actions& actions) {
   for (auto& [id, request] : requests_) {
     const bool is_placed_trial = request.target == &target &&
--- a/coordination/admission/admission.h
+++ b/coordination/admission/admission.h
@@ -23,48 +23,50 @@
 
 namespace gcw {
 
-// Order in which engines serve; 0 first.
+// Priority of a request at the engines; 0 is served first.
 using EnginePriority = StrongNumber<struct EnginePriorityTag>;
 
-// Dispatch the request now, to one of `endpoints` only; where there are none
-// given the router chooses among all.
+// Dispatch the request now, to one of `endpoints` only. If none are given, the
+// router chooses among all endpoints.
 struct Admit {
   RequestId request;
   EnginePriority priority;
   EndpointList endpoints;
 };
 
-// Waits at this node; an `Admit` or `Refuse` follows by its deadline.
+// The request waits at this node. An `Admit` or `Refuse` follows by its
+// deadline.
 struct Queued {
   RequestId request;
 };
 
-// The request's final answer: it was not run.
+// The final answer to a request that was not run.
 struct Refuse {
   RequestId request;
   Refusal refusal;
 };
 
-// Cancel this running trial request at its endpoint and end it towards its
-// caller. `OnFinished` is to follow.
+// Cancel this running trial request at its endpoint and end its response to the
+// caller, then call `OnFinished`.
 struct PreemptTrial {
   RequestId request;
 };
 
 using AdmissionAction = std::variant<Admit, Queued, Refuse, PreemptTrial>;
 
-// Decides for each request of a caller whether, when and how this node runs
-// it. Contracts are found by the digest of the caller's key.
+// Admission control: decides for each caller's request whether and when this
+// node runs it, with which priority and on which endpoints. Contracts are found
+// by the digest of the caller's key.
 class Admission {
  public:
   class Builder;
 
-  // The contract set. A change takes effect at once for new requests and for
-  // waiting ones; running ones finish.
+  // Adds or changes a contract. A change applies at once to new and waiting
+  // requests; running requests finish.
   std::vector<AdmissionAction> OnContract(Time now, const Contract& contract);
   std::vector<AdmissionAction> OnContractWithdrawn(Time now,
                                                    const ContractId& contract);
-  // The contract that a caller's key belongs to; none where it is unknown.
+  // The contract that a caller's key belongs to, or null for an unknown key.
   const Contract* FindContract(const KeyDigest& digest) const {
     return contracts_.FindByKey(digest);
   }
@@ -72,8 +74,8 @@
     return contracts_.Find(id);
   }
 
-  // `profile.contract` is as found by `FindContract`; tier, rank and limits
-  // are taken from the contract.
+  // Takes in a new request. `profile.contract` is the id of the contract that
+  // `FindContract` returned; tier, rank and limits come from the contract.
   std::vector<AdmissionAction> Offer(Time now, const RequestProfile& profile);
   std::vector<AdmissionAction> OnCapacity(Time now,
                                           const ModelId& model,
@@ -81,13 +83,13 @@
   std::vector<AdmissionAction> OnCapacity(Time now,
                                           const ServiceId& service,
                                           Headroom headroom);
-  // An admitted request was sent to this endpoint.
+  // Called when an admitted request was sent to this endpoint.
   void OnDispatched(const RequestId& request, const EndpointId& endpoint);
-  // An admitted request ended, was cancelled or not run.
+  // Called when an admitted request has ended, was cancelled or was not run.
   std::vector<AdmissionAction> OnFinished(Time now,
                                           const RequestId& request,
                                           TokenCount generated);
-  // The caller of a waiting request has gone.
+  // Called when the caller of a waiting request has disconnected.
   void OnAbandoned(const RequestId& request);
   std::vector<AdmissionAction> Tick(Time now);
 
@@ -97,7 +99,7 @@
  private:
   using Actions = std::vector<AdmissionAction>;
 
-  // A model or plain service.
+  // Headroom and queues of one model or plain service.
   struct Target {
     Target(const AdmissionSettings& settings, const Random& random);
 
@@ -111,7 +113,7 @@
     TierRoom room;
     AdmissionQueue paid;
     AdmissionQueue trial;
-    // Estimated tokens admitted per second, by tier.
+    // Estimated tokens admitted per second, indexed by tier.
     std::array<DemandMeter, 2> drain;
   };
   enum class Phase { kAwaitingShare, kAwaitingRoom, kRunning };
@@ -120,7 +122,7 @@
     RequestTarget requested;
     Tier tier = Tier::kTrial;
     Rank rank;
-    // Of the contract within its rank.
+    // Weight of the contract among those of its rank.
     double weight = 1;
     TokenCount prompt_tokens;
     TokenCount estimate;
@@ -128,7 +130,7 @@
     Time deadline;
     Time give_up_at;
     Target* target = nullptr;
-    // Empty before it is dispatched.
+    // Empty before the request is dispatched.
     EndpointId endpoint;
     bool is_preempted = false;
   };
@@ -153,7 +155,7 @@
                  Request& request,
                  Actions& actions);
   void Start(Time now, const RequestId& id, Request& request, Actions& actions);
-  // Starts what has room now, else waits for it.
+  // Starts the request if there is room for it, else queues it.
   void Place(Time now, const RequestId& id, Request& request, Actions& actions);
   void StartWaiting(Time now, Target& target, Tier tier, Actions& actions);
   void StartAllWaiting(Time now, Target& target, Actions& actions);
@@ -172,7 +174,8 @@
   static Duration ExpectedWait(const Target& target,
                                Tier tier,
                                const WaitingRequest& request);
-  // The final answer of a request that holds a share; gives the share back.
+  // Refuses a known request that does not run, takes it out of its queue and
+  // returns its share if it holds one.
   void Drop(const RequestId& id,
             RefusalKind kind,
             Duration wait,
@@ -193,7 +196,7 @@
   std::map<ModelId, Target> models_;
   std::map<ServiceId, Target> services_;
   RequestMap requests_;
-  // In order of arrival; may name requests that are gone.
+  // In order of arrival; may contain ids of requests that have been dropped.
   std::deque<RequestId> awaiting_share_;
 };
 
@@ -202,7 +205,7 @@
   Builder& SetSettings(AdmissionSettings settings);
   Builder& SetRandom(Random random);
   Builder& SetEventSink(EventSink sink);
-  // This node's shares; must outlive the admission.
+  // This node's contract limits, which must outlive the admission.
   Builder& SetLimits(Limits* limits);
   Admission Build() const;
 
--- a/coordination/admission/admission_queue.cc
+++ b/coordination/admission/admission_queue.cc
@@ -6,8 +6,8 @@
 namespace gcw {
 namespace {
 
-// The smallest part of a quantum that a turn is worth, or a contract with a
-// tiny token rate among large ones would take thousands of turns.
+// Minimum fraction of the quantum that a turn adds. Without it, a contract with
+// a tiny token rate among large ones would take thousands of turns.
 constexpr double kSmallestTurn = 0.05;
 
 }  // namespace
@@ -62,7 +62,7 @@
   return dropped;
 }
 
-// A turn is worth a quantum to a contract of average weight.
+// A contract of average weight gets one quantum per turn.
 double AdmissionQueue::QuantumOf(const RankQueue& queue,
                                  const Line& line) const {
   double sum = 0;
--- a/coordination/admission/admission_queue.h
+++ b/coordination/admission/admission_queue.h
@@ -11,36 +11,39 @@
 
 namespace gcw {
 
-// A request that waits for room.
+// A request that waits for room at a model's endpoints.
 struct WaitingRequest {
   RequestId id;
   ContractId contract;
   Rank rank;
-  // Of the contract within its rank; its token rate.
+  // Weight of the contract among those of its rank: its token rate.
   double weight = 1;
-  // Estimated tokens.
+  // Cost in estimated tokens.
   std::int64_t cost = 0;
-  // It is of no use later.
+  // The request is refused if it still waits at this time.
   Time give_up_at;
 };
 
-// One tier's bounded queue for one model: strictly by rank, and by weighted
-// deficit round robin over tokens among the contracts of a rank. A full queue
-// drops the newest request of whoever has most waiting in the lowest rank, so
-// that a contract that floods it pushes out its own.
+// Bounded queue of one tier for one model. Ranks are served in strict order,
+// and the contracts of a rank by weighted deficit round robin over tokens. A
+// full queue drops the newest request of the contract with the most tokens by
+// weight in the last rank, so that a contract that floods the queue pushes out
+// its own requests.
 class AdmissionQueue {
  public:
   AdmissionQueue(std::int64_t limit, std::int64_t quantum_tokens);
 
-  // The request that had no place: another one, or the one pushed.
+  // Returns the request that was dropped because the queue was full, if any; it
+  // may be `request` itself.
   std::optional<WaitingRequest> Push(WaitingRequest request);
-  // The next in turn.
+  // Returns the next request to serve, or nothing if the queue is empty.
   std::optional<WaitingRequest> Pop();
   void Remove(const RequestId& id);
   std::vector<WaitingRequest> TakeContract(const ContractId& contract);
   std::vector<WaitingRequest> TakeExpired(Time now);
 
-  // Tokens that go before a request of this contract, if it came now.
+  // Estimated tokens that would be served before `request` if it were pushed
+  // now.
   double TokensAhead(const WaitingRequest& request) const;
   std::int64_t size() const { return size_; }
   bool empty() const { return size_ == 0; }
@@ -54,9 +57,9 @@
   };
   struct RankQueue {
     std::map<ContractId, Line> lines;
-    // Contracts in turn; the front one is being served.
+    // Order of the round robin; the front contract has its turn.
     std::deque<ContractId> ring;
-    // The front one's turn has added its quantum.
+    // True if the front contract has received the quantum of its turn.
     bool is_turn_open = false;
   };
 
--- a/coordination/admission/admission_settings.h
+++ b/coordination/admission/admission_settings.h
@@ -8,41 +8,43 @@
 namespace gcw {
 
 struct AdmissionSettings {
-  // Requests of one tier that wait at this node for one model.
+  // Maximum number of requests of a tier that wait at this node for one model.
   std::int64_t paid_queue_limit = 512;
   std::int64_t trial_queue_limit = 64;
-  // Requests that wait for their contract's share.
+  // Maximum number of requests that wait for their contract's share.
   std::int64_t share_queue_limit = 1024;
-  // A trial request waits no longer than this for room.
+  // Maximum time that a trial request waits for room.
   Duration trial_wait = Duration::Millis(2000);
-  // A request waits no longer than this for its contract's share. Longer than
-  // the gap between a lost owner's grants and the floor in a small fleet.
+  // Maximum time that a request waits for its contract's share. It exceeds the
+  // gap between the expiry of a lost owner's grants and the use of the floor in
+  // a small fleet.
   Duration share_wait = Duration::Millis(3000);
-  // Tokens that one turn of the round robin is worth to a contract of average
+  // Quantum of the deficit round robin in tokens, for a contract of average
   // token rate.
   std::int64_t quantum_tokens = 512;
-  // Paid requests that may wait in an endpoint's own queue, per endpoint. What
-  // waits there is served in order of arrival, so that a contract that floods
-  // delays the others.
+  // Paid requests that may wait in an endpoint's own queue, per endpoint. The
+  // default is 0 because that queue is served in order of arrival, so that a
+  // contract that floods it would delay the others.
   std::int64_t engine_backlog = 0;
-  // Nodes take this multiple of their even part of the free room, since not
-  // all of them have callers for it at the same time.
+  // Each node uses this multiple of its equal part of the free room, because
+  // not all nodes have callers for their part at the same time.
   double overcommit = 2;
-  // Refused callers come back after one to two of these, or of the time after
-  // which the request could have been run.
+  // Lower and upper bound of the expected wait that a refused caller is told,
+  // multiplied by a random factor from 1 to 2.
   Duration retry_base = Duration::Millis(1000);
   Duration retry_limit = Duration::Seconds(60);
-  // Reports of room older than this count as no room for trial work.
+  // Load reports older than this count as no room for trial work.
   Duration headroom_max_age = Duration::Millis(5000);
-  // Share of a batch that paid work fills before it gets another endpoint.
+  // Fraction of the batches that paid work fills before it gets another
+  // endpoint.
   double paid_target = 0.7;
-  // Endpoints kept free of trial work for paid arrivals, as a share of those
-  // in use by paid work; one at least.
+  // Endpoints kept free of trial work for paid arrivals, as a fraction of those
+  // used by paid work; at least one.
   double paid_reserve = 0.15;
-  // An endpoint goes back to trial work when paid work has done without it for
+  // An endpoint goes back to trial work once paid work has not needed it for
   // this long.
   Duration shrink_after = Duration::Seconds(5);
-  // KV cache above which an endpoint gets no trial work.
+  // KV cache use, 0 to 1, above which an endpoint gets no trial work.
   double trial_cache_limit = 0.9;
 };
 
--- a/coordination/admission/admission_waiting.cc
+++ b/coordination/admission/admission_waiting.cc
@@ -1,5 +1,5 @@
-// The part of `Admission` that deals with requests that wait, for their
-// contract's share or for room, and with those that waited in vain.
+// The part of `Admission` that handles requests that wait for their contract's
+// share or for room, and refusals.
 
 #include <algorithm>
 #include <utility>
@@ -112,7 +112,7 @@
   }
 }
 
-// Trial requests wait until no paid one does.
+// Trial requests start only if no paid request waits.
 void Admission::StartAllWaiting(Time now, Target& target, Actions& actions) {
   if (!target.room.is_known()) {
     return;
--- a/coordination/admission/headroom.h
+++ b/coordination/admission/headroom.h
@@ -9,29 +9,29 @@
 
 namespace gcw {
 
-// What one endpoint of a model or service runs, by its newest load report.
+// Load of one endpoint of a model or service, from its newest load report.
 struct EndpointHeadroom {
   EndpointId endpoint;
-  // Of the batch.
+  // Maximum number of requests in the endpoint's batch.
   std::int64_t batch_limit = 0;
   std::int64_t running = 0;
   std::int64_t queued = 0;
-  // How many of these are paid, where the engine tells them apart. Without it
-  // everything that is not this node's own trial work counts as paid: safe for
-  // paid work, but trial work of other nodes then drives trial work out.
+  // Running and queued requests that are paid, if the engine reports them. If
+  // unset, all of them count as paid: safe for paid work, but running trial
+  // work then displaces trial work.
   std::optional<std::int64_t> paid;
-  // KV cache held by running requests, 0 to 1.
+  // Fraction of the KV cache that running requests use, 0 to 1.
   double cache_share = 0;
 };
 
-// Room for one model or plain service as this node sees it.
+// Load reports of one model or plain service as this node knows them.
 struct Headroom {
-  // Of the oldest report.
+  // Time of the oldest report.
   Time taken_at;
-  // How many nodes send to the model; each takes its part of the free room, so
-  // that nodes with the same report do not fill it several times over.
+  // Number of nodes that send to the model. Each uses its part of the free
+  // room, so that nodes with the same reports do not fill it several times.
   std::int64_t sharing_nodes = 1;
-  // Endpoints that are routable.
+  // The routable endpoints.
   std::vector<EndpointHeadroom> endpoints;
 };
 
--- a/coordination/admission/tier_pools.cc
+++ b/coordination/admission/tier_pools.cc
@@ -19,7 +19,7 @@
 TierPools::TierPools(const AdmissionSettings& settings)
     : settings_(&settings) {}
 
-// By hash, so that the first endpoints are spread over the data centres.
+// Sorts by hash, so that the first endpoints are spread over the data centres.
 void TierPools::SortAlikeEverywhere(std::vector<EndpointHeadroom>& endpoints) {
   const auto key = [](const EndpointHeadroom& e) {
     return std::pair(StableHash(e.endpoint.value()), &e.endpoint.value());
@@ -32,7 +32,7 @@
             });
 }
 
-// How many endpoints hold `paid` requests at the target.
+// Number of endpoints that hold `paid` requests at the target fill.
 std::size_t TierPools::NeededFor(double paid) const {
   double held = 0;
   std::size_t needed = 0;
@@ -57,8 +57,8 @@
       std::min(HighestNeeded(now, NeededFor(paid)), endpoints_.size());
 }
 
-// The most that was needed within the last `shrink_after`, so that the division
-// follows a rise at once and does not swing with every dip.
+// Records `needed` and returns the maximum of the last `shrink_after`, so that
+// the division follows a rise at once and ignores short dips.
 std::size_t TierPools::HighestNeeded(Time now, std::size_t needed) {
   while (!needed_.empty() && needed_.back().count <= needed) {
     needed_.pop_back();
--- a/coordination/admission/tier_pools.h
+++ b/coordination/admission/tier_pools.h
@@ -10,31 +10,32 @@
 
 namespace gcw {
 
-// Divides a model's endpoints between paid and trial work. In one batch each
-// trial request lengthens every step of the paid ones, whatever its priority,
-// so that the tiers never share an endpoint: paid work fills the first
-// endpoints up to a target, a reserve stands free for what arrives next, and
-// trial work gets the rest. How paid work is placed does not depend on whether
-// there is trial work, so neither does how fast it is.
+// Divides a model's endpoints between paid and trial work. A trial request in
+// the same batch lengthens every step of the paid requests, whatever its
+// priority, so the tiers never share an endpoint: paid work fills the first
+// endpoints up to a target, a reserve stays free for new paid requests, and
+// trial work gets the rest. The placement of paid work, and so its speed, does
+// not depend on trial work.
 //
-// All nodes order the endpoints alike and see about the same reports, so that
-// they come to about the same division without asking each other; the reserve
-// takes up the difference.
+// All nodes order the endpoints in the same way and have about the same
+// reports, so that they arrive at about the same division without coordination;
+// the reserve absorbs the differences.
 class TierPools {
  public:
   explicit TierPools(const AdmissionSettings& settings);
 
-  // `endpoints` in any order; `unreported_paid` is what this node admitted
-  // since the reports were taken.
+  // `endpoints` may be in any order. `unreported_paid` is the number of paid
+  // requests that this node admitted, less those that finished, since the
+  // reports were taken.
   void Update(Time now,
               std::vector<EndpointHeadroom> endpoints,
               std::int64_t unreported_paid);
 
-  // Paid work goes to the first endpoints, the reserve and trial work to those
-  // that follow.
+  // The endpoints in order: first those of paid work, then the reserve, then
+  // those of trial work.
   const std::vector<EndpointHeadroom>& endpoints() const { return endpoints_; }
   std::size_t paid_count() const { return paid_count_; }
-  // First of those open to trial work.
+  // Index of the first endpoint of trial work.
   std::size_t trial_begin() const;
 
  private:
@@ -49,7 +50,7 @@
     Time when;
     std::size_t count = 0;
   };
-  // Falling counts; each was the highest from then on.
+  // Decreasing counts; each is the maximum since its time.
   std::deque<Needed> needed_;
 };
 
--- a/coordination/admission/tier_room.cc
+++ b/coordination/admission/tier_room.cc
@@ -39,8 +39,8 @@
   DivideTrial();
 }
 
-// A part below one is drawn, so that the last free places are not left to
-// nobody because each node's part rounds to none.
+// The fraction of a request is rounded at random. If each node rounded its part
+// down, nobody would use the last free places.
 std::int64_t TierRoom::PartOf(std::int64_t free) const {
   const auto nodes =
       static_cast<double>(std::max<std::int64_t>(1, headroom_->sharing_nodes));
@@ -51,7 +51,7 @@
          (DrawUnit(random_) < part - whole ? 1 : 0);
 }
 
-// Paid work may use every endpoint: trial work there is cancelled for it.
+// Paid work may use every endpoint, because trial work is preempted for it.
 void TierRoom::DividePaid() {
   TierState& state = StateOf(Tier::kPaid);
   std::int64_t free = 0;
@@ -81,7 +81,7 @@
     if (endpoint.cache_share > settings_->trial_cache_limit) {
       continue;
     }
-    // Below zero where more was sent than fits, until that has run.
+    // Negative while the endpoint has more requests than its batch holds.
     free += endpoint.batch_limit - endpoint.running - endpoint.queued;
     chosen.push_back(endpoint.endpoint);
   }
@@ -115,8 +115,7 @@
   Record(StateOf(tier), now, 1);
 }
 
-// A trial request that was cancelled outside of the trial endpoints leaves no
-// room in them.
+// A trial request that ends outside the trial endpoints leaves no room in them.
 void TierRoom::Finished(Time now, Tier tier, const EndpointId& endpoint) {
   if (tier == Tier::kPaid || IsOpenToTrial(endpoint)) {
     Record(StateOf(tier), now, -1);
--- a/coordination/admission/tier_room.h
+++ b/coordination/admission/tier_room.h
@@ -17,21 +17,22 @@
 
 namespace gcw {
 
-// Shared, since every admitted request carries it.
+// Shared, because every admitted request carries the list.
 using EndpointList = std::shared_ptr<const std::vector<EndpointId>>;
 
-// Room that this node may fill at one model or service: its part of what the
-// newest reports show, corrected by what it sent and finished since.
+// Room that this node may use at one model or service: its part of the free
+// room in the newest reports, corrected by the requests that this node started
+// and finished since.
 class TierRoom {
  public:
   TierRoom(const AdmissionSettings& settings, Random random);
 
   void Update(Time now, Headroom headroom);
-  // Whether there ever was a report.
+  // True once there was a report.
   bool is_known() const { return headroom_.has_value(); }
   bool HasEndpoints() const;
   bool HasRoom(Time now, Tier tier) const;
-  // Where requests of the tier may go.
+  // Endpoints that requests of the tier may go to.
   const EndpointList& endpoints(Tier tier) const;
   bool IsOpenToTrial(const EndpointId& endpoint) const;
 
@@ -46,7 +47,7 @@
   struct TierState {
     // This node's part of the free room at the time of the reports.
     std::int64_t part = 0;
-    // Its own changes since, oldest first.
+    // Requests that this node started and finished since, oldest first.
     std::deque<Change> changes;
     std::int64_t net = 0;
     EndpointList endpoints;
--- a/coordination/admission/token_estimator.cc
+++ b/coordination/admission/token_estimator.cc
@@ -6,7 +6,7 @@
 namespace gcw {
 namespace {
 
-// The mean follows the last fifty requests or so.
+// Weight of the newest request: the mean covers about the last fifty requests.
 constexpr double kLearningRate = 0.02;
 
 }  // namespace
--- a/coordination/admission/token_estimator.h
+++ b/coordination/admission/token_estimator.h
@@ -8,11 +8,12 @@
 namespace gcw {
 
 // Learns how many tokens each contract's requests generate, so that a request
-// whose caller allows thousands does not block its contract's token rate for
-// the hundred that it will use.
+// that allows thousands of tokens but generates a hundred does not block its
+// contract's token rate.
 class TokenEstimator {
  public:
-  // Prompt plus the learned mean, at most the caller's maximum.
+  // Prompt tokens plus the learned mean of generated tokens, which is capped at
+  // the caller's maximum.
   TokenCount Estimate(const RequestProfile& profile) const;
   void Learn(const ContractId& contract, TokenCount generated);
   void Forget(const ContractId& contract) { means_.erase(contract); }
--- a/coordination/limits/cession_book.cc
+++ b/coordination/limits/cession_book.cc
@@ -28,7 +28,7 @@
       nodes.push_back(node);
     }
   }
-  // The map's order may differ between builds.
+  // Sorted, because the map's order may differ between builds.
   std::sort(nodes.begin(), nodes.end());
   return nodes;
 }
--- a/coordination/limits/cession_book.h
+++ b/coordination/limits/cession_book.h
@@ -9,12 +9,12 @@
 
 namespace gcw {
 
-// Which nodes have given up their floor, and until when on this node's clock.
-// A node that is not covered may be using limit / nodes unasked: it may be cut
-// off, so its silence says nothing.
+// Nodes that have ceded their floor, and until when on this node's clock. A
+// node that is not listed may be cut off and using its floor, limit / nodes,
+// without a grant, so its floor must stay reserved.
 class CessionBook {
  public:
-  // A cession binds until its end; a later, shorter one does not undo it.
+  // A cession stays in force until its end, also if a later one ends earlier.
   void Cede(const NodeId& node, Time until);
   bool Covers(const NodeId& node, Time until) const;
   std::int64_t CoveredUntil(Time until) const;
--- a/coordination/limits/contract_share.cc
+++ b/coordination/limits/contract_share.cc
@@ -41,8 +41,8 @@
   if (!is_fresh_ || share_.IsZero()) {
     return;
   }
-  // All nodes together start with one burst of the whole limit: if each began
-  // with a request of its own, a contract of one request a second would get as
+  // All nodes together start with one burst of the whole limit. If each node
+  // started with one request, a contract of one request per second would get as
   // many at once as there are nodes.
   const double limit = limit_[LimitResource::kRequests];
   requests_.Fill(std::max(1.0, limit * seconds) * PartOf(requests, limit));
@@ -96,13 +96,14 @@
 }
 
 LimitDemand ContractShare::Measure(Time now, const ContractId& contract) {
-  // A contract in use keeps a little for its next request, however rare they
-  // are; as little as does not crowd out what others really ask for.
+  // A contract in use always reports a minimum demand, so that its next request
+  // finds a share however rare requests are. The minimum is small so as not to
+  // reduce the shares of nodes with real demand.
   const double requests =
       std::max(kLeastRequestRate, request_demand_.Measure(now));
   const double tokens =
       std::max(kLeastRequestRate * last_estimate_, token_demand_.Measure(now));
-  // One more than runs, so that the next request finds room.
+  // One more than is running, so that the next request finds room.
   const auto at_once = static_cast<double>(running_ + 1 + turned_away_);
   turned_away_ = 0;
   const double concurrency = limit_[LimitResource::kConcurrency];
--- a/coordination/limits/contract_share.h
+++ b/coordination/limits/contract_share.h
@@ -10,24 +10,25 @@
 
 namespace gcw {
 
-// What this node may use of one contract, what it uses, and what it was asked
-// for. Amounts are in the contract's own units.
+// This node's share, use and demand of one contract, in absolute amounts
+// (requests/s, tokens/s and concurrent requests).
 class ContractShare {
  public:
   explicit ContractShare(LimitVector limit) : limit_(limit) {}
 
   void SetLimit(Time now, const LimitVector& limit, Duration burst);
-  // `share` in the contract's units.
+  // `share` is an absolute amount, not a fraction of the limit.
   void SetShare(Time now, const LimitVector& share, Duration burst);
 
   ShareDecision TryAcquire(Time now, double estimate, AcquireAttempt attempt);
   void Release(double estimate, double actual);
 
-  // What this node could use, as fractions of the limit.
+  // Returns this node's demand as fractions of the limit.
   LimitDemand Measure(Time now, const ContractId& contract);
-  // No request for `idle_after`, none runs, and no tokens are owed.
+  // True if there was no request for `idle_after`, none runs and the token
+  // bucket is not in debt.
   bool IsIdle(Time now, Duration idle_after);
-  // A request waits for a share, since there is none at all.
+  // True from a request that found a zero share until there is a share.
   bool is_starved() const { return is_starved_; }
 
   const LimitVector& limit() const { return limit_; }
@@ -45,7 +46,7 @@
   DemandMeter request_demand_;
   DemandMeter token_demand_;
   std::int64_t running_ = 0;
-  // Refused for want of concurrency since the last report.
+  // First attempts refused for lack of concurrency since the last report.
   std::int64_t turned_away_ = 0;
   bool is_fresh_ = true;
   bool is_starved_ = false;
--- a/coordination/limits/demand_meter.cc
+++ b/coordination/limits/demand_meter.cc
@@ -9,7 +9,7 @@
 constexpr double kRiseMillis = 500;
 constexpr double kFallMillis = 3000;
 constexpr double kMillisPerSecond = 1000.0;
-// A meter that was not read for longer starts anew.
+// Demand added over a longer time is averaged over this much only.
 constexpr double kLongestMillis = 2000;
 
 }  // namespace
--- a/coordination/limits/demand_meter.h
+++ b/coordination/limits/demand_meter.h
@@ -5,12 +5,13 @@
 
 namespace gcw {
 
-// Rate at which something is asked for, granted or not. Rises fast, so that a
-// burst gets its share soon, and falls slowly, so that shares do not flutter.
+// Measures the rate of demand, granted or not. The rate rises fast, so that a
+// burst gets its share soon, and falls slowly, so that shares do not oscillate.
 class DemandMeter {
  public:
   void Add(double amount) { pending_ += amount; }
-  // Takes in what was added since the last call. Per second.
+  // Updates the rate with what was added since the last call and returns it,
+  // per second.
   double Measure(Time now);
   double rate() const { return rate_; }
 
--- a/coordination/limits/limit_client.h
+++ b/coordination/limits/limit_client.h
@@ -10,35 +10,35 @@
 
 namespace gcw {
 
-// One party's dealings with whoever grants a shard: writes its reports and
-// holds the newest grants.
+// One party's side of the exchange with the granter of a shard: makes the
+// reports and holds the newest grants.
 class LimitClient {
  public:
   LimitClient(LimitParty self, LimitReporter kind, LimitShard shard);
 
-  // Where reports go; empty where nobody is known. A new receiver has another
-  // clock, so that the echo starts anew.
+  // Sets the receiver of reports; empty if none is known. The echo is reset for
+  // a new receiver, because its clock differs.
   void SetUpstream(NodeId upstream);
   const NodeId& upstream() const { return upstream_; }
 
-  // The next report, without demands, cessions and weight.
+  // Returns the next report without demands, cessions and weight.
   LimitReport StartReport(Time now);
-  // False for grants that are not for this process, not from the receiver
-  // that is asked now, stale or already expired.
+  // Returns false for grants that are not for this process run, not from the
+  // current upstream, stale or already expired.
   bool OnGrants(Time now, const NodeId& from, const LimitGrants& grants);
 
-  // Fraction of the contract's limits that is granted now.
+  // Currently granted fraction of the contract's limits.
   LimitVector Granted(Time now, const ContractId& contract) const;
-  // The newest grants live until then.
+  // Expiry of the newest grants.
   Time granted_until() const { return granted_until_; }
-  // When the newest grants arrived; absent before the first of this receiver.
+  // When the newest grants arrived; unset before the first from this upstream.
   std::optional<Time> answered_at() const { return answered_at_; }
   std::optional<Time> reported_at() const { return reported_at_; }
-  // Reports since the newest grants arrived.
+  // Number of reports sent since the newest grants arrived.
   std::int64_t unanswered() const { return unanswered_; }
   LimitShard shard() const { return shard_; }
   LimitSequence applied() const { return applied_; }
-  // Of the newest grants.
+  // Fencing token of the newest grants.
   FencingToken fence() const { return fence_; }
 
  private:
--- a/coordination/limits/limit_granter.cc
+++ b/coordination/limits/limit_granter.cc
@@ -6,8 +6,8 @@
 namespace gcw {
 namespace {
 
-// A party that was not heard for this long is forgotten. Its sequence guards
-// against reports that were held up, which do no harm by then.
+// A party is forgotten if it has sent no report for this long. Its sequence
+// rejects delayed reports, which are harmless by then.
 constexpr Duration kPartyMemory = Duration::Seconds(600);
 
 }  // namespace
@@ -44,11 +44,11 @@
   return true;
 }
 
-// The echo proves that the sender had this node's grants of `granted_at` before
-// it sent the report, so that its promise, counted on its own clock from the
-// report, ends no earlier than counted here from the echo. Without the echo a
-// report that was held up on its way would cover a node that is back on its
-// floor, and the sum of shares would exceed the limit by that floor.
+// The echo proves that the sender received this node's grants of `granted_at`
+// before it sent the report. Its cession, counted on its own clock from the
+// report, therefore ends no earlier than when counted here from the echo.
+// Without the echo, a delayed report would list a node that is using its floor
+// again, and the sum of shares would exceed the limit by that floor.
 void LimitGranter::ObserveCessions(const LimitReport& report) {
   if (!report.echo || report.echo->granter != self_) {
     return;
@@ -118,7 +118,7 @@
       totals.push_back({contract, demand, ledger.TotalRunning(now)});
     }
   }
-  // The map's order may differ between builds.
+  // Sorted, because the map's order may differ between builds.
   std::sort(totals.begin(), totals.end(), [](const auto& a, const auto& b) {
     return a.contract < b.contract;
   });
--- a/coordination/limits/limit_granter.h
+++ b/coordination/limits/limit_granter.h
@@ -15,22 +15,22 @@
 
 namespace gcw {
 
-// Demand for one contract over all parties of a granter.
+// Total demand for one contract of all parties of a granter.
 struct LimitDemandTotal {
   ContractId contract;
   LimitVector demand;
-  // As a fraction of the limit.
+  // Fraction of the concurrency limit.
   double running = 0;
 };
 
-// Answers the reports of one shard out of totals that it is given. Owners and
-// relays share it; they differ in where the totals come from.
+// Answers the reports of one shard by dividing given totals. Both owners and
+// relays use it; they differ in the source of the totals.
 class LimitGranter {
  public:
   struct Terms {
     FencingToken fence;
     Duration lifetime;
-    // Of a contract, all parties together.
+    // What all parties together may use of a contract.
     std::function<LimitVector(const ContractId&)> total;
     // One running request as a fraction of the contract's limit.
     std::function<double(const ContractId&)> concurrency_unit;
@@ -38,19 +38,19 @@
 
   LimitGranter(LimitShard shard, Incarnation self);
 
-  // Takes in demand and cessions. False for a report that is no newer than one
-  // already seen.
+  // Records demand and cessions. Returns false if the report is not newer than
+  // one already seen.
   bool Observe(Time now, const LimitReport& report, Duration valid_for);
-  // Answers the report last observed of this sender.
+  // Answers `report`, the last one that `Observe` accepted from its sender.
   LimitGrants Answer(Time now, const LimitReport& report, const Terms& terms);
 
   const CessionBook& cessions() const { return cessions_; }
   LimitVector Held(Time now, const ContractId& contract) const;
   std::vector<ContractId> Contracts() const;
   std::vector<LimitDemandTotal> Demands(Time now) const;
-  // Contracts whose demand was seen for the first time since the last call.
+  // True if a new contract was reported since the last call.
   bool TakeNewDemand();
-  // When the last grant given so far has expired.
+  // Latest expiry of all grants given so far.
   Time last_expiry() const { return last_expiry_; }
   void Expire(Time now);
 
@@ -58,7 +58,7 @@
   struct Party {
     LimitLedger::PartyIndex index = 0;
     LimitSequence last_report;
-    // Contracts of its last report.
+    // Contracts listed in the last report.
     std::set<ContractId> contracts;
     Time seen;
   };
--- a/coordination/limits/limit_ledger.cc
+++ b/coordination/limits/limit_ledger.cc
@@ -7,11 +7,12 @@
 namespace gcw {
 namespace {
 
-// Sums of fractions may miss a whole unit by rounding.
+// Sums of fractions may miss a whole unit because of rounding.
 constexpr double kRounding = 1e-9;
-// Of what nobody asks for, this part is lent evenly to take up the next burst.
-// The rest is at hand for a node that asks for the first time; it would else
-// wait until all others have reported twice.
+// Fraction of the unused total that is granted to the parties by weight, beyond
+// their demand, for the next burst. The rest stays free for a node that asks
+// for the first time, which would otherwise wait until all others have reported
+// twice.
 constexpr double kLentPart = 0.75;
 
 double WholeUnitsBelow(double amount, double unit) {
@@ -27,8 +28,8 @@
   double weight = 1;
 };
 
-// The level per weight at which the claims use up `total` (max-min fairness).
-// Claims must ask for more than `total` together.
+// Returns the amount per weight at which the claims use up `total` (weighted
+// max-min fairness). The sum of the claims must exceed `total`.
 double WaterLevel(std::vector<Claim> claims, double total) {
   std::sort(claims.begin(), claims.end(), [](const Claim& a, const Claim& b) {
     return a.demand * b.weight < b.demand * a.weight;
@@ -153,8 +154,9 @@
                                Time expires) {
   Member& member = MemberOf(party);
   LimitVector share = FairShare(now, member, total);
-  // Of a concurrency that does not divide, whoever asks first gets the odd
-  // unit; running requests are counted, since they can't be taken back.
+  // If the concurrency does not divide evenly, the parties that ask first get
+  // the remainder. Running requests are included, because they cannot be
+  // revoked.
   double& concurrency = share[LimitResource::kConcurrency];
   const double asked =
       std::min(concurrency, member.demand.amount[LimitResource::kConcurrency]);
--- a/coordination/limits/limit_ledger.h
+++ b/coordination/limits/limit_ledger.h
@@ -8,28 +8,29 @@
 
 namespace gcw {
 
-// What one granter has given out of one contract, and to whom. Amounts are
-// fractions of the contract's limits. The one rule that safety rests on: a new
-// grant is at most the total less everything that others may still be using.
+// A granter's grants of one contract, by party. Amounts are fractions of the
+// contract's limits. Safety rests on one invariant: a new grant is at most the
+// total less everything that the other parties may still be using.
 class LimitLedger {
  public:
-  // Index of a party at its granter.
+  // Index that a granter assigns to a party.
   using PartyIndex = std::size_t;
 
   struct Demand {
     LimitVector amount;
-    // As a fraction of the limit.
+    // Fraction of the concurrency limit.
     double running = 0;
     double weight = 1;
-    // The party is believed gone without a report until then.
+    // The demand is ignored from this time on, unless the party reports again.
     Time valid_until;
   };
 
   void Observe(PartyIndex party, const Demand& demand);
-  // The party works by these grants or newer ones and never goes back.
+  // The party has applied these grants and never goes back to older ones.
   void Acknowledge(PartyIndex party, LimitSequence applied);
-  // A fair part of `total` under all parties' demand, as far as it is free.
-  // `concurrency_unit` is one request as a fraction of the limit.
+  // Grants the party its fair share of `total` given the demand of all parties,
+  // as far as it is free. `concurrency_unit` is one request as a fraction of
+  // the concurrency limit.
   LimitVector Grant(Time now,
                     PartyIndex party,
                     LimitSequence sequence,
@@ -41,7 +42,7 @@
   LimitVector Held(Time now) const;
   LimitVector TotalDemand(Time now) const;
   double TotalRunning(Time now) const;
-  // Drops what has expired.
+  // Drops expired grants, and parties without grants or demand.
   void Expire(Time now);
   bool empty() const { return members_.empty(); }
 
@@ -54,7 +55,8 @@
   struct Member {
     PartyIndex party = 0;
     Demand demand;
-    // A party uses one of these; which one is unknown until it acknowledges.
+    // Grants that the party may be using; which one is unknown until the party
+    // acknowledges it.
     std::vector<Holding> holdings;
   };
 
--- a/coordination/limits/limit_messages.h
+++ b/coordination/limits/limit_messages.h
@@ -10,14 +10,14 @@
 
 namespace gcw {
 
-// Contracts are spread over shards by their id's hash; each shard has one
-// owner, the holder of the store role `limit/<shard>`.
+// Contracts are spread over shards by the hash of their id. Each shard has one
+// owner, the node that holds the store role `limit/<shard>`.
 using LimitShard = StrongNumber<struct LimitShardTag>;
-// Counts the reports of one party, and names the grants that answer them.
+// Numbers the reports of one party and identifies the grants that answer them.
 using LimitSequence = StrongNumber<struct LimitSequenceTag>;
 
-// One run of a node's process. A process that was replaced holds its grants
-// until they expire, beside those of its successor.
+// One run of a node's process. After a restart the grants of the earlier run
+// still count until they expire, in addition to those of the new run.
 struct LimitParty {
   NodeId node;
   Incarnation incarnation;
@@ -25,19 +25,21 @@
   friend auto operator<=>(const LimitParty&, const LimitParty&) = default;
 };
 
-// All amounts below are fractions of the contract's limits, so that a changed
-// contract takes effect at each node that knows it and the fractions still sum
-// to one at most. A codec must not round them up.
+// All amounts below are fractions of the contract's limits: a changed contract
+// takes effect at each node that knows it, and the fractions still sum to at
+// most one. A codec must not round them up.
 
-// What a node, or the nodes behind a relay together, could use of a contract.
+// Demand for a contract at one node, or at all nodes behind one relay.
 struct LimitDemand {
   ContractId contract;
   LimitVector demand;
-  // Part of the concurrency that is in use; it can't be taken back.
+  // Fraction of the concurrency used by running requests, which cannot be
+  // revoked.
   double running = 0;
 };
 
-// A granter's clock and process, to be echoed to it.
+// A granter's clock and process run, which the receiver of its grants returns
+// in the next report.
 struct LimitEcho {
   Incarnation granter;
   Time granted_at;
@@ -47,57 +49,57 @@
 
 enum class LimitReporter { kNode, kRelay };
 
-// Sent up each period: node to owner in small fleets, else node to relay to
-// owner.
+// Sent once per period: by a node to the owner in small fleets; in large ones
+// by a node to its relay, and by a relay to the owner.
 struct LimitReport {
   LimitParty sender;
   LimitReporter kind = LimitReporter::kNode;
   LimitShard shard;
   LimitSequence sequence;
-  // Sender's clock. Echoed, so that a grant's life is counted from before the
-  // receiver could have given it, without comparing clocks.
+  // Sender's clock. The grants return it, so that the sender counts their
+  // lifetime from a time before they were given, without comparing clocks.
   Time sent_at;
-  // Newest grants that the sender works by; it never goes back to older ones.
+  // Newest grants that the sender applied; it never goes back to older ones.
   LimitSequence applied;
-  // From the newest grants that the sender got of this receiver. Cessions are
-  // counted from it. Absent on first contact.
+  // Copied from the newest grants of this receiver; cessions are counted from
+  // its time. Unset on first contact.
   std::optional<LimitEcho> echo;
   // Nodes that use no floor in this shard for `ceded_for` after the echo.
   std::vector<NodeId> ceding;
   Duration ceded_for;
-  // Nodes that the demand comes from.
+  // Number of nodes that the demand comes from.
   std::int64_t weight = 1;
-  // Contracts with demand only.
+  // Lists only contracts with demand.
   std::vector<LimitDemand> demands;
 };
 
 struct LimitGrant {
   ContractId contract;
-  // The receiver may use this much.
+  // Upper bound of what the receiver may use.
   LimitVector amount;
 };
 
-// The answer to a report. Replaces all earlier grants of the shard; a contract
-// that is not listed has none.
+// The answer to a report. It replaces all earlier grants of the shard; a
+// contract that is not listed has no grant.
 struct LimitGrants {
   LimitShard shard;
-  // Of the report that is answered.
+  // Sequence of the report that is answered.
   LimitSequence sequence;
   LimitReporter receiver_kind = LimitReporter::kNode;
-  // The run of the receiver's process that it is for.
+  // The run of the receiver's process that the grants are for.
   Incarnation receiver;
-  // Of the owner's role. Grants with a lower one than one already seen are
-  // stale.
+  // Fencing token of the owner's role. Grants are stale if their token is lower
+  // than one already seen.
   FencingToken fence;
   LimitEcho echo;
-  // `sent_at` of the report.
+  // `sent_at` of the report that is answered.
   Time report_sent_at;
   // Counted from `report_sent_at` on the receiver's clock.
   Duration lifetime;
   std::vector<LimitGrant> grants;
 };
 
-// Everything that one node tells another in one period.
+// The limit messages that one node sends to another at one time.
 struct LimitBatch {
   std::vector<LimitReport> reports;
   std::vector<LimitGrants> grants;
--- a/coordination/limits/limit_owner.cc
+++ b/coordination/limits/limit_owner.cc
@@ -37,7 +37,7 @@
   if (!owned.release_at) {
     owned.release_at =
         now + topology_->settings().GrantLifetime(topology_->live_nodes());
-    // Grants of a time when the fleet was larger may live longer.
+    // Grants given while the fleet was larger may have a longer lifetime.
     owned.release_at = std::max(*owned.release_at, owned.granter.last_expiry());
   }
   return *owned.release_at;
@@ -71,9 +71,9 @@
            [&](const ContractId& c) { return limits_->ConcurrencyUnit(c); }});
 }
 
-// How many nodes may be on their floor before a grant of now expires. A node
-// that reports for itself uses its floor or its grant, whichever is more, so
-// that its own floor is part of what it may be granted.
+// Number of nodes that may use their floor before a grant that expires at
+// `expires` ends. A node that reports for itself uses the greater of its floor
+// and its grant, so its own floor is part of what it may be granted.
 std::int64_t LimitOwner::ReservedFloors(const OwnedShard& owned,
                                         const LimitReport& report,
                                         Time expires) const {
@@ -96,7 +96,8 @@
   const auto nodes = static_cast<double>(topology_->FloorNodes());
   const double rate = 1 - static_cast<double>(reserved) / nodes;
   const double concurrency = limit[LimitResource::kConcurrency];
-  // Floors of concurrency are whole; any of the nodes may hold an odd unit.
+  // Floors of concurrency are whole requests, and any node may have one of the
+  // remainder.
   const double held_back =
       std::min(concurrency,
                static_cast<double>(reserved) * std::ceil(concurrency / nodes));
--- a/coordination/limits/limit_owner.h
+++ b/coordination/limits/limit_owner.h
@@ -11,10 +11,10 @@
 
 namespace gcw {
 
-// Grants the limits of the shards whose role this node holds. Every grant ends
-// before the role's lease may lapse, so that the next holder finds all earlier
-// grants expired: two nodes that both believe to be owner never hand out more
-// than the limit together.
+// Grants the limits of the shards whose role this node holds. Every grant
+// expires before the role's lease can, so that all earlier grants have expired
+// when the next holder starts: two nodes that both consider themselves owner
+// never grant more than the limit together.
 class LimitOwner {
  public:
   LimitOwner(const LimitTopology* topology,
@@ -23,11 +23,11 @@
 
   void OnRoleHeld(LimitShard shard, FencingToken fence, Time valid_until);
   void OnRoleLost(LimitShard shard);
-  // Gives no grants that live longer than the returned time, by which the role
-  // may be released.
+  // Returns the time from which the role may be released; no grant outlives it.
   Time PrepareRelease(Time now, LimitShard shard);
 
-  // Absent where this node may not grant the shard now.
+  // Returns nothing if this node may not grant the shard now, or if the report
+  // is not newer than one already seen.
   std::optional<LimitGrants> OnReport(Time now, const LimitReport& report);
   LimitVector Held(Time now, const ContractId& contract) const;
   void Expire(Time now);
@@ -40,7 +40,7 @@
     LimitGranter granter;
   };
 
-  // Every grant ends by then.
+  // Every grant expires by the returned time.
   static Time LastExpiry(const OwnedShard& owned);
   LimitVector Total(const ContractId& contract, std::int64_t reserved) const;
   std::int64_t ReservedFloors(const OwnedShard& owned,
--- a/coordination/limits/limit_relay.cc
+++ b/coordination/limits/limit_relay.cc
@@ -6,7 +6,7 @@
 namespace gcw {
 namespace {
 
-// Sums of fractions may differ in their last digits.
+// Sums of fractions may differ in the last digits.
 constexpr double kRounding = 1e-9;
 
 }  // namespace
@@ -70,10 +70,10 @@
   return !reported || (relayed.urgent && now >= *reported + interval);
 }
 
-// A relay whose grant shrank has still given on more than it now has, until its
-// nodes report again. If it acknowledged the smaller grant at once, the owner
-// would give the difference to others while the nodes still use it: the sum of
-// shares would exceed the limit for one grant's life.
+// After a relay's grant has shrunk, its own grants exceed it until its nodes
+// report again. If the relay acknowledged the smaller grant at once, the owner
+// would grant the difference to others while the nodes still use it, and the
+// sum of shares would exceed the limit for one grant's lifetime.
 void LimitRelay::Acknowledge(Time now, RelayedShard& relayed) {
   const LimitVector slack = LimitVector::All(kRounding);
   for (const ContractId& contract : relayed.granter.Contracts()) {
@@ -92,8 +92,8 @@
   Acknowledge(now, relayed);
   report.applied = relayed.acknowledged;
   report.weight = std::max<std::int64_t>(1, std::ssize(relayed.reporters));
-  // Counted by the owner from its clock in the echo, which was before the echo
-  // arrived here.
+  // The owner counts the cession from the time in the echo on its clock, which
+  // is before the echo arrived here.
   if (const auto answered = relayed.client.answered_at()) {
     report.ceded_for =
         topology_->settings().RelayCessionLifetime(topology_->live_nodes());
--- a/coordination/limits/limit_relay.h
+++ b/coordination/limits/limit_relay.h
@@ -13,20 +13,21 @@
 
 namespace gcw {
 
-// Stands between the nodes of a group and the owner in large fleets: reports
-// their demand as one and divides what it is granted. To the owner it is one
-// more party, so that two relays for the same nodes share what one would get.
+// Aggregates the reports of a group of nodes in large fleets: it reports their
+// total demand to the owner and divides its own grants among them. To the owner
+// it is a party like any other, so that two relays of the same nodes share what
+// one relay would get.
 class LimitRelay {
  public:
   LimitRelay(const LimitTopology* topology,
              const ContractLimits* limits,
              LimitParty self);
 
-  // Absent while this relay has no live grants itself: its nodes must not take
-  // its silence towards the owner for an owner.
+  // Returns nothing while this relay has no valid grants itself: its nodes must
+  // not go on ceding their floors to a relay that has lost its owner.
   std::optional<LimitGrants> OnReport(Time now, const LimitReport& report);
   void OnGrants(Time now, const NodeId& from, const LimitGrants& grants);
-  // The reports that are due, each to its shard's owner.
+  // Returns the reports that are due, each for its shard's owner.
   std::vector<LimitReport> Tick(Time now);
   LimitVector Held(Time now, const ContractId& contract) const;
 
@@ -34,9 +35,9 @@
   struct RelayedShard {
     LimitGranter granter;
     LimitClient client;
-    // Nodes that reported, for the report's weight.
+    // Nodes that reported and when; their number is the report's weight.
     std::map<NodeId, Time> reporters;
-    // Newest grants that everything given on fits into.
+    // Newest grants that cover everything this relay has granted to its nodes.
     LimitSequence acknowledged;
     bool urgent = false;
   };
--- a/coordination/limits/limit_settings.cc
+++ b/coordination/limits/limit_settings.cc
@@ -14,7 +14,8 @@
   return std::clamp(period_per_node * nodes, period_min, period_max);
 }
 
-// All nodes that wait for a lost owner would else send ten times a second.
+// Without the backoff, all nodes that wait for a lost owner would send ten
+// reports per second.
 Duration LimitSettings::UrgentInterval(std::int64_t nodes,
                                        std::int64_t unanswered) const {
   const std::int64_t factor = std::int64_t{1}
--- a/coordination/limits/limit_settings.h
+++ b/coordination/limits/limit_settings.h
@@ -7,51 +7,57 @@
 
 namespace gcw {
 
-// The same on all nodes.
+// Settings of the contract limits; they must be equal on all nodes.
 struct LimitSettings {
-  // Number of owners that the contracts are spread over.
+  // Number of shards that the contracts are spread over; each has one owner.
   std::int64_t shards = 16;
-  // Between two reports: this much for each node, within the two bounds.
+  // The period between two reports grows by this much with each live node,
+  // within the two bounds below.
   Duration period_per_node = Duration::Millis(6);
   Duration period_min = Duration::Millis(400);
   Duration period_max = Duration::Millis(2500);
-  // Between two reports to the same receiver when a contract without a share
-  // has a request waiting; twice as long after each that was not answered.
+  // Interval between two reports to the same receiver while a request waits for
+  // a contract without a share. It doubles after each unanswered report.
   Duration urgent_interval = Duration::Millis(100);
-  // A grant lives for this many periods.
+  // Lifetime of a grant in periods.
   std::int64_t grant_periods = 4;
-  // A node cedes its floor for this many periods. Grants that rely on it must
-  // end earlier: a grant's life, the report's age and one lost report.
+  // Periods for which a node cedes its floor. Grants that rely on the cession
+  // must end before it, so it covers a grant's lifetime, the report's age and
+  // one lost report.
   std::int64_t cession_periods = 7;
-  // The same for a node behind a relay, which passes the cession on.
+  // The same for a node behind a relay, which passes the cession on to the
+  // owner.
   std::int64_t relayed_cession_periods = 9;
-  // Without a grant a node may use limit / nodes. The fleet is never counted
-  // smaller than this, so that a node that joins unseen finds its floor free.
+  // Without a grant a node may use its floor, limit / nodes. The number of
+  // nodes is taken to be at least this, so that the floor of a node that joins
+  // unnoticed is free.
   std::int64_t floor_nodes = 1;
-  // How long a node that left the view keeps its floor reserved. Longer than
-  // an outage during which it may still serve callers on its floor.
+  // How long the floor of a node that left the view stays reserved. It exceeds
+  // any outage during which the node may still serve callers on its floor.
   Duration floor_memory = Duration::Seconds(7200);
-  // With more nodes than this, nodes report through relays of their zone.
+  // In fleets of more nodes than this, nodes report through relays of their
+  // zone.
   std::int64_t relay_above_nodes = 32;
-  // Most nodes that one relay serves.
+  // Maximum number of nodes that one relay serves.
   std::int64_t relay_group_nodes = 24;
-  // A contract without requests for this long is no longer reported. Its next
+  // A contract without requests for this long is no longer reported; its next
   // request waits until the owner has answered.
   Duration idle_after = Duration::Seconds(60);
-  // Token buckets hold this much of their rate, and one request at least.
+  // Token buckets hold their rate times this duration, and at least one
+  // request.
   Duration burst = Duration::Millis(2000);
 
   Duration Period(std::int64_t nodes) const;
   Duration UrgentInterval(std::int64_t nodes, std::int64_t unanswered) const;
   Duration GrantLifetime(std::int64_t nodes) const;
-  // What a node promises to the receiver of its reports.
+  // Duration of a node's cession to the receiver of its reports.
   Duration CessionLifetime(std::int64_t nodes) const;
-  // What a relay promises to the owner.
+  // Duration of a cession that a relay passes on to the owner.
   Duration RelayCessionLifetime(std::int64_t nodes) const;
   bool HasRelays(std::int64_t nodes) const { return nodes > relay_above_nodes; }
 };
 
-// The shard that a contract's limits are kept in.
+// The shard whose owner grants the contract's limits.
 LimitShard ShardOf(const ContractId& contract, std::int64_t shards);
 
 }  // namespace gcw
--- a/coordination/limits/limit_shares.cc
+++ b/coordination/limits/limit_shares.cc
@@ -8,8 +8,8 @@
 
 constexpr Time kNever =
     Time::FromMillis(std::numeric_limits<std::int64_t>::max());
-// A receiver that was silent for longer is not counted on: a node goes on
-// ceding its floor only while somebody grants in return.
+// Periods after the last answer during which a node still cedes its floor: it
+// does so only while the receiver of its reports sends grants in return.
 constexpr std::int64_t kAnswerPeriods = 2;
 
 }  // namespace
@@ -24,8 +24,8 @@
       self_(std::move(self)),
       sink_(std::move(sink)) {
   const LimitSettings& settings = topology_->settings();
-  // The node's earlier run may have ceded its floors just before it ended, and
-  // others may be using them.
+  // The node's earlier run may have ceded its floors just before it ended, so
+  // that other nodes may be using them.
   const Time ceded_until =
       started + settings.period_max * settings.relayed_cession_periods;
   for (std::int64_t i = 0; i < settings.shards; ++i) {
@@ -235,7 +235,7 @@
       continue;
     }
     reports.push_back(MakeReport(now, shard));
-    // Ceding the floor ends its use here and now.
+    // The report may cede the floor, whose use must end at once.
     RefreshShard(now, number);
   }
   return reports;
--- a/coordination/limits/limit_shares.h
+++ b/coordination/limits/limit_shares.h
@@ -15,19 +15,19 @@
 
 namespace gcw {
 
-// What this node may use of a contract now, for the limit view.
+// One row of the operator's view of limits: what this node may use now.
 struct ShareView {
   ContractId contract;
   LimitVector limit;
   LimitVector share;
-  // True where the share is the floor, since no grant lives.
+  // True if the share is the floor, because no grant is in force.
   bool floor = false;
   std::int64_t running = 0;
 };
 
 // This node's own shares of the contracts that have requests here. A share is
 // what the owner grants; without an owner it is the floor, limit / nodes, once
-// the promise not to use it has run out.
+// this node's cession of the floor has expired.
 class LimitShares {
  public:
   LimitShares(const LimitTopology* topology,
@@ -39,9 +39,10 @@
   void OnContractChanged(Time now, const ContractId& contract);
   void OnContractWithdrawn(const ContractId& contract);
   void OnGrants(Time now, const NodeId& from, const LimitGrants& grants);
-  // The reports that are due, each to its shard's upstream.
+  // Returns the reports that are due, each for its shard's upstream.
   std::vector<LimitReport> Tick(Time now);
-  // From now on this node asks for nothing and cedes its floors for good.
+  // From the next report on, this node cedes its floors for `floor_memory`
+  // instead of a few periods. Called once it takes no new requests.
   void Leave() { is_leaving_ = true; }
 
   ShareDecision TryAcquire(Time now,
@@ -58,21 +59,21 @@
  private:
   struct ShardState {
     LimitClient client;
-    // This node uses no floor of the shard before.
+    // This node uses no floor of the shard before this time.
     Time ceded_until;
     bool urgent = false;
   };
   struct ContractState {
     ContractShare share;
     LimitShard shard;
-    // When the share has to be worked out again.
+    // The share must be recomputed from this time on.
     Time valid_until;
     bool on_floor = false;
   };
 
   ContractState* Activate(Time now, const ContractId& contract);
   void Refresh(Time now, const ContractId& contract, ContractState& state);
-  // Fraction of the limit, and until when it holds.
+  // Returns a fraction of the limit and the time until which it is valid.
   std::pair<LimitVector, Time> Allowed(Time now,
                                        const ContractId& contract,
                                        const ShardState& shard) const;
@@ -93,7 +94,7 @@
   bool is_leaving_ = false;
   std::int64_t seen_version_ = -1;
   ReportSchedule schedule_;
-  // By shard number.
+  // Indexed by shard number.
   std::vector<ShardState> shards_;
   std::unordered_map<ContractId, ContractState> contracts_;
 };
--- a/coordination/limits/limit_topology.cc
+++ b/coordination/limits/limit_topology.cc
@@ -38,8 +38,9 @@
   FindRelays(peers);
 }
 
-// Relays are picked among the nodes of a zone that share a group, so that the
-// load spreads and a report never crosses zones twice.
+// The nodes of a zone are divided into groups, and each group's relays are
+// chosen among its members, so that the load is spread and a report never
+// crosses zones twice.
 void LimitTopology::FindRelays(const std::vector<LimitPeer>& peers) {
   relays_.clear();
   if (!settings_.HasRelays(live_nodes_)) {
@@ -67,7 +68,7 @@
       members.push_back(zone_nodes[static_cast<std::size_t>(i)]);
     }
   }
-  // Each node relays few shards, however the hashes fall.
+  // `AssignRoles` limits the shards per node, whatever the hashes are.
   std::set<RoleName> roles;
   for (std::int64_t shard = 0; shard < settings_.shards; ++shard) {
     roles.insert(RelayRole(shard));
--- a/coordination/limits/limit_topology.h
+++ b/coordination/limits/limit_topology.h
@@ -10,14 +10,15 @@
 
 namespace gcw {
 
-// A live node as the membership view shows it.
+// A live node of the membership view.
 struct LimitPeer {
   NodeId node;
   ZoneId zone;
 };
 
-// Who reports to whom, and between how many nodes a floor is divided. Views
-// and owners may differ between nodes: a wrong guess costs time, not safety.
+// Decides where this node sends its reports and how many nodes share the
+// floors. Nodes may differ in their views and known owners; a wrong one delays
+// grants but does not affect safety.
 class LimitTopology {
  public:
   LimitTopology(NodeId self, ZoneId zone, LimitSettings settings);
@@ -25,17 +26,18 @@
   void OnView(Time now, const std::vector<LimitPeer>& peers);
   void OnOwner(LimitShard shard, const NodeId& owner, FencingToken fence);
 
-  // Empty where nobody is known.
+  // Empty if no owner is known.
   NodeId Owner(LimitShard shard) const;
-  // Where this node reports its own demand.
+  // The relay or owner that receives this node's own reports.
   NodeId Upstream(LimitShard shard) const;
 
-  // Live nodes; decides periods and relays.
+  // Number of live nodes; it sets the periods and whether there are relays.
   std::int64_t live_nodes() const { return live_nodes_; }
-  // Nodes that may be using a floor: those in the view or in it not long ago.
+  // Number of nodes that may be using a floor: those that were in the view
+  // within `floor_memory`, and at least `floor_nodes`.
   std::int64_t FloorNodes() const;
-  // This node's floor of a concurrency limit, in whole requests: the odd units
-  // go to the first nodes by rendezvous hashing.
+  // This node's floor of a concurrency limit in whole requests. The remainder
+  // of the division goes to the first nodes by rendezvous hashing.
   std::int64_t FloorConcurrency(const ContractId& contract,
                                 std::int64_t limit) const;
 
@@ -51,7 +53,7 @@
   ZoneId zone_;
   LimitSettings settings_;
   std::int64_t live_nodes_ = 1;
-  // By when each node was last in the view.
+  // When each node was last in the view.
   std::map<NodeId, Time> known_;
   std::map<LimitShard, std::pair<FencingToken, NodeId>> owners_;
   // This node's relay by shard; empty in small fleets.
--- a/coordination/limits/limit_vector.h
+++ b/coordination/limits/limit_vector.h
@@ -9,7 +9,7 @@
 
 namespace gcw {
 
-// What a contract limits.
+// The resources that a contract limits.
 enum class LimitResource { kRequests, kTokens, kConcurrency };
 
 inline constexpr std::size_t kLimitResourceCount = 3;
@@ -17,8 +17,8 @@
     LimitResource::kRequests, LimitResource::kTokens,
     LimitResource::kConcurrency};
 
-// An amount of each limited resource: requests/s, tokens/s and requests at
-// once.
+// An amount of each limited resource: requests/s, tokens/s and concurrent
+// requests.
 class LimitVector {
  public:
   constexpr LimitVector() = default;
@@ -57,7 +57,7 @@
                                          const LimitVector& b) {
     return Combine(a, b, [](double x, double y) { return x - y; });
   }
-  // Product of each resource.
+  // Product by resource.
   friend constexpr LimitVector operator*(const LimitVector& a,
                                          const LimitVector& b) {
     return Combine(a, b, [](double x, double y) { return x * y; });
--- a/coordination/limits/limits.cc
+++ b/coordination/limits/limits.cc
@@ -5,7 +5,7 @@
 namespace gcw {
 namespace {
 
-// What has expired counts no more; it is dropped now and then to save memory.
+// Expired grants no longer count; they are dropped only to save memory.
 constexpr Duration kExpiryInterval = Duration::Seconds(1);
 
 }  // namespace
@@ -58,8 +58,8 @@
   topology_->OnOwner(shard, owner, fence);
 }
 
-// Asked as the owner, a node answers as the owner or not at all; a relay's
-// answer would make the relay a party of itself.
+// A node that is asked as the owner answers as the owner or not at all. If it
+// answered as a relay, the relay would become a party of itself.
 void Limits::HandleReport(Time now, const LimitReport& report, Outbox& outbox) {
   const bool for_owner =
       report.kind == LimitReporter::kRelay ||
@@ -76,7 +76,8 @@
   outbox[report.sender.node].grants.push_back(std::move(*answer));
 }
 
-// Both may run on a node; each takes only the answers to its own reports.
+// A node may report both for itself and as a relay; each takes only the answers
+// to its own reports.
 void Limits::HandleGrants(Time now,
                           const NodeId& from,
                           const LimitGrants& grants) {
--- a/coordination/limits/limits.h
+++ b/coordination/limits/limits.h
@@ -21,28 +21,29 @@
 
 using LimitsAction = std::variant<PeerSend<LimitBatch>>;
 
-// All that one node does for contract limits: its own shares, and granting to
-// others where it owns a shard or relays for its zone. A plain facade over
-// `LimitShares`, `LimitOwner` and `LimitRelay`.
+// Contract limits on one node: its own shares, and grants to other nodes if it
+// owns a shard or is a relay of its zone. A facade over `LimitShares`,
+// `LimitOwner` and `LimitRelay`.
 class Limits {
  public:
   class Builder;
 
-  // The contract set. A change takes effect at once for new requests.
+  // Adds or changes a contract. A change applies to new requests at once.
   void OnContract(Time now, const Contract& contract);
   void OnContractWithdrawn(const ContractId& contract);
 
-  // Live nodes, this one included. Views may differ between nodes.
+  // `peers` are the live nodes, including this one. Views may differ between
+  // nodes.
   void OnView(Time now, const std::vector<LimitPeer>& peers);
 
-  // This node holds role `limit/<shard>` and believes so until `valid_until`.
-  // To be repeated at each renewal of the node's lease.
+  // This node holds the role `limit/<shard>` until `valid_until` at least.
+  // Called again at each renewal of the node's lease.
   void OnRoleHeld(LimitShard shard, FencingToken fence, Time valid_until);
   void OnRoleLost(LimitShard shard);
-  // Before this node gives up the role by deleting its key: no grant is given
-  // that outlives the returned time, from which on the role may be released.
+  // Called before this node gives up the role by deleting its key. Returns the
+  // time from which the role may be released; no grant outlives it.
   Time PrepareRelease(Time now, LimitShard shard);
-  // Who holds the role now, as far as this node knows; empty for nobody.
+  // `owner` is the holder of the role as far as this node knows, or empty.
   void OnOwner(LimitShard shard, const NodeId& owner, FencingToken fence);
 
   std::vector<LimitsAction> OnBatch(Time now,
@@ -50,29 +51,29 @@
                                     const LimitBatch& batch);
   std::vector<LimitsAction> Tick(Time now);
 
-  // Takes one request and its estimated tokens out of this node's share, or
-  // says why not. A refused request counts as demand.
+  // Charges one request and its estimated tokens to this node's share, or
+  // returns the reason for a refusal. A refused request counts as demand.
   ShareDecision TryAcquire(Time now,
                            const ContractId& contract,
                            TokenCount estimate,
                            AcquireAttempt attempt = AcquireAttempt::kFirst);
-  // The request ended and used `actual` tokens.
+  // Called when a granted request has ended; `actual` is what it used.
   void Release(const ContractId& contract,
                TokenCount estimate,
                TokenCount actual);
 
-  // A planned stop: this node's floors may be used by others from now on. Call
-  // it when the node takes no new requests.
+  // Starts a planned stop: other nodes may use this node's floors from now on.
+  // Called once the node takes no new requests.
   void Leave();
 
   std::vector<ShareView> View(Time now) const;
-  // Sum of what this node has granted to others and not expired.
+  // Sum of this node's unexpired grants to all parties.
   LimitVector GrantedBy(Time now, const ContractId& contract) const;
-  // What this node may use now.
+  // What this node may use of the contract now.
   LimitVector ShareOf(Time now, const ContractId& contract) const;
 
  private:
-  // Messages of one event, one batch for each receiver.
+  // The messages that one event causes, by receiver.
   using Outbox = std::map<NodeId, LimitBatch>;
 
   Limits(const LimitParty& self,
@@ -86,7 +87,7 @@
   void Deliver(Time now, const NodeId& to, LimitReport report, Outbox& outbox);
   static std::vector<LimitsAction> ActionsOf(Outbox&& outbox);
 
-  // On the heap, since the parts below point to them.
+  // On the heap, because the members below keep pointers to them.
   std::unique_ptr<LimitTopology> topology_;
   std::unique_ptr<ContractLimits> limits_;
   LimitShares shares_;
@@ -98,12 +99,12 @@
 
 class Limits::Builder {
  public:
-  // `incarnation` differs for each run of the process, such as its start time.
+  // `incarnation` is unique to each run of the process, such as its start time.
   Builder& SetSelf(NodeId node, ZoneId zone, Incarnation incarnation);
   Builder& SetSettings(LimitSettings settings);
   Builder& SetEventSink(EventSink sink);
-  // `started` is when the process came up: a floor may have been given up by
-  // the node's earlier run shortly before.
+  // `started` is the start of the process. The node's earlier run may have
+  // ceded its floors shortly before it.
   Limits Build(Time started) const;
 
  private:
--- a/coordination/limits/report_schedule.h
+++ b/coordination/limits/report_schedule.h
@@ -7,12 +7,12 @@
 
 namespace gcw {
 
-// When a node's periodic reports are due. All shards report together, so that
-// one batch a period goes to each receiver, however many shards it owns.
+// Timer of a node's periodic reports. All shards report at the same time, so
+// that each receiver gets one batch per period, however many shards it owns.
 class ReportSchedule {
  public:
-  // True once a period. Never moves by more than one period, so that a clock
-  // that was far ahead once does not silence the node.
+  // Returns true once per period. The next time is at most one period ahead, so
+  // that a clock that was once far ahead does not silence the node.
   bool TakeDue(Time now, Duration period) {
     next_ = std::min(next_, now + period);
     if (now < next_) {
--- a/coordination/limits/share_decision.h
+++ b/coordination/limits/share_decision.h
@@ -7,8 +7,8 @@
 
 enum class ShareOutcome {
   kGranted,
-  // The contract has no share here yet; the owner is asked. Try again at the
-  // next tick.
+  // The contract has no share at this node yet, and the owner is asked for one.
+  // The caller tries again at the next tick.
   kPending,
   kRequestRate,
   kTokenRate,
@@ -18,7 +18,8 @@
 
 struct ShareDecision {
   ShareOutcome outcome = ShareOutcome::kPending;
-  // Until this node's share allows the request; zero when granted or unknown.
+  // Time until this node's share allows the request; zero if the request is
+  // granted or the time is unknown.
   Duration wait;
 };
 
--- a/coordination/limits/token_bucket.cc
+++ b/coordination/limits/token_bucket.cc
@@ -7,14 +7,15 @@
 namespace {
 
 constexpr Duration kNever = Duration::Seconds(86400);
-// Refilling in many small steps must not miss a whole token by rounding.
+// Refilling in many small steps must not miss a whole token because of
+// rounding.
 constexpr double kRounding = 1e-6;
 constexpr double kMillisPerSecond = 1000.0;
 
 }  // namespace
 
 void TokenBucket::Refill(Time now) {
-  // Events may come with a time slightly before one already seen.
+  // An event's time may be slightly before that of an earlier event.
   if (now <= refilled_) {
     return;
   }
--- a/coordination/limits/token_bucket.h
+++ b/coordination/limits/token_bucket.h
@@ -5,20 +5,21 @@
 
 namespace gcw {
 
-// A token bucket whose rate changes at run time and which may go into debt:
-// what a request used is known only when it ended.
+// A token bucket whose rate changes at run time. It may go into debt, because
+// what a request used is known only after the request has ended.
 class TokenBucket {
  public:
   // `rate` per second; the bucket holds at most `depth`.
   void SetRate(Time now, double rate, double depth);
-  // Gives the first tokens to a bucket that has just come into use.
+  // Sets the level of a bucket that has just come into use.
   void Fill(double level) { level_ = level; }
 
-  // Whether `amount`, or a full bucket where it holds less, is there.
+  // True if the bucket holds `amount`, or is full with a depth below `amount`.
   bool Has(Time now, double amount);
   void Take(double amount) { level_ -= amount; }
   void Return(double amount);
-  // Until `Has(amount)` at the present rate; a day where the rate is zero.
+  // Time until `Has(amount)` at the present rate; at most a day, also if the
+  // rate is zero.
   Duration WaitFor(Time now, double amount);
 
   double rate() const { return rate_; }
