--- a/tests/coordination/admission/admission_queue_test.cc
+++ b/tests/coordination/admission/admission_queue_test.cc
@@ -50,9 +50,8 @@
   EXPECT_NEAR(ratio, 3, 0.2);
 }
 
-// Symptom: one team's flood gets other teams' requests refused.
-// Sequence: the flood fills the bounded queue; another team's request comes.
-// Cause: a queue that refuses whoever comes last.
+// Guards against refusals of one team's requests because another team's flood
+// fills the queue, as in a queue that refuses the newest request.
 TEST(AdmissionQueueTest, FullQueueDropsTheFloodsNewest) {
   AdmissionQueue queue(10, 512);
   for (int i = 0; i < 10; ++i) {
--- a/tests/coordination/admission/admission_test.cc
+++ b/tests/coordination/admission/admission_test.cc
@@ -18,8 +18,8 @@
   AdmissionTest() {
     LimitSettings limit_settings;
     limit_settings.floor_nodes = 1;
-    // Long after its start and without an owner a lone node's floor is the
-    // whole limit.
+    // The node started long ago, so that it uses its floor without an owner.
+    // The floor of a single node is the whole limit.
     limits_ = std::make_unique<Limits>(
         Limits::Builder()
             .SetSelf(NodeId("n"), ZoneId("z"), Incarnation(1))
@@ -58,7 +58,8 @@
   std::vector<AdmissionAction> Offer(const std::string& contract) {
     return admission_->Offer(now_, MakeProfile(contract));
   }
-  // One endpoint is enough for paid work at the target, one is the reserve.
+  // Reports `paid` running requests, packed into the first endpoints. Without
+  // paid work, one endpoint is the reserve.
   std::vector<AdmissionAction> Report(std::int64_t paid,
                                       int endpoints = 4,
                                       std::int64_t batch = 4) {
@@ -152,9 +153,8 @@
             Duration::Millis(1000));
 }
 
-// Symptom: trial work goes on after nodes lost sight of the endpoints.
-// Sequence: load reports stop; trial requests keep coming.
-// Cause: old room taken for room.
+// Guards against trial requests that are admitted by outdated room after load
+// reports have stopped.
 TEST_F(AdmissionTest, OldReportsAreNoRoomForTrialWork) {
   Report(0);
   now_ = now_ + Duration::Seconds(6);
@@ -162,22 +162,20 @@
   EXPECT_EQ(Count<Admit>(Offer("paid")), 1);
 }
 
-// Symptom: paid streams slow down when paid load rises.
-// Sequence: trial streams run on an endpoint that paid work is about to use.
-// Cause: trial streams that stay until they end, tens of seconds later.
+// Guards against slow paid streams when paid load rises: trial streams on an
+// endpoint that paid work is about to use run on for tens of seconds.
 TEST_F(AdmissionTest, TrialIsPreemptedWherePaidWorkNeedsRoom) {
   Report(0);
   const auto admitted = std::get<Admit>(Offer("trial").at(0));
   admission_->OnDispatched(admitted.request, admitted.endpoints->front());
   const auto actions = Report(16);
   EXPECT_EQ(std::get<PreemptTrial>(actions.at(0)).request, admitted.request);
-  // Once is enough.
+  // A request is preempted only once.
   EXPECT_EQ(Count<PreemptTrial>(Report(16)), 0);
 }
 
-// Symptom: a trial request is admitted while paid ones wait.
-// Sequence: everything is full; a place gets free.
-// Cause: queues served in order of arrival over both tiers.
+// Guards against a trial request that is admitted while paid ones wait, when
+// one place becomes free and both tiers are served in order of arrival.
 TEST_F(AdmissionTest, WaitingPaidGoesBeforeWaitingTrial) {
   Report(16);
   const auto trial = std::get<Queued>(Offer("trial").at(0)).request;
@@ -188,7 +186,7 @@
   EXPECT_EQ(admission_->queued(Tier::kTrial), 1);
 }
 
-// The same where one report brings room for both.
+// The same order holds if one report has room for both.
 TEST_F(AdmissionTest, RoomForBothGoesToPaidFirst) {
   Report(16);
   const auto paid = std::get<Queued>(Offer("paid").at(0)).request;
@@ -200,9 +198,8 @@
   EXPECT_EQ(std::get<Admit>(actions.at(1)).request, trial);
 }
 
-// Symptom: callers wait until their deadline for a refusal.
-// Sequence: the queue holds more than can run before the deadline.
-// Cause: a queue that does not look at how fast it drains.
+// Guards against callers that wait until their deadline for a refusal, although
+// the queue's drain rate shows that they cannot run in time.
 TEST_F(AdmissionTest, HopelessDeadlineIsRefusedAtOnce) {
   Report(0, 1, 4);
   for (int i = 0; i < 4; ++i) {
@@ -221,9 +218,8 @@
             Duration::Millis(1000));
 }
 
-// Symptom: refused callers come back all at once and are refused again.
-// Sequence: many callers are refused in the same moment.
-// Cause: the same time to come back for all.
+// Guards against callers that are refused together, return together after the
+// same delay and are refused again.
 TEST_F(AdmissionTest, TimesToComeBackAreSpread) {
   Contract narrow = MakeContract("paid", Tier::kPaid);
   narrow.concurrency = 1;
@@ -236,9 +232,8 @@
   EXPECT_GT(times.size(), 15U);
 }
 
-// Symptom: a withdrawn customer's requests still start, or running ones stop.
-// Sequence: a contract is withdrawn while requests of it run and wait.
-// Cause: a contract that is looked at only on arrival.
+// Guards against waiting requests that start after their contract was withdrawn
+// because it is checked only on arrival, and against running ones that stop.
 TEST_F(AdmissionTest, WithdrawnContractEndsWaitingAndSparesRunning) {
   Report(15);
   const auto running = std::get<Admit>(Offer("paid").at(0)).request;
@@ -263,9 +258,8 @@
             RefusalKind::kModelNotAllowed);
 }
 
-// Symptom: a contract's concurrency leaks away.
-// Sequence: requests that hold a share are refused or abandoned in the queue.
-// Cause: a final answer that does not give the share back.
+// Guards against a leak of a contract's concurrency: requests that hold a share
+// are refused or abandoned in the queue without returning it.
 TEST_F(AdmissionTest, SharesOfRequestsThatNeverRanComeBack) {
   Contract narrow = MakeContract("paid", Tier::kPaid);
   narrow.concurrency = 1;
--- a/tests/coordination/admission/tier_pools_test.cc
+++ b/tests/coordination/admission/tier_pools_test.cc
@@ -55,10 +55,9 @@
   EXPECT_EQ(pools_.trial_begin(), 8U);
 }
 
-// Symptom: trial streams are cancelled again and again under steady load.
-// Sequence: paid load dips for a moment; an endpoint goes to trial work; the
-// load is back and its trial streams are cancelled.
-// Cause: a division that follows every dip.
+// Guards against repeated preemption of trial streams under steady load: paid
+// load dips briefly, an endpoint goes to trial work, and its trial streams are
+// cancelled as soon as the load is back.
 TEST_F(TierPoolsTest, ADipDoesNotHandEndpointsToTrialWork) {
   Update(35);
   now_ = now_ + settings_.shrink_after;
@@ -69,9 +68,8 @@
   EXPECT_EQ(pools_.paid_count(), 1U);
 }
 
-// Symptom: paid work lands among trial streams.
-// Sequence: engines do not tell paid from trial work in their reports.
-// Cause: counting unknown work as trial work.
+// Guards against paid work on endpoints of trial work: engines do not report
+// which requests are paid, and unknown work is counted as trial work.
 TEST_F(TierPoolsTest, UnknownWorkCountsAsPaid) {
   auto endpoints = EndpointsWith(35);
   for (EndpointHeadroom& endpoint : endpoints) {
--- a/tests/coordination/limits/limit_relay_test.cc
+++ b/tests/coordination/limits/limit_relay_test.cc
@@ -69,13 +69,10 @@
   EXPECT_FALSE(relay_.OnReport(now_, LeafReport(3)));
 }
 
-// Symptom: the sum of shares exceeds the limit for one grant's life after
-// demand moved from one zone to another.
-// Sequence: a relay passes on all of its grant; the owner shrinks it and gives
-// the difference to another zone on the relay's next report, while a node
-// behind the first relay has not heard of it.
-// Cause: a relay that acknowledges a smaller grant before its nodes have
-// followed.
+// Guards against a sum of shares above the limit for one grant's lifetime after
+// demand moved to another zone: a relay that has granted everything
+// acknowledges a smaller grant before its nodes have applied it, and the owner
+// grants the difference to the other zone.
 TEST_F(LimitRelayUnitTest, AcknowledgesASmallerGrantWhenItsNodesFollowed) {
   relay_.OnReport(now_, LeafReport(1));
   GrantToRelay(NextReport(), 0.8);
--- a/tests/coordination/limits/limits_fleet.h
+++ b/tests/coordination/limits/limits_fleet.h
@@ -28,8 +28,8 @@
   return contract;
 }
 
-// Nodes with clocks of their own that deal out one contract's limits over a
-// network that loses, delays, doubles and reorders.
+// Simulated nodes, each with its own clock, that share one contract's limits
+// over a network that loses, delays, duplicates and reorders messages.
 class LimitsFleet {
  public:
   struct Node {
@@ -79,7 +79,7 @@
   const Random& random() const { return random_; }
   std::size_t RandomNode() { return DrawBelow(random_, nodes_.size()); }
 
-  // The role's lease in the store; all nodes that are `told` hear of it.
+  // Gives the role to `owner` under a new fencing token and tells all nodes.
   void GiveRole(std::size_t owner, Duration valid_for) {
     owner_ = owner;
     ++fence_;
@@ -106,7 +106,7 @@
     nodes_[node].limits.OnContract(Local(nodes_[node]), contract);
   }
 
-  // A fresh process under the same id.
+  // Replaces the node's process by a new one under the same id.
   void Restart(std::size_t i, const LimitSettings& settings) {
     Node& node = nodes_[i];
     ++incarnation_;
@@ -150,7 +150,7 @@
       Step(step);
     }
   }
-  // The same while every node in `callers` gets a request each step.
+  // Like `Run`, with one request per step to every node in `callers`.
   void RunWithCallers(Duration span, const std::vector<std::size_t>& callers) {
     for (Time end = now_ + span; now_ < end;) {
       for (const std::size_t caller : callers) {
@@ -160,13 +160,14 @@
     }
   }
 
-  // What a node may use now. A paused node counts: it may wake at any time.
+  // What a node may use now. A paused node counts, because it may resume at any
+  // time.
   LimitVector ShareOf(std::size_t i) const {
     const Node& node = nodes_[i];
     return node.is_up ? node.limits.ShareOf(Local(node), node.contract.id)
                       : LimitVector();
   }
-  // Sum of all shares over the largest limit that any node still has in force.
+  // Sum of all shares divided by the largest limit that any node has in force.
   // More than 1 is over-admission.
   LimitVector Sum() const {
     LimitVector sum;
--- a/tests/coordination/limits/limits_property_test.cc
+++ b/tests/coordination/limits/limits_property_test.cc
@@ -10,7 +10,8 @@
 namespace {
 
 constexpr double kRounding = 1e-6;
-// The smallest of the largest limits in force.
+// Smallest possible value of the largest concurrency limit in force: the
+// contract's concurrency before any change.
 constexpr double kSmallestConcurrency = 7;
 constexpr Duration kRoleLife = Duration::Seconds(3);
 constexpr Duration kRoleMargin = Duration::Millis(200);
@@ -24,8 +25,9 @@
   return settings;
 }
 
-// One random run: callers, faults of the network, pauses, restarts, changes of
-// the contract and of the owner, which its lease alone protects.
+// One random run with callers, network faults, pauses, restarts, and changes of
+// the contract and of the owner. Only the lease keeps a node from being owner
+// beside another.
 class HostileRun {
  public:
   HostileRun(std::size_t nodes,
@@ -38,8 +40,8 @@
     auto& faults = fleet_.network().faults();
     faults.lost = 0.3 * DrawUnit(fleet_.random());
     faults.doubled = 0.3 * DrawUnit(fleet_.random());
-    // Long delays make grants expire on their way; short ones let the fleet
-    // settle between faults.
+    // Long delays make grants expire in transit; short ones let shares settle
+    // between faults.
     const std::uint64_t delays = DrawUnit(fleet_.random()) < 0.3 ? 1500 : 60;
     faults.max_delay = Duration::Millis(
         3 + static_cast<std::int64_t>(DrawBelow(fleet_.random(), delays)));
@@ -60,7 +62,7 @@
       worst_ = Max(worst_, fleet_.Sum());
     }
   }
-  // Of all shares over the limit.
+  // Largest sum of all shares, divided by the limit.
   const LimitVector& worst() const { return worst_; }
   std::int64_t granted() const { return fleet_.granted(); }
 
@@ -107,7 +109,8 @@
     }
   }
 
-  // One node alone, or the fleet in two halves.
+  // Partitions the network: either one node from all others, or the fleet into
+  // two parts.
   void CutOff(std::size_t i) {
     const bool alone = DrawUnit(fleet_.random()) < 0.5;
     const NodeId cut = fleet_.node(i).id;
@@ -119,15 +122,17 @@
     });
   }
 
-  // An owner that restarts has lost its lease; its role comes back by lapse.
+  // The owner is not restarted: a restarted owner has lost its lease, and the
+  // role moves only after the lease has expired.
   void Restart(std::size_t i) {
     if (i != fleet_.owner()) {
       fleet_.Restart(i, settings_);
     }
   }
 
-  // A running owner renews its lease most of the time. When it lapsed, another
-  // node takes the role, while the old one may still believe in it.
+  // A running owner renews its lease most of the time. After the lease has
+  // expired, a random node takes the role, while the old owner may still
+  // consider itself owner.
   void MoveRole() {
     const bool renews = !fleet_.node(fleet_.owner()).is_paused &&
                         DrawUnit(fleet_.random()) < 0.01 &&
@@ -156,12 +161,12 @@
   for (const LimitResource resource : kLimitResources) {
     RC_ASSERT(run.worst()[resource] <= 1 + kRounding);
   }
-  // A fleet that grants nothing would pass without meaning anything.
+  // A fleet that grants nothing would satisfy the bound trivially.
   RC_ASSERT(run.granted() > 0);
 }
 
-// While nodes know different versions of a contract, whole requests at once
-// are rounded by different limits: each node may be one over.
+// While nodes know different versions of a contract, concurrency is rounded to
+// whole requests of different limits, so that each node may exceed by one.
 RC_GTEST_PROP(LimitsProperty, ChangedContractKeepsTheSumOfShares, ()) {
   const auto nodes = *rc::gen::inRange<std::size_t>(2, 5);
   const auto relays = *rc::gen::arbitrary<bool>();
--- a/tests/coordination/limits/limits_test.cc
+++ b/tests/coordination/limits/limits_test.cc
@@ -20,7 +20,7 @@
  protected:
   LimitsTest() { fleet_.GiveRole(0, kLongRole); }
 
-  // Runs with callers at all nodes and returns the worst sum of shares.
+  // Runs with callers at all nodes and returns the largest sum of shares.
   double RunAndWatch(Duration span) {
     double worst = 0;
     for (const Time end = fleet_.now() + span; fleet_.now() < end;) {
@@ -63,8 +63,8 @@
   EXPECT_EQ(attempt(6), ShareOutcome::kPending);
   fleet_.Run(Duration::Millis(150));
   EXPECT_EQ(attempt(6), ShareOutcome::kGranted);
-  // From another node that uses all of it, when that one has reported twice
-  // and the small share has let one request through.
+  // If another node uses the whole limit, a share takes longer: that node must
+  // report twice, and the small share must accumulate one request.
   fleet_.RunWithCallers(Duration::Seconds(3), {2});
   EXPECT_EQ(attempt(3), ShareOutcome::kPending);
   fleet_.RunWithCallers(Duration::Seconds(3), {2});
@@ -79,7 +79,7 @@
   const ContractId team("team");
   ASSERT_EQ(limits.TryAcquire(now, team, TokenCount(100)).outcome,
             ShareOutcome::kGranted);
-  // It used ten times a whole second's tokens: the next ones wait.
+  // The request used the tokens of ten seconds, so the next one has to wait.
   limits.Release(team, TokenCount(100), TokenCount(80000));
   const ShareDecision decision = limits.TryAcquire(now, team, TokenCount(100));
   EXPECT_EQ(decision.outcome, ShareOutcome::kTokenRate);
@@ -104,16 +104,14 @@
             ShareOutcome::kUnknownContract);
 }
 
-// Symptom: while the limit owner is lost, a customer gets nothing at all, or
-// every node serves the whole limit.
-// Sequence: all nodes have callers and grants; the owner dies; nobody takes
-// the role, since the store is down as well.
-// Cause: nodes that wait for an owner forever, or that fall back to a floor
-// while grants that count on its cession still live.
+// Guards against nodes that serve nothing, or together more than the limit,
+// after the owner died and the store is down, so that nobody takes the role:
+// they wait for an owner forever, or use their floor while grants that rely on
+// its cession are still in force.
 TEST_F(LimitsTest, OwnerLostLeavesEachNodeItsFloor) {
   RunAndWatch(Duration::Seconds(3));
   fleet_.node(0).is_up = false;
-  // Grants end after 4 periods; the floor's cession ends after 9 at most.
+  // Grants end after 4 periods, and the floor's cession after at most 9.
   const double worst = RunAndWatch(settings_.period_min * 9);
   EXPECT_LE(worst, 1 + kRounding);
   for (std::size_t i = 1; i < kNodes; ++i) {
@@ -121,10 +119,9 @@
   }
 }
 
-// Symptom: the sum of shares exceeds the limit while one node is cut off.
-// Sequence: a node loses all its peers but keeps its callers; it falls back
-// to its floor; the owner gives the whole limit to the others.
-// Cause: an owner that takes silence for a node that needs nothing.
+// Guards against a sum of shares above the limit while one node is cut off from
+// its peers but not from its callers: the node uses its floor, and an owner that
+// takes its silence for no demand grants the whole limit to the others.
 TEST_F(LimitsTest, FloorOfACutOffNodeStaysReserved) {
   RunAndWatch(Duration::Seconds(3));
   CutOff(5);
@@ -133,11 +130,10 @@
   EXPECT_NEAR(RequestsAt(1), 10, 0.5);
 }
 
-// Symptom: twice the limit is admitted for some seconds.
-// Sequence: the owner is paused by its VM for longer than its lease; another
-// node takes the role and grants; the old owner wakes, still believes in its
-// role, and answers the reports that waited for it.
-// Cause: grants that outlive the lease under which they were given.
+// Guards against grants that outlive the lease under which they were given,
+// which admit twice the limit for some seconds: the owner's VM pauses for
+// longer than the lease, another node takes the role and grants, and the old
+// owner resumes and answers the reports that waited for it.
 TEST_F(LimitsTest, PausedOwnerDoesNotGrantBesideItsSuccessor) {
   fleet_.GiveRole(0, Duration::Seconds(2));
   RunAndWatch(Duration::Millis(1500));
@@ -149,10 +145,9 @@
   EXPECT_LE(RunAndWatch(Duration::Seconds(3)), 1 + kRounding);
 }
 
-// Symptom: a planned hand-over of the role admits twice the limit.
-// Sequence: the owner deletes its role key at once; the next holder knows
-// nothing of the grants that still live and gives out the whole limit.
-// Cause: a release that does not wait for its grants to expire.
+// Guards against a planned handover that admits twice the limit: the owner
+// deletes its role key before its grants have expired, and the next holder does
+// not know of them and grants the whole limit.
 TEST_F(LimitsTest, RoleIsReleasedOnlyWhenItsGrantsHaveExpired) {
   RunAndWatch(Duration::Seconds(3));
   const Time released = fleet_.PrepareRelease();
@@ -163,10 +158,9 @@
   EXPECT_NEAR(RequestsAt(1), 10, 0.5);
 }
 
-// Symptom: after a node died, its customers' concurrency stays used up.
-// Sequence: one node holds all of a contract's concurrency and dies; callers
-// come to another node.
-// Cause: grants without an expiry, or requests counted at the owner alone.
+// Guards against concurrency that stays used up after a node that held all of
+// it died, and its callers have moved to another node: grants do not expire, or
+// running requests are counted at the owner only.
 TEST_F(LimitsTest, ConcurrencyOfADeadNodeComesBack) {
   const auto take_all = [this](std::size_t i) {
     int taken = 0;
@@ -184,13 +178,14 @@
   EXPECT_EQ(take_all(4), 0);
   fleet_.node(2).is_up = false;
   fleet_.Run(Duration::Seconds(2));
-  // All but the dead node's floor, which it might be using if it is cut off.
+  // All but the dead node's floor, because the node might be cut off and using
+  // it.
   EXPECT_EQ(take_all(4), 14);
 }
 
-// Symptom: callers are refused although the limit is far from used.
-// Sequence: a node is stopped on purpose; its floor stays reserved for hours.
-// Cause: an owner that can't tell a planned stop from a node that is cut off.
+// Guards against refusals well below the limit after a planned stop: an owner
+// that cannot tell a planned stop from a node that is cut off reserves the
+// node's floor for hours.
 TEST_F(LimitsTest, LeavingNodeHandsItsFloorOver) {
   fleet_.RunWithCallers(Duration::Seconds(2), {4});
   fleet_.node(2).limits.Leave();
@@ -200,10 +195,9 @@
   EXPECT_GT(RequestsAt(4), 0.99 * 80);
 }
 
-// Symptom: a node that was replaced admits beside what others were lent.
-// Sequence: a node cedes its floor, is replaced under the same id at once, and
-// its new process finds no owner.
-// Cause: a fresh process that does not know what its earlier run promised.
+// Guards against a node that uses its floor while others still use it: the node
+// cedes its floor and restarts at once under the same id, and the new process
+// finds no owner and does not know of the cession.
 TEST_F(LimitsTest, ReplacedNodeWaitsBeforeItUsesItsFloor) {
   fleet_.RunWithCallers(Duration::Seconds(2), {4});
   CutOff(2);
