--- a/coordination/admission/admission.cc
+++ b/coordination/admission/admission.cc
@@ -9,11 +9,11 @@
 namespace {
 
 // Engines serve trial requests after paid requests of every rank.
-constexpr std::int64_t kTrialPriority = ContractBuilder::kMaxRank + 1;
+constexpr std::int64_t kTrialPriorityOffset = ContractBuilder::kMaxRank + 1;
 
 EnginePriority PriorityOf(Tier tier, Rank rank) {
   return EnginePriority(rank.value() +
-                        (tier == Tier::kTrial ? kTrialPriority : 0));
+                        (tier == Tier::kTrial ? kTrialPriorityOffset : 0));
 }
 
 }  // namespace
@@ -29,13 +29,13 @@
       continue;
     }
     const auto kind =
-        ContractDirectory::Check(contract, now, request.requested);
+        ContractDirectory::Check(contract, now, request.requested_target);
     if (kind) {
       refused.emplace_back(id, *kind);
     }
   }
   for (const auto& [id, kind] : refused) {
-    Drop(id, kind, {}, actions);
+    DropAndRefuse(id, kind, {}, actions);
   }
   return actions;
 }
@@ -51,18 +51,18 @@
     }
   }
   for (const RequestId& id : waiting) {
-    Drop(id, RefusalKind::kContractNotValid, {}, actions);
+    DropAndRefuse(id, RefusalKind::kContractNotValid, {}, actions);
   }
   contracts_.Remove(contract);
   limits_->OnContractWithdrawn(contract);
-  estimator_.Forget(contract);
+  estimator_.Remove(contract);
   return actions;
 }
 
 Admission::Request Admission::MakeRequest(const Contract& contract,
                                           const RequestProfile& profile) {
   return {.contract = contract.id,
-          .requested = profile.target,
+          .requested_target = profile.target,
           .tier = contract.tier,
           .rank = contract.rank,
           .weight = contract.tokens_per_second,
@@ -70,8 +70,8 @@
           .estimate = estimator_.Estimate(profile),
           .phase = Phase::kAwaitingShare,
           .deadline = profile.deadline,
-          .give_up_at = profile.deadline,
-          .target = &TargetOf(profile.target),
+          .wait_deadline = profile.deadline,
+          .target = &FindOrAddTarget(profile.target),
           .endpoint = {},
           .is_preempted = false};
 }
@@ -81,45 +81,46 @@
   Actions actions;
   const Contract* contract = contracts_.Find(profile.contract);
   if (contract == nullptr) {
-    Answer(profile.id, RefusalKind::kUnknownKey, {}, actions);
+    EmitRefusal(profile.id, RefusalKind::kUnknownKey, {}, actions);
     return actions;
   }
   if (const auto kind =
           ContractDirectory::Check(*contract, now, profile.target)) {
-    Answer(profile.id, *kind, {}, actions);
+    EmitRefusal(profile.id, *kind, {}, actions);
     return actions;
   }
   if (profile.deadline <= now) {
-    Answer(profile.id, RefusalKind::kDeadline, {}, actions);
+    EmitRefusal(profile.id, RefusalKind::kDeadline, {}, actions);
     return actions;
   }
   const auto [entry, is_new] =
       requests_.try_emplace(profile.id, MakeRequest(*contract, profile));
   if (is_new) {
-    AwaitShare(now, profile.id, entry->second, actions);
+    AcquireOrAwaitShare(now, profile.id, entry->second, actions);
   }
   return actions;
 }
 
-void Admission::AwaitShare(Time now,
-                           const RequestId& id,
-                           Request& request,
-                           Actions& actions) {
+void Admission::AcquireOrAwaitShare(Time now,
+                                    const RequestId& id,
+                                    Request& request,
+                                    Actions& actions) {
   const ShareDecision decision =
       limits_->TryAcquire(now, request.contract, request.estimate);
   if (decision.outcome == ShareOutcome::kGranted) {
-    Place(now, id, request, actions);
+    StartOrQueue(now, id, request, actions);
     return;
   }
   const bool may_wait =
       decision.outcome == ShareOutcome::kPending &&
       std::ssize(awaiting_share_) < settings_->share_queue_limit;
   if (!may_wait) {
-    Answer(id, RefusalOfShare(decision.outcome), decision.wait, actions);
+    EmitRefusal(id, RefusalOfShare(decision.outcome), decision.wait, actions);
     requests_.erase(id);
     return;
   }
-  request.give_up_at = std::min(request.deadline, now + settings_->share_wait);
+  request.wait_deadline =
+      std::min(request.deadline, now + settings_->max_share_wait);
   awaiting_share_.push_back(id);
   actions.emplace_back(Queued{id});
 }
@@ -130,29 +131,28 @@
   const Target& target = *request.target;
   if (!target.room.is_known()) {
     return request.tier == Tier::kPaid ||
-           std::holds_alternative<ServiceTarget>(request.requested);
+           std::holds_alternative<ServiceTarget>(request.requested_target);
   }
-  const bool is_its_turn =
-      target.paid.empty() &&
-      (request.tier == Tier::kPaid || target.trial.empty());
-  return is_its_turn && target.room.HasRoom(now, request.tier);
+  const bool is_next = target.paid.empty() &&
+                       (request.tier == Tier::kPaid || target.trial.empty());
+  return is_next && target.room.HasRoom(now, request.tier);
 }
 
-void Admission::Place(Time now,
-                      const RequestId& id,
-                      Request& request,
-                      Actions& actions) {
+void Admission::StartOrQueue(Time now,
+                             const RequestId& id,
+                             Request& request,
+                             Actions& actions) {
   request.phase = Phase::kAwaitingRoom;
   const TierRoom& room = request.target->room;
   if (room.is_known() && !room.HasEndpoints()) {
-    Drop(id, RefusalKind::kNoEndpoint, {}, actions);
+    DropAndRefuse(id, RefusalKind::kNoEndpoint, {}, actions);
     return;
   }
   if (HasRoom(now, request)) {
     Start(now, id, request, actions);
     return;
   }
-  AwaitRoom(now, id, request, actions);
+  QueueForRoom(now, id, request, actions);
 }
 
 void Admission::Start(Time now,
@@ -160,10 +160,10 @@
                       Request& request,
                       Actions& actions) {
   request.phase = Phase::kRunning;
-  request.target->room.Admitted(now, request.tier);
-  request.target->drain[TierIndex(request.tier)].Add(
+  request.target->room.OnAdmitted(now, request.tier);
+  request.target->admission_rate[TierIndex(request.tier)].Add(
       static_cast<double>(request.estimate.value()));
-  Report(EventKind::kRequestAdmitted, id);
+  ReportEvent(EventKind::kRequestAdmitted, id);
   actions.emplace_back(Admit{id, PriorityOf(request.tier, request.rank),
                              request.target->room.endpoints(request.tier)});
 }
@@ -172,7 +172,7 @@
                                                    const ModelId& model,
                                                    Headroom headroom) {
   Actions actions;
-  UpdateRoom(now, TargetOf(ModelTarget{model, {}}), std::move(headroom),
+  UpdateRoom(now, FindOrAddTarget(ModelTarget{model, {}}), std::move(headroom),
              actions);
   return actions;
 }
@@ -181,7 +181,7 @@
                                                    const ServiceId& service,
                                                    Headroom headroom) {
   Actions actions;
-  UpdateRoom(now, TargetOf(ServiceTarget{service}), std::move(headroom),
+  UpdateRoom(now, FindOrAddTarget(ServiceTarget{service}), std::move(headroom),
              actions);
   return actions;
 }
@@ -191,14 +191,15 @@
                            Headroom headroom,
                            Actions& actions) {
   target.room.Update(now, std::move(headroom));
-  PreemptOutside(target, actions);
-  StartAllWaiting(now, target, actions);
+  PreemptOutsideTrialPool(target, actions);
+  StartAllQueued(now, target, actions);
 }
 
 // Paid work is about to use the endpoints outside the trial pool. A trial
 // request left there would lengthen every step of the paid requests until it
 // ends.
-void Admission::PreemptOutside(const Target& target, Actions& actions) {
+void Admission::PreemptOutsideTrialPool(const Target& target,
+                                        Actions& actions) {
   for (auto& [id, request] : requests_) {
     const bool is_placed_trial = request.target == &target &&
                                  request.tier == Tier::kTrial &&
@@ -208,7 +209,7 @@
       continue;
     }
     request.is_preempted = true;
-    Report(EventKind::kTrialPreempted, id);
+    ReportEvent(EventKind::kTrialPreempted, id);
     actions.emplace_back(PreemptTrial{id});
   }
 }
@@ -238,8 +239,8 @@
   if (did_run) {
     estimator_.Learn(ended.contract, generated);
   }
-  ended.target->room.Finished(now, ended.tier, ended.endpoint);
-  StartAllWaiting(now, *ended.target, actions);
+  ended.target->room.OnFinished(now, ended.tier, ended.endpoint);
+  StartAllQueued(now, *ended.target, actions);
   return actions;
 }
 
@@ -248,11 +249,11 @@
   if (found == requests_.end() || found->second.phase == Phase::kRunning) {
     return;
   }
-  Actions answered_already;
-  Drop(request, RefusalKind::kDeadline, {}, answered_already);
+  Actions discarded;
+  DropAndRefuse(request, RefusalKind::kDeadline, {}, discarded);
 }
 
-void Admission::Report(EventKind kind, const RequestId& id) {
+void Admission::ReportEvent(EventKind kind, const RequestId& id) {
   sink_({.kind = kind, .subject = id.value(), .cause = {}, .fields = {}});
 }
 
--- a/coordination/admission/admission.h
+++ b/coordination/admission/admission.h
@@ -114,12 +114,12 @@
     AdmissionQueue paid;
     AdmissionQueue trial;
     // Estimated tokens admitted per second, indexed by tier.
-    std::array<DemandMeter, 2> drain;
+    std::array<DemandMeter, 2> admission_rate;
   };
   enum class Phase { kAwaitingShare, kAwaitingRoom, kRunning };
   struct Request {
     ContractId contract;
-    RequestTarget requested;
+    RequestTarget requested_target;
     Tier tier = Tier::kTrial;
     Rank rank;
     // Weight of the contract among those of its rank.
@@ -128,7 +128,7 @@
     TokenCount estimate;
     Phase phase = Phase::kAwaitingShare;
     Time deadline;
-    Time give_up_at;
+    Time wait_deadline;
     Target* target = nullptr;
     // Empty before the request is dispatched.
     EndpointId endpoint;
@@ -144,28 +144,31 @@
   static std::size_t TierIndex(Tier tier) {
     return tier == Tier::kPaid ? 0 : 1;
   }
-  Target& TargetOf(const RequestTarget& target);
+  Target& FindOrAddTarget(const RequestTarget& target);
   Request MakeRequest(const Contract& contract, const RequestProfile& profile);
-  void AwaitShare(Time now,
-                  const RequestId& id,
-                  Request& request,
-                  Actions& actions);
-  void AwaitRoom(Time now,
-                 const RequestId& id,
-                 Request& request,
-                 Actions& actions);
+  void AcquireOrAwaitShare(Time now,
+                           const RequestId& id,
+                           Request& request,
+                           Actions& actions);
+  void QueueForRoom(Time now,
+                    const RequestId& id,
+                    Request& request,
+                    Actions& actions);
   void Start(Time now, const RequestId& id, Request& request, Actions& actions);
   // Starts the request if there is room for it, else queues it.
-  void Place(Time now, const RequestId& id, Request& request, Actions& actions);
-  void StartWaiting(Time now, Target& target, Tier tier, Actions& actions);
-  void StartAllWaiting(Time now, Target& target, Actions& actions);
+  void StartOrQueue(Time now,
+                    const RequestId& id,
+                    Request& request,
+                    Actions& actions);
+  void StartQueued(Time now, Target& target, Tier tier, Actions& actions);
+  void StartAllQueued(Time now, Target& target, Actions& actions);
   void RetryShares(Time now, Actions& actions);
   void RetryShare(Time now,
                   const RequestId& id,
                   Request& request,
                   Actions& actions);
   void TickTarget(Time now, Target& target, Actions& actions);
-  void PreemptOutside(const Target& target, Actions& actions);
+  void PreemptOutsideTrialPool(const Target& target, Actions& actions);
   void UpdateRoom(Time now,
                   Target& target,
                   Headroom headroom,
@@ -176,16 +179,16 @@
                                const WaitingRequest& request);
   // Refuses a known request that does not run, takes it out of its queue and
   // returns its share if it holds one.
-  void Drop(const RequestId& id,
-            RefusalKind kind,
-            Duration wait,
-            Actions& actions);
-  void Answer(const RequestId& id,
-              RefusalKind kind,
-              Duration wait,
-              Actions& actions);
+  void DropAndRefuse(const RequestId& id,
+                     RefusalKind kind,
+                     Duration wait,
+                     Actions& actions);
+  void EmitRefusal(const RequestId& id,
+                   RefusalKind kind,
+                   Duration wait,
+                   Actions& actions);
   Duration RetryAfter(RefusalKind kind, Duration wait) const;
-  void Report(EventKind kind, const RequestId& id);
+  void ReportEvent(EventKind kind, const RequestId& id);
 
   std::unique_ptr<AdmissionSettings> settings_;
   Random random_;
--- a/coordination/admission/admission_builder.cc
+++ b/coordination/admission/admission_builder.cc
@@ -19,7 +19,7 @@
       sink_(std::move(sink)),
       limits_(limits) {}
 
-Admission::Target& Admission::TargetOf(const RequestTarget& target) {
+Admission::Target& Admission::FindOrAddTarget(const RequestTarget& target) {
   if (const auto* model = std::get_if<ModelTarget>(&target)) {
     return models_.try_emplace(model->model, *settings_, random_).first->second;
   }
--- a/coordination/admission/admission_queue.cc
+++ b/coordination/admission/admission_queue.cc
@@ -8,7 +8,7 @@
 
 // Minimum fraction of the quantum that a turn adds. Without it, a contract with
 // a tiny token rate among large ones would take thousands of turns.
-constexpr double kSmallestTurn = 0.05;
+constexpr double kMinQuantumFraction = 0.05;
 
 }  // namespace
 
@@ -16,14 +16,15 @@
     : limit_(limit), quantum_tokens_(static_cast<double>(quantum_tokens)) {}
 
 void AdmissionQueue::Enqueue(RankQueue& queue, WaitingRequest request) {
-  const auto [entry, is_new] = queue.lines.try_emplace(request.contract);
-  Line& line = entry->second;
+  const auto [entry, is_new] =
+      queue.contract_queues.try_emplace(request.contract);
+  ContractQueue& contract_queue = entry->second;
   if (is_new) {
-    queue.ring.push_back(request.contract);
+    queue.round_robin.push_back(request.contract);
   }
-  line.weight = request.weight;
-  line.tokens += static_cast<double>(request.cost);
-  line.requests.push_back(std::move(request));
+  contract_queue.weight = request.weight;
+  contract_queue.tokens += static_cast<double>(request.cost);
+  contract_queue.requests.push_back(std::move(request));
 }
 
 std::optional<WaitingRequest> AdmissionQueue::Push(WaitingRequest request) {
@@ -33,30 +34,32 @@
   return size_ > limit_ ? DropNewestOfLongest() : std::nullopt;
 }
 
-void AdmissionQueue::DropLine(RankQueue& queue, const ContractId& contract) {
-  if (queue.ring.front() == contract) {
-    queue.is_turn_open = false;
+void AdmissionQueue::RemoveContractQueue(RankQueue& queue,
+                                         const ContractId& contract) {
+  if (queue.round_robin.front() == contract) {
+    queue.has_quantum = false;
   }
-  std::erase(queue.ring, contract);
-  queue.lines.erase(contract);
+  std::erase(queue.round_robin, contract);
+  queue.contract_queues.erase(contract);
 }
 
 std::optional<WaitingRequest> AdmissionQueue::DropNewestOfLongest() {
   RankQueue& queue = ranks_.rbegin()->second;
   const auto longest = std::max_element(
-      queue.lines.begin(), queue.lines.end(), [](const auto& a, const auto& b) {
+      queue.contract_queues.begin(), queue.contract_queues.end(),
+      [](const auto& a, const auto& b) {
         return a.second.tokens / a.second.weight <
                b.second.tokens / b.second.weight;
       });
-  Line& line = longest->second;
-  WaitingRequest dropped = std::move(line.requests.back());
-  line.requests.pop_back();
-  line.tokens -= static_cast<double>(dropped.cost);
+  ContractQueue& contract_queue = longest->second;
+  WaitingRequest dropped = std::move(contract_queue.requests.back());
+  contract_queue.requests.pop_back();
+  contract_queue.tokens -= static_cast<double>(dropped.cost);
   --size_;
-  if (line.requests.empty()) {
-    DropLine(queue, ContractId(longest->first));
+  if (contract_queue.requests.empty()) {
+    RemoveContractQueue(queue, ContractId(longest->first));
   }
-  if (queue.lines.empty()) {
+  if (queue.contract_queues.empty()) {
     ranks_.erase(dropped.rank);
   }
   return dropped;
@@ -64,38 +67,40 @@
 
 // A contract of average weight gets one quantum per turn.
 double AdmissionQueue::QuantumOf(const RankQueue& queue,
-                                 const Line& line) const {
+                                 const ContractQueue& contract_queue) const {
   double sum = 0;
-  for (const auto& [contract, other] : queue.lines) {
+  for (const auto& [contract, other] : queue.contract_queues) {
     sum += other.weight;
   }
-  const double average = sum / static_cast<double>(queue.lines.size());
-  const double part = average > 0 ? line.weight / average : 1;
-  return quantum_tokens_ * std::max(kSmallestTurn, part);
+  const double average =
+      sum / static_cast<double>(queue.contract_queues.size());
+  const double relative_weight =
+      average > 0 ? contract_queue.weight / average : 1;
+  return quantum_tokens_ * std::max(kMinQuantumFraction, relative_weight);
 }
 
 WaitingRequest AdmissionQueue::PopFrom(RankQueue& queue) {
   for (;;) {
-    const ContractId contract = queue.ring.front();
-    Line& line = queue.lines.at(contract);
-    if (!queue.is_turn_open) {
-      line.deficit += QuantumOf(queue, line);
-      queue.is_turn_open = true;
+    const ContractId contract = queue.round_robin.front();
+    ContractQueue& contract_queue = queue.contract_queues.at(contract);
+    if (!queue.has_quantum) {
+      contract_queue.deficit += QuantumOf(queue, contract_queue);
+      queue.has_quantum = true;
     }
-    const auto cost = static_cast<double>(line.requests.front().cost);
-    if (cost <= line.deficit) {
-      WaitingRequest next = std::move(line.requests.front());
-      line.requests.pop_front();
-      line.deficit -= cost;
-      line.tokens -= cost;
-      if (line.requests.empty()) {
-        DropLine(queue, contract);
+    const auto cost = static_cast<double>(contract_queue.requests.front().cost);
+    if (cost <= contract_queue.deficit) {
+      WaitingRequest next = std::move(contract_queue.requests.front());
+      contract_queue.requests.pop_front();
+      contract_queue.deficit -= cost;
+      contract_queue.tokens -= cost;
+      if (contract_queue.requests.empty()) {
+        RemoveContractQueue(queue, contract);
       }
       return next;
     }
-    queue.ring.pop_front();
-    queue.ring.push_back(contract);
-    queue.is_turn_open = false;
+    queue.round_robin.pop_front();
+    queue.round_robin.push_back(contract);
+    queue.has_quantum = false;
   }
 }
 
@@ -106,7 +111,7 @@
   const auto first = ranks_.begin();
   WaitingRequest next = PopFrom(first->second);
   --size_;
-  if (first->second.lines.empty()) {
+  if (first->second.contract_queues.empty()) {
     ranks_.erase(first);
   }
   return next;
@@ -117,25 +122,27 @@
   std::vector<WaitingRequest> taken;
   for (auto& [rank, queue] : ranks_) {
     std::vector<ContractId> emptied;
-    for (auto& entry : queue.lines) {
-      Line& line = entry.second;
-      std::erase_if(line.requests, [&](const WaitingRequest& request) {
-        if (!predicate(request)) {
-          return false;
-        }
-        line.tokens -= static_cast<double>(request.cost);
-        taken.push_back(request);
-        return true;
-      });
-      if (line.requests.empty()) {
+    for (auto& entry : queue.contract_queues) {
+      ContractQueue& contract_queue = entry.second;
+      std::erase_if(
+          contract_queue.requests, [&](const WaitingRequest& request) {
+            if (!predicate(request)) {
+              return false;
+            }
+            contract_queue.tokens -= static_cast<double>(request.cost);
+            taken.push_back(request);
+            return true;
+          });
+      if (contract_queue.requests.empty()) {
         emptied.push_back(entry.first);
       }
     }
     for (const ContractId& contract : emptied) {
-      DropLine(queue, contract);
+      RemoveContractQueue(queue, contract);
     }
   }
-  std::erase_if(ranks_, [](const auto& e) { return e.second.lines.empty(); });
+  std::erase_if(ranks_,
+                [](const auto& e) { return e.second.contract_queues.empty(); });
   size_ -= std::ssize(taken);
   return taken;
 }
@@ -153,7 +160,7 @@
 
 std::vector<WaitingRequest> AdmissionQueue::TakeExpired(Time now) {
   return TakeIf([now](const WaitingRequest& request) {
-    return request.give_up_at <= now;
+    return request.wait_deadline <= now;
   });
 }
 
@@ -163,15 +170,17 @@
     if (rank > request.rank) {
       break;
     }
-    const auto own = queue.lines.find(request.contract);
-    const double own_tokens = own == queue.lines.end() ? 0 : own->second.tokens;
+    const auto own = queue.contract_queues.find(request.contract);
+    const double own_tokens =
+        own == queue.contract_queues.end() ? 0 : own->second.tokens;
     const double turns =
         (own_tokens + static_cast<double>(request.cost)) / request.weight;
-    for (const auto& [contract, line] : queue.lines) {
+    for (const auto& [contract, contract_queue] : queue.contract_queues) {
       const bool is_before =
           rank < request.rank || contract == request.contract;
-      ahead +=
-          is_before ? line.tokens : std::min(line.tokens, turns * line.weight);
+      ahead += is_before ? contract_queue.tokens
+                         : std::min(contract_queue.tokens,
+                                    turns * contract_queue.weight);
     }
   }
   return ahead;
--- a/coordination/admission/admission_queue.h
+++ b/coordination/admission/admission_queue.h
@@ -21,7 +21,7 @@
   // Cost in estimated tokens.
   std::int64_t cost = 0;
   // The request is refused if it still waits at this time.
-  Time give_up_at;
+  Time wait_deadline;
 };
 
 // Bounded queue of one tier for one model. Ranks are served in strict order,
@@ -49,27 +49,28 @@
   bool empty() const { return size_ == 0; }
 
  private:
-  struct Line {
+  struct ContractQueue {
     std::deque<WaitingRequest> requests;
     double weight = 1;
     double deficit = 0;
     double tokens = 0;
   };
   struct RankQueue {
-    std::map<ContractId, Line> lines;
+    std::map<ContractId, ContractQueue> contract_queues;
     // Order of the round robin; the front contract has its turn.
-    std::deque<ContractId> ring;
+    std::deque<ContractId> round_robin;
     // True if the front contract has received the quantum of its turn.
-    bool is_turn_open = false;
+    bool has_quantum = false;
   };
 
   static void Enqueue(RankQueue& queue, WaitingRequest request);
   WaitingRequest PopFrom(RankQueue& queue);
-  static void DropLine(RankQueue& queue, const ContractId& contract);
+  static void RemoveContractQueue(RankQueue& queue, const ContractId& contract);
   std::optional<WaitingRequest> DropNewestOfLongest();
   template <typename Predicate>
   std::vector<WaitingRequest> TakeIf(Predicate predicate);
-  double QuantumOf(const RankQueue& queue, const Line& line) const;
+  double QuantumOf(const RankQueue& queue,
+                   const ContractQueue& contract_queue) const;
 
   std::int64_t limit_;
   double quantum_tokens_;
--- a/coordination/admission/admission_waiting.cc
+++ b/coordination/admission/admission_waiting.cc
@@ -32,21 +32,22 @@
   const ShareDecision decision = limits_->TryAcquire(
       now, request.contract, request.estimate, AcquireAttempt::kRepeated);
   if (decision.outcome == ShareOutcome::kGranted) {
-    request.give_up_at = request.deadline;
-    Place(now, id, request, actions);
+    request.wait_deadline = request.deadline;
+    StartOrQueue(now, id, request, actions);
     return;
   }
-  if (decision.outcome == ShareOutcome::kPending && now < request.give_up_at) {
+  if (decision.outcome == ShareOutcome::kPending &&
+      now < request.wait_deadline) {
     awaiting_share_.push_back(id);
     return;
   }
-  Drop(id, RefusalOfShare(decision.outcome), decision.wait, actions);
+  DropAndRefuse(id, RefusalOfShare(decision.outcome), decision.wait, actions);
 }
 
 Duration Admission::ExpectedWait(const Target& target,
                                  Tier tier,
                                  const WaitingRequest& request) {
-  const double rate = target.drain[TierIndex(tier)].rate();
+  const double rate = target.admission_rate[TierIndex(tier)].rate();
   if (rate <= 0) {
     return {};
   }
@@ -55,42 +56,43 @@
       static_cast<std::int64_t>(seconds * kMillisPerSecond));
 }
 
-void Admission::AwaitRoom(Time now,
-                          const RequestId& id,
-                          Request& request,
-                          Actions& actions) {
+void Admission::QueueForRoom(Time now,
+                             const RequestId& id,
+                             Request& request,
+                             Actions& actions) {
   const bool is_trial = request.tier == Tier::kTrial;
   if (is_trial) {
-    request.give_up_at =
-        std::min(request.deadline, now + settings_->trial_wait);
+    request.wait_deadline =
+        std::min(request.deadline, now + settings_->max_trial_wait);
   }
   WaitingRequest waiting{.id = id,
                          .contract = request.contract,
                          .rank = request.rank,
                          .weight = request.weight,
                          .cost = request.estimate.value(),
-                         .give_up_at = request.give_up_at};
+                         .wait_deadline = request.wait_deadline};
   Target& target = *request.target;
   const Duration wait = ExpectedWait(target, request.tier, waiting);
-  if (now + wait >= request.give_up_at) {
-    Drop(id, is_trial ? RefusalKind::kTrialNoHeadroom : RefusalKind::kDeadline,
-         wait, actions);
+  if (now + wait >= request.wait_deadline) {
+    DropAndRefuse(
+        id, is_trial ? RefusalKind::kTrialNoHeadroom : RefusalKind::kDeadline,
+        wait, actions);
     return;
   }
   const auto dropped = target.queue(request.tier).Push(std::move(waiting));
   if (!dropped || dropped->id != id) {
-    Report(EventKind::kRequestQueued, id);
+    ReportEvent(EventKind::kRequestQueued, id);
     actions.emplace_back(Queued{id});
   }
   if (dropped) {
-    Drop(dropped->id, RefusalKind::kQueueFull, wait, actions);
+    DropAndRefuse(dropped->id, RefusalKind::kQueueFull, wait, actions);
   }
 }
 
-void Admission::StartWaiting(Time now,
-                             Target& target,
-                             Tier tier,
-                             Actions& actions) {
+void Admission::StartQueued(Time now,
+                            Target& target,
+                            Tier tier,
+                            Actions& actions) {
   AdmissionQueue& queue = target.queue(tier);
   while (!queue.empty() && target.room.HasRoom(now, tier)) {
     const auto next = queue.Pop();
@@ -100,12 +102,12 @@
     }
     Request& request = found->second;
     const Contract* contract = contracts_.Find(request.contract);
-    const auto kind =
-        contract == nullptr
-            ? std::optional(RefusalKind::kContractNotValid)
-            : ContractDirectory::Check(*contract, now, request.requested);
+    const auto kind = contract == nullptr
+                          ? std::optional(RefusalKind::kContractNotValid)
+                          : ContractDirectory::Check(*contract, now,
+                                                     request.requested_target);
     if (kind) {
-      Drop(next->id, *kind, {}, actions);
+      DropAndRefuse(next->id, *kind, {}, actions);
       continue;
     }
     Start(now, next->id, request, actions);
@@ -113,27 +115,27 @@
 }
 
 // Trial requests start only if no paid request waits.
-void Admission::StartAllWaiting(Time now, Target& target, Actions& actions) {
+void Admission::StartAllQueued(Time now, Target& target, Actions& actions) {
   if (!target.room.is_known()) {
     return;
   }
-  StartWaiting(now, target, Tier::kPaid, actions);
+  StartQueued(now, target, Tier::kPaid, actions);
   if (target.paid.empty()) {
-    StartWaiting(now, target, Tier::kTrial, actions);
+    StartQueued(now, target, Tier::kTrial, actions);
   }
 }
 
 void Admission::TickTarget(Time now, Target& target, Actions& actions) {
   for (const Tier tier : {Tier::kPaid, Tier::kTrial}) {
-    target.drain[TierIndex(tier)].Measure(now);
+    target.admission_rate[TierIndex(tier)].Measure(now);
     for (const WaitingRequest& expired : target.queue(tier).TakeExpired(now)) {
-      Drop(expired.id,
-           tier == Tier::kTrial ? RefusalKind::kTrialNoHeadroom
-                                : RefusalKind::kDeadline,
-           {}, actions);
+      DropAndRefuse(expired.id,
+                    tier == Tier::kTrial ? RefusalKind::kTrialNoHeadroom
+                                         : RefusalKind::kDeadline,
+                    {}, actions);
     }
   }
-  StartAllWaiting(now, target, actions);
+  StartAllQueued(now, target, actions);
 }
 
 std::vector<AdmissionAction> Admission::Tick(Time now) {
@@ -148,10 +150,10 @@
   return actions;
 }
 
-void Admission::Drop(const RequestId& id,
-                     RefusalKind kind,
-                     Duration wait,
-                     Actions& actions) {
+void Admission::DropAndRefuse(const RequestId& id,
+                              RefusalKind kind,
+                              Duration wait,
+                              Actions& actions) {
   const auto found = requests_.find(id);
   if (found == requests_.end()) {
     return;
@@ -164,14 +166,14 @@
   if (dropped.phase != Phase::kAwaitingShare) {
     limits_->Release(dropped.contract, dropped.estimate, TokenCount(0));
   }
-  Answer(id, kind, wait, actions);
+  EmitRefusal(id, kind, wait, actions);
 }
 
-void Admission::Answer(const RequestId& id,
-                       RefusalKind kind,
-                       Duration wait,
-                       Actions& actions) {
-  Report(EventKind::kRequestRefused, id);
+void Admission::EmitRefusal(const RequestId& id,
+                            RefusalKind kind,
+                            Duration wait,
+                            Actions& actions) {
+  ReportEvent(EventKind::kRequestRefused, id);
   actions.emplace_back(Refuse{id, {kind, RetryAfter(kind, wait)}});
 }
 
@@ -179,11 +181,11 @@
   if (!ComingBackHelps(kind)) {
     return {};
   }
-  const Duration least =
-      std::clamp(wait, settings_->retry_base, settings_->retry_limit);
-  const double spread = 1 + DrawUnit(random_);
-  return Duration::Millis(
-      static_cast<std::int64_t>(static_cast<double>(least.millis()) * spread));
+  const Duration base_delay =
+      std::clamp(wait, settings_->min_retry_delay, settings_->max_retry_delay);
+  const double jitter = 1 + DrawUnit(random_);
+  return Duration::Millis(static_cast<std::int64_t>(
+      static_cast<double>(base_delay.millis()) * jitter));
 }
 
 }  // namespace gcw
--- a/coordination/admission/tier_pools.cc
+++ b/coordination/admission/tier_pools.cc
@@ -10,7 +10,7 @@
 namespace gcw {
 namespace {
 
-std::int64_t PaidAt(const EndpointHeadroom& endpoint) {
+std::int64_t PaidRequestsAt(const EndpointHeadroom& endpoint) {
   return endpoint.paid.value_or(endpoint.running + endpoint.queued);
 }
 
@@ -20,7 +20,7 @@
     : settings_(&settings) {}
 
 // Sorts by hash, so that the first endpoints are spread over the data centres.
-void TierPools::SortAlikeEverywhere(std::vector<EndpointHeadroom>& endpoints) {
+void TierPools::SortByHash(std::vector<EndpointHeadroom>& endpoints) {
   const auto key = [](const EndpointHeadroom& e) {
     return std::pair(StableHash(e.endpoint.value()), &e.endpoint.value());
   };
@@ -33,12 +33,12 @@
 }
 
 // Number of endpoints that hold `paid` requests at the target fill.
-std::size_t TierPools::NeededFor(double paid) const {
-  double held = 0;
+std::size_t TierPools::EndpointsNeededFor(double paid) const {
+  double capacity = 0;
   std::size_t needed = 0;
-  while (needed < endpoints_.size() && held < paid) {
-    held += settings_->paid_target *
-            static_cast<double>(endpoints_[needed].batch_limit);
+  while (needed < endpoints_.size() && capacity < paid) {
+    capacity += settings_->paid_fill_target *
+                static_cast<double>(endpoints_[needed].batch_limit);
     ++needed;
   }
   return needed;
@@ -48,26 +48,26 @@
                        std::vector<EndpointHeadroom> endpoints,
                        std::int64_t unreported_paid) {
   endpoints_ = std::move(endpoints);
-  SortAlikeEverywhere(endpoints_);
+  SortByHash(endpoints_);
   auto paid = static_cast<double>(unreported_paid);
   for (const EndpointHeadroom& endpoint : endpoints_) {
-    paid += static_cast<double>(PaidAt(endpoint));
+    paid += static_cast<double>(PaidRequestsAt(endpoint));
   }
-  paid_count_ =
-      std::min(HighestNeeded(now, NeededFor(paid)), endpoints_.size());
+  paid_count_ = std::min(MaxRecentlyNeeded(now, EndpointsNeededFor(paid)),
+                         endpoints_.size());
 }
 
-// Records `needed` and returns the maximum of the last `shrink_after`, so that
+// Records `needed` and returns the maximum of the last `shrink_delay`, so that
 // the division follows a rise at once and ignores short dips.
-std::size_t TierPools::HighestNeeded(Time now, std::size_t needed) {
-  while (!needed_.empty() && needed_.back().count <= needed) {
-    needed_.pop_back();
+std::size_t TierPools::MaxRecentlyNeeded(Time now, std::size_t needed) {
+  while (!recent_needed_.empty() && recent_needed_.back().count <= needed) {
+    recent_needed_.pop_back();
   }
-  needed_.push_back({now, needed});
-  while (needed_.front().when + settings_->shrink_after < now) {
-    needed_.pop_front();
+  recent_needed_.push_back({now, needed});
+  while (recent_needed_.front().when + settings_->shrink_delay < now) {
+    recent_needed_.pop_front();
   }
-  return needed_.front().count;
+  return recent_needed_.front().count;
 }
 
 std::size_t TierPools::trial_begin() const {
--- a/coordination/admission/tier_pools.h
+++ b/coordination/admission/tier_pools.h
@@ -39,19 +39,19 @@
   std::size_t trial_begin() const;
 
  private:
-  static void SortAlikeEverywhere(std::vector<EndpointHeadroom>& endpoints);
-  std::size_t NeededFor(double paid) const;
-  std::size_t HighestNeeded(Time now, std::size_t needed);
+  static void SortByHash(std::vector<EndpointHeadroom>& endpoints);
+  std::size_t EndpointsNeededFor(double paid) const;
+  std::size_t MaxRecentlyNeeded(Time now, std::size_t needed);
 
   const AdmissionSettings* settings_;
   std::vector<EndpointHeadroom> endpoints_;
   std::size_t paid_count_ = 0;
-  struct Needed {
+  struct NeededSample {
     Time when;
     std::size_t count = 0;
   };
   // Decreasing counts; each is the maximum since its time.
-  std::deque<Needed> needed_;
+  std::deque<NeededSample> recent_needed_;
 };
 
 }  // namespace gcw
--- a/coordination/admission/tier_room.cc
+++ b/coordination/admission/tier_room.cc
@@ -6,7 +6,7 @@
 namespace gcw {
 namespace {
 
-std::int64_t PaidAt(const EndpointHeadroom& endpoint) {
+std::int64_t PaidRequestsAt(const EndpointHeadroom& endpoint) {
   return endpoint.paid.value_or(endpoint.running + endpoint.queued);
 }
 
@@ -17,14 +17,14 @@
 
 void TierRoom::DropReported(TierState& state, Time taken_at) {
   while (!state.changes.empty() && state.changes.front().when <= taken_at) {
-    state.net -= state.changes.front().requests;
+    state.net_change -= state.changes.front().requests;
     state.changes.pop_front();
   }
 }
 
-void TierRoom::Record(TierState& state, Time now, std::int64_t requests) {
+void TierRoom::RecordChange(TierState& state, Time now, std::int64_t requests) {
   state.changes.push_back({now, requests});
-  state.net += requests;
+  state.net_change += requests;
 }
 
 void TierRoom::Update(Time now, Headroom headroom) {
@@ -32,33 +32,34 @@
     DropReported(state, headroom.taken_at);
   }
   const std::int64_t unreported =
-      std::max<std::int64_t>(0, StateOf(Tier::kPaid).net);
+      std::max<std::int64_t>(0, StateOf(Tier::kPaid).net_change);
   pools_.Update(now, std::move(headroom.endpoints), unreported);
   headroom_ = std::move(headroom);
-  DividePaid();
-  DivideTrial();
+  UpdatePaid();
+  UpdateTrial();
 }
 
 // The fraction of a request is rounded at random. If each node rounded its part
 // down, nobody would use the last free places.
-std::int64_t TierRoom::PartOf(std::int64_t free) const {
+std::int64_t TierRoom::OwnPartOf(std::int64_t free) const {
   const auto nodes =
       static_cast<double>(std::max<std::int64_t>(1, headroom_->sharing_nodes));
-  const double part =
-      static_cast<double>(free) * std::min(1.0, settings_->overcommit / nodes);
+  const double part = static_cast<double>(free) *
+                      std::min(1.0, settings_->overcommit_factor / nodes);
   const double whole = std::floor(part);
   return static_cast<std::int64_t>(whole) +
          (DrawUnit(random_) < part - whole ? 1 : 0);
 }
 
 // Paid work may use every endpoint, because trial work is preempted for it.
-void TierRoom::DividePaid() {
+void TierRoom::UpdatePaid() {
   TierState& state = StateOf(Tier::kPaid);
   std::int64_t free = 0;
   for (const EndpointHeadroom& endpoint : pools_.endpoints()) {
-    free += endpoint.batch_limit + settings_->engine_backlog - PaidAt(endpoint);
+    free += endpoint.batch_limit + settings_->engine_queue_limit -
+            PaidRequestsAt(endpoint);
   }
-  state.part = PartOf(free);
+  state.own_part = OwnPartOf(free);
   std::vector<EndpointId> chosen;
   // The first request of an idle model needs somewhere to go.
   const std::size_t count = std::max<std::size_t>(1, pools_.paid_count());
@@ -69,7 +70,7 @@
       std::make_shared<const std::vector<EndpointId>>(std::move(chosen));
 }
 
-void TierRoom::DivideTrial() {
+void TierRoom::UpdateTrial() {
   TierState& state = StateOf(Tier::kTrial);
   std::int64_t free = 0;
   std::vector<EndpointId> chosen;
@@ -87,7 +88,7 @@
   }
   state.endpoints =
       std::make_shared<const std::vector<EndpointId>>(std::move(chosen));
-  state.part = PartOf(free);
+  state.own_part = OwnPartOf(free);
 }
 
 bool TierRoom::HasEndpoints() const {
@@ -97,10 +98,10 @@
 bool TierRoom::HasRoom(Time now, Tier tier) const {
   const TierState& state = StateOf(tier);
   if (tier == Tier::kTrial &&
-      now > headroom_->taken_at + settings_->headroom_max_age) {
+      now > headroom_->taken_at + settings_->max_headroom_age) {
     return false;
   }
-  return !state.endpoints->empty() && state.part - state.net > 0;
+  return !state.endpoints->empty() && state.own_part - state.net_change > 0;
 }
 
 const EndpointList& TierRoom::endpoints(Tier tier) const {
@@ -111,14 +112,14 @@
   return open_to_trial_.contains(endpoint);
 }
 
-void TierRoom::Admitted(Time now, Tier tier) {
-  Record(StateOf(tier), now, 1);
+void TierRoom::OnAdmitted(Time now, Tier tier) {
+  RecordChange(StateOf(tier), now, 1);
 }
 
 // A trial request that ends outside the trial endpoints leaves no room in them.
-void TierRoom::Finished(Time now, Tier tier, const EndpointId& endpoint) {
+void TierRoom::OnFinished(Time now, Tier tier, const EndpointId& endpoint) {
   if (tier == Tier::kPaid || IsOpenToTrial(endpoint)) {
-    Record(StateOf(tier), now, -1);
+    RecordChange(StateOf(tier), now, -1);
   }
 }
 
--- a/coordination/admission/tier_room.h
+++ b/coordination/admission/tier_room.h
@@ -36,8 +36,8 @@
   const EndpointList& endpoints(Tier tier) const;
   bool IsOpenToTrial(const EndpointId& endpoint) const;
 
-  void Admitted(Time now, Tier tier);
-  void Finished(Time now, Tier tier, const EndpointId& endpoint);
+  void OnAdmitted(Time now, Tier tier);
+  void OnFinished(Time now, Tier tier, const EndpointId& endpoint);
 
  private:
   struct Change {
@@ -46,10 +46,10 @@
   };
   struct TierState {
     // This node's part of the free room at the time of the reports.
-    std::int64_t part = 0;
+    std::int64_t own_part = 0;
     // Requests that this node started and finished since, oldest first.
     std::deque<Change> changes;
-    std::int64_t net = 0;
+    std::int64_t net_change = 0;
     EndpointList endpoints;
   };
 
@@ -57,10 +57,10 @@
   const TierState& StateOf(Tier tier) const { return tiers_[Index(tier)]; }
   static std::size_t Index(Tier tier) { return tier == Tier::kPaid ? 0 : 1; }
   static void DropReported(TierState& state, Time taken_at);
-  static void Record(TierState& state, Time now, std::int64_t requests);
-  std::int64_t PartOf(std::int64_t free) const;
-  void DividePaid();
-  void DivideTrial();
+  static void RecordChange(TierState& state, Time now, std::int64_t requests);
+  std::int64_t OwnPartOf(std::int64_t free) const;
+  void UpdatePaid();
+  void UpdateTrial();
 
   const AdmissionSettings* settings_;
   Random random_;
--- a/coordination/admission/token_estimator.h
+++ b/coordination/admission/token_estimator.h
@@ -16,7 +16,7 @@
   // the caller's maximum.
   TokenCount Estimate(const RequestProfile& profile) const;
   void Learn(const ContractId& contract, TokenCount generated);
-  void Forget(const ContractId& contract) { means_.erase(contract); }
+  void Remove(const ContractId& contract) { means_.erase(contract); }
 
  private:
   std::unordered_map<ContractId, double> means_;
--- a/coordination/limits/contract_limits.h
+++ b/coordination/limits/contract_limits.h
@@ -17,13 +17,13 @@
   void Remove(const ContractId& contract) { limits_.erase(contract); }
 
   // Zero for an unknown contract.
-  LimitVector Of(const ContractId& contract) const {
+  LimitVector LimitOf(const ContractId& contract) const {
     const auto found = limits_.find(contract);
     return found == limits_.end() ? LimitVector() : found->second;
   }
   // One running request as a fraction of the contract's concurrency limit.
   double ConcurrencyUnit(const ContractId& contract) const {
-    const double limit = Of(contract)[LimitResource::kConcurrency];
+    const double limit = LimitOf(contract)[LimitResource::kConcurrency];
     return limit > 0 ? 1 / limit : 1;
   }
 
--- a/coordination/limits/contract_share.cc
+++ b/coordination/limits/contract_share.cc
@@ -6,10 +6,10 @@
 namespace {
 
 constexpr double kMillisPerSecond = 1000.0;
-constexpr double kRounding = 1e-6;
-constexpr double kLeastRequestRate = 0.02;
+constexpr double kRoundingTolerance = 1e-6;
+constexpr double kMinRequestRate = 0.02;
 
-double PartOf(double amount, double limit) {
+double FractionOf(double amount, double limit) {
   return limit > 0 ? amount / limit : 0;
 }
 
@@ -17,37 +17,39 @@
 
 void ContractShare::SetLimit(Time now,
                              const LimitVector& limit,
-                             Duration burst) {
+                             Duration burst_duration) {
   limit_ = limit;
-  SetRates(now, burst);
+  SetRates(now, burst_duration);
 }
 
 void ContractShare::SetShare(Time now,
                              const LimitVector& share,
-                             Duration burst) {
+                             Duration burst_duration) {
   share_ = share;
-  SetRates(now, burst);
+  SetRates(now, burst_duration);
   if (!share_.IsZero()) {
     is_starved_ = false;
   }
 }
 
-void ContractShare::SetRates(Time now, Duration burst) {
-  const double seconds = static_cast<double>(burst.millis()) / kMillisPerSecond;
+void ContractShare::SetRates(Time now, Duration burst_duration) {
+  const double seconds =
+      static_cast<double>(burst_duration.millis()) / kMillisPerSecond;
   const double requests = share_[LimitResource::kRequests];
   const double tokens = share_[LimitResource::kTokens];
   requests_.SetRate(now, requests, std::max(1.0, requests * seconds));
   tokens_.SetRate(now, tokens, std::max(1.0, tokens * seconds));
-  if (!is_fresh_ || share_.IsZero()) {
+  if (!needs_first_fill_ || share_.IsZero()) {
     return;
   }
   // All nodes together start with one burst of the whole limit. If each node
   // started with one request, a contract of one request per second would get as
   // many at once as there are nodes.
   const double limit = limit_[LimitResource::kRequests];
-  requests_.Fill(std::max(1.0, limit * seconds) * PartOf(requests, limit));
-  tokens_.Fill(tokens * seconds);
-  is_fresh_ = false;
+  requests_.SetLevel(std::max(1.0, limit * seconds) *
+                     FractionOf(requests, limit));
+  tokens_.SetLevel(tokens * seconds);
+  needs_first_fill_ = false;
 }
 
 ShareDecision ContractShare::TryAcquire(Time now,
@@ -67,7 +69,7 @@
   }
   if (decision.outcome == ShareOutcome::kConcurrency &&
       attempt == AcquireAttempt::kFirst) {
-    ++turned_away_;
+    ++concurrency_refusals_;
   }
   is_starved_ |= decision.outcome == ShareOutcome::kPending;
   return decision;
@@ -78,7 +80,7 @@
     return {ShareOutcome::kPending, {}};
   }
   if (static_cast<double>(running_ + 1) >
-      share_[LimitResource::kConcurrency] + kRounding) {
+      share_[LimitResource::kConcurrency] + kRoundingTolerance) {
     return {ShareOutcome::kConcurrency, {}};
   }
   if (!requests_.Has(now, 1)) {
@@ -100,22 +102,23 @@
   // finds a share however rare requests are. The minimum is small so as not to
   // reduce the shares of nodes with real demand.
   const double requests =
-      std::max(kLeastRequestRate, request_demand_.Measure(now));
+      std::max(kMinRequestRate, request_demand_.Measure(now));
   const double tokens =
-      std::max(kLeastRequestRate * last_estimate_, token_demand_.Measure(now));
+      std::max(kMinRequestRate * last_estimate_, token_demand_.Measure(now));
   // One more than is running, so that the next request finds room.
-  const auto at_once = static_cast<double>(running_ + 1 + turned_away_);
-  turned_away_ = 0;
+  const auto concurrent =
+      static_cast<double>(running_ + 1 + concurrency_refusals_);
+  concurrency_refusals_ = 0;
   const double concurrency = limit_[LimitResource::kConcurrency];
   return {.contract = contract,
-          .demand = {PartOf(requests, limit_[LimitResource::kRequests]),
-                     PartOf(tokens, limit_[LimitResource::kTokens]),
-                     PartOf(at_once, concurrency)},
-          .running = PartOf(static_cast<double>(running_), concurrency)};
+          .demand = {FractionOf(requests, limit_[LimitResource::kRequests]),
+                     FractionOf(tokens, limit_[LimitResource::kTokens]),
+                     FractionOf(concurrent, concurrency)},
+          .running = FractionOf(static_cast<double>(running_), concurrency)};
 }
 
-bool ContractShare::IsIdle(Time now, Duration idle_after) {
-  return running_ == 0 && last_attempt_ + idle_after < now &&
+bool ContractShare::IsIdle(Time now, Duration idle_timeout) {
+  return running_ == 0 && last_attempt_ + idle_timeout < now &&
          tokens_.Has(now, 0);
 }
 
--- a/coordination/limits/demand_meter.cc
+++ b/coordination/limits/demand_meter.cc
@@ -6,11 +6,11 @@
 namespace gcw {
 namespace {
 
-constexpr double kRiseMillis = 500;
-constexpr double kFallMillis = 3000;
+constexpr double kRiseTimeConstantMillis = 500;
+constexpr double kFallTimeConstantMillis = 3000;
 constexpr double kMillisPerSecond = 1000.0;
 // Demand added over a longer time is averaged over this much only.
-constexpr double kLongestMillis = 2000;
+constexpr double kMaxWindowMillis = 2000;
 
 }  // namespace
 
@@ -19,10 +19,11 @@
   if (elapsed <= 0) {
     return rate_;
   }
-  const double millis = std::min(elapsed, kLongestMillis);
+  const double millis = std::min(elapsed, kMaxWindowMillis);
   const double current = pending_ * kMillisPerSecond / millis;
-  const double constant = current > rate_ ? kRiseMillis : kFallMillis;
-  rate_ += (current - rate_) * (1 - std::exp(-millis / constant));
+  const double time_constant =
+      current > rate_ ? kRiseTimeConstantMillis : kFallTimeConstantMillis;
+  rate_ += (current - rate_) * (1 - std::exp(-millis / time_constant));
   pending_ = 0;
   measured_ = now;
   return rate_;
--- a/coordination/limits/cession_book.cc
+++ b/coordination/limits/floor_cessions.cc
@@ -1,26 +1,26 @@
-#include "coordination/limits/cession_book.h"
+#include "coordination/limits/floor_cessions.h"
 
 #include <algorithm>
 
 namespace gcw {
 
-void CessionBook::Cede(const NodeId& node, Time until) {
+void FloorCessions::Cede(const NodeId& node, Time until) {
   Time& end = ends_[node];
   end = std::max(end, until);
 }
 
-bool CessionBook::Covers(const NodeId& node, Time until) const {
+bool FloorCessions::Covers(const NodeId& node, Time until) const {
   const auto found = ends_.find(node);
   return found != ends_.end() && found->second >= until;
 }
 
-std::int64_t CessionBook::CoveredUntil(Time until) const {
+std::int64_t FloorCessions::CountCoveredUntil(Time until) const {
   return std::count_if(ends_.begin(), ends_.end(), [until](const auto& entry) {
     return entry.second >= until;
   });
 }
 
-std::vector<NodeId> CessionBook::NodesCoveredUntil(Time until) const {
+std::vector<NodeId> FloorCessions::NodesCoveredUntil(Time until) const {
   std::vector<NodeId> nodes;
   nodes.reserve(ends_.size());
   for (const auto& [node, end] : ends_) {
@@ -33,7 +33,7 @@
   return nodes;
 }
 
-void CessionBook::Expire(Time now) {
+void FloorCessions::DropExpired(Time now) {
   std::erase_if(ends_,
                 [now](const auto& entry) { return entry.second <= now; });
 }
--- a/coordination/limits/limit_client.cc
+++ b/coordination/limits/limit_client.cc
@@ -15,13 +15,13 @@
   echo_.reset();
   answered_at_.reset();
   reported_at_.reset();
-  unanswered_ = 0;
+  unanswered_reports_ = 0;
 }
 
 LimitReport LimitClient::StartReport(Time now) {
   reported_at_ = now;
   ++last_sequence_;
-  ++unanswered_;
+  ++unanswered_reports_;
   return {.sender = self_,
           .kind = kind_,
           .shard = shard_,
@@ -47,7 +47,7 @@
   fence_ = grants.fence;
   echo_ = grants.echo;
   answered_at_ = now;
-  unanswered_ = 0;
+  unanswered_reports_ = 0;
   granted_until_ = until;
   grants_.clear();
   for (const LimitGrant& grant : grants.grants) {
@@ -56,7 +56,8 @@
   return true;
 }
 
-LimitVector LimitClient::Granted(Time now, const ContractId& contract) const {
+LimitVector LimitClient::GrantedFraction(Time now,
+                                         const ContractId& contract) const {
   if (now >= granted_until_) {
     return {};
   }
--- a/coordination/limits/limit_client.h
+++ b/coordination/limits/limit_client.h
@@ -28,14 +28,14 @@
   bool OnGrants(Time now, const NodeId& from, const LimitGrants& grants);
 
   // Currently granted fraction of the contract's limits.
-  LimitVector Granted(Time now, const ContractId& contract) const;
+  LimitVector GrantedFraction(Time now, const ContractId& contract) const;
   // Expiry of the newest grants.
   Time granted_until() const { return granted_until_; }
   // When the newest grants arrived; unset before the first from this upstream.
   std::optional<Time> answered_at() const { return answered_at_; }
   std::optional<Time> reported_at() const { return reported_at_; }
   // Number of reports sent since the newest grants arrived.
-  std::int64_t unanswered() const { return unanswered_; }
+  std::int64_t unanswered_reports() const { return unanswered_reports_; }
   LimitShard shard() const { return shard_; }
   LimitSequence applied() const { return applied_; }
   // Fencing token of the newest grants.
@@ -52,7 +52,7 @@
   std::optional<LimitEcho> echo_;
   std::optional<Time> answered_at_;
   std::optional<Time> reported_at_;
-  std::int64_t unanswered_ = 0;
+  std::int64_t unanswered_reports_ = 0;
   Time granted_until_;
   std::unordered_map<ContractId, LimitVector> grants_;
 };
--- a/coordination/limits/limit_granter.cc
+++ b/coordination/limits/limit_granter.cc
@@ -8,7 +8,7 @@
 
 // A party is forgotten if it has sent no report for this long. Its sequence
 // rejects delayed reports, which are harmless by then.
-constexpr Duration kPartyMemory = Duration::Seconds(600);
+constexpr Duration kPartyTtl = Duration::Seconds(600);
 
 }  // namespace
 
@@ -19,7 +19,7 @@
                            const LimitReport& report,
                            Duration valid_for) {
   const auto [entry, is_new] = parties_.try_emplace(report.sender);
-  Party& party = entry->second;
+  PartyState& party = entry->second;
   if (is_new) {
     party.index = next_index_++;
   }
@@ -27,9 +27,9 @@
     return false;
   }
   party.last_report = report.sequence;
-  party.seen = now;
-  ObserveCessions(report);
-  ClearOldDemands(party, report);
+  party.last_seen = now;
+  RecordCessions(report);
+  ResetDemands(party, report);
   for (const LimitDemand& demand : report.demands) {
     const auto [ledger, added] = ledgers_.try_emplace(demand.contract);
     has_new_demand_ = has_new_demand_ || added;
@@ -49,7 +49,7 @@
 // report, therefore ends no earlier than when counted here from the echo.
 // Without the echo, a delayed report would list a node that is using its floor
 // again, and the sum of shares would exceed the limit by that floor.
-void LimitGranter::ObserveCessions(const LimitReport& report) {
+void LimitGranter::RecordCessions(const LimitReport& report) {
   if (!report.echo || report.echo->granter != self_) {
     return;
   }
@@ -59,7 +59,7 @@
   }
 }
 
-void LimitGranter::ClearOldDemands(Party& party, const LimitReport& report) {
+void LimitGranter::ResetDemands(PartyState& party, const LimitReport& report) {
   for (const ContractId& contract : std::exchange(party.contracts, {})) {
     const auto ledger = ledgers_.find(contract);
     if (ledger == ledgers_.end()) {
@@ -73,7 +73,7 @@
 LimitGrants LimitGranter::Answer(Time now,
                                  const LimitReport& report,
                                  const Terms& terms) {
-  const Party& party = parties_.at(report.sender);
+  const PartyState& party = parties_.at(report.sender);
   const Time expires = now + terms.lifetime;
   LimitGrants answer{.shard = shard_,
                      .sequence = report.sequence,
@@ -91,7 +91,7 @@
         terms.concurrency_unit(demand.contract), expires);
     answer.grants.push_back({demand.contract, amount});
   }
-  last_expiry_ = std::max(last_expiry_, expires);
+  latest_expiry_ = std::max(latest_expiry_, expires);
   return answer;
 }
 
@@ -109,7 +109,7 @@
   return contracts;
 }
 
-std::vector<LimitDemandTotal> LimitGranter::Demands(Time now) const {
+std::vector<LimitDemandTotal> LimitGranter::TotalDemands(Time now) const {
   std::vector<LimitDemandTotal> totals;
   totals.reserve(ledgers_.size());
   for (const auto& [contract, ledger] : ledgers_) {
@@ -129,16 +129,16 @@
   return std::exchange(has_new_demand_, false);
 }
 
-void LimitGranter::Expire(Time now) {
+void LimitGranter::DropExpired(Time now) {
   for (auto& [contract, ledger] : ledgers_) {
-    ledger.Expire(now);
+    ledger.DropExpired(now);
   }
   std::erase_if(ledgers_,
                 [](const auto& entry) { return entry.second.empty(); });
   std::erase_if(parties_, [now](const auto& entry) {
-    return entry.second.seen + kPartyMemory < now;
+    return entry.second.last_seen + kPartyTtl < now;
   });
-  cessions_.Expire(now);
+  cessions_.DropExpired(now);
 }
 
 }  // namespace gcw
--- a/coordination/limits/limit_granter.h
+++ b/coordination/limits/limit_granter.h
@@ -9,7 +9,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "coordination/limits/cession_book.h"
+#include "coordination/limits/floor_cessions.h"
 #include "coordination/limits/limit_ledger.h"
 #include "coordination/limits/limit_messages.h"
 
@@ -44,36 +44,36 @@
   // Answers `report`, the last one that `Observe` accepted from its sender.
   LimitGrants Answer(Time now, const LimitReport& report, const Terms& terms);
 
-  const CessionBook& cessions() const { return cessions_; }
+  const FloorCessions& cessions() const { return cessions_; }
   LimitVector Held(Time now, const ContractId& contract) const;
   std::vector<ContractId> Contracts() const;
-  std::vector<LimitDemandTotal> Demands(Time now) const;
+  std::vector<LimitDemandTotal> TotalDemands(Time now) const;
   // True if a new contract was reported since the last call.
   bool TakeNewDemand();
   // Latest expiry of all grants given so far.
-  Time last_expiry() const { return last_expiry_; }
-  void Expire(Time now);
+  Time latest_expiry() const { return latest_expiry_; }
+  void DropExpired(Time now);
 
  private:
-  struct Party {
+  struct PartyState {
     LimitLedger::PartyIndex index = 0;
     LimitSequence last_report;
     // Contracts listed in the last report.
     std::set<ContractId> contracts;
-    Time seen;
+    Time last_seen;
   };
 
-  void ObserveCessions(const LimitReport& report);
-  void ClearOldDemands(Party& party, const LimitReport& report);
+  void RecordCessions(const LimitReport& report);
+  void ResetDemands(PartyState& party, const LimitReport& report);
 
   LimitShard shard_;
   Incarnation self_;
-  std::map<LimitParty, Party> parties_;
+  std::map<LimitParty, PartyState> parties_;
   LimitLedger::PartyIndex next_index_ = 0;
   std::unordered_map<ContractId, LimitLedger> ledgers_;
-  CessionBook cessions_;
+  FloorCessions cessions_;
   bool has_new_demand_ = false;
-  Time last_expiry_;
+  Time latest_expiry_;
 };
 
 }  // namespace gcw
--- a/coordination/limits/limit_ledger.cc
+++ b/coordination/limits/limit_ledger.cc
@@ -8,19 +8,19 @@
 namespace {
 
 // Sums of fractions may miss a whole unit because of rounding.
-constexpr double kRounding = 1e-9;
+constexpr double kRoundingTolerance = 1e-9;
 // Fraction of the unused total that is granted to the parties by weight, beyond
 // their demand, for the next burst. The rest stays free for a node that asks
 // for the first time, which would otherwise wait until all others have reported
 // twice.
-constexpr double kLentPart = 0.75;
+constexpr double kSpareGrantFraction = 0.75;
 
-double WholeUnitsBelow(double amount, double unit) {
-  return std::floor(amount / unit + kRounding) * unit;
+double RoundDownToUnit(double amount, double unit) {
+  return std::floor(amount / unit + kRoundingTolerance) * unit;
 }
 
-double WholeUnitsAbove(double amount, double unit) {
-  return std::ceil(amount / unit - kRounding) * unit;
+double RoundUpToUnit(double amount, double unit) {
+  return std::ceil(amount / unit - kRoundingTolerance) * unit;
 }
 
 struct Claim {
@@ -30,7 +30,7 @@
 
 // Returns the amount per weight at which the claims use up `total` (weighted
 // max-min fairness). The sum of the claims must exceed `total`.
-double WaterLevel(std::vector<Claim> claims, double total) {
+double WaterFillingLevel(std::vector<Claim> claims, double total) {
   std::sort(claims.begin(), claims.end(), [](const Claim& a, const Claim& b) {
     return a.demand * b.weight < b.demand * a.weight;
   });
@@ -38,13 +38,13 @@
   for (const Claim& claim : claims) {
     weight += claim.weight;
   }
-  double left = total;
+  double remaining = total;
   for (const Claim& claim : claims) {
-    const double level = left / weight;
+    const double level = remaining / weight;
     if (claim.demand > level * claim.weight) {
       return level;
     }
-    left -= claim.demand;
+    remaining -= claim.demand;
     weight -= claim.weight;
   }
   return std::numeric_limits<double>::infinity();
@@ -52,7 +52,7 @@
 
 }  // namespace
 
-LimitLedger::Member& LimitLedger::MemberOf(PartyIndex party) {
+LimitLedger::Member& LimitLedger::FindOrAddMember(PartyIndex party) {
   const auto found =
       std::find_if(members_.begin(), members_.end(),
                    [party](const Member& m) { return m.party == party; });
@@ -64,13 +64,13 @@
 }
 
 void LimitLedger::Observe(PartyIndex party, const Demand& demand) {
-  MemberOf(party).demand = demand;
+  FindOrAddMember(party).demand = demand;
 }
 
 void LimitLedger::Acknowledge(PartyIndex party, LimitSequence applied) {
-  std::erase_if(MemberOf(party).holdings, [applied](const Holding& holding) {
-    return holding.sequence < applied;
-  });
+  std::erase_if(
+      FindOrAddMember(party).holdings,
+      [applied](const Holding& holding) { return holding.sequence < applied; });
 }
 
 LimitVector LimitLedger::HeldBy(const Member& member, Time now) {
@@ -117,23 +117,23 @@
                                double total) const {
   std::vector<Claim> claims;
   claims.reserve(members_.size());
-  double asked = 0;
+  double total_demand = 0;
   double weight = 0;
   for (const Member& other : members_) {
     if (other.demand.valid_until <= now) {
       continue;
     }
     claims.push_back({other.demand.amount[resource], other.demand.weight});
-    asked += other.demand.amount[resource];
+    total_demand += other.demand.amount[resource];
     weight += other.demand.weight;
   }
   const Demand& own = member.demand;
-  if (asked > total) {
-    const double level = WaterLevel(std::move(claims), total);
+  if (total_demand > total) {
+    const double level = WaterFillingLevel(std::move(claims), total);
     return std::min(own.amount[resource], level * own.weight);
   }
-  const double lent = (total - asked) * kLentPart;
-  return own.amount[resource] + lent * own.weight / weight;
+  const double spare = (total - total_demand) * kSpareGrantFraction;
+  return own.amount[resource] + spare * own.weight / weight;
 }
 
 LimitVector LimitLedger::FairShare(Time now,
@@ -152,26 +152,26 @@
                                const LimitVector& total,
                                double concurrency_unit,
                                Time expires) {
-  Member& member = MemberOf(party);
+  Member& member = FindOrAddMember(party);
   LimitVector share = FairShare(now, member, total);
   // If the concurrency does not divide evenly, the parties that ask first get
   // the remainder. Running requests are included, because they cannot be
   // revoked.
   double& concurrency = share[LimitResource::kConcurrency];
-  const double asked =
+  const double requested =
       std::min(concurrency, member.demand.amount[LimitResource::kConcurrency]);
-  concurrency = std::max({WholeUnitsBelow(concurrency, concurrency_unit),
-                          WholeUnitsAbove(asked, concurrency_unit),
+  concurrency = std::max({RoundDownToUnit(concurrency, concurrency_unit),
+                          RoundUpToUnit(requested, concurrency_unit),
                           member.demand.running});
   const LimitVector others = Held(now) - HeldBy(member, now);
   LimitVector amount = Min(share, Max(total - others, LimitVector()));
   amount[LimitResource::kConcurrency] =
-      WholeUnitsBelow(amount[LimitResource::kConcurrency], concurrency_unit);
+      RoundDownToUnit(amount[LimitResource::kConcurrency], concurrency_unit);
   member.holdings.push_back({sequence, amount, expires});
   return amount;
 }
 
-void LimitLedger::Expire(Time now) {
+void LimitLedger::DropExpired(Time now) {
   for (Member& member : members_) {
     std::erase_if(member.holdings, [now](const Holding& holding) {
       return holding.expires <= now;
--- a/coordination/limits/limit_ledger.h
+++ b/coordination/limits/limit_ledger.h
@@ -43,7 +43,7 @@
   LimitVector TotalDemand(Time now) const;
   double TotalRunning(Time now) const;
   // Drops expired grants, and parties without grants or demand.
-  void Expire(Time now);
+  void DropExpired(Time now);
   bool empty() const { return members_.empty(); }
 
  private:
@@ -60,7 +60,7 @@
     std::vector<Holding> holdings;
   };
 
-  Member& MemberOf(PartyIndex party);
+  Member& FindOrAddMember(PartyIndex party);
   static LimitVector HeldBy(const Member& member, Time now);
   LimitVector FairShare(Time now,
                         const Member& member,
--- a/coordination/limits/limit_owner.cc
+++ b/coordination/limits/limit_owner.cc
@@ -38,12 +38,13 @@
     owned.release_at =
         now + topology_->settings().GrantLifetime(topology_->live_nodes());
     // Grants given while the fleet was larger may have a longer lifetime.
-    owned.release_at = std::max(*owned.release_at, owned.granter.last_expiry());
+    owned.release_at =
+        std::max(*owned.release_at, owned.granter.latest_expiry());
   }
   return *owned.release_at;
 }
 
-Time LimitOwner::LastExpiry(const OwnedShard& owned) {
+Time LimitOwner::LatestGrantExpiry(const OwnedShard& owned) {
   return std::min(owned.valid_until,
                   owned.release_at.value_or(owned.valid_until));
 }
@@ -51,22 +52,24 @@
 std::optional<LimitGrants> LimitOwner::OnReport(Time now,
                                                 const LimitReport& report) {
   const auto found = shards_.find(report.shard);
-  if (found == shards_.end() || now >= LastExpiry(found->second)) {
+  if (found == shards_.end() || now >= LatestGrantExpiry(found->second)) {
     return std::nullopt;
   }
   OwnedShard& owned = found->second;
-  const Duration full =
+  const Duration max_lifetime =
       topology_->settings().GrantLifetime(topology_->live_nodes());
-  if (!owned.granter.Observe(now, report, full)) {
+  if (!owned.granter.Observe(now, report, max_lifetime)) {
     return std::nullopt;
   }
-  const Duration lifetime = std::min(full, LastExpiry(owned) - now);
+  const Duration lifetime =
+      std::min(max_lifetime, LatestGrantExpiry(owned) - now);
   const std::int64_t reserved = ReservedFloors(owned, report, now + lifetime);
   return owned.granter.Answer(
       now, report,
       {.fence = owned.fence,
        .lifetime = lifetime,
-       .total = [&](const ContractId& c) { return Total(c, reserved); },
+       .total =
+           [&](const ContractId& c) { return GrantableTotal(c, reserved); },
        .concurrency_unit =
            [&](const ContractId& c) { return limits_->ConcurrencyUnit(c); }});
 }
@@ -77,9 +80,9 @@
 std::int64_t LimitOwner::ReservedFloors(const OwnedShard& owned,
                                         const LimitReport& report,
                                         Time expires) const {
-  const CessionBook& cessions = owned.granter.cessions();
+  const FloorCessions& cessions = owned.granter.cessions();
   std::int64_t reserved =
-      topology_->FloorNodes() - cessions.CoveredUntil(expires);
+      topology_->FloorNodes() - cessions.CountCoveredUntil(expires);
   if (report.kind == LimitReporter::kNode &&
       !cessions.Covers(report.sender.node, expires)) {
     --reserved;
@@ -87,9 +90,9 @@
   return std::max<std::int64_t>(0, reserved);
 }
 
-LimitVector LimitOwner::Total(const ContractId& contract,
-                              std::int64_t reserved) const {
-  const LimitVector limit = limits_->Of(contract);
+LimitVector LimitOwner::GrantableTotal(const ContractId& contract,
+                                       std::int64_t reserved) const {
+  const LimitVector limit = limits_->LimitOf(contract);
   if (limit.IsZero()) {
     return {};
   }
@@ -98,10 +101,11 @@
   const double concurrency = limit[LimitResource::kConcurrency];
   // Floors of concurrency are whole requests, and any node may have one of the
   // remainder.
-  const double held_back =
+  const double reserved_concurrency =
       std::min(concurrency,
                static_cast<double>(reserved) * std::ceil(concurrency / nodes));
-  return {rate, rate, concurrency > 0 ? 1 - held_back / concurrency : 0};
+  return {rate, rate,
+          concurrency > 0 ? 1 - reserved_concurrency / concurrency : 0};
 }
 
 LimitVector LimitOwner::Held(Time now, const ContractId& contract) const {
@@ -112,9 +116,9 @@
   return held;
 }
 
-void LimitOwner::Expire(Time now) {
+void LimitOwner::DropExpired(Time now) {
   for (auto& [shard, owned] : shards_) {
-    owned.granter.Expire(now);
+    owned.granter.DropExpired(now);
   }
 }
 
--- a/coordination/limits/limit_owner.h
+++ b/coordination/limits/limit_owner.h
@@ -30,7 +30,7 @@
   // is not newer than one already seen.
   std::optional<LimitGrants> OnReport(Time now, const LimitReport& report);
   LimitVector Held(Time now, const ContractId& contract) const;
-  void Expire(Time now);
+  void DropExpired(Time now);
 
  private:
   struct OwnedShard {
@@ -41,8 +41,9 @@
   };
 
   // Every grant expires by the returned time.
-  static Time LastExpiry(const OwnedShard& owned);
-  LimitVector Total(const ContractId& contract, std::int64_t reserved) const;
+  static Time LatestGrantExpiry(const OwnedShard& owned);
+  LimitVector GrantableTotal(const ContractId& contract,
+                             std::int64_t reserved) const;
   std::int64_t ReservedFloors(const OwnedShard& owned,
                               const LimitReport& report,
                               Time expires) const;
--- a/coordination/limits/limit_relay.h
+++ b/coordination/limits/limit_relay.h
@@ -39,13 +39,13 @@
     std::map<NodeId, Time> reporters;
     // Newest grants that cover everything this relay has granted to its nodes.
     LimitSequence acknowledged;
-    bool urgent = false;
+    bool is_urgent = false;
   };
 
-  RelayedShard& ShardFor(LimitShard shard);
+  RelayedShard& FindOrAddShard(LimitShard shard);
   bool IsUrgent(Time now, const RelayedShard& relayed) const;
   LimitReport MakeReport(Time now, RelayedShard& relayed) const;
-  static void Acknowledge(Time now, RelayedShard& relayed);
+  static void UpdateAcknowledged(Time now, RelayedShard& relayed);
 
   const LimitTopology* topology_;
   const ContractLimits* limits_;
--- a/coordination/limits/limit_settings.cc
+++ b/coordination/limits/limit_settings.cc
@@ -7,34 +7,35 @@
 namespace gcw {
 namespace {
 
-constexpr std::int64_t kMostDoublings = 8;
+constexpr std::int64_t kMaxBackoffDoublings = 8;
 
 }  // namespace
-Duration LimitSettings::Period(std::int64_t nodes) const {
-  return std::clamp(period_per_node * nodes, period_min, period_max);
+Duration LimitSettings::ReportPeriod(std::int64_t nodes) const {
+  return std::clamp(period_per_node * nodes, min_period, max_period);
 }
 
 // Without the backoff, all nodes that wait for a lost owner would send ten
 // reports per second.
-Duration LimitSettings::UrgentInterval(std::int64_t nodes,
-                                       std::int64_t unanswered) const {
-  const std::int64_t factor = std::int64_t{1}
-                              << std::min(unanswered, kMostDoublings);
-  return std::min(urgent_interval * factor, Period(nodes));
+Duration LimitSettings::UrgentReportInterval(
+    std::int64_t nodes,
+    std::int64_t unanswered_reports) const {
+  const std::int64_t factor =
+      std::int64_t{1} << std::min(unanswered_reports, kMaxBackoffDoublings);
+  return std::min(urgent_report_interval * factor, ReportPeriod(nodes));
 }
 
 Duration LimitSettings::GrantLifetime(std::int64_t nodes) const {
-  return Period(nodes) * grant_periods;
+  return ReportPeriod(nodes) * grant_periods;
 }
 
 Duration LimitSettings::CessionLifetime(std::int64_t nodes) const {
   const std::int64_t periods =
       HasRelays(nodes) ? relayed_cession_periods : cession_periods;
-  return Period(nodes) * periods;
+  return ReportPeriod(nodes) * periods;
 }
 
 Duration LimitSettings::RelayCessionLifetime(std::int64_t nodes) const {
-  return Period(nodes) * cession_periods;
+  return ReportPeriod(nodes) * cession_periods;
 }
 
 LimitShard ShardOf(const ContractId& contract, std::int64_t shards) {
--- a/coordination/limits/limit_settings.h
+++ b/coordination/limits/limit_settings.h
@@ -14,11 +14,11 @@
   // The period between two reports grows by this much with each live node,
   // within the two bounds below.
   Duration period_per_node = Duration::Millis(6);
-  Duration period_min = Duration::Millis(400);
-  Duration period_max = Duration::Millis(2500);
+  Duration min_period = Duration::Millis(400);
+  Duration max_period = Duration::Millis(2500);
   // Interval between two reports to the same receiver while a request waits for
   // a contract without a share. It doubles after each unanswered report.
-  Duration urgent_interval = Duration::Millis(100);
+  Duration urgent_report_interval = Duration::Millis(100);
   // Lifetime of a grant in periods.
   std::int64_t grant_periods = 4;
   // Periods for which a node cedes its floor. Grants that rely on the cession
@@ -34,21 +34,22 @@
   std::int64_t floor_nodes = 1;
   // How long the floor of a node that left the view stays reserved. It exceeds
   // any outage during which the node may still serve callers on its floor.
-  Duration floor_memory = Duration::Seconds(7200);
+  Duration floor_reservation_ttl = Duration::Seconds(7200);
   // In fleets of more nodes than this, nodes report through relays of their
   // zone.
   std::int64_t relay_above_nodes = 32;
   // Maximum number of nodes that one relay serves.
-  std::int64_t relay_group_nodes = 24;
+  std::int64_t max_nodes_per_relay = 24;
   // A contract without requests for this long is no longer reported; its next
   // request waits until the owner has answered.
-  Duration idle_after = Duration::Seconds(60);
+  Duration idle_timeout = Duration::Seconds(60);
   // Token buckets hold their rate times this duration, and at least one
   // request.
-  Duration burst = Duration::Millis(2000);
+  Duration burst_duration = Duration::Millis(2000);
 
-  Duration Period(std::int64_t nodes) const;
-  Duration UrgentInterval(std::int64_t nodes, std::int64_t unanswered) const;
+  Duration ReportPeriod(std::int64_t nodes) const;
+  Duration UrgentReportInterval(std::int64_t nodes,
+                                std::int64_t unanswered_reports) const;
   Duration GrantLifetime(std::int64_t nodes) const;
   // Duration of a node's cession to the receiver of its reports.
   Duration CessionLifetime(std::int64_t nodes) const;
--- a/coordination/limits/limit_shares.cc
+++ b/coordination/limits/limit_shares.cc
@@ -10,7 +10,7 @@
     Time::FromMillis(std::numeric_limits<std::int64_t>::max());
 // Periods after the last answer during which a node still cedes its floor: it
 // does so only while the receiver of its reports sends grants in return.
-constexpr std::int64_t kAnswerPeriods = 2;
+constexpr std::int64_t kMaxAnswerAgePeriods = 2;
 
 }  // namespace
 
@@ -27,11 +27,11 @@
   // The node's earlier run may have ceded its floors just before it ended, so
   // that other nodes may be using them.
   const Time ceded_until =
-      started + settings.period_max * settings.relayed_cession_periods;
+      started + settings.max_period * settings.relayed_cession_periods;
   for (std::int64_t i = 0; i < settings.shards; ++i) {
     shards_.push_back({.client = {self_, LimitReporter::kNode, LimitShard(i)},
                        .ceded_until = ceded_until,
-                       .urgent = false});
+                       .is_urgent = false});
   }
 }
 
@@ -45,7 +45,7 @@
 
 LimitVector LimitShares::Floor(const ContractId& contract) const {
   const double rate = 1 / static_cast<double>(topology_->FloorNodes());
-  const double limit = limits_->Of(contract)[LimitResource::kConcurrency];
+  const double limit = limits_->LimitOf(contract)[LimitResource::kConcurrency];
   if (limit <= 0) {
     return {rate, rate, 0};
   }
@@ -54,11 +54,11 @@
   return {rate, rate, static_cast<double>(units) / limit};
 }
 
-std::pair<LimitVector, Time> LimitShares::Allowed(
+std::pair<LimitVector, Time> LimitShares::AllowedFraction(
     Time now,
     const ContractId& contract,
     const ShardState& shard) const {
-  const LimitVector granted = shard.client.Granted(now, contract);
+  const LimitVector granted = shard.client.GrantedFraction(now, contract);
   const Time granted_until = shard.client.granted_until();
   const Time grant_end = now < granted_until ? granted_until : kNever;
   if (now < shard.ceded_until) {
@@ -67,24 +67,25 @@
   return {Max(granted, Floor(contract)), grant_end};
 }
 
-void LimitShares::Refresh(Time now,
-                          const ContractId& contract,
-                          ContractState& state) {
+void LimitShares::RefreshShare(Time now,
+                               const ContractId& contract,
+                               ContractState& state) {
   const ShardState& shard = StateOf(state.shard);
-  const auto [fraction, until] = Allowed(now, contract, shard);
-  const bool on_floor =
-      now >= shard.ceded_until && shard.client.Granted(now, contract).IsZero();
-  if (on_floor != state.on_floor) {
-    ReportFloor(contract, on_floor);
+  const auto [fraction, until] = AllowedFraction(now, contract, shard);
+  const bool is_on_floor = now >= shard.ceded_until &&
+                           shard.client.GrantedFraction(now, contract).IsZero();
+  if (is_on_floor != state.is_on_floor) {
+    ReportFloor(contract, is_on_floor);
   }
-  state.on_floor = on_floor;
+  state.is_on_floor = is_on_floor;
   state.valid_until = until;
   state.share.SetShare(now, fraction * state.share.limit(),
-                       topology_->settings().burst);
+                       topology_->settings().burst_duration);
 }
 
-void LimitShares::ReportFloor(const ContractId& contract, bool on_floor) {
-  sink_({.kind = on_floor ? EventKind::kShareExpired : EventKind::kShareGranted,
+void LimitShares::ReportFloor(const ContractId& contract, bool is_on_floor) {
+  sink_({.kind =
+             is_on_floor ? EventKind::kShareExpired : EventKind::kShareGranted,
          .subject = contract.value(),
          .cause = {},
          .fields = {}});
@@ -93,25 +94,26 @@
 void LimitShares::RefreshShard(Time now, LimitShard shard) {
   for (auto& [contract, state] : contracts_) {
     if (state.shard == shard) {
-      Refresh(now, contract, state);
+      RefreshShare(now, contract, state);
     }
   }
 }
 
-LimitShares::ContractState* LimitShares::Activate(Time now,
-                                                  const ContractId& contract) {
-  const LimitVector limit = limits_->Of(contract);
+LimitShares::ContractState* LimitShares::AddContract(
+    Time now,
+    const ContractId& contract) {
+  const LimitVector limit = limits_->LimitOf(contract);
   if (limit.IsZero()) {
     return nullptr;
   }
   const LimitShard shard = ShardOf(contract, topology_->settings().shards);
-  ContractState fresh{.share = ContractShare(limit),
-                      .shard = shard,
-                      .valid_until = {},
-                      .on_floor = false};
-  ContractState& state = contracts_.emplace(contract, fresh).first->second;
-  Refresh(now, contract, state);
-  StateOf(shard).urgent = true;
+  ContractState new_state{.share = ContractShare(limit),
+                          .shard = shard,
+                          .valid_until = {},
+                          .is_on_floor = false};
+  ContractState& state = contracts_.emplace(contract, new_state).first->second;
+  RefreshShare(now, contract, state);
+  StateOf(shard).is_urgent = true;
   return &state;
 }
 
@@ -120,9 +122,9 @@
   if (found == contracts_.end()) {
     return;
   }
-  found->second.share.SetLimit(now, limits_->Of(contract),
-                               topology_->settings().burst);
-  Refresh(now, contract, found->second);
+  found->second.share.SetLimit(now, limits_->LimitOf(contract),
+                               topology_->settings().burst_duration);
+  RefreshShare(now, contract, found->second);
 }
 
 void LimitShares::OnContractWithdrawn(const ContractId& contract) {
@@ -135,17 +137,17 @@
                                       AcquireAttempt attempt) {
   const auto found = contracts_.find(contract);
   ContractState* state =
-      found == contracts_.end() ? Activate(now, contract) : &found->second;
+      found == contracts_.end() ? AddContract(now, contract) : &found->second;
   if (state == nullptr) {
     return {ShareOutcome::kUnknownContract, {}};
   }
   if (now >= state->valid_until) {
-    Refresh(now, contract, *state);
+    RefreshShare(now, contract, *state);
   }
   const ShareDecision decision = state->share.TryAcquire(
       now, static_cast<double>(estimate.value()), attempt);
   if (decision.outcome == ShareOutcome::kPending) {
-    StateOf(state->shard).urgent = true;
+    StateOf(state->shard).is_urgent = true;
   }
   return decision;
 }
@@ -172,9 +174,9 @@
 }
 
 void LimitShares::DropIdle(Time now) {
-  const Duration idle_after = topology_->settings().idle_after;
+  const Duration idle_timeout = topology_->settings().idle_timeout;
   for (auto entry = contracts_.begin(); entry != contracts_.end();) {
-    if (entry->second.share.IsIdle(now, idle_after)) {
+    if (entry->second.share.IsIdle(now, idle_timeout)) {
       entry = contracts_.erase(entry);
     } else {
       ++entry;
@@ -184,25 +186,26 @@
 
 bool LimitShares::IsUrgent(Time now, const ShardState& shard) const {
   const auto reported = shard.client.reported_at();
-  const Duration interval = topology_->settings().UrgentInterval(
-      topology_->live_nodes(), shard.client.unanswered());
-  return !reported || (shard.urgent && now >= *reported + interval);
+  const Duration interval = topology_->settings().UrgentReportInterval(
+      topology_->live_nodes(), shard.client.unanswered_reports());
+  return !reported || (shard.is_urgent && now >= *reported + interval);
 }
 
 bool LimitShares::MayCede(Time now, const ShardState& shard) const {
-  const Duration period = topology_->settings().Period(topology_->live_nodes());
+  const Duration period =
+      topology_->settings().ReportPeriod(topology_->live_nodes());
   const auto answered = shard.client.answered_at();
-  return answered && now <= *answered + period * kAnswerPeriods;
+  return answered && now <= *answered + period * kMaxAnswerAgePeriods;
 }
 
 LimitReport LimitShares::MakeReport(Time now, ShardState& shard) {
-  shard.urgent = false;
+  shard.is_urgent = false;
   LimitReport report = shard.client.StartReport(now);
   if (MayCede(now, shard)) {
     const LimitSettings& settings = topology_->settings();
     report.ceding = {topology_->self()};
     report.ceded_for = is_leaving_
-                           ? settings.floor_memory
+                           ? settings.floor_reservation_ttl
                            : settings.CessionLifetime(topology_->live_nodes());
     shard.ceded_until = std::max(shard.ceded_until, now + report.ceded_for);
   }
@@ -215,14 +218,14 @@
 }
 
 std::vector<LimitReport> LimitShares::Tick(Time now) {
-  if (topology_->version() != seen_version_) {
-    seen_version_ = topology_->version();
+  if (topology_->floor_version() != applied_floor_version_) {
+    applied_floor_version_ = topology_->floor_version();
     for (auto& [contract, state] : contracts_) {
-      Refresh(now, contract, state);
+      RefreshShare(now, contract, state);
     }
   }
   const bool is_due = schedule_.TakeDue(
-      now, topology_->settings().Period(topology_->live_nodes()));
+      now, topology_->settings().ReportPeriod(topology_->live_nodes()));
   if (is_due) {
     DropIdle(now);
   }
@@ -243,7 +246,8 @@
 
 LimitVector LimitShares::ShareOf(Time now, const ContractId& contract) const {
   const LimitShard shard = ShardOf(contract, topology_->settings().shards);
-  return Allowed(now, contract, StateOf(shard)).first * limits_->Of(contract);
+  return AllowedFraction(now, contract, StateOf(shard)).first *
+         limits_->LimitOf(contract);
 }
 
 std::vector<ShareView> LimitShares::View(Time now) const {
@@ -253,7 +257,7 @@
     views.push_back({.contract = contract,
                      .limit = state.share.limit(),
                      .share = ShareOf(now, contract),
-                     .floor = state.on_floor,
+                     .floor = state.is_on_floor,
                      .running = state.share.running()});
   }
   return views;
--- a/coordination/limits/limit_shares.h
+++ b/coordination/limits/limit_shares.h
@@ -41,8 +41,9 @@
   void OnGrants(Time now, const NodeId& from, const LimitGrants& grants);
   // Returns the reports that are due, each for its shard's upstream.
   std::vector<LimitReport> Tick(Time now);
-  // From the next report on, this node cedes its floors for `floor_memory`
-  // instead of a few periods. Called once it takes no new requests.
+  // From the next report on, this node cedes its floors for
+  // `floor_reservation_ttl` instead of a few periods. Called once it takes no
+  // new requests.
   void Leave() { is_leaving_ = true; }
 
   ShareDecision TryAcquire(Time now,
@@ -61,24 +62,24 @@
     LimitClient client;
     // This node uses no floor of the shard before this time.
     Time ceded_until;
-    bool urgent = false;
+    bool is_urgent = false;
   };
   struct ContractState {
     ContractShare share;
     LimitShard shard;
     // The share must be recomputed from this time on.
     Time valid_until;
-    bool on_floor = false;
+    bool is_on_floor = false;
   };
 
-  ContractState* Activate(Time now, const ContractId& contract);
-  void Refresh(Time now, const ContractId& contract, ContractState& state);
+  ContractState* AddContract(Time now, const ContractId& contract);
+  void RefreshShare(Time now, const ContractId& contract, ContractState& state);
   // Returns a fraction of the limit and the time until which it is valid.
-  std::pair<LimitVector, Time> Allowed(Time now,
-                                       const ContractId& contract,
-                                       const ShardState& shard) const;
+  std::pair<LimitVector, Time> AllowedFraction(Time now,
+                                               const ContractId& contract,
+                                               const ShardState& shard) const;
   LimitVector Floor(const ContractId& contract) const;
-  void ReportFloor(const ContractId& contract, bool on_floor);
+  void ReportFloor(const ContractId& contract, bool is_on_floor);
   void RefreshShard(Time now, LimitShard shard);
   void DropIdle(Time now);
   bool IsUrgent(Time now, const ShardState& shard) const;
@@ -92,7 +93,7 @@
   LimitParty self_;
   EventSink sink_;
   bool is_leaving_ = false;
-  std::int64_t seen_version_ = -1;
+  std::int64_t applied_floor_version_ = -1;
   ReportSchedule schedule_;
   // Indexed by shard number.
   std::vector<ShardState> shards_;
--- a/coordination/limits/limit_topology.cc
+++ b/coordination/limits/limit_topology.cc
@@ -19,29 +19,30 @@
 
 LimitTopology::LimitTopology(NodeId self, ZoneId zone, LimitSettings settings)
     : self_(std::move(self)), zone_(std::move(zone)), settings_(settings) {
-  known_.emplace(self_, Time());
+  last_seen_.emplace(self_, Time());
 }
 
 void LimitTopology::OnView(Time now, const std::vector<LimitPeer>& peers) {
-  const std::size_t known_before = known_.size();
+  const std::size_t known_before = last_seen_.size();
   for (const LimitPeer& peer : peers) {
-    known_.insert_or_assign(peer.node, now);
+    last_seen_.insert_or_assign(peer.node, now);
   }
-  known_.insert_or_assign(self_, now);
-  const Time forgotten = now - settings_.floor_memory;
-  const auto erased = std::erase_if(
-      known_, [forgotten](const auto& e) { return e.second < forgotten; });
-  if (erased > 0 || known_.size() != known_before) {
-    ++version_;
+  last_seen_.insert_or_assign(self_, now);
+  const Time oldest_kept = now - settings_.floor_reservation_ttl;
+  const auto erased = std::erase_if(last_seen_, [oldest_kept](const auto& e) {
+    return e.second < oldest_kept;
+  });
+  if (erased > 0 || last_seen_.size() != known_before) {
+    ++floor_version_;
   }
   live_nodes_ = std::max<std::int64_t>(1, std::ssize(peers));
-  FindRelays(peers);
+  ChooseRelays(peers);
 }
 
 // The nodes of a zone are divided into groups, and each group's relays are
 // chosen among its members, so that the load is spread and a report never
 // crosses zones twice.
-void LimitTopology::FindRelays(const std::vector<LimitPeer>& peers) {
+void LimitTopology::ChooseRelays(const std::vector<LimitPeer>& peers) {
   relays_.clear();
   if (!settings_.HasRelays(live_nodes_)) {
     return;
@@ -54,8 +55,8 @@
   }
   std::sort(zone_nodes.begin(), zone_nodes.end());
   const auto count = std::ssize(zone_nodes);
-  const std::int64_t groups =
-      (count + settings_.relay_group_nodes - 1) / settings_.relay_group_nodes;
+  const std::int64_t groups = (count + settings_.max_nodes_per_relay - 1) /
+                              settings_.max_nodes_per_relay;
   const auto own =
       std::lower_bound(zone_nodes.begin(), zone_nodes.end(), self_);
   if (groups == 0 || own == zone_nodes.end()) {
@@ -82,9 +83,9 @@
 void LimitTopology::OnOwner(LimitShard shard,
                             const NodeId& owner,
                             FencingToken fence) {
-  auto& known = owners_[shard];
-  if (fence >= known.first) {
-    known = {fence, owner};
+  auto& current = owners_[shard];
+  if (fence >= current.first) {
+    current = {fence, owner};
   }
 }
 
@@ -99,19 +100,19 @@
 }
 
 std::int64_t LimitTopology::FloorNodes() const {
-  return std::max(settings_.floor_nodes, std::ssize(known_));
+  return std::max(settings_.floor_nodes, std::ssize(last_seen_));
 }
 
 std::int64_t LimitTopology::FloorConcurrency(const ContractId& contract,
                                              std::int64_t limit) const {
   const std::int64_t nodes = FloorNodes();
-  const std::int64_t odd = limit % nodes;
+  const std::int64_t remainder = limit % nodes;
   const auto own = RendezvousScore(contract.value(), self_);
-  const auto ahead =
-      std::count_if(known_.begin(), known_.end(), [&](const auto& entry) {
+  const auto nodes_before = std::count_if(
+      last_seen_.begin(), last_seen_.end(), [&](const auto& entry) {
         return RendezvousScore(contract.value(), entry.first) > own;
       });
-  return limit / nodes + (ahead < odd ? 1 : 0);
+  return limit / nodes + (nodes_before < remainder ? 1 : 0);
 }
 
 }  // namespace gcw
--- a/coordination/limits/limit_topology.h
+++ b/coordination/limits/limit_topology.h
@@ -34,7 +34,7 @@
   // Number of live nodes; it sets the periods and whether there are relays.
   std::int64_t live_nodes() const { return live_nodes_; }
   // Number of nodes that may be using a floor: those that were in the view
-  // within `floor_memory`, and at least `floor_nodes`.
+  // within `floor_reservation_ttl`, and at least `floor_nodes`.
   std::int64_t FloorNodes() const;
   // This node's floor of a concurrency limit in whole requests. The remainder
   // of the division goes to the first nodes by rendezvous hashing.
@@ -44,21 +44,21 @@
   const NodeId& self() const { return self_; }
   const LimitSettings& settings() const { return settings_; }
   // Changes whenever a floor may have changed.
-  std::int64_t version() const { return version_; }
+  std::int64_t floor_version() const { return floor_version_; }
 
  private:
-  void FindRelays(const std::vector<LimitPeer>& peers);
+  void ChooseRelays(const std::vector<LimitPeer>& peers);
 
   NodeId self_;
   ZoneId zone_;
   LimitSettings settings_;
   std::int64_t live_nodes_ = 1;
   // When each node was last in the view.
-  std::map<NodeId, Time> known_;
+  std::map<NodeId, Time> last_seen_;
   std::map<LimitShard, std::pair<FencingToken, NodeId>> owners_;
   // This node's relay by shard; empty in small fleets.
   std::vector<NodeId> relays_;
-  std::int64_t version_ = 0;
+  std::int64_t floor_version_ = 0;
 };
 
 }  // namespace gcw
--- a/coordination/limits/limit_vector.h
+++ b/coordination/limits/limit_vector.h
@@ -25,7 +25,7 @@
   constexpr LimitVector(double requests, double tokens, double concurrency)
       : amounts_{requests, tokens, concurrency} {}
 
-  static LimitVector Of(const Contract& contract) {
+  static LimitVector FromContract(const Contract& contract) {
     return {contract.requests_per_second, contract.tokens_per_second,
             static_cast<double>(contract.concurrency)};
   }
@@ -38,7 +38,7 @@
   }
 
   // The same amount of each resource.
-  static constexpr LimitVector All(double amount) {
+  static constexpr LimitVector Uniform(double amount) {
     return {amount, amount, amount};
   }
 
--- a/coordination/limits/limits.cc
+++ b/coordination/limits/limits.cc
@@ -25,7 +25,7 @@
       self_(self.node) {}
 
 void Limits::OnContract(Time now, const Contract& contract) {
-  limits_->Set(contract.id, LimitVector::Of(contract));
+  limits_->Set(contract.id, LimitVector::FromContract(contract));
   shares_.OnContractChanged(now, contract.id);
 }
 
@@ -61,11 +61,11 @@
 // A node that is asked as the owner answers as the owner or not at all. If it
 // answered as a relay, the relay would become a party of itself.
 void Limits::HandleReport(Time now, const LimitReport& report, Outbox& outbox) {
-  const bool for_owner =
+  const bool is_for_owner =
       report.kind == LimitReporter::kRelay ||
       !topology_->settings().HasRelays(topology_->live_nodes());
-  auto answer =
-      for_owner ? owner_.OnReport(now, report) : relay_.OnReport(now, report);
+  auto answer = is_for_owner ? owner_.OnReport(now, report)
+                             : relay_.OnReport(now, report);
   if (!answer) {
     return;
   }
@@ -99,7 +99,7 @@
   outbox[to].reports.push_back(std::move(report));
 }
 
-std::vector<LimitsAction> Limits::ActionsOf(Outbox&& outbox) {
+std::vector<LimitsAction> Limits::MakeActions(Outbox&& outbox) {
   std::vector<LimitsAction> actions;
   actions.reserve(outbox.size());
   for (auto& [node, batch] : outbox) {
@@ -120,13 +120,13 @@
       HandleReport(now, report, outbox);
     }
   }
-  return ActionsOf(std::move(outbox));
+  return MakeActions(std::move(outbox));
 }
 
 std::vector<LimitsAction> Limits::Tick(Time now) {
   Outbox outbox;
-  if (expiry_.TakeDue(now, kExpiryInterval)) {
-    owner_.Expire(now);
+  if (expiry_schedule_.TakeDue(now, kExpiryInterval)) {
+    owner_.DropExpired(now);
   }
   for (LimitReport& report : relay_.Tick(now)) {
     const NodeId to = topology_->Owner(report.shard);
@@ -136,7 +136,7 @@
     const NodeId to = topology_->Upstream(report.shard);
     Deliver(now, to, std::move(report), outbox);
   }
-  return ActionsOf(std::move(outbox));
+  return MakeActions(std::move(outbox));
 }
 
 ShareDecision Limits::TryAcquire(Time now,
@@ -161,7 +161,7 @@
 }
 
 LimitVector Limits::GrantedBy(Time now, const ContractId& contract) const {
-  return owner_.Held(now, contract) * limits_->Of(contract);
+  return owner_.Held(now, contract) * limits_->LimitOf(contract);
 }
 
 LimitVector Limits::ShareOf(Time now, const ContractId& contract) const {
--- a/coordination/limits/limits.h
+++ b/coordination/limits/limits.h
@@ -85,7 +85,7 @@
   void HandleReport(Time now, const LimitReport& report, Outbox& outbox);
   void HandleGrants(Time now, const NodeId& from, const LimitGrants& grants);
   void Deliver(Time now, const NodeId& to, LimitReport report, Outbox& outbox);
-  static std::vector<LimitsAction> ActionsOf(Outbox&& outbox);
+  static std::vector<LimitsAction> MakeActions(Outbox&& outbox);
 
   // On the heap, because the members below keep pointers to them.
   std::unique_ptr<LimitTopology> topology_;
@@ -93,7 +93,7 @@
   LimitShares shares_;
   LimitOwner owner_;
   LimitRelay relay_;
-  ReportSchedule expiry_;
+  ReportSchedule expiry_schedule_;
   NodeId self_;
 };
 
--- a/coordination/limits/report_schedule.h
+++ b/coordination/limits/report_schedule.h
@@ -14,16 +14,16 @@
   // Returns true once per period. The next time is at most one period ahead, so
   // that a clock that was once far ahead does not silence the node.
   bool TakeDue(Time now, Duration period) {
-    next_ = std::min(next_, now + period);
-    if (now < next_) {
+    next_due_ = std::min(next_due_, now + period);
+    if (now < next_due_) {
       return false;
     }
-    next_ = std::max(next_ + period, now);
+    next_due_ = std::max(next_due_ + period, now);
     return true;
   }
 
  private:
-  Time next_;
+  Time next_due_;
 };
 
 }  // namespace gcw
--- a/coordination/limits/token_bucket.cc
+++ b/coordination/limits/token_bucket.cc
@@ -6,10 +6,10 @@
 namespace gcw {
 namespace {
 
-constexpr Duration kNever = Duration::Seconds(86400);
+constexpr Duration kMaxWait = Duration::Seconds(86400);
 // Refilling in many small steps must not miss a whole token because of
 // rounding.
-constexpr double kRounding = 1e-6;
+constexpr double kRoundingTolerance = 1e-6;
 constexpr double kMillisPerSecond = 1000.0;
 
 }  // namespace
@@ -33,7 +33,7 @@
 
 bool TokenBucket::Has(Time now, double amount) {
   Refill(now);
-  return level_ + kRounding >= std::min(amount, depth_);
+  return level_ + kRoundingTolerance >= std::min(amount, depth_);
 }
 
 void TokenBucket::Return(double amount) {
@@ -45,10 +45,10 @@
     return {};
   }
   const double missing = std::min(amount, depth_) - level_;
-  const auto never = static_cast<double>(kNever.millis());
+  const auto max_millis = static_cast<double>(kMaxWait.millis());
   const double millis = missing * kMillisPerSecond / std::max(rate_, 1e-9);
   return Duration::Millis(
-      static_cast<std::int64_t>(std::ceil(std::min(millis, never))));
+      static_cast<std::int64_t>(std::ceil(std::min(millis, max_millis))));
 }
 
 }  // namespace gcw
--- a/coordination/limits/token_bucket.h
+++ b/coordination/limits/token_bucket.h
@@ -12,7 +12,7 @@
   // `rate` per second; the bucket holds at most `depth`.
   void SetRate(Time now, double rate, double depth);
   // Sets the level of a bucket that has just come into use.
-  void Fill(double level) { level_ = level; }
+  void SetLevel(double level) { level_ = level; }
 
   // True if the bucket holds `amount`, or is full with a depth below `amount`.
   bool Has(Time now, double amount);
--- a/tests/coordination/admission/admission_queue_test.cc
+++ b/tests/coordination/admission/admission_queue_test.cc
@@ -10,7 +10,7 @@
 namespace gcw {
 namespace {
 
-constexpr Time kLate = Time::FromMillis(1000000);
+constexpr Time kLateDeadline = Time::FromMillis(1000000);
 
 WaitingRequest MakeRequest(const std::string& contract,
                            int number,
@@ -22,7 +22,7 @@
           .rank = Rank(rank),
           .weight = weight,
           .cost = cost,
-          .give_up_at = kLate};
+          .wait_deadline = kLateDeadline};
 }
 
 TEST(AdmissionQueueTest, ServesLowerRanksFirst) {
@@ -52,7 +52,7 @@
 
 // Guards against refusals of one team's requests because another team's flood
 // fills the queue, as in a queue that refuses the newest request.
-TEST(AdmissionQueueTest, FullQueueDropsTheFloodsNewest) {
+TEST(AdmissionQueueTest, FullQueueDropsNewestOfLargestContract) {
   AdmissionQueue queue(10, 512);
   for (int i = 0; i < 10; ++i) {
     EXPECT_FALSE(queue.Push(MakeRequest("flood", i)));
@@ -62,7 +62,7 @@
   EXPECT_EQ(queue.size(), 10);
 }
 
-TEST(AdmissionQueueTest, TokensAheadCountOnlyWhatGoesBefore) {
+TEST(AdmissionQueueTest, TokensAheadCountsOnlyEarlierServed) {
   AdmissionQueue queue(100, 512);
   for (int i = 0; i < 50; ++i) {
     queue.Push(MakeRequest("flood", i));
@@ -73,7 +73,7 @@
   EXPECT_NEAR(queue.TokensAhead(MakeRequest("high", 1, -1)), 0, 1);
 }
 
-RC_GTEST_PROP(AdmissionQueueProperty, KeepsEveryRequestOnce, ()) {
+RC_GTEST_PROP(AdmissionQueueProperty, ReturnsEveryRequestOnce, ()) {
   AdmissionQueue queue(20, 64);
   std::map<RequestId, int> seen;
   int pushed = 0;
@@ -88,7 +88,7 @@
     if (step < 8) {
       auto request = MakeRequest("c" + std::to_string(step % 4), pushed++,
                                  step % 3, step + 1, 40 * step + 1);
-      request.give_up_at = Time::FromMillis(pushed);
+      request.wait_deadline = Time::FromMillis(pushed);
       if (const auto dropped = queue.Push(request)) {
         ++seen[dropped->id];
       }
--- a/tests/coordination/admission/admission_test.cc
+++ b/tests/coordination/admission/admission_test.cc
@@ -66,14 +66,14 @@
     Headroom headroom;
     headroom.taken_at = now_;
     for (int i = 0; i < endpoints; ++i) {
-      const std::int64_t here = std::min(paid, batch);
-      paid -= here;
+      const std::int64_t paid_here = std::min(paid, batch);
+      paid -= paid_here;
       headroom.endpoints.push_back(
           {.endpoint = EndpointId("e" + std::to_string(i)),
            .batch_limit = batch,
-           .running = here,
+           .running = paid_here,
            .queued = 0,
-           .paid = here,
+           .paid = paid_here,
            .cache_share = 0});
     }
     return admission_->OnCapacity(now_, kModel, headroom);
@@ -121,7 +121,7 @@
   EXPECT_EQ(KindOf(Offer("paid")), RefusalKind::kContractNotValid);
 }
 
-TEST_F(AdmissionTest, AdmitsPaidBeforeTrialAtTheEngines) {
+TEST_F(AdmissionTest, PaidHasPriorityAndSeparateEndpoints) {
   Report(0);
   const auto paid = Offer("paid");
   const auto trial = Offer("trial");
@@ -134,17 +134,17 @@
   }
 }
 
-TEST_F(AdmissionTest, ConcurrencyIsRefusedAndComesBack) {
-  Contract narrow = MakeContract("paid", Tier::kPaid);
-  narrow.concurrency = 1;
-  admission_->OnContract(now_, narrow);
+TEST_F(AdmissionTest, ConcurrencyIsLimitedAndReleased) {
+  Contract single_request_contract = MakeContract("paid", Tier::kPaid);
+  single_request_contract.concurrency = 1;
+  admission_->OnContract(now_, single_request_contract);
   const auto first = std::get<Admit>(Offer("paid").at(0)).request;
   EXPECT_EQ(KindOf(Offer("paid")), RefusalKind::kConcurrency);
   admission_->OnFinished(now_, first, TokenCount(10));
   EXPECT_EQ(Count<Admit>(Offer("paid")), 1);
 }
 
-TEST_F(AdmissionTest, TrialWithoutMeasuredRoomWaitsAndIsRefused) {
+TEST_F(AdmissionTest, TrialWithoutReportedRoomWaitsThenIsRefused) {
   EXPECT_EQ(Count<Queued>(Offer("trial")), 1);
   now_ = now_ + Duration::Millis(2000);
   const auto actions = admission_->Tick(now_);
@@ -155,7 +155,7 @@
 
 // Guards against trial requests that are admitted by outdated room after load
 // reports have stopped.
-TEST_F(AdmissionTest, OldReportsAreNoRoomForTrialWork) {
+TEST_F(AdmissionTest, OldReportsGiveNoRoomToTrialWork) {
   Report(0);
   now_ = now_ + Duration::Seconds(6);
   EXPECT_EQ(Count<Queued>(Offer("trial")), 1);
@@ -164,7 +164,7 @@
 
 // Guards against slow paid streams when paid load rises: trial streams on an
 // endpoint that paid work is about to use run on for tens of seconds.
-TEST_F(AdmissionTest, TrialIsPreemptedWherePaidWorkNeedsRoom) {
+TEST_F(AdmissionTest, TrialIsPreemptedIfPaidWorkNeedsItsEndpoint) {
   Report(0);
   const auto admitted = std::get<Admit>(Offer("trial").at(0));
   admission_->OnDispatched(admitted.request, admitted.endpoints->front());
@@ -200,7 +200,7 @@
 
 // Guards against callers that wait until their deadline for a refusal, although
 // the queue's drain rate shows that they cannot run in time.
-TEST_F(AdmissionTest, HopelessDeadlineIsRefusedAtOnce) {
+TEST_F(AdmissionTest, UnreachableDeadlineIsRefusedAtOnce) {
   Report(0, 1, 4);
   for (int i = 0; i < 4; ++i) {
     now_ = now_ + Duration::Millis(500);
@@ -210,9 +210,9 @@
   for (int i = 0; i < 40 && admission_->queued(Tier::kPaid) < 30; ++i) {
     Offer("paid");
   }
-  RequestProfile hurried = MakeProfile("paid");
-  hurried.deadline = now_ + Duration::Millis(300);
-  const auto actions = admission_->Offer(now_, hurried);
+  RequestProfile short_deadline_profile = MakeProfile("paid");
+  short_deadline_profile.deadline = now_ + Duration::Millis(300);
+  const auto actions = admission_->Offer(now_, short_deadline_profile);
   EXPECT_EQ(KindOf(actions), RefusalKind::kDeadline);
   EXPECT_GT(std::get<Refuse>(actions.at(0)).refusal.retry_after,
             Duration::Millis(1000));
@@ -220,10 +220,10 @@
 
 // Guards against callers that are refused together, return together after the
 // same delay and are refused again.
-TEST_F(AdmissionTest, TimesToComeBackAreSpread) {
-  Contract narrow = MakeContract("paid", Tier::kPaid);
-  narrow.concurrency = 1;
-  admission_->OnContract(now_, narrow);
+TEST_F(AdmissionTest, RetryAfterIsJittered) {
+  Contract single_request_contract = MakeContract("paid", Tier::kPaid);
+  single_request_contract.concurrency = 1;
+  admission_->OnContract(now_, single_request_contract);
   Offer("paid");
   std::set<Duration> times;
   for (int i = 0; i < 20; ++i) {
@@ -234,7 +234,7 @@
 
 // Guards against waiting requests that start after their contract was withdrawn
 // because it is checked only on arrival, and against running ones that stop.
-TEST_F(AdmissionTest, WithdrawnContractEndsWaitingAndSparesRunning) {
+TEST_F(AdmissionTest, WithdrawnContractRefusesWaitingButNotRunning) {
   Report(15);
   const auto running = std::get<Admit>(Offer("paid").at(0)).request;
   const auto waiting = std::get<Queued>(Offer("paid").at(0)).request;
@@ -260,10 +260,10 @@
 
 // Guards against a leak of a contract's concurrency: requests that hold a share
 // are refused or abandoned in the queue without returning it.
-TEST_F(AdmissionTest, SharesOfRequestsThatNeverRanComeBack) {
-  Contract narrow = MakeContract("paid", Tier::kPaid);
-  narrow.concurrency = 1;
-  admission_->OnContract(now_, narrow);
+TEST_F(AdmissionTest, SharesOfRequestsThatNeverRanAreReturned) {
+  Contract single_request_contract = MakeContract("paid", Tier::kPaid);
+  single_request_contract.concurrency = 1;
+  admission_->OnContract(now_, single_request_contract);
   Report(16);
   for (int i = 0; i < 3; ++i) {
     const auto waiting = std::get<Queued>(Offer("paid").at(0)).request;
@@ -278,7 +278,7 @@
   EXPECT_EQ(admission_->queued(Tier::kPaid), 0);
 }
 
-TEST_F(AdmissionTest, EstimateLearnsWhatIsGenerated) {
+TEST_F(AdmissionTest, EstimateFollowsGeneratedTokens) {
   RequestProfile profile = MakeProfile("paid");
   profile.max_generated_tokens = TokenCount(4000);
   TokenEstimator estimator;
--- a/tests/coordination/admission/tier_pools_test.cc
+++ b/tests/coordination/admission/tier_pools_test.cc
@@ -11,15 +11,15 @@
 
 constexpr std::int64_t kBatch = 10;
 
-std::vector<EndpointHeadroom> EndpointsWith(std::int64_t paid, int count = 8) {
+std::vector<EndpointHeadroom> MakeEndpoints(std::int64_t paid, int count = 8) {
   std::vector<EndpointHeadroom> endpoints;
   for (int i = 0; i < count; ++i) {
-    const std::int64_t here = paid / count + (i < paid % count ? 1 : 0);
+    const std::int64_t paid_here = paid / count + (i < paid % count ? 1 : 0);
     endpoints.push_back({.endpoint = EndpointId("e" + std::to_string(i)),
                          .batch_limit = kBatch,
-                         .running = here,
+                         .running = paid_here,
                          .queued = 0,
-                         .paid = here,
+                         .paid = paid_here,
                          .cache_share = 0});
   }
   return endpoints;
@@ -28,7 +28,7 @@
 class TierPoolsTest : public testing::Test {
  protected:
   void Update(std::int64_t paid, std::int64_t unreported = 0) {
-    pools_.Update(now_, EndpointsWith(paid), unreported);
+    pools_.Update(now_, MakeEndpoints(paid), unreported);
   }
 
   AdmissionSettings settings_;
@@ -58,9 +58,9 @@
 // Guards against repeated preemption of trial streams under steady load: paid
 // load dips briefly, an endpoint goes to trial work, and its trial streams are
 // cancelled as soon as the load is back.
-TEST_F(TierPoolsTest, ADipDoesNotHandEndpointsToTrialWork) {
+TEST_F(TierPoolsTest, ShortDipKeepsEndpointsForPaidWork) {
   Update(35);
-  now_ = now_ + settings_.shrink_after;
+  now_ = now_ + settings_.shrink_delay;
   Update(7);
   EXPECT_EQ(pools_.paid_count(), 5U);
   now_ = now_ + Duration::Millis(1);
@@ -70,8 +70,8 @@
 
 // Guards against paid work on endpoints of trial work: engines do not report
 // which requests are paid, and unknown work is counted as trial work.
-TEST_F(TierPoolsTest, UnknownWorkCountsAsPaid) {
-  auto endpoints = EndpointsWith(35);
+TEST_F(TierPoolsTest, UnclassifiedWorkCountsAsPaid) {
+  auto endpoints = MakeEndpoints(35);
   for (EndpointHeadroom& endpoint : endpoints) {
     endpoint.paid.reset();
   }
@@ -79,9 +79,9 @@
   EXPECT_EQ(pools_.paid_count(), 5U);
 }
 
-TEST_F(TierPoolsTest, AllNodesOrderEndpointsAlike) {
+TEST_F(TierPoolsTest, EndpointOrderIsIndependentOfInputOrder) {
   TierPools other(settings_);
-  auto reversed = EndpointsWith(0);
+  auto reversed = MakeEndpoints(0);
   std::reverse(reversed.begin(), reversed.end());
   other.Update(now_, reversed, 0);
   Update(0);
--- a/tests/coordination/limits/limit_relay_test.cc
+++ b/tests/coordination/limits/limit_relay_test.cc
@@ -5,7 +5,7 @@
 namespace gcw {
 namespace {
 
-constexpr Duration kPeriod = LimitSettings().period_min;
+constexpr Duration kPeriod = LimitSettings().min_period;
 
 class LimitRelayUnitTest : public testing::Test {
  protected:
@@ -34,7 +34,7 @@
             .ceding = {},
             .ceded_for = {},
             .weight = 1,
-            .demands = {{contract_, LimitVector::All(1), 0}}};
+            .demands = {{contract_, LimitVector::Uniform(1), 0}}};
   }
   void GrantToRelay(const LimitReport& report, double amount) {
     relay_.OnGrants(now_, NodeId("owner"),
@@ -46,7 +46,7 @@
                      .echo = {Incarnation(3), now_},
                      .report_sent_at = report.sent_at,
                      .lifetime = kPeriod * 4,
-                     .grants = {{contract_, LimitVector::All(amount)}}});
+                     .grants = {{contract_, LimitVector::Uniform(amount)}}});
   }
   LimitReport NextReport() {
     now_ = now_ + kPeriod;
@@ -61,7 +61,7 @@
   LimitRelay relay_{&topology_, &limits_, {NodeId("relay"), Incarnation(2)}};
 };
 
-TEST_F(LimitRelayUnitTest, IsSilentWithoutGrantsOfItsOwn) {
+TEST_F(LimitRelayUnitTest, DoesNotAnswerWithoutValidGrants) {
   EXPECT_FALSE(relay_.OnReport(now_, LeafReport(1)));
   GrantToRelay(NextReport(), 0.8);
   EXPECT_TRUE(relay_.OnReport(now_, LeafReport(2)));
@@ -73,7 +73,7 @@
 // demand moved to another zone: a relay that has granted everything
 // acknowledges a smaller grant before its nodes have applied it, and the owner
 // grants the difference to the other zone.
-TEST_F(LimitRelayUnitTest, AcknowledgesASmallerGrantWhenItsNodesFollowed) {
+TEST_F(LimitRelayUnitTest, AcknowledgesSmallerGrantAfterItsNodes) {
   relay_.OnReport(now_, LeafReport(1));
   GrantToRelay(NextReport(), 0.8);
   relay_.OnReport(now_, LeafReport(2));
@@ -91,12 +91,12 @@
 TEST(LimitRelayTest, SharesFollowDemandThroughRelays) {
   LimitSettings settings;
   settings.relay_above_nodes = 4;
-  settings.relay_group_nodes = 3;
+  settings.max_nodes_per_relay = 3;
   LimitsFleet fleet(12, settings, TestContract("team", 80, 8000, 16), 5);
-  fleet.GiveRole(0, Duration::Seconds(3600));
+  fleet.AssignRole(0, Duration::Seconds(3600));
   fleet.RunWithCallers(Duration::Seconds(20), {7});
   EXPECT_GT(fleet.ShareOf(7)[LimitResource::kRequests], 0.98 * 80);
-  EXPECT_LE(fleet.WorstSum(), 1 + 1e-6);
+  EXPECT_LE(fleet.MaxSum(), 1 + 1e-6);
 }
 
 }  // namespace
--- a/tests/coordination/limits/limits_fleet.h
+++ b/tests/coordination/limits/limits_fleet.h
@@ -65,14 +65,14 @@
                         .inbox = {}});
     }
     for (Node& node : nodes_) {
-      node.limits.OnContract(Local(node), contract);
-      node.limits.OnView(Local(node), peers_);
+      node.limits.OnContract(LocalTime(node), contract);
+      node.limits.OnView(LocalTime(node), peers_);
     }
     shard_ = gcw::ShardOf(contract.id, settings.shards);
   }
 
   Time now() const { return now_; }
-  Time Local(const Node& node) const { return now_ + node.clock_offset; }
+  Time LocalTime(const Node& node) const { return now_ + node.clock_offset; }
   std::vector<Node>& nodes() { return nodes_; }
   Node& node(std::size_t i) { return nodes_[i]; }
   FakeNetwork<LimitBatch>& network() { return network_; }
@@ -80,7 +80,7 @@
   std::size_t RandomNode() { return DrawBelow(random_, nodes_.size()); }
 
   // Gives the role to `owner` under a new fencing token and tells all nodes.
-  void GiveRole(std::size_t owner, Duration valid_for) {
+  void AssignRole(std::size_t owner, Duration valid_for) {
     owner_ = owner;
     ++fence_;
     role_until_ = now_ + valid_for;
@@ -92,18 +92,19 @@
   void Renew(Duration valid_for) {
     role_until_ = now_ + valid_for;
     Node& node = nodes_[owner_];
-    node.limits.OnRoleHeld(shard_, fence_, Local(node) + valid_for);
+    node.limits.OnRoleHeld(shard_, fence_, LocalTime(node) + valid_for);
   }
   Time role_until() const { return role_until_; }
   std::size_t owner() const { return owner_; }
   Time PrepareRelease() {
     Node& node = nodes_[owner_];
-    return node.limits.PrepareRelease(Local(node), shard_) - node.clock_offset;
+    return node.limits.PrepareRelease(LocalTime(node), shard_) -
+           node.clock_offset;
   }
 
   void ChangeContract(std::size_t node, const Contract& contract) {
     nodes_[node].contract = contract;
-    nodes_[node].limits.OnContract(Local(nodes_[node]), contract);
+    nodes_[node].limits.OnContract(LocalTime(nodes_[node]), contract);
   }
 
   // Replaces the node's process by a new one under the same id.
@@ -113,9 +114,9 @@
     node.limits = Limits::Builder()
                       .SetSelf(node.id, peers_[i].zone, incarnation_)
                       .SetSettings(settings)
-                      .Build(Local(node));
-    node.limits.OnContract(Local(node), node.contract);
-    node.limits.OnView(Local(node), peers_);
+                      .Build(LocalTime(node));
+    node.limits.OnContract(LocalTime(node), node.contract);
+    node.limits.OnView(LocalTime(node), peers_);
     node.limits.OnOwner(shard_, nodes_[owner_].id, fence_);
     node.inbox.clear();
   }
@@ -125,8 +126,8 @@
     if (node.is_paused || !node.is_up) {
       return;
     }
-    const auto decision =
-        node.limits.TryAcquire(Local(node), node.contract.id, TokenCount(10));
+    const auto decision = node.limits.TryAcquire(
+        LocalTime(node), node.contract.id, TokenCount(10));
     if (decision.outcome == ShareOutcome::kGranted) {
       node.limits.Release(node.contract.id, TokenCount(10), TokenCount(10));
       ++granted_;
@@ -137,7 +138,7 @@
   void Step(Duration step) {
     now_ = now_ + step;
     for (auto& delivery : network_.Deliver(now_)) {
-      NodeOf(delivery.to).inbox.push_back(std::move(delivery));
+      FindNode(delivery.to).inbox.push_back(std::move(delivery));
     }
     for (Node& node : nodes_) {
       if (!node.is_paused && node.is_up) {
@@ -164,7 +165,7 @@
   // time.
   LimitVector ShareOf(std::size_t i) const {
     const Node& node = nodes_[i];
-    return node.is_up ? node.limits.ShareOf(Local(node), node.contract.id)
+    return node.is_up ? node.limits.ShareOf(LocalTime(node), node.contract.id)
                       : LimitVector();
   }
   // Sum of all shares divided by the largest limit that any node has in force.
@@ -174,14 +175,14 @@
     LimitVector limit;
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       sum = sum + ShareOf(i);
-      limit = Max(limit, LimitVector::Of(nodes_[i].contract));
+      limit = Max(limit, LimitVector::FromContract(nodes_[i].contract));
     }
     for (const LimitResource resource : kLimitResources) {
       sum[resource] /= limit[resource];
     }
     return sum;
   }
-  double WorstSum() const {
+  double MaxSum() const {
     const LimitVector sum = Sum();
     return std::max({sum[LimitResource::kRequests], sum[LimitResource::kTokens],
                      sum[LimitResource::kConcurrency]});
@@ -190,7 +191,7 @@
  private:
   static constexpr Duration kTick = Duration::Millis(50);
 
-  Node& NodeOf(const NodeId& id) {
+  Node& FindNode(const NodeId& id) {
     return *std::find_if(nodes_.begin(), nodes_.end(),
                          [&id](const Node& node) { return node.id == id; });
   }
@@ -199,11 +200,11 @@
     while (!node.inbox.empty()) {
       const auto delivery = std::move(node.inbox.front());
       node.inbox.pop_front();
-      Send(node,
-           node.limits.OnBatch(Local(node), delivery.from, delivery.message));
+      Send(node, node.limits.OnBatch(LocalTime(node), delivery.from,
+                                     delivery.message));
     }
     if ((now_ - Time()).millis() % kTick.millis() == 0) {
-      Send(node, node.limits.Tick(Local(node)));
+      Send(node, node.limits.Tick(LocalTime(node)));
     }
   }
 
