--- a/coordination/limits/limits.h
+++ b/coordination/limits/limits.h
@@ -36,8 +36,8 @@
   // nodes.
   void OnView(Time now, const std::vector<LimitPeer>& peers);
 
-  // This node holds the role `limit/<shard>` until `valid_until` at least.
-  // Called again at each renewal of the node's lease.
+  // This node holds the role `limit/<shard>` and may rely on it until
+  // `valid_until`. Called again at each renewal of the node's lease.
   void OnRoleHeld(LimitShard shard, FencingToken fence, Time valid_until);
   void OnRoleLost(LimitShard shard);
   // Called before this node gives up the role by deleting its key. Returns the
