--- a/coordination/admission/tier_room.h
+++ b/coordination/admission/tier_room.h
@@ -17,26 +17,27 @@
 
 namespace gcw {
 
-// Shared, since every admitted request carries it.
+// Shared, because every admitted request carries the list.
 using EndpointList = std::shared_ptr<const std::vector<EndpointId>>;
 
-// Room that this node may fill at one model or service: its part of what the
-// newest reports show, corrected by what it sent and finished since.
+// Room that this node may use at one model or service: its part of the free
+// room in the newest reports, corrected by the requests that this node started
+// and finished since.
 class TierRoom {
  public:
   TierRoom(const AdmissionSettings& settings, Random random);
 
   void Update(Time now, Headroom headroom);
-  // Whether there ever was a report.
+  // True once there was a report.
   bool is_known() const { return headroom_.has_value(); }
   bool HasEndpoints() const;
   bool HasRoom(Time now, Tier tier) const;
-  // Where requests of the tier may go.
+  // Endpoints that requests of the tier may go to.
   const EndpointList& endpoints(Tier tier) const;
   bool IsOpenToTrial(const EndpointId& endpoint) const;
 
-  void Admitted(Time now, Tier tier);
-  void Finished(Time now, Tier tier, const EndpointId& endpoint);
+  void OnAdmitted(Time now, Tier tier);
+  void OnFinished(Time now, Tier tier, const EndpointId& endpoint);
 
  private:
   struct Change {
@@ -45,10 +46,10 @@
   };
   struct TierState {
     // This node's part of the free room at the time of the reports.
-    std::int64_t part = 0;
-    // Its own changes since, oldest first.
+    std::int64_t own_part = 0;
+    // Requests that this node started and finished since, oldest first.
     std::deque<Change> changes;
-    std::int64_t net = 0;
+    std::int64_t net_change = 0;
     EndpointList endpoints;
   };
 
@@ -56,10 +57,10 @@
   const TierState& StateOf(Tier tier) const { return tiers_[Index(tier)]; }
   static std::size_t Index(Tier tier) { return tier == Tier::kPaid ? 0 : 1; }
   static void DropReported(TierState& state, Time taken_at);
-  static void Record(TierState& state, Time now, std::int64_t requests);
-  std::int64_t PartOf(std::int64_t free) const;
-  void DividePaid();
-  void DivideTrial();
+  static void RecordChange(TierState& state, Time now, std::int64_t requests);
+  std::int64_t OwnPartOf(std::int64_t free) const;
+  void UpdatePaid();
+  void UpdateTrial();
 
   const AdmissionSettings* settings_;
   Random random_;
--- a/coordination/limits/limit_granter.h
+++ b/coordination/limits/limit_granter.h
@@ -9,28 +9,28 @@
 #include <unordered_map>
 #include <vector>
 
-#include "coordination/limits/cession_book.h"
+#include "coordination/limits/floor_cessions.h"
 #include "coordination/limits/limit_ledger.h"
 #include "coordination/limits/limit_messages.h"
 
 namespace gcw {
 
-// Demand for one contract over all parties of a granter.
+// Total demand for one contract of all parties of a granter.
 struct LimitDemandTotal {
   ContractId contract;
   LimitVector demand;
-  // As a fraction of the limit.
+  // Fraction of the concurrency limit.
   double running = 0;
 };
 
-// Answers the reports of one shard out of totals that it is given. Owners and
-// relays share it; they differ in where the totals come from.
+// Answers the reports of one shard by dividing given totals. Both owners and
+// relays use it; they differ in the source of the totals.
 class LimitGranter {
  public:
   struct Terms {
     FencingToken fence;
     Duration lifetime;
-    // Of a contract, all parties together.
+    // What all parties together may use of a contract.
     std::function<LimitVector(const ContractId&)> total;
     // One running request as a fraction of the contract's limit.
     std::function<double(const ContractId&)> concurrency_unit;
@@ -38,42 +38,42 @@
 
   LimitGranter(LimitShard shard, Incarnation self);
 
-  // Takes in demand and cessions. False for a report that is no newer than one
-  // already seen.
+  // Records demand and cessions. Returns false if the report is not newer than
+  // one already seen.
   bool Observe(Time now, const LimitReport& report, Duration valid_for);
-  // Answers the report last observed of this sender.
+  // Answers `report`, the last one that `Observe` accepted from its sender.
   LimitGrants Answer(Time now, const LimitReport& report, const Terms& terms);
 
-  const CessionBook& cessions() const { return cessions_; }
+  const FloorCessions& cessions() const { return cessions_; }
   LimitVector Held(Time now, const ContractId& contract) const;
   std::vector<ContractId> Contracts() const;
-  std::vector<LimitDemandTotal> Demands(Time now) const;
-  // Contracts whose demand was seen for the first time since the last call.
+  std::vector<LimitDemandTotal> TotalDemands(Time now) const;
+  // True if a new contract was reported since the last call.
   bool TakeNewDemand();
-  // When the last grant given so far has expired.
-  Time last_expiry() const { return last_expiry_; }
-  void Expire(Time now);
+  // Latest expiry of all grants given so far.
+  Time latest_expiry() const { return latest_expiry_; }
+  void DropExpired(Time now);
 
  private:
-  struct Party {
+  struct PartyState {
     LimitLedger::PartyIndex index = 0;
     LimitSequence last_report;
-    // Contracts of its last report.
+    // Contracts listed in the last report.
     std::set<ContractId> contracts;
-    Time seen;
+    Time last_seen;
   };
 
-  void ObserveCessions(const LimitReport& report);
-  void ClearOldDemands(Party& party, const LimitReport& report);
+  void RecordCessions(const LimitReport& report);
+  void ResetDemands(PartyState& party, const LimitReport& report);
 
   LimitShard shard_;
   Incarnation self_;
-  std::map<LimitParty, Party> parties_;
+  std::map<LimitParty, PartyState> parties_;
   LimitLedger::PartyIndex next_index_ = 0;
   std::unordered_map<ContractId, LimitLedger> ledgers_;
-  CessionBook cessions_;
+  FloorCessions cessions_;
   bool has_new_demand_ = false;
-  Time last_expiry_;
+  Time latest_expiry_;
 };
 
 }  // namespace gcw
