--- a/protocol/cache_event_json.h
+++ b/protocol/cache_event_json.h
@@ -9,7 +9,7 @@
 
 namespace gcw {
 
-// The answer of `GET /cache_events`. Blocks are 16 hexadecimal digits.
+// The response body of `GET /cache_events`. Blocks are 16 hexadecimal digits.
 std::string EncodeCacheEvents(const CacheEventBatch& batch);
 Decoded<CacheEventBatch> DecodeCacheEvents(std::string_view text);
 
--- a/protocol/cancel_json.h
+++ b/protocol/cancel_json.h
@@ -9,11 +9,11 @@
 
 namespace gcw {
 
-// The body of `POST /cancel`.
+// The request body of `POST /cancel`.
 std::string EncodeCancel(const AttemptId& attempt);
 Decoded<AttemptId> DecodeCancel(std::string_view text);
 
-// The answer: whether the engine held the attempt.
+// The response body of `POST /cancel`: true if the engine had the attempt.
 std::string EncodeCancelReply(bool cancelled);
 Decoded<bool> DecodeCancelReply(std::string_view text);
 
--- a/protocol/chat_answer.cc
+++ b/protocol/chat_answer.cc
@@ -6,7 +6,7 @@
 namespace gcw {
 namespace {
 
-// The text of the only choice, below `part`.
+// Reads the text of the only choice from its `part` ("delta" or "message").
 std::string ReadChoiceText(JsonReader& reader, std::string_view part) {
   const auto read_part = [](JsonReader& message) {
     return message.String("content");
--- a/protocol/chat_answer.h
+++ b/protocol/chat_answer.h
@@ -10,20 +10,22 @@
 
 namespace gcw {
 
-// Last event of a stream that ended properly. A stream without it was cut.
+// The last event of a complete stream. A stream that ends without it was cut
+// off.
 inline constexpr std::string_view kChatStreamEnd = "data: [DONE]\n\n";
 
 // One token of a streamed answer.
 struct ChatToken {
   AttemptId attempt;
-  // Of the token within the answer, from 0; goes on in a resumed stream.
+  // Position of the token in the answer, from 0. A resumed stream continues the
+  // count.
   std::int64_t index = 0;
   std::string text;
 
   friend bool operator==(const ChatToken&, const ChatToken&) = default;
 };
 
-// A whole answer.
+// A complete answer that is not streamed.
 struct ChatAnswer {
   AttemptId attempt;
   ModelId model;
@@ -34,9 +36,9 @@
   friend bool operator==(const ChatAnswer&, const ChatAnswer&) = default;
 };
 
-// The server-sent event, with its empty line.
+// Returns a server-sent event, including the blank line that ends it.
 std::string EncodeChatTokenEvent(const ChatToken& token);
-// Reads what stands after "data: ".
+// Decodes the part of an event that follows "data: ".
 Decoded<ChatToken> DecodeChatToken(std::string_view data);
 
 std::string EncodeChatAnswer(const ChatAnswer& answer);
--- a/protocol/chat_event.cc
+++ b/protocol/chat_event.cc
@@ -17,7 +17,7 @@
   return std::string(value->get_string());
 }
 
-// Reads the text and the finish reason of the first choice, where there is one.
+// Reads the text and the finish reason of the first choice, if there is one.
 void ReadFirstChoice(ChatEvent& event) {
   const json::value* choices = event.body.if_contains("choices");
   if (choices == nullptr || !choices->is_array() ||
--- a/protocol/chat_event.h
+++ b/protocol/chat_event.h
@@ -14,31 +14,33 @@
 
 enum class ChatEventErrorKind { kInvalidJson, kNotAnObject, kFieldMalformed };
 
-// `field` names the member at fault; empty where the whole text is.
+// `field` names the invalid member. It is empty if the text as a whole is
+// invalid.
 struct ChatEventError {
   ChatEventErrorKind kind;
   std::string_view field;
 };
 
-// One event of an engine's stream, with all that the engine put into it.
+// One event of an engine's stream. `body` keeps all fields that the engine
+// sent.
 struct ChatEvent {
   AttemptId attempt;
-  // Position of the token in the answer; absent for events without a token.
+  // Position of the token in the answer; unset for events without a token.
   std::optional<std::int64_t> index;
-  // Text that the event adds.
+  // Text that the event adds to the answer.
   std::string content;
-  // Why the answer ends here; empty before its last event.
+  // Why the answer ends with this event; empty before the last event.
   std::string finish_reason;
   boost::json::object body;
 };
 
 Result<ChatEvent, ChatEventError> ParseChatEvent(std::string_view text);
 
-// The event as a caller gets it: under the request's id and without the
-// attempt's.
+// Returns the event as it is sent to the caller: with the request's id, and
+// without the attempt's id and the index.
 std::string WriteCallerEvent(ChatEvent event, const RequestId& request);
 
-// The whole answer to a request that was not asked for as a stream.
+// Returns the complete answer to a request that did not ask for a stream.
 std::string WriteWholeAnswer(const RequestId& request,
                              const ModelTarget& target,
                              std::string_view content,
@@ -46,9 +48,9 @@
                              TokenCount prompt_tokens,
                              TokenCount generated_tokens);
 
-// A caller's chat request as it goes to an engine: everything the caller sent,
-// but always as a stream, so that progress and resume work for whole answers
-// too. `text` is known to be a JSON object.
+// Returns a caller's chat request as it is sent to an engine: with all of the
+// caller's fields, but always as a stream, so that progress tracking and
+// resuming also work for complete answers. `text` must be a JSON object.
 std::string WriteEngineRequest(std::string_view text);
 
 }  // namespace gcw
--- a/protocol/chat_request.h
+++ b/protocol/chat_request.h
@@ -18,16 +18,16 @@
   friend bool operator==(const ChatMessage&, const ChatMessage&) = default;
 };
 
-// The body of `POST /v1/chat/completions`.
+// The request body of `POST /v1/chat/completions`.
 struct ChatRequest {
   static constexpr std::int64_t kDefaultMaxTokens = 16;
   static constexpr std::int64_t kMaxMaxTokens = 100000;
 
   ModelId model;
-  // Empty where none is asked for.
+  // Empty if the request names no adapter.
   AdapterId adapter;
   std::vector<ChatMessage> messages;
-  // From 1 to `kMaxMaxTokens`.
+  // At least 1 and at most `kMaxMaxTokens`.
   TokenCount max_tokens = TokenCount(kDefaultMaxTokens);
   bool stream = false;
 
@@ -37,11 +37,11 @@
 std::string EncodeChatRequest(const ChatRequest& request);
 Decoded<ChatRequest> DecodeChatRequest(std::string_view text);
 
-// The prompt that prefix blocks are counted over: for each message its role, a
-// colon, its content and a line feed.
+// Builds the prompt that prefix blocks are computed from: for each message its
+// role, a colon, its content and a line feed.
 std::string PromptOf(const ChatRequest& request);
 
-// Estimate of a prompt's length: a token for each 4 bytes, rounded up.
+// Estimates the length of a prompt: one token per 4 bytes, rounded up.
 TokenCount PromptTokens(std::string_view prompt);
 
 }  // namespace gcw
--- a/protocol/codec_error.h
+++ b/protocol/codec_error.h
@@ -9,14 +9,14 @@
 namespace gcw {
 
 enum class CodecErrorKind {
-  // Not JSON, or JSON in invalid UTF-8 or nested too deeply.
+  // The text is not JSON, has invalid UTF-8 or is nested too deeply.
   kSyntax,
   kMissing,
   kWrongType,
   kOutOfRange,
-  // A closed choice has no such name.
+  // An enum has no value of this name.
   kUnknownName,
-  // No message belongs to this path or status.
+  // No message is defined for this path or status.
   kUnknownMessage,
 };
 
@@ -25,8 +25,8 @@
 // Why a message cannot be read.
 struct CodecError {
   CodecErrorKind kind = CodecErrorKind::kSyntax;
-  // The path to the field at fault, such as "members.vm"; empty where the
-  // message as a whole is.
+  // The path to the invalid field, such as "members.vm". It is empty if the
+  // message as a whole is invalid.
   std::string field;
 
   friend bool operator==(const CodecError&, const CodecError&) = default;
--- a/protocol/config_record_json.h
+++ b/protocol/config_record_json.h
@@ -9,13 +9,13 @@
 
 namespace gcw {
 
-// The value of a configuration key: a setting's text or a tombstone, with the
-// change that wrote it.
+// The value stored under a configuration key: the text of a setting or a
+// tombstone, with the change that wrote it.
 std::string EncodeConfigRecord(const ConfigRecord& record);
 
-// Reads the record of a fabric domain too: it is spread to nodes by the same
-// means, though a keeper and not an operator writes it. Its text is the value,
-// and its change id is the change.
+// Also decodes the record of a fabric domain, which reaches nodes in the same
+// way although a keeper writes it and not an operator. Its whole text becomes
+// the value, and its change id becomes the change.
 Decoded<ConfigRecord> DecodeConfigRecord(std::string_view text);
 
 }  // namespace gcw
--- a/protocol/contract_json.cc
+++ b/protocol/contract_json.cc
@@ -97,7 +97,7 @@
   return DecodeJson(text, [](JsonReader& reader) {
     ContractEntry entry;
     entry.id = reader.TextId<ContractId>("id");
-    // A withdrawal says so; a forgotten field is none.
+    // A withdrawn contract is written as null; a missing field is an error.
     if (!reader.Has("contract")) {
       reader.Fail(CodecErrorKind::kMissing, "contract");
     }
--- a/protocol/contract_json.h
+++ b/protocol/contract_json.h
@@ -10,14 +10,14 @@
 
 namespace gcw {
 
-// A contract in the operators' API and in the key-value service. The types are
-// checked here, the ranges by `ContractBuilder`.
+// A contract as JSON in the operators' API and in the key-value service. Types
+// are checked here, ranges in `ContractBuilder`.
 boost::json::object ContractToJson(const Contract& contract);
 Contract ReadContract(JsonReader& reader);
 std::string EncodeContract(const Contract& contract);
 Decoded<Contract> DecodeContract(std::string_view text);
 
-// The value of a contract's key.
+// The value stored under a contract's key.
 std::string EncodeContractEntry(const ContractEntry& entry);
 Decoded<ContractEntry> DecodeContractEntry(std::string_view text);
 
--- a/protocol/domain_record_json.h
+++ b/protocol/domain_record_json.h
@@ -9,7 +9,7 @@
 
 namespace gcw {
 
-// The value of a fabric domain's key.
+// The value stored under a fabric domain's key.
 std::string EncodeDomainRecord(const DomainRecord& record);
 Decoded<DomainRecord> DecodeDomainRecord(std::string_view text);
 
--- a/protocol/engine_headers.h
+++ b/protocol/engine_headers.h
@@ -5,11 +5,11 @@
 
 namespace gcw {
 
-// Header fields between nodes and endpoints; see docs/PLATFORM.md.
+// HTTP header fields between nodes and endpoints; see docs/PLATFORM.md.
 inline constexpr std::string_view kAttemptHeader = "X-Gcw-Attempt";
 inline constexpr std::string_view kGenerationHeader = "X-Gcw-Generation";
 inline constexpr std::string_view kPriorityHeader = "X-Gcw-Priority";
-// Unix milliseconds.
+// The value is in Unix milliseconds.
 inline constexpr std::string_view kDeadlineHeader = "X-Gcw-Deadline-Ms";
 inline constexpr std::string_view kResumeFromHeader = "X-Gcw-Resume-From";
 inline constexpr std::string_view kNotRunHeader = "X-Gcw-Not-Run";
--- a/protocol/engine_order_json.h
+++ b/protocol/engine_order_json.h
@@ -9,7 +9,7 @@
 
 namespace gcw {
 
-// The body of `POST /orders`.
+// The request body of `POST /orders`.
 std::string EncodeEngineOrder(const EngineOrder& order);
 Decoded<EngineOrder> DecodeEngineOrder(std::string_view text);
 
@@ -19,7 +19,8 @@
 };
 
 EngineOrderReplyMessage EncodeEngineOrderReply(const EngineOrderReply& reply);
-// Any other status than 200 and 409 is an error: the order may have been taken.
+// Returns an error for any status other than 200 and 409. The engine may have
+// accepted the order even then.
 Decoded<EngineOrderReply> DecodeEngineOrderReply(int status,
                                                  std::string_view body);
 
--- a/protocol/engine_status_json.h
+++ b/protocol/engine_status_json.h
@@ -9,7 +9,7 @@
 
 namespace gcw {
 
-// The answer of `GET /status`.
+// The response body of `GET /status`.
 std::string EncodeEngineStatus(const EngineStatus& status);
 Decoded<EngineStatus> DecodeEngineStatus(std::string_view text);
 
--- a/protocol/error_json.h
+++ b/protocol/error_json.h
@@ -8,14 +8,15 @@
 
 namespace gcw {
 
-// `{"error":{"type":..,"message":..,"request":..}}` with, where it is not zero,
-// `retry_after_ms`.
+// Writes `{"error":{"type":..,"message":..,"request":..}}`. The object has no
+// `request` if the id is empty, and has `retry_after_ms` if `retry_after` is
+// positive.
 std::string WriteError(std::string_view type,
                        std::string_view message,
                        const RequestId& request,
                        Duration retry_after);
 
-// Whether an endpoint's error body says that the request was not run.
+// True if an endpoint's error body says that it did not run the request.
 bool IsNotRunError(std::string_view body);
 
 }  // namespace gcw
--- a/protocol/event_cutter.cc
+++ b/protocol/event_cutter.cc
@@ -16,7 +16,7 @@
   }
   buffer_.erase(0, whole_);
   whole_ = 0;
-  // An event's end may lie across two reads.
+  // The end of an event may be split over two reads.
   std::size_t search = buffer_.empty() ? 0 : buffer_.size() - 1;
   buffer_ += bytes;
   while (true) {
--- a/protocol/event_cutter.h
+++ b/protocol/event_cutter.h
@@ -8,33 +8,36 @@
 
 namespace gcw {
 
-// Cuts a stream of server-sent events into whole events without changing a
-// byte, and follows their ids. An endpoint may break off within an event; a
-// caller that had been given its beginning could not go on with another run's.
+// Splits a stream of server-sent events into whole events without changing a
+// byte, and tracks their ids. An endpoint may fail in the middle of an event.
+// If the caller had already received the beginning of that event, it could not
+// be continued with the events of another run.
 class EventCutter {
  public:
-  // Without a bound an endpoint that never ends an event would fill the memory.
+  // Bounds the buffer: an endpoint that never ends an event would otherwise
+  // exhaust the memory.
   static constexpr std::size_t kMaxEventBytes = 1024UL * 1024;
 
-  // `resumed_after` is the last event that the caller has, where it has one.
+  // `resumed_after` is the id of the last event that the caller has, if any.
   explicit EventCutter(std::optional<std::int64_t> resumed_after)
       : last_id_(resumed_after) {}
 
-  // The whole events that `bytes` completes; valid until the next call. Absent,
-  // and for good, where an event is too long, has no id or one that does not
-  // follow the one before it.
+  // Returns the events that `bytes` completes; the view is valid until the next
+  // call. Returns nullopt, then and in all later calls, if an unfinished event
+  // is too long, or if an event has no id or an id that is not one more than
+  // that of the event before it.
   std::optional<std::string_view> Feed(std::string_view bytes);
 
-  // Of the last whole event.
+  // The id of the last whole event.
   std::optional<std::int64_t> last_id() const { return last_id_; }
-  // Whether bytes of an event are left that never ended.
+  // True if the buffer holds the beginning of an unfinished event.
   bool has_rest() const { return whole_ < buffer_.size(); }
 
  private:
   bool TakeEvent(std::string_view event);
 
   std::string buffer_;
-  // Bytes at the start of the buffer that were given out.
+  // Number of bytes at the start of the buffer that `Feed` has returned.
   std::size_t whole_ = 0;
   std::optional<std::int64_t> last_id_;
   bool failed_ = false;
--- a/protocol/event_field_json.h
+++ b/protocol/event_field_json.h
@@ -11,10 +11,11 @@
 
 namespace gcw {
 
-// A JSON string in valid UTF-8.
+// Returns a JSON string in which invalid UTF-8 is replaced.
 boost::json::value TextToJson(std::string_view text);
 
-// One member a field. Numbers that JSON cannot write (NaN, infinite) are null.
+// Returns an object with one member per field. NaN and infinite numbers become
+// null, because JSON cannot represent them.
 boost::json::object FieldsToJson(const std::vector<EventField>& fields);
 
 }  // namespace gcw
--- a/protocol/fingerprint_wire.h
+++ b/protocol/fingerprint_wire.h
@@ -7,7 +7,8 @@
 
 namespace gcw {
 
-// Part of the messages of membership and of the fingerprint guard.
+// Fingerprint deltas are sent in membership messages and in messages of the
+// fingerprint guard.
 wire::FingerprintDelta ToWire(const FingerprintDelta& delta);
 FingerprintDelta FingerprintFromWire(const wire::FingerprintDelta& in,
                                      WireFaults& faults);
--- a/protocol/fleet_overview_json.cc
+++ b/protocol/fleet_overview_json.cc
@@ -8,8 +8,8 @@
 namespace gcw {
 namespace {
 
-// Every node reads the overview at its start, all of them at once after a loss
-// of power: names are short.
+// Field names are short because every node reads the overview when it starts;
+// after a power failure all nodes read it at once.
 boost::json::object WriteEndpoint(const VmRegistration& vm) {
   boost::json::object endpoint{
       {"vm", ToJson(vm.id)},       {"run", ToJson(vm.incarnation)},
--- a/protocol/fleet_overview_json.h
+++ b/protocol/fleet_overview_json.h
@@ -9,7 +9,8 @@
 
 namespace gcw {
 
-// The value of the key under which the keeper of groups leaves its overview.
+// The value of the key under which the keeper of groups publishes its overview
+// of the fleet.
 std::string EncodeFleetOverview(const FleetOverview& overview);
 Decoded<FleetOverview> DecodeFleetOverview(std::string_view text);
 
--- a/protocol/guard_wire.h
+++ b/protocol/guard_wire.h
@@ -10,7 +10,7 @@
 namespace gcw {
 
 wire::PeerBody ToWire(const GuardMessage& message);
-// Absent where the body holds no message of this kind.
+// Returns nullopt if `body` holds another kind of message.
 std::optional<GuardMessage> GuardFromWire(const wire::PeerBody& body,
                                           WireFaults& faults);
 
--- a/protocol/hex.h
+++ b/protocol/hex.h
@@ -8,9 +8,9 @@
 
 namespace gcw {
 
-// 16 lower-case hexadecimal digits.
+// Returns 16 lower-case hexadecimal digits.
 std::string HexOf(std::uint64_t number);
-// Absent unless `text` is exactly 16 lower-case hexadecimal digits.
+// Returns nullopt unless `text` is exactly 16 lower-case hexadecimal digits.
 std::optional<std::uint64_t> ParseHex(std::string_view text);
 
 }  // namespace gcw
--- a/protocol/json_reader.h
+++ b/protocol/json_reader.h
@@ -16,16 +16,17 @@
 
 namespace gcw {
 
-// The names of a closed choice as they stand in messages.
+// The values of an enum with their names in messages.
 template <typename Choice, std::size_t kSize>
 using ChoiceNames = std::array<std::pair<Choice, std::string_view>, kSize>;
 
-// Reads typed fields of one JSON object. It is strict on types and ignores
-// fields that it is not asked for. The first fault is kept and later reads go
-// on with default values, so that a codec reads as a plain list of fields.
+// Reads typed fields of a JSON object. Types are checked strictly, and fields
+// that are not read are ignored. After the first fault, which is kept, reads
+// return default values, so that a codec can be written as a plain list of
+// fields.
 class JsonReader {
  public:
-  // Integers beyond this lose digits in other JSON libraries.
+  // Larger integers lose digits in other JSON libraries.
   static constexpr std::int64_t kMaxInteger = std::int64_t{1} << 53;
 
   // `error` and `value` must outlive the reader.
@@ -36,7 +37,7 @@
   bool Has(std::string_view name) const;
   std::string String(std::string_view name);
   std::int64_t Integer(std::string_view name);
-  // An integer that is not negative.
+  // Reads an integer that must not be negative.
   std::int64_t Count(std::string_view name);
   double Number(std::string_view name);
   bool Bool(std::string_view name);
@@ -47,7 +48,7 @@
     return Id(String(name));
   }
 
-  // Of a `StrongNumber` that is never negative.
+  // Reads a `StrongNumber` that must not be negative.
   template <typename Strong>
   Strong CountOf(std::string_view name) {
     return Strong(Count(name));
@@ -68,14 +69,14 @@
     return names.front().first;
   }
 
-  // Reads a nested object by `read(JsonReader&)`.
+  // Reads a nested object with `read(JsonReader&)`.
   template <typename Read>
   auto Object(std::string_view name, Read read) {
     JsonReader nested(Field(name), FieldPath(name), *error_);
     return read(nested);
   }
 
-  // Reads an array of objects, each by `read(JsonReader&)`.
+  // Reads an array of objects, each with `read(JsonReader&)`.
   template <typename Read>
   auto List(std::string_view name, Read read) {
     using Item = decltype(read(std::declval<JsonReader&>()));
@@ -93,14 +94,14 @@
     return items;
   }
 
-  // The field is there and is not null.
+  // True if the field exists and is not null.
   bool IsPresent(std::string_view name) const;
 
-  // Keeps the fault unless there is an earlier one.
+  // Records the fault unless there is an earlier one.
   void Fail(CodecErrorKind kind, std::string_view name);
 
  private:
-  // Null where absent, which is then a fault.
+  // Returns null and records a fault if the field is missing.
   const boost::json::value& Field(std::string_view name);
   std::string FieldPath(std::string_view name) const;
 
@@ -109,10 +110,10 @@
   std::optional<CodecError>* error_;
 };
 
-// Which bytes the strings of a text may hold.
+// Which bytes JSON strings may contain.
 enum class JsonBytes { kUtf8, kAny };
 
-// Parses `text` and reads it by `read(JsonReader&)`.
+// Parses `text` and reads the result with `read(JsonReader&)`.
 template <typename Read>
 auto DecodeJson(std::string_view text,
                 Read read,
--- a/protocol/json_writer.h
+++ b/protocol/json_writer.h
@@ -23,7 +23,8 @@
   return duration.millis();
 }
 
-// Whole numbers are written without fraction and exponent.
+// Writes whole numbers up to `JsonReader::kMaxInteger` without fraction and
+// exponent.
 boost::json::value NumberToJson(double number);
 
 template <typename Tag>
--- a/protocol/load_report_json.h
+++ b/protocol/load_report_json.h
@@ -9,7 +9,7 @@
 
 namespace gcw {
 
-// The answer of `GET /load` of model engines and plain services.
+// The response body of `GET /load` of model engines and plain services.
 std::string EncodeLoadReport(const LoadReport& report);
 Decoded<LoadReport> DecodeLoadReport(std::string_view text);
 
--- a/protocol/mirror_json.cc
+++ b/protocol/mirror_json.cc
@@ -36,8 +36,9 @@
                           {"entries", EncodeEntries(snapshot.entries)}});
 }
 
-// Values are passed on as they stand in the store: one that is no text must not
-// cost a node without its own path to the store all the others.
+// Invalid UTF-8 is accepted, because values are passed on as they are in the
+// store. Otherwise one value that is not text would cost a node that cannot
+// reach the store all other entries.
 Decoded<MirrorSnapshot> DecodeMirrorSnapshot(std::string_view text) {
   return DecodeJson(
       text,
--- a/protocol/mirror_json.h
+++ b/protocol/mirror_json.h
@@ -9,15 +9,15 @@
 
 namespace gcw {
 
-// What nodes of a gateway tell each other: their copies of the key-value
-// service, and groups that stand still.
+// Messages between the nodes of a gateway: copies of what the key-value service
+// holds, and notices of stalled groups.
 std::string EncodeMirrorSnapshot(const MirrorSnapshot& snapshot);
 Decoded<MirrorSnapshot> DecodeMirrorSnapshot(std::string_view text);
 std::string EncodeMirrorChanges(const MirrorChanges& changes);
 Decoded<MirrorChanges> DecodeMirrorChanges(std::string_view text);
 std::string EncodeStandstillNotice(const StandstillNotice& notice);
 Decoded<StandstillNotice> DecodeStandstillNotice(std::string_view text);
-// How long ago a node saw a group make progress.
+// The time since a node last saw a group make progress.
 std::string EncodeProgressAge(Duration age);
 Decoded<Duration> DecodeProgressAge(std::string_view text);
 
--- a/protocol/node_record_json.h
+++ b/protocol/node_record_json.h
@@ -9,7 +9,7 @@
 
 namespace gcw {
 
-// The value of a node's key.
+// The value stored under a node's key.
 std::string EncodeNodeRecord(const NodeRecord& record);
 Decoded<NodeRecord> DecodeNodeRecord(std::string_view text);
 
--- a/protocol/once_wire.cc
+++ b/protocol/once_wire.cc
@@ -81,7 +81,7 @@
   body.mutable_once_finish_ack()->set_claim(message.claim.value());
 }
 
-// What is unclear becomes a fault and never a leave to run.
+// A reply without a verdict is a fault and never permits a run.
 OnceVerdict GetVerdict(const wire::OnceClaimReply& in, WireFaults& faults) {
   switch (in.verdict_case()) {
     case wire::OnceClaimReply::kGranted:
--- a/protocol/peer_codec.cc
+++ b/protocol/peer_codec.cc
@@ -16,7 +16,8 @@
 
 namespace {
 
-// The body as whichever kind of message it holds.
+// Decodes the body as the kind of message that it holds. Returns nullopt for an
+// unknown kind.
 std::optional<PeerMessage> FromWire(const wire::PeerBody& body,
                                     WireFaults& faults) {
   std::optional<PeerMessage> message;
--- a/protocol/peer_codec.h
+++ b/protocol/peer_codec.h
@@ -6,7 +6,8 @@
 
 #include "protocol/peer_message.h"
 
-// Keeps generated code, which is large, out of the includers.
+// Forward declarations keep the large generated header out of the files that
+// include this one.
 namespace gcw::wire {
 class PeerBody;
 class PeerFrame;
@@ -16,11 +17,11 @@
 
 wire::PeerBody EncodePeerBody(const PeerMessage& message);
 wire::PeerFrame EncodePeerFrame(const PeerEnvelope& envelope);
-// Any fault refuses the whole frame, but a body of an unknown kind is only
-// counted.
+// Rejects the whole frame on any fault. A body of an unknown kind is no fault:
+// it is skipped and counted.
 Result<PeerEnvelope, PeerCodecError> DecodePeerFrame(
     const wire::PeerFrame& frame);
-// The same from bytes.
+// Parses and decodes a serialized frame.
 Result<PeerEnvelope, PeerCodecError> ParsePeerFrame(std::string_view bytes);
 
 }  // namespace gcw
--- a/protocol/peer_message.h
+++ b/protocol/peer_message.h
@@ -10,26 +10,27 @@
 
 namespace gcw {
 
-// A batch of messages as the receiver gets it.
+// A batch of messages with its sender and receiver.
 struct PeerEnvelope {
   NodeId sender;
   Incarnation incarnation;
   NodeId receiver;
-  // Of the sender, when it sent the batch.
+  // The time on the sender's clock when it sent the batch.
   HybridTime time;
   std::vector<PeerMessage> messages;
-  // Messages passed over since this version does not know them.
+  // Number of messages that were skipped because this version does not know
+  // their kind.
   std::size_t unknown_messages = 0;
 };
 
 enum class PeerCodecErrorKind {
-  // Not a frame at all.
+  // The bytes are not a frame.
   kSyntax,
   kMissing,
   kOutOfRange,
-  // A closed choice has no such value.
+  // An enum has no such value.
   kUnknownName,
-  // Over `kMaxPeerFrameBytes`.
+  // The frame exceeds `kMaxPeerFrameBytes`.
   kTooLarge,
 };
 
@@ -38,7 +39,7 @@
 // Why a frame cannot be read.
 struct PeerCodecError {
   PeerCodecErrorKind kind = PeerCodecErrorKind::kSyntax;
-  // The field at fault; empty where the frame as a whole is.
+  // The invalid field. It is empty if the frame as a whole is invalid.
   std::string_view field;
 };
 
--- a/protocol/prefix_blocks.h
+++ b/protocol/prefix_blocks.h
@@ -8,14 +8,15 @@
 
 namespace gcw {
 
-// Bytes of prompt in one block of a model engine's prefix cache.
+// Bytes of the prompt in one block of a model engine's prefix cache.
 inline constexpr std::size_t kPrefixBlockBytes = 64;
 
-// One hash per whole block, in order: XXH3-64 with seed 0 over the prompt up to
-// the block's end. Equal hashes mean equal prompts up to there.
+// Returns one hash per whole block, in order: XXH3-64 with seed 0 over the
+// prompt up to the block's end. Equal hashes mean equal prompts up to that
+// point.
 std::vector<std::uint64_t> PrefixBlocks(std::string_view prompt);
 
-// XXH3-64 with seed 0.
+// Returns the XXH3-64 hash of `text` with seed 0.
 std::uint64_t HashOf(std::string_view text);
 
 }  // namespace gcw
--- a/protocol/protocol.h
+++ b/protocol/protocol.h
@@ -1,8 +1,9 @@
 #ifndef PROTOCOL_PROTOCOL_H_
 #define PROTOCOL_PROTOCOL_H_
 
-// Public header of the protocol library: messages and their codecs. No codec
-// throws; text in other encodings than UTF-8 is refused on reading.
+// Public header of the protocol library: messages and their codecs. Codecs do
+// not throw. Decoders reject text that is not UTF-8, except in copies of store
+// entries (mirror_json.h).
 
 #include "protocol/cache_event_json.h"
 #include "protocol/cancel_json.h"
--- a/protocol/reference_answer.h
+++ b/protocol/reference_answer.h
@@ -9,18 +9,18 @@
 
 namespace gcw {
 
-// The text that the stand-in engine generates for a prompt, so that a load
-// generator can check that an answer is whole and its own. An answer always has
-// as many tokens as the request allows.
+// The text that the stand-in engine generates for a prompt. A load generator
+// can compute it too, and so check that an answer is complete and belongs to
+// its own request. An answer always has as many tokens as the request allows.
 
-// Token `index`: "w<index>-<8 hexadecimal digits of the prompt's hash>", after
-// a space unless it is the first.
+// Returns token `index`: "w<index>-<first 8 hexadecimal digits of the prompt's
+// hash>", with a leading space unless it is the first token.
 std::string ReferenceToken(std::string_view prompt, std::int64_t index);
 
-// The same token where the prompt's hash is at hand.
+// Same as above, for a known hash of the prompt.
 std::string ReferenceToken(std::uint64_t prompt_hash, std::int64_t index);
 
-// The tokens from 0 to `tokens`.
+// Returns the concatenated tokens from 0 to `tokens` - 1.
 std::string ReferenceAnswer(std::string_view prompt, TokenCount tokens);
 
 }  // namespace gcw
--- a/protocol/sse_parser.h
+++ b/protocol/sse_parser.h
@@ -8,17 +8,18 @@
 
 namespace gcw {
 
-// Cuts a stream of server-sent events into the events' data, however the bytes
-// are split over reads.
+// Extracts the data of the events from a stream of server-sent events, however
+// the bytes are split over reads.
 class SseParser {
  public:
-  // Without a bound an endpoint that never ends its line would fill the memory.
+  // Bounds the buffers: an endpoint that never ends a line would otherwise
+  // exhaust the memory.
   static constexpr std::size_t kMaxEventBytes = 1024UL * 1024;
 
   using DataHook = std::function<void(std::string_view data)>;
 
-  // Calls `on_data` for each event that `bytes` completes. Returns false, and
-  // for good, when an event is over `kMaxEventBytes`.
+  // Calls `on_data` for each event that `bytes` completes. Returns false, then
+  // and in all later calls, if an event exceeds `kMaxEventBytes`.
   bool Feed(std::string_view bytes, const DataHook& on_data);
 
  private:
--- a/protocol/store_json.h
+++ b/protocol/store_json.h
@@ -9,8 +9,8 @@
 
 namespace gcw {
 
-// The calls and answers of the key-value service as docs/PLATFORM.md gives
-// them, for both sides.
+// The calls and replies of the key-value service as defined in
+// docs/PLATFORM.md, for both client and server.
 
 struct StoreCallMessage {
   std::string_view path;
@@ -26,15 +26,18 @@
 Decoded<StoreCall> DecodeStoreCall(std::string_view path,
                                    std::string_view body);
 
-// The answer to a revoked lease is a `StoreLeaseReply` without time to live.
+// The reply to the revocation of a lease is a `StoreLeaseReply` whose time to
+// live is zero.
 StoreReplyMessage EncodeStoreReply(const StoreReply& reply);
-// Any status that the interface does not know is a `StoreNoAnswer`. A body that
-// cannot be read is an error, after which a write may have taken effect too.
+// A status that says that the service does not know the call gives a
+// `StoreBusy`, and any status that the interface does not define a
+// `StoreNoAnswer`. A body that cannot be read is an error; a write may have
+// taken effect even then.
 Decoded<StoreReply> DecodeStoreReply(const StoreCall& call,
                                      int status,
                                      std::string_view body);
 
-// Whether the call counts against the service's rate of writes.
+// True if the call counts against the service's limit on the rate of writes.
 bool IsStoreWrite(const StoreCall& call);
 
 }  // namespace gcw
--- a/protocol/store_reply_json.cc
+++ b/protocol/store_reply_json.cc
@@ -134,7 +134,7 @@
   return StoreBusy{kUnknownStoreCallWait, StoreRefusal::kUnknownCall};
 }
 
-// Whether the call names a lease and the answer says that there is none such.
+// True if the call names a lease and the reply says that this lease is unknown.
 bool IsLeaseUnknown(const StoreCall& call, std::string_view body) {
   const auto* put = std::get_if<StorePut>(&call);
   const bool names_lease = (put != nullptr && put->lease != LeaseId()) ||
@@ -180,8 +180,9 @@
     case kOk:
       return DecodeOk(call, body);
     case kLeaseUnknown:
-      // The same status says that a service does not know the call; taken for a
-      // lapsed lease it would be answered by the next grant at once.
+      // The same status is used by a service that does not know the call. If it
+      // were read as an expired lease, the client would request a new lease at
+      // once, again and again.
       return IsLeaseUnknown(call, body) ? StoreReply(StoreLeaseUnknown{})
                                         : UnknownCall();
     case kBadRequest:
--- a/protocol/timeline_json.cc
+++ b/protocol/timeline_json.cc
@@ -27,8 +27,8 @@
 constexpr std::string_view kDropped = "dropped";
 constexpr std::string_view kRestarted = "restarted";
 
-// Reads members of an object and remembers the first that is not as it should
-// be; later reads give empty values.
+// Reads members of an object and keeps the first fault. Reads of missing or
+// malformed members return empty values.
 class MemberReader {
  public:
   explicit MemberReader(const boost::json::object& object) : object_(object) {}
--- a/protocol/timeline_json.h
+++ b/protocol/timeline_json.h
@@ -15,17 +15,17 @@
 
 enum class TimelineErrorKind {
   kSyntax,
-  // A field of an event is missing or has a wrong type.
+  // A field of an event is missing or has the wrong type.
   kMalformed,
-  // The event's kind is none that this version knows.
+  // This version does not know the kind of the event.
   kUnknownKind,
-  // More different names of fields than any sound node uses.
+  // The events have more distinct field names than any healthy node uses.
   kTooManyNames,
 };
 
 struct TimelineError {
   TimelineErrorKind kind;
-  // The field at fault; empty where the text as a whole is.
+  // The invalid field. It is empty if the text as a whole is invalid.
   std::string field;
 };
 
@@ -36,21 +36,22 @@
 //    "fields":{"generation":3}}
 boost::json::object EventToJson(const TimelineEvent& event);
 
-// {"events":[...]}
+// Returns {"events":[...]}.
 std::string EncodeEvents(const std::vector<TimelineEvent>& events);
 
-// {"events":[...],"next":"n1/4/17","dropped":0,"restarted":false}
+// Returns
+//   {"events":[...],"next":"n1/4/17","dropped":0,"restarted":false}
 std::string EncodeEventPage(const EventPage& page);
 
-// Reads events from JSON. An event refers to the names of its fields; those of
-// decoded events are kept here, so the decoder must outlive the events.
+// Decodes events from JSON. Decoded events refer to field names that the
+// decoder owns, so the decoder must outlive them.
 class TimelineDecoder {
  public:
   static constexpr std::size_t kMaxNames = 4096;
 
   Result<TimelineEvent, TimelineError> DecodeEvent(
       const boost::json::value& json);
-  // Reads what `EncodeEventPage` or `EncodeEvents` wrote.
+  // Decodes the output of `EncodeEventPage` or `EncodeEvents`.
   Result<EventPage, TimelineError> DecodePage(std::string_view text);
 
  private:
--- a/protocol/timeline_merge.cc
+++ b/protocol/timeline_merge.cc
@@ -40,7 +40,7 @@
   return events;
 }
 
-// Gives out sorted events so that each comes after its cause.
+// Reorders sorted events so that each comes after its cause.
 class CausalOrder {
  public:
   explicit CausalOrder(std::vector<TimelineEvent> sorted)
@@ -65,7 +65,7 @@
     ordered.reserve(sorted_.size());
     while (!ready_.empty() || !waiting_.empty()) {
       if (ready_.empty()) {
-        // All that is left waits for a cycle.
+        // All remaining events wait for a cycle.
         Release(*waiting_.begin());
       }
       const std::size_t index = *ready_.begin();
@@ -85,10 +85,10 @@
     }
   }
 
-  // Events are named by their index here.
+  // The members below refer to events by their index in this list.
   std::vector<TimelineEvent> sorted_;
   std::map<std::size_t, std::vector<std::size_t>> effects_of_;
-  // Events whose cause is given out or unknown, the earliest first.
+  // Events whose cause is in the output or unknown, the earliest first.
   std::set<std::size_t> ready_;
   std::set<std::size_t> waiting_;
 };
--- a/protocol/timeline_merge.h
+++ b/protocol/timeline_merge.h
@@ -7,11 +7,11 @@
 
 namespace gcw {
 
-// Makes one list of the events of many nodes, each event once. The order is by
-// hybrid time, then node, then id, apart from events whose cause would come
-// after them: those wait for it. The result does not depend on the order of the
-// lists. Where causes form a cycle, which only damaged events do, the earliest
-// event of it comes first.
+// Merges the events of many nodes into one list that holds each event once.
+// Events are ordered by hybrid time, then node, then id, except that an event
+// whose cause would come after it is moved behind its cause. The result does
+// not depend on the order of the lists. If causes form a cycle, which only
+// damaged events do, the earliest event that waits for the cycle comes first.
 std::vector<TimelineEvent> MergeTimelines(
     std::vector<std::vector<TimelineEvent>> timelines);
 
--- a/protocol/trace_file.cc
+++ b/protocol/trace_file.cc
@@ -18,17 +18,19 @@
 namespace {
 
 constexpr std::int64_t kMicrosPerMilli = 1000;
-// Events have no length; viewers draw arrows only between slices, so each
-// event is a slice of this length.
+// Viewers draw arrows only between slices. Events have no duration, so each
+// event is written as a slice of this length.
 constexpr std::int64_t kSliceMicros = 100;
 
-// "group" of "group_serving".
+// Returns the first word of the event's name, such as "group" for
+// "group_serving".
 std::string_view FamilyOf(EventKind kind) {
   const std::string_view name = EventKindName(kind);
   return name.substr(0, name.find('_'));
 }
 
-// The counter keeps the order of events within a millisecond visible.
+// Adds the logical counter as microseconds, so that the order of events within
+// a millisecond stays visible.
 std::int64_t Microseconds(const HybridTime& time) {
   const std::int64_t within =
       std::clamp<std::int64_t>(time.logical, 0, kMicrosPerMilli - 1);
@@ -109,7 +111,7 @@
     if (cause == index_of_.end()) {
       return;
     }
-    // Binds to the enclosing slice at both ends.
+    // Both ends of the arrow bind to the enclosing slice.
     boost::json::object start = Entry("s", events_[cause->second]);
     boost::json::object finish = Entry("f", effect);
     finish["bp"] = "e";
--- a/protocol/trace_file.h
+++ b/protocol/trace_file.h
@@ -8,10 +8,10 @@
 
 namespace gcw {
 
-// Writes a merged time line in the Trace Event Format (JSON object form), which
-// Perfetto, Chrome's trace page and Speedscope open: one process a node, one
-// lane for each family of events (request, group, role, ...), and an arrow from
-// each cause to its effect. Times are microseconds.
+// Returns a merged time line in the Trace Event Format (JSON object form),
+// which Perfetto, Chrome's trace page and Speedscope can open. It has one
+// process per node, one thread per family of events (request, group, role,
+// ...), and an arrow from each cause to its effect. Times are in microseconds.
 std::string ExportTrace(const std::vector<TimelineEvent>& events);
 
 }  // namespace gcw
--- a/protocol/utf8.cc
+++ b/protocol/utf8.cc
@@ -11,7 +11,8 @@
   return byte >= low && byte <= high;
 }
 
-// Length of the well-formed sequence that `text` starts with; 0 if none.
+// Returns the length of the well-formed sequence at the start of `text`, or 0
+// if there is none.
 std::size_t SequenceLength(std::string_view text) {
   const auto byte = [text](std::size_t index) {
     return index < text.size() ? static_cast<unsigned char>(text[index])
@@ -27,8 +28,8 @@
   if (IsBetween(lead, 0xc2, 0xdf)) {
     return continues(1) ? 2 : 0;
   }
-  // The second byte's bounds leave out overlong forms, surrogates and what is
-  // above U+10FFFF.
+  // The bounds of the second byte exclude overlong forms, surrogates and code
+  // points above U+10FFFF.
   if (IsBetween(lead, 0xe0, 0xef)) {
     const unsigned char low = lead == 0xe0 ? 0xa0 : 0x80;
     const unsigned char high = lead == 0xed ? 0x9f : 0xbf;
--- a/protocol/utf8.h
+++ b/protocol/utf8.h
@@ -6,14 +6,14 @@
 
 namespace gcw {
 
-// Whether the text is well-formed UTF-8 (RFC 3629: no overlong forms, no
+// True if the text is well-formed UTF-8 (RFC 3629: no overlong forms, no
 // surrogates, nothing above U+10FFFF).
 bool IsValidUtf8(std::string_view text);
 
-// The text with each byte that is not part of a well-formed sequence replaced
-// by U+FFFD. Text from outside may hold any bytes, and the JSON library writes
-// them as they are: one such byte in a log line or time line would make readers
-// refuse all of it.
+// Returns the text with each byte that is not part of a well-formed sequence
+// replaced by U+FFFD. Text from outside may contain any bytes, and the JSON
+// library writes them unchanged. A single invalid byte in a log line or time
+// line would make readers reject all of it.
 std::string ReplaceInvalidUtf8(std::string_view text);
 
 }  // namespace gcw
--- a/protocol/vm_list_json.h
+++ b/protocol/vm_list_json.h
@@ -9,7 +9,7 @@
 
 namespace gcw {
 
-// The answer of `GET /vms`.
+// The response body of `GET /vms`.
 std::string EncodeVmList(const VmListSnapshot& snapshot);
 Decoded<VmListSnapshot> DecodeVmList(std::string_view text);
 
--- a/protocol/wanted_model_json.h
+++ b/protocol/wanted_model_json.h
@@ -10,13 +10,14 @@
 
 namespace gcw {
 
-// A model that operators want served:
+// A model that operators want to be served:
 //
 //   {"model":"notes","vms_per_group":4,"rank":1,
 //    "targets":[{"zone":"lj-1","wanted":2,"most":3}]}
 std::string EncodeWantedModel(const WantedModel& model);
 
-// Refuses groups of no VM, negative numbers and a target named twice.
+// Rejects an empty model name, groups without VMs, negative numbers, a `most`
+// below `wanted`, and a zone that occurs twice.
 Decoded<WantedModel> DecodeWantedModel(std::string_view text);
 
 }  // namespace gcw
--- a/protocol/weight_store_json.h
+++ b/protocol/weight_store_json.h
@@ -9,7 +9,7 @@
 
 namespace gcw {
 
-// The answer of `GET /weights`.
+// The response body of `GET /weights`.
 std::string EncodeWeightStoreStatus(const WeightStoreStatus& status);
 Decoded<WeightStoreStatus> DecodeWeightStoreStatus(std::string_view text);
 
--- a/protocol/wire_faults.h
+++ b/protocol/wire_faults.h
@@ -13,7 +13,7 @@
 namespace gcw {
 
 // Checks the fields of messages from other nodes and keeps the first fault, so
-// that the decoders read as plain lists of fields.
+// that decoders can be written as plain lists of fields.
 class WireFaults {
  public:
   const std::optional<PeerCodecError>& first() const { return first_; }
@@ -24,7 +24,7 @@
     }
   }
 
-  // A text that must not be empty.
+  // Records a fault if `text` is empty.
   template <typename Id>
   Id RequiredId(const std::string& text, std::string_view field) {
     if (text.empty()) {
@@ -33,7 +33,7 @@
     return Id(text);
   }
 
-  // A number that is never negative.
+  // Returns 0 and records a fault if `value` is negative.
   std::int64_t Count(std::int64_t value, std::string_view field) {
     if (value < 0) {
       Fail(PeerCodecErrorKind::kOutOfRange, field);
@@ -55,7 +55,7 @@
     return Time::FromMillis(Count(millis, field));
   }
 
-  // A finite amount that is not negative.
+  // Returns 0 and records a fault if `value` is negative or not finite.
   double Amount(double value, std::string_view field) {
     if (!std::isfinite(value) || value < 0) {
       Fail(PeerCodecErrorKind::kOutOfRange, field);
