--- a/tests/protocol/chat_test.cc
+++ b/tests/protocol/chat_test.cc
@@ -28,7 +28,7 @@
       .attempt = AnyId<AttemptId>(), .index = AnyCount(), .text = AnyText()};
   const std::string event = EncodeChatTokenEvent(token);
   RC_ASSERT(event.starts_with("data: "));
-  // An event is one line: no text may end it early.
+  // Each event is one line. No text may end it early.
   RC_ASSERT(event.find('\n') == event.size() - 2);
   const auto decoded = DecodeChatToken(event.substr(6));
   RC_ASSERT(IsOk(decoded));
--- a/tests/protocol/event_cutter_test.cc
+++ b/tests/protocol/event_cutter_test.cc
@@ -21,8 +21,8 @@
   EXPECT_FALSE(cutter.has_rest());
 }
 
-// Symptom: a stream with a piece missing or twice looks whole. Cause: another
-// run's events were taken as they came.
+// Guards against a stream that looks complete although an event is missing or
+// repeated, because the events of another run were accepted unchecked.
 TEST(EventCutterTest, RefusesEventsThatDoNotFollow) {
   EventCutter resumed(4);
   EXPECT_TRUE(resumed.Feed(Event(5, "a")).has_value());
@@ -38,8 +38,8 @@
   EXPECT_FALSE(EventCutter(std::nullopt).Feed("id: z\n\n").has_value());
 }
 
-// However the bytes are split, what is given out together is what came in up to
-// the last whole event.
+// However the bytes are split, the concatenated output is the input up to the
+// last whole event.
 RC_GTEST_PROP(EventCutterProperty, GivesWhatCameWhateverTheSplits, ()) {
   std::string all;
   const int events = *rc::gen::inRange(0, 12);
@@ -62,7 +62,7 @@
   RC_ASSERT(cutter.has_rest());
 }
 
-// Any bytes at all: it gives out a beginning of what came, or refuses.
+// Arbitrary bytes are either rejected or passed on up to some point, unchanged.
 RC_GTEST_PROP(EventCutterProperty, TakesAnyBytes, (const std::string& bytes)) {
   EventCutter cutter(std::nullopt);
   const auto out = cutter.Feed(bytes);
--- a/tests/protocol/generators.h
+++ b/tests/protocol/generators.h
@@ -10,7 +10,7 @@
 
 namespace gcw {
 
-// Any ASCII text, with control characters and quotes.
+// Returns any ASCII text, including control characters and quotes.
 inline std::string AnyText() {
   return *rc::gen::container<std::string>(rc::gen::inRange<char>('\0', '\x7f'));
 }
@@ -34,7 +34,7 @@
   return *rc::gen::elementOf(std::vector<Choice>(choices));
 }
 
-// Up to four items made by `make()`.
+// Returns up to four items made by `make()`.
 template <typename Make>
 auto AnyList(Make make) {
   std::vector<decltype(make())> items;
--- a/tests/protocol/mirror_json_test.cc
+++ b/tests/protocol/mirror_json_test.cc
@@ -5,10 +5,9 @@
 namespace gcw {
 namespace {
 
-// Symptom: a node that is cut off from the key-value service knows no endpoint
-// any more. Sequence: another writer's entry holds bytes that are no text; the
-// node asks a peer for what it has. Cause: one such value made the whole
-// snapshot unreadable.
+// Guards against a node that is cut off from the key-value service and loses
+// all endpoints: it asks a peer for its copy, and a single value that is not
+// text, written by another program, made the whole snapshot unreadable.
 TEST(MirrorJsonTest, AValueThatIsNoTextCostsNoOtherEntry) {
   MirrorSnapshot snapshot;
   snapshot.revision = Revision(7);
@@ -40,9 +39,9 @@
   EXPECT_EQ(ValueOf(read).lapse_left, told.lapse_left);
 }
 
-// Symptom: a node's copy loses entries, or time runs backwards in it.
-// Sequence: another version or a broken node answers.
-// Cause: fields that are taken for zero where they are missing or negative.
+// Guards against a copy that loses entries or goes back in time, because fields
+// that are missing or negative in the reply of a broken node or another version
+// were read as zero.
 TEST(MirrorJsonTest, ChangesWithoutTheirAgeAreNone) {
   EXPECT_FALSE(IsOk(DecodeMirrorChanges(
       R"({"revision":9,"changed":[],"deleted":[],"lapse_left_ms":0})")));
--- a/tests/protocol/peer_codec_test.cc
+++ b/tests/protocol/peer_codec_test.cc
@@ -46,7 +46,7 @@
   return {201, {{"X-A", "\xff"}}, std::string("a\0b", 3)};
 }
 
-// Without `taken_at`, which is told as an age.
+// Leaves out `taken_at`, which is sent as an age.
 LoadReport SomeReport() {
   LoadReport report;
   report.endpoint = EndpointId("e");
@@ -74,7 +74,8 @@
   return {{report}, {grants}};
 }
 
-// One of each kind of message, with each choice in them.
+// Returns at least one message of each kind, with every alternative of its
+// variants.
 std::vector<PeerMessage> SomeMessages() {
   ConfigBuckets buckets;
   buckets.buckets[63] = ~0ULL;
@@ -138,8 +139,8 @@
           std::move(messages)};
 }
 
-// What the second encoding says is what the decoder took from the first, so
-// that a field that is lost on the way shows; kinds are compared beside it.
+// Encodes the decoded messages again, so that a field that the decoder loses
+// shows as a difference. The kinds of the messages are compared as well.
 TEST(PeerCodecTest, MessagesComeBackWhole) {
   const PeerEnvelope sent = EnvelopeWith(SomeMessages());
   const std::string bytes = EncodePeerFrame(sent).SerializeAsString();
@@ -154,7 +155,7 @@
   EXPECT_EQ(EncodePeerFrame(ValueOf(received)).SerializeAsString(), bytes);
 }
 
-// Against a field that neither side of the codec knows.
+// Guards against a field that both the encoder and the decoder leave out.
 TEST(PeerCodecTest, FieldsComeBackWhole) {
   const auto received = ParsePeerFrame(
       EncodePeerFrame(
@@ -180,7 +181,8 @@
   EXPECT_EQ(limits.reports[0].echo, SomeLimits().reports[0].echo);
   EXPECT_EQ(limits.reports[0].demands[0].demand,
             SomeLimits().reports[0].demands[0].demand);
-  // A third stays exactly a third: rounded up, grants would exceed the limit.
+  // A third must stay exactly a third: if it were rounded up, grants would
+  // exceed the limit.
   EXPECT_EQ(limits.grants[0].grants[0].amount,
             SomeLimits().grants[0].grants[0].amount);
   const auto& reply =
@@ -236,7 +238,7 @@
   EXPECT_EQ(ValueOf(decoded).unknown_messages, 1U);
 }
 
-// Bytes that were cut or changed on the way give a result or a typed error.
+// Truncated or corrupted bytes give a result or a typed error.
 RC_GTEST_PROP(PeerCodecTest, SpoiltBytesNeverBreakTheDecoder, ()) {
   std::string bytes =
       EncodePeerFrame(EnvelopeWith(SomeMessages())).SerializeAsString();
--- a/tests/protocol/record_json_test.cc
+++ b/tests/protocol/record_json_test.cc
@@ -85,7 +85,8 @@
   RC_ASSERT(ValueOf(decoded) == record);
 }
 
-// A value cut anywhere must be refused, never taken for a shorter one.
+// A value that is truncated at any point must be rejected and never be read as
+// a shorter value.
 RC_GTEST_PROP(RecordJsonTest, CutTextIsRefused, ()) {
   const std::string text = EncodeContract(AnyContract());
   const auto length = *rc::gen::inRange<std::size_t>(0, text.size());
@@ -126,7 +127,7 @@
   EXPECT_EQ(ErrorOf(entry), (CodecError{CodecErrorKind::kMissing, "contract"}));
 }
 
-// Of a registration only what routing needs is passed on.
+// The overview holds only those fields of a registration that routing needs.
 TEST(RecordJsonTest, FleetOverviewsComeBackWhole) {
   VmRegistration engine;
   engine.id = VmId("i-1");
--- a/tests/protocol/store_json_test.cc
+++ b/tests/protocol/store_json_test.cc
@@ -97,8 +97,8 @@
   RC_ASSERT(again.body == message.body);
 }
 
-// The texts are those of docs/PLATFORM.md, so that a field that both sides
-// forgot shows.
+// The texts are those of docs/PLATFORM.md, so that a field that both the
+// encoder and the decoder leave out shows.
 TEST(StoreJsonTest, ReadsThePlatformsText) {
   const auto put = DecodeStoreCall(
       "/kv/put", R"({"key":"k","value":"v","expected":3,"lease":4})");
@@ -142,8 +142,8 @@
   EXPECT_TRUE(std::holds_alternative<StoreNoAnswer>(ValueOf(reply)));
 }
 
-// Symptom: calls without end to a service of another kind. Cause: its 404 was
-// read as a lapsed lease.
+// Guards against endless calls to a service that does not know the call,
+// because its 404 was read as an expired lease.
 TEST(StoreJsonTest, AServiceThatDoesNotKnowTheCallIsNoLapsedLease) {
   const auto reason = [](const StoreCall& call, int status,
                          std::string_view body) {
--- a/tests/protocol/timeline_test.cc
+++ b/tests/protocol/timeline_test.cc
@@ -64,10 +64,9 @@
   EXPECT_EQ(read.draft.fields[1].value, event.draft.fields[1].value);
 }
 
-// Symptom: no viewer or script reads a time line any more.
-// Sequence: a caller names a model in bytes that are not UTF-8; the event of
-// the refusal carries the name.
-// Cause: the JSON library writes strings as they are, and NaN as no JSON.
+// Guards against a time line that no viewer or script can read: a caller names
+// a model in bytes that are not UTF-8, the event of the refusal carries the
+// name, and the JSON library writes strings unchanged and NaN as invalid JSON.
 TEST(TimelineJsonTest, BadTextAndNumbersStillGiveJson) {
   TimelineEvent event = MakeEvent("n1", 1, 1);
   event.draft.subject = "model-\xff\xc0\x80";
@@ -125,10 +124,10 @@
                                                      "n1/1/10", "n2/1/1"}));
 }
 
-// Symptom: the time line shows an effect above its cause.
-// Sequence: n1's clock is a second behind; it acts on an event of n2 whose time
-// it refused because the bound on drift was passed.
-// Cause: time stamps alone do not order events across such nodes.
+// Guards against an effect that is listed before its cause. The clock of n1 is
+// a second behind, and n1 acts on an event of n2 whose time it rejected because
+// it exceeds the bound on clock drift. Time stamps alone do not order such
+// events.
 TEST(MergeTimelinesTest, ACauseComesFirstEvenWhenItsTimeIsLater) {
   const TimelineEvent cause = MakeEvent("n2", 1, 2000);
   const TimelineEvent effect = MakeEvent("n1", 1, 1000, cause.id);
@@ -178,7 +177,8 @@
     ++phases[std::string(each.at("ph").as_string())];
     processes.insert(each.at("pid").as_int64());
   }
-  // Names of two processes with one lane each, two slices, one arrow.
+  // Two processes with one thread each have 4 names; there are two slices and
+  // one arrow.
   EXPECT_EQ(phases, (std::map<std::string, int>{
                         {"M", 4}, {"X", 2}, {"s", 1}, {"f", 1}}));
   EXPECT_EQ(processes.size(), 2U);
