--- a/protocol/chat_event.cc
+++ b/protocol/chat_event.cc
@@ -9,7 +9,7 @@
 
 namespace json = boost::json;
 
-std::string FindText(const json::object& object, std::string_view name) {
+std::string FindString(const json::object& object, std::string_view name) {
   const json::value* value = object.if_contains(name);
   if (value == nullptr || !value->is_string()) {
     return "";
@@ -25,10 +25,10 @@
     return;
   }
   const json::object& choice = choices->get_array()[0].get_object();
-  event.finish_reason = FindText(choice, "finish_reason");
+  event.finish_reason = FindString(choice, "finish_reason");
   const json::value* delta = choice.if_contains("delta");
   if (delta != nullptr && delta->is_object()) {
-    event.content = FindText(delta->get_object(), "content");
+    event.content = FindString(delta->get_object(), "content");
   }
 }
 
@@ -45,7 +45,7 @@
   }
   ChatEvent event;
   event.body = std::move(value.as_object());
-  event.attempt = AttemptId(FindText(event.body, "attempt"));
+  event.attempt = AttemptId(FindString(event.body, "attempt"));
   if (event.attempt.empty()) {
     return ChatEventError{ChatEventErrorKind::kFieldMalformed, "attempt"};
   }
--- a/protocol/config_wire.cc
+++ b/protocol/config_wire.cc
@@ -14,8 +14,8 @@
   out->set_reply(digest.reply);
 }
 
-ConfigDigest Get(const wire::ConfigDigest& in, WireFaults& faults) {
-  return {in.digest(), faults.CountOf<Revision>(in.floor(), "digest.floor"),
+ConfigDigest Get(const wire::ConfigDigest& in, WireFieldChecker& checker) {
+  return {in.digest(), checker.CountOf<Revision>(in.floor(), "digest.floor"),
           in.ready(), in.reply()};
 }
 
@@ -33,10 +33,10 @@
   }
 }
 
-ConfigEntry Get(const wire::ConfigEntry& in, WireFaults& faults) {
+ConfigEntry Get(const wire::ConfigEntry& in, WireFieldChecker& checker) {
   ConfigEntry entry;
-  entry.key = faults.RequiredId<ChangeId>(in.key(), "entry.key").value();
-  entry.revision = faults.CountOf<Revision>(in.revision(), "entry.revision");
+  entry.key = checker.RequiredId<ChangeId>(in.key(), "entry.key").value();
+  entry.revision = checker.CountOf<Revision>(in.revision(), "entry.revision");
   if (in.has_value()) {
     entry.record.value = in.value();
   }
@@ -44,7 +44,7 @@
   for (const wire::ConfigVersion& version : in.history()) {
     entry.record.history.push_back(
         {ChangeId(version.change()),
-         faults.CountOf<Revision>(version.revision(), "history.revision")});
+         checker.CountOf<Revision>(version.revision(), "history.revision")});
   }
   return entry;
 }
@@ -57,11 +57,11 @@
   }
 }
 
-std::vector<ConfigEntry> Get(const WireEntries& in, WireFaults& faults) {
+std::vector<ConfigEntry> Get(const WireEntries& in, WireFieldChecker& checker) {
   std::vector<ConfigEntry> entries;
   entries.reserve(static_cast<std::size_t>(in.size()));
   for (const wire::ConfigEntry& entry : in) {
-    entries.push_back(Get(entry, faults));
+    entries.push_back(Get(entry, checker));
   }
   return entries;
 }
@@ -105,27 +105,27 @@
   Put(message.entries, out->mutable_entries());
 }
 
-ConfigBuckets Get(const wire::ConfigBuckets& in, WireFaults& faults) {
+ConfigBuckets Get(const wire::ConfigBuckets& in, WireFieldChecker& checker) {
   ConfigBuckets message;
-  message.digest = Get(in.digest(), faults);
+  message.digest = Get(in.digest(), checker);
   if (static_cast<std::size_t>(in.buckets_size()) != message.buckets.size()) {
-    faults.Fail(PeerCodecErrorKind::kOutOfRange, "buckets");
+    checker.Fail(PeerCodecErrorKind::kOutOfRange, "buckets");
     return message;
   }
   std::ranges::copy(in.buckets(), message.buckets.begin());
   return message;
 }
 
-ConfigPull Get(const wire::ConfigPull& in, WireFaults& faults) {
+ConfigPull Get(const wire::ConfigPull& in, WireFieldChecker& checker) {
   ConfigPull message;
   message.buckets.assign(in.buckets().begin(), in.buckets().end());
   if (std::ranges::any_of(message.buckets, [](std::uint8_t bucket) {
         return bucket >= ConfigStore::kBucketCount;
       })) {
-    faults.Fail(PeerCodecErrorKind::kOutOfRange, "buckets");
+    checker.Fail(PeerCodecErrorKind::kOutOfRange, "buckets");
   }
   for (const wire::ConfigKeyRevision& held : in.held()) {
-    message.held.push_back({held.key(), faults.CountOf<Revision>(
+    message.held.push_back({held.key(), checker.CountOf<Revision>(
                                             held.revision(), "held.revision")});
   }
   return message;
@@ -140,27 +140,27 @@
 }
 
 std::optional<ConfigMessage> ConfigFromWire(const wire::PeerBody& body,
-                                            WireFaults& faults) {
+                                            WireFieldChecker& checker) {
   switch (body.body_case()) {
     case wire::PeerBody::kConfigDigest:
-      return Get(body.config_digest(), faults);
+      return Get(body.config_digest(), checker);
     case wire::PeerBody::kConfigBuckets:
-      return Get(body.config_buckets(), faults);
+      return Get(body.config_buckets(), checker);
     case wire::PeerBody::kConfigPull:
-      return Get(body.config_pull(), faults);
+      return Get(body.config_pull(), checker);
     case wire::PeerBody::kConfigEntries: {
       const wire::ConfigEntries& in = body.config_entries();
-      return ConfigEntries{Get(in.digest(), faults),
-                           Get(in.entries(), faults),
+      return ConfigEntries{Get(in.digest(), checker),
+                           Get(in.entries(), checker),
                            {in.wanted().begin(), in.wanted().end()},
                            in.more(),
                            in.answers_pull()};
     }
     case wire::PeerBody::kConfigPush: {
       const wire::ConfigPush& in = body.config_push();
-      return ConfigPush{faults.CountOf<Revision>(in.from(), "push.from"),
-                        faults.CountOf<Revision>(in.to(), "push.to"),
-                        Get(in.entries(), faults)};
+      return ConfigPush{checker.CountOf<Revision>(in.from(), "push.from"),
+                        checker.CountOf<Revision>(in.to(), "push.to"),
+                        Get(in.entries(), checker)};
     }
     default:
       return std::nullopt;
--- a/protocol/engine_order_json.cc
+++ b/protocol/engine_order_json.cc
@@ -50,7 +50,8 @@
   return EngineOrderAccepted{};
 }
 
-EngineOrderReplyMessage Message(int status, const boost::json::object& body) {
+EngineOrderReplyMessage MakeMessage(int status,
+                                    const boost::json::object& body) {
   return {.status = status, .body = boost::json::serialize(body)};
 }
 
@@ -83,15 +84,16 @@
 
 EngineOrderReplyMessage EncodeEngineOrderReply(const EngineOrderReply& reply) {
   return std::visit(
-      Overloaded{[](const EngineOrderAccepted&) { return Message(kOk, {}); },
-                 [](const EngineOrderStale& stale) {
-                   return Message(kConflict, {{"error", "stale_fence"},
-                                              {"seen", ToJson(stale.seen)}});
-                 },
-                 [](const EngineOrderBusy& busy) {
-                   return Message(kConflict, {{"error", "busy"},
-                                              {"group", ToJson(busy.group)}});
-                 }},
+      Overloaded{
+          [](const EngineOrderAccepted&) { return MakeMessage(kOk, {}); },
+          [](const EngineOrderStale& stale) {
+            return MakeMessage(kConflict, {{"error", "stale_fence"},
+                                           {"seen", ToJson(stale.seen)}});
+          },
+          [](const EngineOrderBusy& busy) {
+            return MakeMessage(
+                kConflict, {{"error", "busy"}, {"group", ToJson(busy.group)}});
+          }},
       reply);
 }
 
--- a/protocol/event_cutter.cc
+++ b/protocol/event_cutter.cc
@@ -14,8 +14,8 @@
   if (failed_) {
     return std::nullopt;
   }
-  buffer_.erase(0, whole_);
-  whole_ = 0;
+  buffer_.erase(0, returned_bytes_);
+  returned_bytes_ = 0;
   // The end of an event may be split over two reads.
   std::size_t search = buffer_.empty() ? 0 : buffer_.size() - 1;
   buffer_ += bytes;
@@ -25,26 +25,27 @@
       break;
     }
     const std::size_t after = end + kEventEnd.size();
-    if (!TakeEvent(std::string_view(buffer_).substr(whole_, after - whole_))) {
+    if (!ReadEventId(std::string_view(buffer_).substr(
+            returned_bytes_, after - returned_bytes_))) {
       failed_ = true;
       return std::nullopt;
     }
-    whole_ = after;
+    returned_bytes_ = after;
     search = after;
   }
-  if (buffer_.size() - whole_ > kMaxEventBytes) {
+  if (buffer_.size() - returned_bytes_ > kMaxEventBytes) {
     failed_ = true;
     return std::nullopt;
   }
-  return std::string_view(buffer_).substr(0, whole_);
+  return std::string_view(buffer_).substr(0, returned_bytes_);
 }
 
-bool EventCutter::TakeEvent(std::string_view event) {
-  std::size_t at = 0;
-  while (at < event.size()) {
-    const std::size_t end = event.find('\n', at);
-    std::string_view line = event.substr(at, end - at);
-    at = end == std::string_view::npos ? event.size() : end + 1;
+bool EventCutter::ReadEventId(std::string_view event) {
+  std::size_t position = 0;
+  while (position < event.size()) {
+    const std::size_t end = event.find('\n', position);
+    std::string_view line = event.substr(position, end - position);
+    position = end == std::string_view::npos ? event.size() : end + 1;
     if (!line.starts_with(kIdField)) {
       continue;
     }
--- a/protocol/event_cutter.h
+++ b/protocol/event_cutter.h
@@ -31,14 +31,14 @@
   // The id of the last whole event.
   std::optional<std::int64_t> last_id() const { return last_id_; }
   // True if the buffer holds the beginning of an unfinished event.
-  bool has_rest() const { return whole_ < buffer_.size(); }
+  bool has_rest() const { return returned_bytes_ < buffer_.size(); }
 
  private:
-  bool TakeEvent(std::string_view event);
+  bool ReadEventId(std::string_view event);
 
   std::string buffer_;
   // Number of bytes at the start of the buffer that `Feed` has returned.
-  std::size_t whole_ = 0;
+  std::size_t returned_bytes_ = 0;
   std::optional<std::int64_t> last_id_;
   bool failed_ = false;
 };
--- a/protocol/fingerprint_wire.cc
+++ b/protocol/fingerprint_wire.cc
@@ -12,11 +12,11 @@
 }
 
 FingerprintDelta FingerprintFromWire(const wire::FingerprintDelta& in,
-                                     WireFaults& faults) {
+                                     WireFieldChecker& checker) {
   return FingerprintDelta{
       Fingerprint(static_cast<std::int64_t>(in.fingerprint())), in.blocked(),
-      faults.Count(in.losses(), "delta.losses"),
-      faults.Span(in.time_to_live_ms(), "delta.time_to_live_ms")};
+      checker.Count(in.losses(), "delta.losses"),
+      checker.DurationMillis(in.time_to_live_ms(), "delta.time_to_live_ms")};
 }
 
 }  // namespace gcw
--- a/protocol/fingerprint_wire.h
+++ b/protocol/fingerprint_wire.h
@@ -3,7 +3,7 @@
 
 #include "coordination/coordination.h"
 #include "protocol/peer.pb.h"
-#include "protocol/wire_faults.h"
+#include "protocol/wire_field_checker.h"
 
 namespace gcw {
 
@@ -11,7 +11,7 @@
 // fingerprint guard.
 wire::FingerprintDelta ToWire(const FingerprintDelta& delta);
 FingerprintDelta FingerprintFromWire(const wire::FingerprintDelta& in,
-                                     WireFaults& faults);
+                                     WireFieldChecker& checker);
 
 }  // namespace gcw
 
--- a/protocol/guard_wire.cc
+++ b/protocol/guard_wire.cc
@@ -37,33 +37,34 @@
   }
 }
 
-PermitRequest Get(const wire::PermitRequest& in, WireFaults& faults) {
+PermitRequest Get(const wire::PermitRequest& in, WireFieldChecker& checker) {
   PermitRequest message;
-  message.attempt = faults.RequiredId<AttemptId>(in.attempt(), "attempt");
+  message.attempt = checker.RequiredId<AttemptId>(in.attempt(), "attempt");
   message.fingerprint =
       Fingerprint(static_cast<std::int64_t>(in.fingerprint()));
   for (const std::string& candidate : in.candidates()) {
     message.candidates.push_back(
-        faults.RequiredId<EndpointId>(candidate, "candidates"));
+        checker.RequiredId<EndpointId>(candidate, "candidates"));
   }
   message.running_at = EndpointId(in.running_at());
   return message;
 }
 
-PermitDone Get(const wire::PermitDone& in, WireFaults& faults) {
+PermitDone Get(const wire::PermitDone& in, WireFieldChecker& checker) {
   PermitDone message;
-  message.attempt = faults.RequiredId<AttemptId>(in.attempt(), "attempt");
+  message.attempt = checker.RequiredId<AttemptId>(in.attempt(), "attempt");
   if (in.has_loss()) {
-    message.loss = FingerprintFromWire(in.loss(), faults);
+    message.loss = FingerprintFromWire(in.loss(), checker);
   }
   return message;
 }
 
-PermitVerdict GetVerdict(const wire::PermitReply& in, WireFaults& faults) {
+PermitVerdict GetVerdict(const wire::PermitReply& in,
+                         WireFieldChecker& checker) {
   switch (in.verdict_case()) {
     case wire::PermitReply::kGranted:
       return PermitGranted{
-          faults.RequiredId<EndpointId>(in.granted(), "granted")};
+          checker.RequiredId<EndpointId>(in.granted(), "granted")};
     case wire::PermitReply::kWait:
       return PermitWait{};
     case wire::PermitReply::kBlocked:
@@ -71,7 +72,7 @@
     case wire::PermitReply::VERDICT_NOT_SET:
       break;
   }
-  faults.Fail(PeerCodecErrorKind::kMissing, "verdict");
+  checker.Fail(PeerCodecErrorKind::kMissing, "verdict");
   return PermitWait{};
 }
 
@@ -84,17 +85,17 @@
 }
 
 std::optional<GuardMessage> GuardFromWire(const wire::PeerBody& body,
-                                          WireFaults& faults) {
+                                          WireFieldChecker& checker) {
   switch (body.body_case()) {
     case wire::PeerBody::kPermitRequest:
-      return Get(body.permit_request(), faults);
+      return Get(body.permit_request(), checker);
     case wire::PeerBody::kPermitReply: {
       const wire::PermitReply& in = body.permit_reply();
-      return PermitReply{faults.RequiredId<AttemptId>(in.attempt(), "attempt"),
-                         GetVerdict(in, faults)};
+      return PermitReply{checker.RequiredId<AttemptId>(in.attempt(), "attempt"),
+                         GetVerdict(in, checker)};
     }
     case wire::PeerBody::kPermitDone:
-      return Get(body.permit_done(), faults);
+      return Get(body.permit_done(), checker);
     default:
       return std::nullopt;
   }
--- a/protocol/hex.cc
+++ b/protocol/hex.cc
@@ -4,14 +4,14 @@
 namespace {
 
 constexpr std::string_view kDigits = "0123456789abcdef";
-constexpr std::size_t kLength = 16;
+constexpr std::size_t kDigitCount = 16;
 constexpr unsigned kBitsPerDigit = 4;
 
 }  // namespace
 
 std::string HexOf(std::uint64_t number) {
-  std::string text(kLength, '0');
-  for (std::size_t i = kLength; i > 0; --i) {
+  std::string text(kDigitCount, '0');
+  for (std::size_t i = kDigitCount; i > 0; --i) {
     text[i - 1] = kDigits[number % kDigits.size()];
     number >>= kBitsPerDigit;
   }
@@ -19,7 +19,7 @@
 }
 
 std::optional<std::uint64_t> ParseHex(std::string_view text) {
-  if (text.size() != kLength) {
+  if (text.size() != kDigitCount) {
     return std::nullopt;
   }
   std::uint64_t number = 0;
--- a/protocol/limit_wire.cc
+++ b/protocol/limit_wire.cc
@@ -12,10 +12,10 @@
   out->set_concurrency(vector[LimitResource::kConcurrency]);
 }
 
-LimitVector Get(const wire::LimitVector& in, WireFaults& faults) {
-  return {faults.Amount(in.requests(), "amount.requests"),
-          faults.Amount(in.tokens(), "amount.tokens"),
-          faults.Amount(in.concurrency(), "amount.concurrency")};
+LimitVector Get(const wire::LimitVector& in, WireFieldChecker& checker) {
+  return {checker.NonNegative(in.requests(), "amount.requests"),
+          checker.NonNegative(in.tokens(), "amount.tokens"),
+          checker.NonNegative(in.concurrency(), "amount.concurrency")};
 }
 
 void Put(const LimitEcho& echo, wire::LimitEcho* out) {
@@ -23,9 +23,9 @@
   out->set_granted_at(echo.granted_at.millis());
 }
 
-LimitEcho Get(const wire::LimitEcho& in, WireFaults& faults) {
-  return {faults.CountOf<Incarnation>(in.granter(), "echo.granter"),
-          faults.Moment(in.granted_at(), "echo.granted_at")};
+LimitEcho Get(const wire::LimitEcho& in, WireFieldChecker& checker) {
+  return {checker.CountOf<Incarnation>(in.granter(), "echo.granter"),
+          checker.TimeMillis(in.granted_at(), "echo.granted_at")};
 }
 
 wire::LimitReporter ToWireReporter(LimitReporter reporter) {
@@ -34,14 +34,14 @@
 }
 
 LimitReporter FromWireReporter(wire::LimitReporter reporter,
-                               WireFaults& faults) {
+                               WireFieldChecker& checker) {
   switch (reporter) {
     case wire::LIMIT_REPORTER_NODE:
       return LimitReporter::kNode;
     case wire::LIMIT_REPORTER_RELAY:
       return LimitReporter::kRelay;
     default:
-      faults.Fail(PeerCodecErrorKind::kUnknownName, "reporter");
+      checker.Fail(PeerCodecErrorKind::kUnknownName, "reporter");
       return LimitReporter::kNode;
   }
 }
@@ -70,31 +70,32 @@
   }
 }
 
-LimitReport Get(const wire::LimitReport& in, WireFaults& faults) {
+LimitReport Get(const wire::LimitReport& in, WireFieldChecker& checker) {
   LimitReport report;
   report.sender = {
-      faults.RequiredId<NodeId>(in.sender(), "report.sender"),
-      faults.CountOf<Incarnation>(in.sender_incarnation(), "report.sender")};
-  report.kind = FromWireReporter(in.kind(), faults);
-  report.shard = faults.CountOf<LimitShard>(in.shard(), "report.shard");
+      checker.RequiredId<NodeId>(in.sender(), "report.sender"),
+      checker.CountOf<Incarnation>(in.sender_incarnation(), "report.sender")};
+  report.kind = FromWireReporter(in.kind(), checker);
+  report.shard = checker.CountOf<LimitShard>(in.shard(), "report.shard");
   report.sequence =
-      faults.CountOf<LimitSequence>(in.sequence(), "report.sequence");
-  report.sent_at = faults.Moment(in.sent_at(), "report.sent_at");
+      checker.CountOf<LimitSequence>(in.sequence(), "report.sequence");
+  report.sent_at = checker.TimeMillis(in.sent_at(), "report.sent_at");
   report.applied =
-      faults.CountOf<LimitSequence>(in.applied(), "report.applied");
+      checker.CountOf<LimitSequence>(in.applied(), "report.applied");
   if (in.has_echo()) {
-    report.echo = Get(in.echo(), faults);
+    report.echo = Get(in.echo(), checker);
   }
   for (const std::string& node : in.ceding()) {
-    report.ceding.push_back(faults.RequiredId<NodeId>(node, "report.ceding"));
+    report.ceding.push_back(checker.RequiredId<NodeId>(node, "report.ceding"));
   }
-  report.ceded_for = faults.Span(in.ceded_for_ms(), "report.ceded_for_ms");
-  report.weight = faults.Count(in.weight(), "report.weight");
+  report.ceded_for =
+      checker.DurationMillis(in.ceded_for_ms(), "report.ceded_for_ms");
+  report.weight = checker.Count(in.weight(), "report.weight");
   for (const wire::LimitDemand& demand : in.demands()) {
     report.demands.push_back(
-        {faults.RequiredId<ContractId>(demand.contract(), "demand.contract"),
-         Get(demand.demand(), faults),
-         faults.Amount(demand.running(), "demand.running")});
+        {checker.RequiredId<ContractId>(demand.contract(), "demand.contract"),
+         Get(demand.demand(), checker),
+         checker.NonNegative(demand.running(), "demand.running")});
   }
   return report;
 }
@@ -115,23 +116,24 @@
   }
 }
 
-LimitGrants Get(const wire::LimitGrants& in, WireFaults& faults) {
+LimitGrants Get(const wire::LimitGrants& in, WireFieldChecker& checker) {
   LimitGrants grants;
-  grants.shard = faults.CountOf<LimitShard>(in.shard(), "grants.shard");
+  grants.shard = checker.CountOf<LimitShard>(in.shard(), "grants.shard");
   grants.sequence =
-      faults.CountOf<LimitSequence>(in.sequence(), "grants.sequence");
-  grants.receiver_kind = FromWireReporter(in.receiver_kind(), faults);
+      checker.CountOf<LimitSequence>(in.sequence(), "grants.sequence");
+  grants.receiver_kind = FromWireReporter(in.receiver_kind(), checker);
   grants.receiver =
-      faults.CountOf<Incarnation>(in.receiver(), "grants.receiver");
-  grants.fence = faults.CountOf<FencingToken>(in.fence(), "grants.fence");
-  grants.echo = Get(in.echo(), faults);
+      checker.CountOf<Incarnation>(in.receiver(), "grants.receiver");
+  grants.fence = checker.CountOf<FencingToken>(in.fence(), "grants.fence");
+  grants.echo = Get(in.echo(), checker);
   grants.report_sent_at =
-      faults.Moment(in.report_sent_at(), "grants.report_sent_at");
-  grants.lifetime = faults.Span(in.lifetime_ms(), "grants.lifetime_ms");
+      checker.TimeMillis(in.report_sent_at(), "grants.report_sent_at");
+  grants.lifetime =
+      checker.DurationMillis(in.lifetime_ms(), "grants.lifetime_ms");
   for (const wire::LimitGrant& grant : in.grants()) {
     grants.grants.push_back(
-        {faults.RequiredId<ContractId>(grant.contract(), "grant.contract"),
-         Get(grant.amount(), faults)});
+        {checker.RequiredId<ContractId>(grant.contract(), "grant.contract"),
+         Get(grant.amount(), checker)});
   }
   return grants;
 }
@@ -151,16 +153,16 @@
 }
 
 std::optional<LimitBatch> LimitFromWire(const wire::PeerBody& body,
-                                        WireFaults& faults) {
+                                        WireFieldChecker& checker) {
   if (!body.has_limit_batch()) {
     return std::nullopt;
   }
   LimitBatch batch;
   for (const wire::LimitReport& report : body.limit_batch().reports()) {
-    batch.reports.push_back(Get(report, faults));
+    batch.reports.push_back(Get(report, checker));
   }
   for (const wire::LimitGrants& grants : body.limit_batch().grants()) {
-    batch.grants.push_back(Get(grants, faults));
+    batch.grants.push_back(Get(grants, checker));
   }
   return batch;
 }
--- a/protocol/load_wire.cc
+++ b/protocol/load_wire.cc
@@ -3,25 +3,25 @@
 namespace gcw {
 namespace {
 
-SharedLoad Get(const wire::SharedLoad& in, WireFaults& faults) {
+SharedLoad Get(const wire::SharedLoad& in, WireFieldChecker& checker) {
   SharedLoad load;
   LoadReport& report = load.report;
   report.endpoint =
-      faults.RequiredId<EndpointId>(in.endpoint(), "load.endpoint");
+      checker.RequiredId<EndpointId>(in.endpoint(), "load.endpoint");
   report.generation =
-      faults.CountOf<Generation>(in.generation(), "load.generation");
-  load.age = faults.Span(in.age_ms(), "load.age_ms");
+      checker.CountOf<Generation>(in.generation(), "load.generation");
+  load.age = checker.DurationMillis(in.age_ms(), "load.age_ms");
   report.queued_requests =
-      faults.Count(in.queued_requests(), "load.queued_requests");
+      checker.Count(in.queued_requests(), "load.queued_requests");
   report.running_requests =
-      faults.Count(in.running_requests(), "load.running_requests");
-  report.batch_limit = faults.Count(in.batch_limit(), "load.batch_limit");
-  report.queued_prompt_tokens = faults.CountOf<TokenCount>(
+      checker.Count(in.running_requests(), "load.running_requests");
+  report.batch_limit = checker.Count(in.batch_limit(), "load.batch_limit");
+  report.queued_prompt_tokens = checker.CountOf<TokenCount>(
       in.queued_prompt_tokens(), "load.queued_prompt_tokens");
   report.cache_used =
-      faults.CountOf<TokenCount>(in.cache_used(), "load.cache_used");
+      checker.CountOf<TokenCount>(in.cache_used(), "load.cache_used");
   report.cache_capacity =
-      faults.CountOf<TokenCount>(in.cache_capacity(), "load.cache_capacity");
+      checker.CountOf<TokenCount>(in.cache_capacity(), "load.cache_capacity");
   return load;
 }
 
@@ -47,13 +47,13 @@
 }
 
 std::optional<LoadDigest> LoadFromWire(const wire::PeerBody& body,
-                                       WireFaults& faults) {
+                                       WireFieldChecker& checker) {
   if (!body.has_load_digest()) {
     return std::nullopt;
   }
   LoadDigest digest;
   for (const wire::SharedLoad& load : body.load_digest().loads()) {
-    digest.loads.push_back(Get(load, faults));
+    digest.loads.push_back(Get(load, checker));
   }
   return digest;
 }
--- a/protocol/load_wire.h
+++ b/protocol/load_wire.h
@@ -5,14 +5,14 @@
 
 #include "coordination/coordination.h"
 #include "protocol/peer.pb.h"
-#include "protocol/wire_faults.h"
+#include "protocol/wire_field_checker.h"
 
 namespace gcw {
 
 wire::PeerBody ToWire(const LoadDigest& message);
 // Returns nullopt if `body` holds another kind of message.
 std::optional<LoadDigest> LoadFromWire(const wire::PeerBody& body,
-                                       WireFaults& faults);
+                                       WireFieldChecker& checker);
 
 }  // namespace gcw
 
--- a/protocol/membership_wire.cc
+++ b/protocol/membership_wire.cc
@@ -13,9 +13,9 @@
   out->set_refutation(version.refutation);
 }
 
-MemberVersion Get(const wire::MemberVersion& in, WireFaults& faults) {
-  return {faults.CountOf<Incarnation>(in.incarnation(), "version.incarnation"),
-          faults.Count(in.refutation(), "version.refutation")};
+MemberVersion Get(const wire::MemberVersion& in, WireFieldChecker& checker) {
+  return {checker.CountOf<Incarnation>(in.incarnation(), "version.incarnation"),
+          checker.Count(in.refutation(), "version.refutation")};
 }
 
 void Put(const NodeRecord& record, wire::NodeRecord* out) {
@@ -30,18 +30,18 @@
   out->set_incarnation(record.incarnation.value());
 }
 
-NodeRecord Get(const wire::NodeRecord& in, WireFaults& faults) {
+NodeRecord Get(const wire::NodeRecord& in, WireFieldChecker& checker) {
   NodeRecord record;
-  record.id = faults.RequiredId<NodeId>(in.id(), "record.id");
+  record.id = checker.RequiredId<NodeId>(in.id(), "record.id");
   record.zone = ZoneId(in.zone());
   record.region = RegionId(in.region());
   record.peer_address = Address(in.peer_address());
   record.caller_address = Address(in.caller_address());
   record.operator_address = Address(in.operator_address());
-  record.weight = faults.Count(in.weight(), "record.weight");
+  record.weight = checker.Count(in.weight(), "record.weight");
   record.leaving = in.leaving();
   record.incarnation =
-      faults.CountOf<Incarnation>(in.incarnation(), "record.incarnation");
+      checker.CountOf<Incarnation>(in.incarnation(), "record.incarnation");
   return record;
 }
 
@@ -58,7 +58,7 @@
   return wire::MEMBER_STATE_UNSPECIFIED;
 }
 
-MemberState FromWireState(wire::MemberState state, WireFaults& faults) {
+MemberState FromWireState(wire::MemberState state, WireFieldChecker& checker) {
   switch (state) {
     case wire::MEMBER_STATE_ALIVE:
       return MemberState::kAlive;
@@ -67,7 +67,7 @@
     case wire::MEMBER_STATE_DEAD:
       return MemberState::kDead;
     default:
-      faults.Fail(PeerCodecErrorKind::kUnknownName, "rumor.state");
+      checker.Fail(PeerCodecErrorKind::kUnknownName, "rumor.state");
       return MemberState::kAlive;
   }
 }
@@ -81,16 +81,16 @@
   }
 }
 
-MemberRumor Get(const wire::MemberRumor& in, WireFaults& faults) {
+MemberRumor Get(const wire::MemberRumor& in, WireFieldChecker& checker) {
   MemberRumor rumor;
-  rumor.node = faults.RequiredId<NodeId>(in.node(), "rumor.node");
-  rumor.version = Get(in.version(), faults);
-  rumor.state = FromWireState(in.state(), faults);
+  rumor.node = checker.RequiredId<NodeId>(in.node(), "rumor.node");
+  rumor.version = Get(in.version(), checker);
+  rumor.state = FromWireState(in.state(), checker);
   if (in.has_record()) {
-    rumor.record = Get(in.record(), faults);
+    rumor.record = Get(in.record(), checker);
   }
   if (rumor.state == MemberState::kAlive && !rumor.record) {
-    faults.Fail(PeerCodecErrorKind::kMissing, "rumor.record");
+    checker.Fail(PeerCodecErrorKind::kMissing, "rumor.record");
   }
   return rumor;
 }
@@ -105,17 +105,17 @@
   holder->set_fence(delta.fence.value());
 }
 
-Delta GetDelta(const wire::DeltaRumor& in, WireFaults& faults) {
+Delta GetDelta(const wire::DeltaRumor& in, WireFieldChecker& checker) {
   if (in.has_fingerprint()) {
-    return FingerprintFromWire(in.fingerprint(), faults);
+    return FingerprintFromWire(in.fingerprint(), checker);
   }
   if (in.has_role_holder()) {
     const wire::RoleHolderDelta& holder = in.role_holder();
     return RoleHolderDelta{
-        faults.RequiredId<RoleName>(holder.role(), "role_holder.role"),
-        faults.CountOf<FencingToken>(holder.fence(), "role_holder.fence")};
+        checker.RequiredId<RoleName>(holder.role(), "role_holder.role"),
+        checker.CountOf<FencingToken>(holder.fence(), "role_holder.fence")};
   }
-  faults.Fail(PeerCodecErrorKind::kMissing, "delta");
+  checker.Fail(PeerCodecErrorKind::kMissing, "delta");
   return RoleHolderDelta{};
 }
 
@@ -126,10 +126,11 @@
   std::visit([out](const auto& delta) { Put(delta, out); }, rumor.delta);
 }
 
-DeltaRumor Get(const wire::DeltaRumor& in, WireFaults& faults) {
-  return {faults.RequiredId<NodeId>(in.origin(), "delta.origin"),
-          Get(in.origin_version(), faults),
-          faults.Count(in.sequence(), "delta.sequence"), GetDelta(in, faults)};
+DeltaRumor Get(const wire::DeltaRumor& in, WireFieldChecker& checker) {
+  return {checker.RequiredId<NodeId>(in.origin(), "delta.origin"),
+          Get(in.origin_version(), checker),
+          checker.Count(in.sequence(), "delta.sequence"),
+          GetDelta(in, checker)};
 }
 
 using WireRumors = google::protobuf::RepeatedPtrField<wire::Rumor>;
@@ -145,14 +146,14 @@
   }
 }
 
-std::vector<Rumor> Get(const WireRumors& in, WireFaults& faults) {
+std::vector<Rumor> Get(const WireRumors& in, WireFieldChecker& checker) {
   std::vector<Rumor> rumors;
   rumors.reserve(static_cast<std::size_t>(in.size()));
   for (const wire::Rumor& rumor : in) {
     if (rumor.has_member()) {
-      rumors.emplace_back(Get(rumor.member(), faults));
+      rumors.emplace_back(Get(rumor.member(), checker));
     } else if (rumor.has_delta()) {
-      rumors.emplace_back(Get(rumor.delta(), faults));
+      rumors.emplace_back(Get(rumor.delta(), checker));
     }
   }
   return rumors;
@@ -199,10 +200,10 @@
   }
 }
 
-MemberList Get(const wire::MemberList& in, WireFaults& faults) {
-  MemberList list{Get(in.version(), faults), {}};
+MemberList Get(const wire::MemberList& in, WireFieldChecker& checker) {
+  MemberList list{Get(in.version(), checker), {}};
   for (const wire::MemberRumor& member : in.members()) {
-    list.members.push_back(Get(member, faults));
+    list.members.push_back(Get(member, checker));
   }
   return list;
 }
@@ -216,33 +217,33 @@
 }
 
 std::optional<MembershipMessage> MembershipFromWire(const wire::PeerBody& body,
-                                                    WireFaults& faults) {
+                                                    WireFieldChecker& checker) {
   switch (body.body_case()) {
     case wire::PeerBody::kPing: {
       const wire::Ping& in = body.ping();
-      return Ping{ProbeId(in.probe()), Get(in.version(), faults),
-                  Get(in.rumors(), faults)};
+      return Ping{ProbeId(in.probe()), Get(in.version(), checker),
+                  Get(in.rumors(), checker)};
     }
     case wire::PeerBody::kPingRequest: {
       const wire::PingRequest& in = body.ping_request();
       return PingRequest{ProbeId(in.probe()),
-                         faults.RequiredId<NodeId>(in.target(), "target"),
-                         Get(in.version(), faults), Get(in.rumors(), faults)};
+                         checker.RequiredId<NodeId>(in.target(), "target"),
+                         Get(in.version(), checker), Get(in.rumors(), checker)};
     }
     case wire::PeerBody::kPingAck: {
       const wire::PingAck& in = body.ping_ack();
       return PingAck{ProbeId(in.probe()),
-                     faults.RequiredId<NodeId>(in.target(), "target"),
-                     Get(in.version(), faults), Get(in.rumors(), faults)};
+                     checker.RequiredId<NodeId>(in.target(), "target"),
+                     Get(in.version(), checker), Get(in.rumors(), checker)};
     }
     case wire::PeerBody::kUrgentRumors:
-      return UrgentRumors{Get(body.urgent_rumors().version(), faults),
-                          Get(body.urgent_rumors().rumors(), faults)};
+      return UrgentRumors{Get(body.urgent_rumors().version(), checker),
+                          Get(body.urgent_rumors().rumors(), checker)};
     case wire::PeerBody::kMemberListRequest:
       return MemberListRequest{
-          Get(body.member_list_request().version(), faults)};
+          Get(body.member_list_request().version(), checker)};
     case wire::PeerBody::kMemberList:
-      return Get(body.member_list(), faults);
+      return Get(body.member_list(), checker);
     default:
       return std::nullopt;
   }
--- a/protocol/once_wire.cc
+++ b/protocol/once_wire.cc
@@ -16,11 +16,11 @@
   out->set_body(answer.body);
 }
 
-OnceAnswer Get(const wire::OnceAnswer& in, WireFaults& faults) {
+OnceAnswer Get(const wire::OnceAnswer& in, WireFieldChecker& checker) {
   OnceAnswer answer;
   answer.status = in.status();
   if (answer.status < 100 || answer.status > 999) {
-    faults.Fail(PeerCodecErrorKind::kOutOfRange, "answer.status");
+    checker.Fail(PeerCodecErrorKind::kOutOfRange, "answer.status");
   }
   for (const wire::OnceHeader& header : in.headers()) {
     answer.headers.push_back({header.name(), header.value()});
@@ -82,12 +82,13 @@
 }
 
 // A reply without a verdict is a fault and never permits a run.
-OnceVerdict GetVerdict(const wire::OnceClaimReply& in, WireFaults& faults) {
+OnceVerdict GetVerdict(const wire::OnceClaimReply& in,
+                       WireFieldChecker& checker) {
   switch (in.verdict_case()) {
     case wire::OnceClaimReply::kGranted:
       return OnceGranted{};
     case wire::OnceClaimReply::kReplayed:
-      return OnceReplayed{Get(in.replayed(), faults)};
+      return OnceReplayed{Get(in.replayed(), checker)};
     case wire::OnceClaimReply::kAnswerGone:
       return OnceAnswerGone{};
     case wire::OnceClaimReply::kEarlierUnknown:
@@ -100,20 +101,20 @@
       return OnceUndecided{};
     case wire::OnceClaimReply::kElsewhere:
       return OnceElsewhere{
-          faults.RequiredId<NodeId>(in.elsewhere(), "elsewhere")};
+          checker.RequiredId<NodeId>(in.elsewhere(), "elsewhere")};
     case wire::OnceClaimReply::VERDICT_NOT_SET:
       break;
   }
-  faults.Fail(PeerCodecErrorKind::kMissing, "verdict");
+  checker.Fail(PeerCodecErrorKind::kMissing, "verdict");
   return OnceUndecided{};
 }
 
-OnceOutcome GetOutcome(const wire::OnceFinish& in, WireFaults& faults) {
+OnceOutcome GetOutcome(const wire::OnceFinish& in, WireFieldChecker& checker) {
   switch (in.outcome_case()) {
     case wire::OnceFinish::kNotRun:
       return OnceNotRun{};
     case wire::OnceFinish::kAnswered:
-      return OnceAnswered{Get(in.answered(), faults)};
+      return OnceAnswered{Get(in.answered(), checker)};
     case wire::OnceFinish::kAnsweredTooLarge:
       return OnceAnsweredTooLarge{};
     case wire::OnceFinish::kMayHaveRun:
@@ -121,19 +122,19 @@
     case wire::OnceFinish::OUTCOME_NOT_SET:
       break;
   }
-  faults.Fail(PeerCodecErrorKind::kMissing, "outcome");
+  checker.Fail(PeerCodecErrorKind::kMissing, "outcome");
   return OnceMayHaveRun{};
 }
 
-OnceClaimId GetClaim(const std::string& text, WireFaults& faults) {
-  return faults.RequiredId<OnceClaimId>(text, "claim");
+OnceClaimId GetClaim(const std::string& text, WireFieldChecker& checker) {
+  return checker.RequiredId<OnceClaimId>(text, "claim");
 }
 
-IdempotencyKey GetKey(const std::string& text, WireFaults& faults) {
+IdempotencyKey GetKey(const std::string& text, WireFieldChecker& checker) {
   if (text.size() > kMaxOnceKeyLength) {
-    faults.Fail(PeerCodecErrorKind::kOutOfRange, "key");
+    checker.Fail(PeerCodecErrorKind::kOutOfRange, "key");
   }
-  return faults.RequiredId<IdempotencyKey>(text, "key");
+  return checker.RequiredId<IdempotencyKey>(text, "key");
 }
 
 }  // namespace
@@ -145,29 +146,29 @@
 }
 
 std::optional<OnceMessage> OnceFromWire(const wire::PeerBody& body,
-                                        WireFaults& faults) {
+                                        WireFieldChecker& checker) {
   switch (body.body_case()) {
     case wire::PeerBody::kOnceClaimRequest: {
       const wire::OnceClaimRequest& in = body.once_claim_request();
       return OnceClaimRequest{
-          GetClaim(in.claim(), faults), GetKey(in.key(), faults),
+          GetClaim(in.claim(), checker), GetKey(in.key(), checker),
           Fingerprint(static_cast<std::int64_t>(in.fingerprint())),
-          faults.Span(in.runs_at_most_ms(), "runs_at_most_ms"),
-          faults.CountOf<Revision>(in.seen(), "seen")};
+          checker.DurationMillis(in.runs_at_most_ms(), "runs_at_most_ms"),
+          checker.CountOf<Revision>(in.seen(), "seen")};
     }
     case wire::PeerBody::kOnceClaimReply: {
       const wire::OnceClaimReply& in = body.once_claim_reply();
-      return OnceClaimReply{GetClaim(in.claim(), faults),
-                            GetVerdict(in, faults),
-                            faults.CountOf<Revision>(in.seen(), "seen")};
+      return OnceClaimReply{GetClaim(in.claim(), checker),
+                            GetVerdict(in, checker),
+                            checker.CountOf<Revision>(in.seen(), "seen")};
     }
     case wire::PeerBody::kOnceFinish: {
       const wire::OnceFinish& in = body.once_finish();
-      return OnceFinish{GetClaim(in.claim(), faults), GetKey(in.key(), faults),
-                        GetOutcome(in, faults)};
+      return OnceFinish{GetClaim(in.claim(), checker),
+                        GetKey(in.key(), checker), GetOutcome(in, checker)};
     }
     case wire::PeerBody::kOnceFinishAck:
-      return OnceFinishAck{GetClaim(body.once_finish_ack().claim(), faults)};
+      return OnceFinishAck{GetClaim(body.once_finish_ack().claim(), checker)};
     default:
       return std::nullopt;
   }
--- a/protocol/peer_codec.cc
+++ b/protocol/peer_codec.cc
@@ -10,7 +10,7 @@
 #include "protocol/once_wire.h"
 #include "protocol/peer.pb.h"
 #include "protocol/presence_wire.h"
-#include "protocol/wire_faults.h"
+#include "protocol/wire_field_checker.h"
 
 namespace gcw {
 
@@ -19,13 +19,13 @@
 // Decodes the body as the kind of message that it holds. Returns nullopt for an
 // unknown kind.
 std::optional<PeerMessage> FromWire(const wire::PeerBody& body,
-                                    WireFaults& faults) {
+                                    WireFieldChecker& checker) {
   std::optional<PeerMessage> message;
   const auto try_kind = [&](auto from_wire) {
     if (message) {
       return;
     }
-    if (auto found = from_wire(body, faults)) {
+    if (auto found = from_wire(body, checker)) {
       message = PeerMessage(*std::move(found));
     }
   };
@@ -79,23 +79,23 @@
   if (frame.ByteSizeLong() > kMaxPeerFrameBytes) {
     return PeerCodecError{PeerCodecErrorKind::kTooLarge, {}};
   }
-  WireFaults faults;
+  WireFieldChecker checker;
   PeerEnvelope envelope;
-  envelope.sender = faults.RequiredId<NodeId>(frame.sender(), "sender");
+  envelope.sender = checker.RequiredId<NodeId>(frame.sender(), "sender");
   envelope.incarnation =
-      faults.CountOf<Incarnation>(frame.incarnation(), "incarnation");
-  envelope.receiver = faults.RequiredId<NodeId>(frame.receiver(), "receiver");
-  envelope.time = {faults.Moment(frame.time().physical(), "time.physical"),
-                   faults.Count(frame.time().logical(), "time.logical")};
+      checker.CountOf<Incarnation>(frame.incarnation(), "incarnation");
+  envelope.receiver = checker.RequiredId<NodeId>(frame.receiver(), "receiver");
+  envelope.time = {checker.TimeMillis(frame.time().physical(), "time.physical"),
+                   checker.Count(frame.time().logical(), "time.logical")};
   for (const wire::PeerBody& body : frame.bodies()) {
-    if (auto message = FromWire(body, faults)) {
+    if (auto message = FromWire(body, checker)) {
       envelope.messages.push_back(*std::move(message));
     } else {
       ++envelope.unknown_messages;
     }
   }
-  if (faults.first()) {
-    return *faults.first();
+  if (checker.fault()) {
+    return *checker.fault();
   }
   return envelope;
 }
--- a/protocol/presence_wire.cc
+++ b/protocol/presence_wire.cc
@@ -18,7 +18,7 @@
   return wire::PRESENCE_UNSPECIFIED;
 }
 
-Presence FromWirePresence(wire::Presence presence, WireFaults& faults) {
+Presence FromWirePresence(wire::Presence presence, WireFieldChecker& checker) {
   switch (presence) {
     case wire::PRESENCE_COMPLETE:
       return Presence::kComplete;
@@ -27,15 +27,15 @@
     case wire::PRESENCE_LEAVING:
       return Presence::kLeaving;
     default:
-      faults.Fail(PeerCodecErrorKind::kUnknownName, "entry.presence");
+      checker.Fail(PeerCodecErrorKind::kUnknownName, "entry.presence");
       return Presence::kIncomplete;
   }
 }
 
-PresenceEntry Get(const wire::PresenceEntry& in, WireFaults& faults) {
-  return {faults.RequiredId<EndpointId>(in.endpoint(), "entry.endpoint"),
-          faults.CountOf<Generation>(in.generation(), "entry.generation"),
-          FromWirePresence(in.presence(), faults), in.withdrawn()};
+PresenceEntry Get(const wire::PresenceEntry& in, WireFieldChecker& checker) {
+  return {checker.RequiredId<EndpointId>(in.endpoint(), "entry.endpoint"),
+          checker.CountOf<Generation>(in.generation(), "entry.generation"),
+          FromWirePresence(in.presence(), checker), in.withdrawn()};
 }
 
 }  // namespace
@@ -62,23 +62,24 @@
 }
 
 std::optional<PresenceReport> PresenceFromWire(const wire::PeerBody& body,
-                                               WireFaults& faults) {
+                                               WireFieldChecker& checker) {
   if (!body.has_presence_report()) {
     return std::nullopt;
   }
   const wire::PresenceReport& in = body.presence_report();
   PresenceReport report;
-  report.sender = faults.CountOf<Incarnation>(in.sender(), "report.sender");
+  report.sender = checker.CountOf<Incarnation>(in.sender(), "report.sender");
   report.receiver =
-      faults.CountOf<Incarnation>(in.receiver(), "report.receiver");
-  report.stamp = faults.Moment(in.stamp(), "report.stamp");
-  report.echo = faults.Moment(in.echo(), "report.echo");
-  report.oldest_age = faults.Span(in.oldest_age_ms(), "report.oldest_age_ms");
-  report.version = faults.Count(in.version(), "report.version");
-  report.base = faults.Count(in.base(), "report.base");
-  report.acknowledged = faults.Count(in.acknowledged(), "report.acknowledged");
+      checker.CountOf<Incarnation>(in.receiver(), "report.receiver");
+  report.stamp = checker.TimeMillis(in.stamp(), "report.stamp");
+  report.echo = checker.TimeMillis(in.echo(), "report.echo");
+  report.oldest_age =
+      checker.DurationMillis(in.oldest_age_ms(), "report.oldest_age_ms");
+  report.version = checker.Count(in.version(), "report.version");
+  report.base = checker.Count(in.base(), "report.base");
+  report.acknowledged = checker.Count(in.acknowledged(), "report.acknowledged");
   for (const wire::PresenceEntry& entry : in.entries()) {
-    report.entries.push_back(Get(entry, faults));
+    report.entries.push_back(Get(entry, checker));
   }
   return report;
 }
--- a/protocol/presence_wire.h
+++ b/protocol/presence_wire.h
@@ -5,14 +5,14 @@
 
 #include "protocol/peer.pb.h"
 #include "protocol/peer_message.h"
-#include "protocol/wire_faults.h"
+#include "protocol/wire_field_checker.h"
 
 namespace gcw {
 
 wire::PeerBody ToWire(const PresenceReport& message);
 // Returns nullopt if `body` holds another kind of message.
 std::optional<PresenceReport> PresenceFromWire(const wire::PeerBody& body,
-                                               WireFaults& faults);
+                                               WireFieldChecker& checker);
 
 }  // namespace gcw
 
--- a/protocol/sse_parser.cc
+++ b/protocol/sse_parser.cc
@@ -22,12 +22,12 @@
     }
     bytes.remove_prefix(end + 1);
     const std::string line = std::exchange(line_, {});
-    TakeLine(line, on_data);
+    ProcessLine(line, on_data);
   }
   return !failed_;
 }
 
-void SseParser::TakeLine(std::string_view line, const DataHook& on_data) {
+void SseParser::ProcessLine(std::string_view line, const DataHook& on_data) {
   if (line.ends_with('\r')) {
     line.remove_suffix(1);
   }
--- a/protocol/sse_parser.h
+++ b/protocol/sse_parser.h
@@ -23,7 +23,7 @@
   bool Feed(std::string_view bytes, const DataHook& on_data);
 
  private:
-  void TakeLine(std::string_view line, const DataHook& on_data);
+  void ProcessLine(std::string_view line, const DataHook& on_data);
 
   std::string line_;
   std::string data_;
--- a/protocol/store_call_json.cc
+++ b/protocol/store_call_json.cc
@@ -13,7 +13,7 @@
 constexpr std::string_view kRevokePath = "/lease/revoke";
 constexpr std::string_view kWatchPath = "/kv/watch";
 
-std::string_view PathOf(const StoreCall& call) {
+std::string_view StoreCallPath(const StoreCall& call) {
   return std::visit(
       Overloaded{[](const StoreRange&) { return kRangePath; },
                  [](const StorePut&) { return kPutPath; },
@@ -109,7 +109,7 @@
 StoreCallMessage EncodeStoreCall(const StoreCall& call) {
   boost::json::object body =
       std::visit([](const auto& typed) { return ToJson(typed); }, call);
-  return {.path = PathOf(call), .body = boost::json::serialize(body)};
+  return {.path = StoreCallPath(call), .body = boost::json::serialize(body)};
 }
 
 Decoded<StoreCall> DecodeStoreCall(std::string_view path,
--- a/protocol/store_reply_json.cc
+++ b/protocol/store_reply_json.cc
@@ -40,7 +40,7 @@
 }
 
 template <typename Items>
-boost::json::array Entries(const Items& items) {
+boost::json::array EntriesToJson(const Items& items) {
   boost::json::array array;
   for (const auto& item : items) {
     array.push_back(ToJson(item));
@@ -48,49 +48,50 @@
   return array;
 }
 
-StoreReplyMessage Message(int status, const boost::json::object& body) {
+StoreReplyMessage MakeMessage(int status, const boost::json::object& body) {
   return {.status = status, .body = boost::json::serialize(body)};
 }
 
 StoreReplyMessage Encode(const StoreRangeReply& reply) {
-  return Message(kOk, {{"revision", reply.revision.value()},
-                       {"entries", Entries(reply.entries)}});
+  return MakeMessage(kOk, {{"revision", reply.revision.value()},
+                           {"entries", EntriesToJson(reply.entries)}});
 }
 
 StoreReplyMessage Encode(const StoreWritten& reply) {
-  return Message(kOk, {{"revision", reply.revision.value()}});
+  return MakeMessage(kOk, {{"revision", reply.revision.value()}});
 }
 
 StoreReplyMessage Encode(const StoreConflict& reply) {
-  return Message(kConflict, {{"current", reply.current ? ToJson(*reply.current)
-                                                       : nullptr}});
+  return MakeMessage(
+      kConflict,
+      {{"current", reply.current ? ToJson(*reply.current) : nullptr}});
 }
 
 StoreReplyMessage Encode(const StoreLeaseReply& reply) {
   if (reply.time_to_live == Duration()) {
-    return Message(kOk, {});
+    return MakeMessage(kOk, {});
   }
-  return Message(kOk, {{"lease", reply.lease.value()},
-                       {"ttl_ms", reply.time_to_live.millis()}});
+  return MakeMessage(kOk, {{"lease", reply.lease.value()},
+                           {"ttl_ms", reply.time_to_live.millis()}});
 }
 
 StoreReplyMessage Encode(const StoreLeaseUnknown&) {
-  return Message(kLeaseUnknown, {{"error", kLeaseUnknownError}});
+  return MakeMessage(kLeaseUnknown, {{"error", kLeaseUnknownError}});
 }
 
 StoreReplyMessage Encode(const StoreWatchReply& reply) {
-  return Message(kOk, {{"revision", reply.revision.value()},
-                       {"changed", Entries(reply.changed)},
-                       {"deleted", Entries(reply.deleted)},
-                       {"compacted", reply.compacted}});
+  return MakeMessage(kOk, {{"revision", reply.revision.value()},
+                           {"changed", EntriesToJson(reply.changed)},
+                           {"deleted", EntriesToJson(reply.deleted)},
+                           {"compacted", reply.compacted}});
 }
 
 StoreReplyMessage Encode(const StoreNoAnswer&) {
-  return Message(kUnavailable, {{"error", "unavailable"}});
+  return MakeMessage(kUnavailable, {{"error", "unavailable"}});
 }
 
 StoreReplyMessage Encode(const StoreBusy& reply) {
-  return Message(kBusy, {{"retry_after_ms", reply.retry_after.millis()}});
+  return MakeMessage(kBusy, {{"retry_after_ms", reply.retry_after.millis()}});
 }
 
 StoreReply ReadConflict(JsonReader& reader) {
--- a/protocol/timeline_json.cc
+++ b/protocol/timeline_json.cc
@@ -190,15 +190,15 @@
     return TimelineError{TimelineErrorKind::kSyntax, {}};
   }
   const boost::json::object* object = json.if_object();
-  const boost::json::value* list =
+  const boost::json::value* events_json =
       object == nullptr ? nullptr : object->if_contains(kEvents);
-  if (list == nullptr || !list->is_array()) {
+  if (events_json == nullptr || !events_json->is_array()) {
     return Malformed(kEvents);
   }
   EventPage page;
-  page.events.reserve(list->get_array().size());
-  for (const boost::json::value& each : list->get_array()) {
-    auto event = DecodeEvent(each);
+  page.events.reserve(events_json->get_array().size());
+  for (const boost::json::value& item : events_json->get_array()) {
+    auto event = DecodeEvent(item);
     if (!IsOk(event)) {
       return ErrorOf(event);
     }
--- a/protocol/timeline_merge.cc
+++ b/protocol/timeline_merge.cc
@@ -26,7 +26,7 @@
   return a.id < b.id;
 }
 
-std::vector<TimelineEvent> SortedOnce(
+std::vector<TimelineEvent> SortAndDeduplicate(
     std::vector<std::vector<TimelineEvent>> timelines) {
   std::vector<TimelineEvent> events;
   for (std::vector<TimelineEvent>& timeline : timelines) {
@@ -41,26 +41,26 @@
 }
 
 // Reorders sorted events so that each comes after its cause.
-class CausalOrder {
+class CausalSorter {
  public:
-  explicit CausalOrder(std::vector<TimelineEvent> sorted)
+  explicit CausalSorter(std::vector<TimelineEvent> sorted)
       : sorted_(std::move(sorted)) {
-    std::unordered_map<EventId, std::size_t> index_of;
+    std::unordered_map<EventId, std::size_t> indices;
     for (std::size_t index = 0; index < sorted_.size(); ++index) {
-      index_of.emplace(sorted_[index].id, index);
+      indices.emplace(sorted_[index].id, index);
     }
     for (std::size_t index = 0; index < sorted_.size(); ++index) {
-      const auto cause = index_of.find(sorted_[index].draft.cause);
-      if (cause == index_of.end() || cause->second == index) {
+      const auto cause = indices.find(sorted_[index].draft.cause);
+      if (cause == indices.end() || cause->second == index) {
         ready_.insert(index);
       } else {
-        effects_of_[cause->second].push_back(index);
+        effects_[cause->second].push_back(index);
         waiting_.insert(index);
       }
     }
   }
 
-  std::vector<TimelineEvent> Take() {
+  std::vector<TimelineEvent> Sort() {
     std::vector<TimelineEvent> ordered;
     ordered.reserve(sorted_.size());
     while (!ready_.empty() || !waiting_.empty()) {
@@ -71,7 +71,7 @@
       const std::size_t index = *ready_.begin();
       ready_.erase(ready_.begin());
       ordered.push_back(std::move(sorted_[index]));
-      for (const std::size_t effect : effects_of_[index]) {
+      for (const std::size_t effect : effects_[index]) {
         Release(effect);
       }
     }
@@ -87,7 +87,7 @@
 
   // The members below refer to events by their index in this list.
   std::vector<TimelineEvent> sorted_;
-  std::map<std::size_t, std::vector<std::size_t>> effects_of_;
+  std::map<std::size_t, std::vector<std::size_t>> effects_;
   // Events whose cause is in the output or unknown, the earliest first.
   std::set<std::size_t> ready_;
   std::set<std::size_t> waiting_;
@@ -97,7 +97,7 @@
 
 std::vector<TimelineEvent> MergeTimelines(
     std::vector<std::vector<TimelineEvent>> timelines) {
-  return CausalOrder(SortedOnce(std::move(timelines))).Take();
+  return CausalSorter(SortAndDeduplicate(std::move(timelines))).Sort();
 }
 
 }  // namespace gcw
--- a/protocol/trace_file.cc
+++ b/protocol/trace_file.cc
@@ -24,7 +24,7 @@
 
 // Returns the first word of the event's name, such as "group" for
 // "group_serving".
-std::string_view FamilyOf(EventKind kind) {
+std::string_view EventFamily(EventKind kind) {
   const std::string_view name = EventKindName(kind);
   return name.substr(0, name.find('_'));
 }
@@ -32,9 +32,9 @@
 // Adds the logical counter as microseconds, so that the order of events within
 // a millisecond stays visible.
 std::int64_t Microseconds(const HybridTime& time) {
-  const std::int64_t within =
+  const std::int64_t offset =
       std::clamp<std::int64_t>(time.logical, 0, kMicrosPerMilli - 1);
-  return time.physical.millis() * kMicrosPerMilli + within;
+  return time.physical.millis() * kMicrosPerMilli + offset;
 }
 
 class TraceWriter {
@@ -42,12 +42,12 @@
   explicit TraceWriter(const std::vector<TimelineEvent>& events)
       : events_(events) {
     for (std::size_t index = 0; index < events.size(); ++index) {
-      index_of_.emplace(events[index].id, index);
+      indices_.emplace(events[index].id, index);
       processes_[events[index].node] = 0;
-      lanes_[FamilyOf(events[index].draft.kind)] = 0;
+      lanes_[EventFamily(events[index].draft.kind)] = 0;
     }
-    Number(processes_);
-    Number(lanes_);
+    AssignNumbers(processes_);
+    AssignNumbers(lanes_);
   }
 
   std::string Write() {
@@ -62,19 +62,19 @@
 
  private:
   template <typename Key>
-  static void Number(std::map<Key, std::int64_t>& numbers) {
+  static void AssignNumbers(std::map<Key, std::int64_t>& numbers) {
     std::int64_t next = 1;
     for (auto& [key, number] : numbers) {
       number = next++;
     }
   }
 
-  boost::json::object Entry(std::string_view phase,
-                            const TimelineEvent& event) const {
+  boost::json::object MakeEntry(std::string_view phase,
+                                const TimelineEvent& event) const {
     return {{"ph", phase},
             {"ts", Microseconds(event.time)},
             {"pid", processes_.at(event.node)},
-            {"tid", lanes_.at(FamilyOf(event.draft.kind))}};
+            {"tid", lanes_.at(EventFamily(event.draft.kind))}};
   }
 
   void WriteNames() {
@@ -98,35 +98,35 @@
     boost::json::object arguments = FieldsToJson(event.draft.fields);
     arguments.insert_or_assign("id", TextToJson(event.id.value()));
     arguments.insert_or_assign("subject", TextToJson(event.draft.subject));
-    boost::json::object entry = Entry("X", event);
+    boost::json::object entry = MakeEntry("X", event);
     entry["dur"] = kSliceMicros;
     entry["name"] = EventKindName(event.draft.kind);
-    entry["cat"] = FamilyOf(event.draft.kind);
+    entry["cat"] = EventFamily(event.draft.kind);
     entry["args"] = std::move(arguments);
     entries_.push_back(std::move(entry));
   }
 
   void WriteArrow(const TimelineEvent& effect) {
-    const auto cause = index_of_.find(effect.draft.cause);
-    if (cause == index_of_.end()) {
+    const auto cause = indices_.find(effect.draft.cause);
+    if (cause == indices_.end()) {
       return;
     }
     // Both ends of the arrow bind to the enclosing slice.
-    boost::json::object start = Entry("s", events_[cause->second]);
-    boost::json::object finish = Entry("f", effect);
+    boost::json::object start = MakeEntry("s", events_[cause->second]);
+    boost::json::object finish = MakeEntry("f", effect);
     finish["bp"] = "e";
     ++arrows_;
-    for (boost::json::object* end : {&start, &finish}) {
-      (*end)["id"] = arrows_;
-      (*end)["name"] = "cause";
-      (*end)["cat"] = "cause";
+    for (boost::json::object* arrow_end : {&start, &finish}) {
+      (*arrow_end)["id"] = arrows_;
+      (*arrow_end)["name"] = "cause";
+      (*arrow_end)["cat"] = "cause";
     }
     entries_.push_back(std::move(start));
     entries_.push_back(std::move(finish));
   }
 
   const std::vector<TimelineEvent>& events_;
-  std::unordered_map<EventId, std::size_t> index_of_;
+  std::unordered_map<EventId, std::size_t> indices_;
   std::map<NodeId, std::int64_t> processes_;
   std::map<std::string_view, std::int64_t> lanes_;
   std::int64_t arrows_ = 0;
--- a/protocol/wire_faults.h
+++ b/protocol/wire_field_checker.h
@@ -1,5 +1,5 @@
-#ifndef PROTOCOL_WIRE_FAULTS_H_
-#define PROTOCOL_WIRE_FAULTS_H_
+#ifndef PROTOCOL_WIRE_FIELD_CHECKER_H_
+#define PROTOCOL_WIRE_FIELD_CHECKER_H_
 
 #include <cmath>
 #include <cstdint>
@@ -14,13 +14,13 @@
 
 // Checks the fields of messages from other nodes and keeps the first fault, so
 // that decoders can be written as plain lists of fields.
-class WireFaults {
+class WireFieldChecker {
  public:
-  const std::optional<PeerCodecError>& first() const { return first_; }
+  const std::optional<PeerCodecError>& fault() const { return fault_; }
 
   void Fail(PeerCodecErrorKind kind, std::string_view field) {
-    if (!first_) {
-      first_ = PeerCodecError{kind, field};
+    if (!fault_) {
+      fault_ = PeerCodecError{kind, field};
     }
   }
 
@@ -47,16 +47,16 @@
     return Strong(Count(value, field));
   }
 
-  Duration Span(std::int64_t millis, std::string_view field) {
+  Duration DurationMillis(std::int64_t millis, std::string_view field) {
     return Duration::Millis(Count(millis, field));
   }
 
-  Time Moment(std::int64_t millis, std::string_view field) {
+  Time TimeMillis(std::int64_t millis, std::string_view field) {
     return Time::FromMillis(Count(millis, field));
   }
 
   // Returns 0 and records a fault if `value` is negative or not finite.
-  double Amount(double value, std::string_view field) {
+  double NonNegative(double value, std::string_view field) {
     if (!std::isfinite(value) || value < 0) {
       Fail(PeerCodecErrorKind::kOutOfRange, field);
       return 0;
@@ -65,9 +65,9 @@
   }
 
  private:
-  std::optional<PeerCodecError> first_;
+  std::optional<PeerCodecError> fault_;
 };
 
 }  // namespace gcw
 
-#endif  // PROTOCOL_WIRE_FAULTS_H_
+#endif  // PROTOCOL_WIRE_FIELD_CHECKER_H_
--- a/tests/protocol/chat_test.cc
+++ b/tests/protocol/chat_test.cc
@@ -11,7 +11,7 @@
   return {.role = AnyText(), .content = AnyText()};
 }
 
-RC_GTEST_PROP(ChatTest, RequestsComeBackWhole, ()) {
+RC_GTEST_PROP(ChatTest, RequestsRoundTrip, ()) {
   const ChatRequest request{
       .model = AnyId<ModelId>(),
       .adapter = AnyId<AdapterId>(),
@@ -23,7 +23,7 @@
   RC_ASSERT(ValueOf(decoded) == request);
 }
 
-RC_GTEST_PROP(ChatTest, TokensComeBackWhole, ()) {
+RC_GTEST_PROP(ChatTest, TokensRoundTrip, ()) {
   const ChatToken token{
       .attempt = AnyId<AttemptId>(), .index = AnyCount(), .text = AnyText()};
   const std::string event = EncodeChatTokenEvent(token);
@@ -35,7 +35,7 @@
   RC_ASSERT(ValueOf(decoded) == token);
 }
 
-TEST(ChatTest, AnswersComeBackWhole) {
+TEST(ChatTest, AnswersRoundTrip) {
   const ChatAnswer answer{.attempt = AttemptId("a"),
                           .model = ModelId("m"),
                           .text = "two words",
@@ -46,7 +46,7 @@
   EXPECT_EQ(ValueOf(decoded), answer);
 }
 
-TEST(ChatTest, RefusesATokenLimitOutOfRange) {
+TEST(ChatTest, RejectsTokenLimitOutOfRange) {
   const auto decoded =
       DecodeChatRequest(R"({"model":"m","messages":[],"max_tokens":0})");
   ASSERT_FALSE(IsOk(decoded));
@@ -62,7 +62,7 @@
   EXPECT_EQ(blocks[1], HashOf(prompt.substr(0, 128)));
 }
 
-TEST(ChatTest, ReferenceAnswersTellPromptsApart) {
+TEST(ChatTest, ReferenceAnswersDifferByPrompt) {
   EXPECT_EQ(ReferenceAnswer("a", TokenCount(2)),
             ReferenceToken("a", 0) + ReferenceToken("a", 1));
   EXPECT_NE(ReferenceToken("a", 1), ReferenceToken("b", 1));
--- a/tests/protocol/engine_json_test.cc
+++ b/tests/protocol/engine_json_test.cc
@@ -28,7 +28,7 @@
           .service = AnyId<ServiceId>()};
 }
 
-RC_GTEST_PROP(EngineJsonTest, OrdersComeBackWhole, ()) {
+RC_GTEST_PROP(EngineJsonTest, OrdersRoundTrip, ()) {
   const EngineOrder order{
       .kind = AnyOf({EngineOrderKind::kLoad, EngineOrderKind::kLeave,
                      EngineOrderKind::kDrain}),
@@ -43,7 +43,7 @@
   RC_ASSERT(ValueOf(decoded) == order);
 }
 
-RC_GTEST_PROP(EngineJsonTest, StatusesComeBackWhole, ()) {
+RC_GTEST_PROP(EngineJsonTest, StatusesRoundTrip, ()) {
   const EngineStatus status{
       .vm = AnyId<VmId>(),
       .incarnation = AnyNumber<Incarnation>(),
@@ -62,7 +62,7 @@
   RC_ASSERT(ValueOf(decoded) == status);
 }
 
-RC_GTEST_PROP(EngineJsonTest, CacheEventsComeBackWhole, ()) {
+RC_GTEST_PROP(EngineJsonTest, CacheEventsRoundTrip, ()) {
   const CacheEventBatch batch{.first = AnyCount(),
                               .next = AnyCount(),
                               .events = AnyList(AnyCacheEvent)};
@@ -71,7 +71,7 @@
   RC_ASSERT(ValueOf(decoded) == batch);
 }
 
-RC_GTEST_PROP(EngineJsonTest, VmListsComeBackWhole, ()) {
+RC_GTEST_PROP(EngineJsonTest, VmListsRoundTrip, ()) {
   const VmListSnapshot list{.as_of = Time::FromMillis(AnyCount()),
                             .vms = AnyList(AnyVm)};
   const auto decoded = DecodeVmList(EncodeVmList(list));
@@ -80,7 +80,7 @@
   RC_ASSERT(ValueOf(decoded).vms == list.vms);
 }
 
-TEST(EngineJsonTest, OrderRepliesComeBackWhole) {
+TEST(EngineJsonTest, OrderRepliesRoundTrip) {
   const EngineOrderReply replies[] = {EngineOrderAccepted{},
                                       EngineOrderStale{FencingToken(7)},
                                       EngineOrderBusy{GroupId("g")}};
@@ -94,7 +94,7 @@
   EXPECT_FALSE(IsOk(DecodeEngineOrderReply(409, R"({"error":"other"})")));
 }
 
-TEST(EngineJsonTest, ReadsThePlatformsLoadReport) {
+TEST(EngineJsonTest, ReadsPlatformLoadReport) {
   const std::string text =
       R"({"endpoint":"e","generation":2,"taken_at_ms":3,"queued_requests":4,)"
       R"("running_requests":5,"batch_limit":6,"queued_prompt_tokens":7,)"
@@ -109,7 +109,7 @@
   EXPECT_EQ(EncodeLoadReport(report), text);
 }
 
-TEST(EngineJsonTest, SmallMessagesComeBackWhole) {
+TEST(EngineJsonTest, SmallMessagesRoundTrip) {
   EXPECT_EQ(ValueOf(DecodeCancel(EncodeCancel(AttemptId("a")))),
             AttemptId("a"));
   EXPECT_TRUE(ValueOf(DecodeCancelReply(EncodeCancelReply(true))));
@@ -118,7 +118,7 @@
             status);
 }
 
-TEST(EngineJsonTest, RefusesABlockThatIsNoHash) {
+TEST(EngineJsonTest, RejectsBlockThatIsNotAHash) {
   const auto decoded = DecodeCacheEvents(
       R"({"first":1,"next":2,"events":[{"sequence":1,"kind":"stored",)"
       R"("block":"12"}]})");
--- a/tests/protocol/event_cutter_test.cc
+++ b/tests/protocol/event_cutter_test.cc
@@ -11,7 +11,7 @@
   return "id: " + std::to_string(id) + "\ndata: " + data + "\n\n";
 }
 
-TEST(EventCutterTest, GivesWholeEventsOnly) {
+TEST(EventCutterTest, ReturnsOnlyWholeEvents) {
   EventCutter cutter(std::nullopt);
   EXPECT_EQ(cutter.Feed("id: 1\nda"), "");
   EXPECT_EQ(cutter.Feed("ta: x\n\nid: 2\n"), "id: 1\ndata: x\n\n");
@@ -23,24 +23,24 @@
 
 // Guards against a stream that looks complete although an event is missing or
 // repeated, because the events of another run were accepted unchecked.
-TEST(EventCutterTest, RefusesEventsThatDoNotFollow) {
+TEST(EventCutterTest, RejectsEventsOutOfSequence) {
   EventCutter resumed(4);
   EXPECT_TRUE(resumed.Feed(Event(5, "a")).has_value());
   EXPECT_FALSE(resumed.Feed(Event(7, "b")).has_value());
   EXPECT_FALSE(resumed.Feed(Event(6, "b")).has_value());
-  EventCutter twice(std::nullopt);
-  EXPECT_TRUE(twice.Feed(Event(1, "a")).has_value());
-  EXPECT_FALSE(twice.Feed(Event(1, "a")).has_value());
+  EventCutter repeated(std::nullopt);
+  EXPECT_TRUE(repeated.Feed(Event(1, "a")).has_value());
+  EXPECT_FALSE(repeated.Feed(Event(1, "a")).has_value());
 }
 
-TEST(EventCutterTest, RefusesEventsWithoutANumber) {
+TEST(EventCutterTest, RejectsEventsWithoutNumericId) {
   EXPECT_FALSE(EventCutter(std::nullopt).Feed("data: x\n\n").has_value());
   EXPECT_FALSE(EventCutter(std::nullopt).Feed("id: z\n\n").has_value());
 }
 
 // However the bytes are split, the concatenated output is the input up to the
 // last whole event.
-RC_GTEST_PROP(EventCutterProperty, GivesWhatCameWhateverTheSplits, ()) {
+RC_GTEST_PROP(EventCutterProperty, OutputDoesNotDependOnSplits, ()) {
   std::string all;
   const int events = *rc::gen::inRange(0, 12);
   for (int i = 1; i <= events; ++i) {
@@ -48,22 +48,25 @@
   }
   const std::string rest = "id: 99\nda";
   EventCutter cutter(std::nullopt);
-  std::string given;
+  std::string output;
   const std::string bytes = all + rest;
-  std::size_t at = 0;
-  while (at < bytes.size()) {
+  std::size_t position = 0;
+  while (position < bytes.size()) {
     const auto size = *rc::gen::inRange<std::size_t>(1, 40);
-    const auto out = cutter.Feed(std::string_view(bytes).substr(at, size));
+    const auto out =
+        cutter.Feed(std::string_view(bytes).substr(position, size));
     RC_ASSERT(out.has_value());
-    given += *out;
-    at += size;
+    output += *out;
+    position += size;
   }
-  RC_ASSERT(given == all);
+  RC_ASSERT(output == all);
   RC_ASSERT(cutter.has_rest());
 }
 
 // Arbitrary bytes are either rejected or passed on up to some point, unchanged.
-RC_GTEST_PROP(EventCutterProperty, TakesAnyBytes, (const std::string& bytes)) {
+RC_GTEST_PROP(EventCutterProperty,
+              HandlesArbitraryBytes,
+              (const std::string& bytes)) {
   EventCutter cutter(std::nullopt);
   const auto out = cutter.Feed(bytes);
   RC_ASSERT(!out || bytes.starts_with(*out));
--- a/tests/protocol/mirror_json_test.cc
+++ b/tests/protocol/mirror_json_test.cc
@@ -8,7 +8,7 @@
 // Guards against a node that is cut off from the key-value service and loses
 // all endpoints: it asks a peer for its copy, and a single value that is not
 // text, written by another program, made the whole snapshot unreadable.
-TEST(MirrorJsonTest, AValueThatIsNoTextCostsNoOtherEntry) {
+TEST(MirrorJsonTest, KeepsAllEntriesIfAValueIsNotUtf8) {
   MirrorSnapshot snapshot;
   snapshot.revision = Revision(7);
   snapshot.entries = {{"vm/1", "\xff\xfe", Revision(5), LeaseId()},
@@ -20,29 +20,29 @@
   EXPECT_EQ(ValueOf(read).entries[1].value, "{}");
 }
 
-TEST(MirrorJsonTest, ChangesAreReadAsWritten) {
-  const MirrorChanges told{Revision(9),
-                           {{"vm/1", "\xff{}", Revision(8), LeaseId(3)}},
-                           {{"vm/2", Revision(9)}},
-                           Duration::Millis(40),
-                           Duration::Millis(900)};
-  const auto read = DecodeMirrorChanges(EncodeMirrorChanges(told));
+TEST(MirrorJsonTest, ChangesRoundTrip) {
+  const MirrorChanges changes{Revision(9),
+                              {{"vm/1", "\xff{}", Revision(8), LeaseId(3)}},
+                              {{"vm/2", Revision(9)}},
+                              Duration::Millis(40),
+                              Duration::Millis(900)};
+  const auto read = DecodeMirrorChanges(EncodeMirrorChanges(changes));
   ASSERT_TRUE(IsOk(read));
-  EXPECT_EQ(ValueOf(read).revision, told.revision);
+  EXPECT_EQ(ValueOf(read).revision, changes.revision);
   ASSERT_EQ(ValueOf(read).changed.size(), 1U);
   EXPECT_EQ(ValueOf(read).changed[0].value, "\xff{}");
   EXPECT_EQ(ValueOf(read).changed[0].lease, LeaseId(3));
   ASSERT_EQ(ValueOf(read).deleted.size(), 1U);
   EXPECT_EQ(ValueOf(read).deleted[0].key, "vm/2");
   EXPECT_EQ(ValueOf(read).deleted[0].revision, Revision(9));
-  EXPECT_EQ(ValueOf(read).age, told.age);
-  EXPECT_EQ(ValueOf(read).lapse_left, told.lapse_left);
+  EXPECT_EQ(ValueOf(read).age, changes.age);
+  EXPECT_EQ(ValueOf(read).lapse_left, changes.lapse_left);
 }
 
 // Guards against a copy that loses entries or goes back in time, because fields
 // that are missing or negative in the reply of a broken node or another version
 // were read as zero.
-TEST(MirrorJsonTest, ChangesWithoutTheirAgeAreNone) {
+TEST(MirrorJsonTest, RejectsMissingOrNegativeAge) {
   EXPECT_FALSE(IsOk(DecodeMirrorChanges(
       R"({"revision":9,"changed":[],"deleted":[],"lapse_left_ms":0})")));
   EXPECT_FALSE(IsOk(DecodeMirrorChanges(
--- a/tests/protocol/peer_codec_test.cc
+++ b/tests/protocol/peer_codec_test.cc
@@ -21,7 +21,7 @@
   return {NodeId("n"), {Incarnation(4), 5}, MemberState::kAlive, record};
 }
 
-std::vector<Rumor> SomeRumors() {
+std::vector<Rumor> SampleRumors() {
   return {AliveRumor(), MemberRumor{NodeId("m"), {}, MemberState::kDead, {}},
           DeltaRumor{
               NodeId("n"),
@@ -34,7 +34,7 @@
                      RoleHolderDelta{RoleName("limit/3"), FencingToken(11)}}};
 }
 
-ConfigEntry SomeEntry() {
+ConfigEntry SampleEntry() {
   return {"contract/a",
           Revision(13),
           {std::string("\xff\0x", 3),
@@ -42,12 +42,12 @@
            {{ChangeId("b"), Revision(12)}}}};
 }
 
-OnceAnswer SomeAnswer() {
+OnceAnswer SampleAnswer() {
   return {201, {{"X-A", "\xff"}}, std::string("a\0b", 3)};
 }
 
 // Leaves out `taken_at`, which is sent as an age.
-LoadReport SomeReport() {
+LoadReport SampleReport() {
   LoadReport report;
   report.endpoint = EndpointId("e");
   report.generation = Generation(1);
@@ -60,7 +60,7 @@
   return report;
 }
 
-LimitBatch SomeLimits() {
+LimitBatch SampleLimits() {
   LimitReport report;
   report.sender = {NodeId("n"), Incarnation(1)};
   report.kind = LimitReporter::kRelay;
@@ -76,7 +76,7 @@
 
 // Returns at least one message of each kind, with every alternative of its
 // variants.
-std::vector<PeerMessage> SomeMessages() {
+std::vector<PeerMessage> SampleMessages() {
   ConfigBuckets buckets;
   buckets.buckets[63] = ~0ULL;
   PresenceReport presence;
@@ -85,30 +85,30 @@
       {EndpointId("e"), Generation(1), Presence::kComplete, false},
       {EndpointId("f"), Generation(), Presence::kLeaving, true}};
   std::vector<PeerMessage> messages = {
-      MembershipMessage(Ping{ProbeId(1), {Incarnation(2), 3}, SomeRumors()}),
+      MembershipMessage(Ping{ProbeId(1), {Incarnation(2), 3}, SampleRumors()}),
       MembershipMessage(PingRequest{ProbeId(1), NodeId("t"), {}, {}}),
-      MembershipMessage(PingAck{ProbeId(1), NodeId("t"), {}, SomeRumors()}),
-      MembershipMessage(UrgentRumors{{}, SomeRumors()}),
+      MembershipMessage(PingAck{ProbeId(1), NodeId("t"), {}, SampleRumors()}),
+      MembershipMessage(UrgentRumors{{}, SampleRumors()}),
       MembershipMessage(MemberListRequest{MemberVersion::Highest()}),
       MembershipMessage(MemberList{{}, {AliveRumor()}}),
       ConfigMessage(ConfigDigest{~0ULL, Revision(1), true, true}),
       ConfigMessage(buckets),
       ConfigMessage(ConfigPull{{0, 63}, {{"k", Revision(2)}}}),
       ConfigMessage(ConfigEntries{
-          {}, {SomeEntry(), {"gone", Revision(3), {}}}, {"w"}, true, true}),
-      ConfigMessage(ConfigPush{Revision(1), Revision(2), {SomeEntry()}}),
+          {}, {SampleEntry(), {"gone", Revision(3), {}}}, {"w"}, true, true}),
+      ConfigMessage(ConfigPush{Revision(1), Revision(2), {SampleEntry()}}),
       GuardMessage(PermitRequest{
           AttemptId("a"), Fingerprint(-1), {EndpointId("e")}, EndpointId("f")}),
       GuardMessage(PermitDone{AttemptId("a"), std::nullopt}),
       GuardMessage(PermitDone{
           AttemptId("a"),
           FingerprintDelta{Fingerprint(-7), true, 2, Duration::Millis(9)}}),
-      LoadDigest{{SharedLoad{SomeReport(), Duration::Millis(5)}}},
+      LoadDigest{{SharedLoad{SampleReport(), Duration::Millis(5)}}},
       OnceMessage(OnceClaimRequest{OnceClaimId("c"), IdempotencyKey("k"),
                                    Fingerprint(-2), Duration::Millis(3),
                                    Revision(4)}),
       OnceMessage(OnceFinishAck{OnceClaimId("c")}),
-      SomeLimits(),
+      SampleLimits(),
       presence,
   };
   for (const PermitVerdict& verdict : std::vector<PermitVerdict>{
@@ -116,14 +116,14 @@
     messages.emplace_back(GuardMessage(PermitReply{AttemptId("a"), verdict}));
   }
   for (const OnceVerdict& verdict : std::vector<OnceVerdict>{
-           OnceGranted{}, OnceReplayed{SomeAnswer()}, OnceAnswerGone{},
+           OnceGranted{}, OnceReplayed{SampleAnswer()}, OnceAnswerGone{},
            OnceEarlierUnknown{}, OnceStillRunning{}, OnceMismatch{},
            OnceUndecided{}, OnceElsewhere{NodeId("o")}}) {
     messages.emplace_back(
         OnceMessage(OnceClaimReply{OnceClaimId("c"), verdict, Revision(1)}));
   }
   for (const OnceOutcome& outcome :
-       std::vector<OnceOutcome>{OnceNotRun{}, OnceAnswered{SomeAnswer()},
+       std::vector<OnceOutcome>{OnceNotRun{}, OnceAnswered{SampleAnswer()},
                                 OnceAnsweredTooLarge{}, OnceMayHaveRun{}}) {
     messages.emplace_back(OnceMessage(
         OnceFinish{OnceClaimId("c"), IdempotencyKey("k"), outcome}));
@@ -141,8 +141,8 @@
 
 // Encodes the decoded messages again, so that a field that the decoder loses
 // shows as a difference. The kinds of the messages are compared as well.
-TEST(PeerCodecTest, MessagesComeBackWhole) {
-  const PeerEnvelope sent = EnvelopeWith(SomeMessages());
+TEST(PeerCodecTest, MessagesRoundTrip) {
+  const PeerEnvelope sent = EnvelopeWith(SampleMessages());
   const std::string bytes = EncodePeerFrame(sent).SerializeAsString();
   const auto received = ParsePeerFrame(bytes);
   ASSERT_TRUE(IsOk(received)) << ErrorOf(received).field;
@@ -156,14 +156,15 @@
 }
 
 // Guards against a field that both the encoder and the decoder leave out.
-TEST(PeerCodecTest, FieldsComeBackWhole) {
+TEST(PeerCodecTest, FieldsRoundTrip) {
   const auto received = ParsePeerFrame(
       EncodePeerFrame(
           EnvelopeWith(
-              {MembershipMessage(UrgentRumors{{}, SomeRumors()}),
-               ConfigMessage(ConfigPush{{}, {}, {SomeEntry()}}), SomeLimits(),
+              {MembershipMessage(UrgentRumors{{}, SampleRumors()}),
+               ConfigMessage(ConfigPush{{}, {}, {SampleEntry()}}),
+               SampleLimits(),
                OnceMessage(OnceClaimReply{
-                   OnceClaimId("c"), OnceReplayed{SomeAnswer()}, {}})}))
+                   OnceClaimId("c"), OnceReplayed{SampleAnswer()}, {}})}))
           .SerializeAsString());
   ASSERT_TRUE(IsOk(received));
   const auto& messages = ValueOf(received).messages;
@@ -172,22 +173,22 @@
   EXPECT_EQ(std::get<MemberRumor>(rumors[0]).record, AliveRumor().record);
   for (const int i : {2, 3}) {
     EXPECT_EQ(std::get<DeltaRumor>(rumors[i]).delta,
-              std::get<DeltaRumor>(SomeRumors()[i]).delta);
+              std::get<DeltaRumor>(SampleRumors()[i]).delta);
   }
   EXPECT_EQ(
       std::get<ConfigPush>(std::get<ConfigMessage>(messages[1])).entries[0],
-      SomeEntry());
+      SampleEntry());
   const auto& limits = std::get<LimitBatch>(messages[2]);
-  EXPECT_EQ(limits.reports[0].echo, SomeLimits().reports[0].echo);
+  EXPECT_EQ(limits.reports[0].echo, SampleLimits().reports[0].echo);
   EXPECT_EQ(limits.reports[0].demands[0].demand,
-            SomeLimits().reports[0].demands[0].demand);
+            SampleLimits().reports[0].demands[0].demand);
   // A third must stay exactly a third: if it were rounded up, grants would
   // exceed the limit.
   EXPECT_EQ(limits.grants[0].grants[0].amount,
-            SomeLimits().grants[0].grants[0].amount);
+            SampleLimits().grants[0].grants[0].amount);
   const auto& reply =
       std::get<OnceClaimReply>(std::get<OnceMessage>(messages[3]));
-  EXPECT_EQ(std::get<OnceReplayed>(reply.verdict).answer, SomeAnswer());
+  EXPECT_EQ(std::get<OnceReplayed>(reply.verdict).answer, SampleAnswer());
 }
 
 PeerCodecErrorKind FaultAfter(void (*change)(wire::PeerFrame&)) {
@@ -198,7 +199,7 @@
   return IsOk(decoded) ? PeerCodecErrorKind::kSyntax : ErrorOf(decoded).kind;
 }
 
-TEST(PeerCodecTest, FaultsAreTyped) {
+TEST(PeerCodecTest, ReportsTypedFaults) {
   using Frame = wire::PeerFrame;
   EXPECT_EQ(FaultAfter([](Frame& f) { f.clear_sender(); }),
             PeerCodecErrorKind::kMissing);
@@ -229,8 +230,8 @@
   EXPECT_EQ(ErrorOf(ParsePeerFrame("\xff")).kind, PeerCodecErrorKind::kSyntax);
 }
 
-TEST(PeerCodecTest, ABodyOfAnotherVersionIsPassedOver) {
-  wire::PeerFrame frame = EncodePeerFrame(EnvelopeWith({SomeLimits()}));
+TEST(PeerCodecTest, SkipsBodiesOfUnknownKind) {
+  wire::PeerFrame frame = EncodePeerFrame(EnvelopeWith({SampleLimits()}));
   frame.add_bodies();
   const auto decoded = DecodePeerFrame(frame);
   ASSERT_TRUE(IsOk(decoded));
@@ -239,9 +240,9 @@
 }
 
 // Truncated or corrupted bytes give a result or a typed error.
-RC_GTEST_PROP(PeerCodecTest, SpoiltBytesNeverBreakTheDecoder, ()) {
+RC_GTEST_PROP(PeerCodecTest, CorruptedBytesGiveResultOrTypedError, ()) {
   std::string bytes =
-      EncodePeerFrame(EnvelopeWith(SomeMessages())).SerializeAsString();
+      EncodePeerFrame(EnvelopeWith(SampleMessages())).SerializeAsString();
   const auto position = *rc::gen::inRange<std::size_t>(0, bytes.size());
   bytes[position] = *rc::gen::arbitrary<char>();
   bytes.resize(*rc::gen::inRange<std::size_t>(position, bytes.size()) + 1);
--- a/tests/protocol/record_json_test.cc
+++ b/tests/protocol/record_json_test.cc
@@ -41,13 +41,13 @@
           .members = AnyList(AnyId<VmId>)};
 }
 
-LeavingMember AnyLeaving() {
+LeavingMember AnyLeavingMember() {
   return {.vm = AnyId<VmId>(),
           .group = AnyId<GroupId>(),
           .generation = AnyNumber<Generation>()};
 }
 
-RC_GTEST_PROP(RecordJsonTest, ContractEntriesComeBackWhole, ()) {
+RC_GTEST_PROP(RecordJsonTest, ContractEntriesRoundTrip, ()) {
   ContractEntry entry{.id = AnyId<ContractId>(),
                       .contract = std::nullopt,
                       .change = AnyId<ChangeId>()};
@@ -59,10 +59,10 @@
   RC_ASSERT(ValueOf(decoded) == entry);
 }
 
-RC_GTEST_PROP(RecordJsonTest, DomainRecordsComeBackWhole, ()) {
+RC_GTEST_PROP(RecordJsonTest, DomainRecordsRoundTrip, ()) {
   const DomainRecord record{.domain = AnyId<FabricDomainId>(),
                             .groups = AnyList(AnyGroup),
-                            .leaving = AnyList(AnyLeaving),
+                            .leaving = AnyList(AnyLeavingMember),
                             .written_by = AnyNumber<FencingToken>(),
                             .change = AnyId<ChangeId>()};
   const auto decoded = DecodeDomainRecord(EncodeDomainRecord(record));
@@ -70,7 +70,7 @@
   RC_ASSERT(ValueOf(decoded) == record);
 }
 
-RC_GTEST_PROP(RecordJsonTest, NodeRecordsComeBackWhole, ()) {
+RC_GTEST_PROP(RecordJsonTest, NodeRecordsRoundTrip, ()) {
   const NodeRecord record{.id = AnyId<NodeId>(),
                           .incarnation = AnyNumber<Incarnation>(),
                           .zone = AnyId<ZoneId>(),
@@ -87,7 +87,7 @@
 
 // A value that is truncated at any point must be rejected and never be read as
 // a shorter value.
-RC_GTEST_PROP(RecordJsonTest, CutTextIsRefused, ()) {
+RC_GTEST_PROP(RecordJsonTest, RejectsTruncatedText, ()) {
   const std::string text = EncodeContract(AnyContract());
   const auto length = *rc::gen::inRange<std::size_t>(0, text.size());
   const auto decoded = DecodeContract(text.substr(0, length));
@@ -100,7 +100,7 @@
   return IsOk(decoded) ? CodecError{} : ErrorOf(decoded);
 }
 
-TEST(RecordJsonTest, NamesTheFieldAtFault) {
+TEST(RecordJsonTest, ReportsPathOfInvalidField) {
   EXPECT_EQ(ContractFault("[]"), (CodecError{CodecErrorKind::kWrongType, ""}));
   EXPECT_EQ(ContractFault("{}"), (CodecError{CodecErrorKind::kMissing, "id"}));
   EXPECT_EQ(ContractFault(R"({"id":"a","customer":1})"),
@@ -116,19 +116,19 @@
             (CodecError{CodecErrorKind::kWrongType, "contract.id"}));
 }
 
-TEST(RecordJsonTest, ADeeplyNestedTextIsRefused) {
+TEST(RecordJsonTest, RejectsDeeplyNestedText) {
   EXPECT_EQ(ContractFault(std::string(100000, '[')),
             (CodecError{CodecErrorKind::kSyntax, ""}));
 }
 
-TEST(RecordJsonTest, AnEntryThatForgotItsContractIsNoWithdrawal) {
+TEST(RecordJsonTest, RejectsEntryWithoutContractField) {
   const auto entry = DecodeContractEntry(R"({"id":"a","change":"c"})");
   ASSERT_FALSE(IsOk(entry));
   EXPECT_EQ(ErrorOf(entry), (CodecError{CodecErrorKind::kMissing, "contract"}));
 }
 
 // The overview holds only those fields of a registration that routing needs.
-TEST(RecordJsonTest, FleetOverviewsComeBackWhole) {
+TEST(RecordJsonTest, FleetOverviewsRoundTrip) {
   VmRegistration engine;
   engine.id = VmId("i-1");
   engine.incarnation = Incarnation(7);
--- a/tests/protocol/store_json_test.cc
+++ b/tests/protocol/store_json_test.cc
@@ -73,16 +73,16 @@
   }
 }
 
-RC_GTEST_PROP(StoreJsonTest, CallsComeBackWhole, ()) {
+RC_GTEST_PROP(StoreJsonTest, CallsRoundTrip, ()) {
   const StoreCallMessage message = EncodeStoreCall(AnyCall());
   const auto decoded = DecodeStoreCall(message.path, message.body);
   RC_ASSERT(IsOk(decoded));
-  const StoreCallMessage again = EncodeStoreCall(ValueOf(decoded));
-  RC_ASSERT(again.path == message.path);
-  RC_ASSERT(again.body == message.body);
+  const StoreCallMessage reencoded = EncodeStoreCall(ValueOf(decoded));
+  RC_ASSERT(reencoded.path == message.path);
+  RC_ASSERT(reencoded.body == message.body);
 }
 
-RC_GTEST_PROP(StoreJsonTest, RepliesComeBackWhole, ()) {
+RC_GTEST_PROP(StoreJsonTest, RepliesRoundTrip, ()) {
   const Exchange exchange = AnyExchange();
   const StoreReplyMessage message = EncodeStoreReply(exchange.reply);
   const auto decoded =
@@ -92,14 +92,14 @@
            message.body == "{}"));
   RC_ASSERT(IsOk(decoded));
   RC_ASSERT(ValueOf(decoded).index() == exchange.reply.index());
-  const StoreReplyMessage again = EncodeStoreReply(ValueOf(decoded));
-  RC_ASSERT(again.status == message.status);
-  RC_ASSERT(again.body == message.body);
+  const StoreReplyMessage reencoded = EncodeStoreReply(ValueOf(decoded));
+  RC_ASSERT(reencoded.status == message.status);
+  RC_ASSERT(reencoded.body == message.body);
 }
 
 // The texts are those of docs/PLATFORM.md, so that a field that both the
 // encoder and the decoder leave out shows.
-TEST(StoreJsonTest, ReadsThePlatformsText) {
+TEST(StoreJsonTest, ReadsPlatformText) {
   const auto put = DecodeStoreCall(
       "/kv/put", R"({"key":"k","value":"v","expected":3,"lease":4})");
   ASSERT_TRUE(IsOk(put));
@@ -120,7 +120,7 @@
   EXPECT_EQ(watch.deleted.at(0).key, "c");
 }
 
-TEST(StoreJsonTest, RefusesMalformedCalls) {
+TEST(StoreJsonTest, RejectsMalformedCalls) {
   const auto kind = [](std::string_view path, std::string_view body) {
     const auto decoded = DecodeStoreCall(path, body);
     return IsOk(decoded) ? "accepted"
@@ -136,7 +136,7 @@
   EXPECT_EQ(kind("/kv/range", R"({"prefix":"a")"), "syntax");
 }
 
-TEST(StoreJsonTest, AnOutageIsNoAnswer) {
+TEST(StoreJsonTest, DecodesOutageAsNoAnswer) {
   const auto reply = DecodeStoreReply(StorePut{}, 503, "not JSON");
   ASSERT_TRUE(IsOk(reply));
   EXPECT_TRUE(std::holds_alternative<StoreNoAnswer>(ValueOf(reply)));
@@ -144,25 +144,26 @@
 
 // Guards against endless calls to a service that does not know the call,
 // because its 404 was read as an expired lease.
-TEST(StoreJsonTest, AServiceThatDoesNotKnowTheCallIsNoLapsedLease) {
-  const auto reason = [](const StoreCall& call, int status,
-                         std::string_view body) {
+TEST(StoreJsonTest, UnknownCallIsNotAnExpiredLease) {
+  const auto is_unknown_call = [](const StoreCall& call, int status,
+                                  std::string_view body) {
     const auto reply = DecodeStoreReply(call, status, body);
     const auto* busy =
         IsOk(reply) ? std::get_if<StoreBusy>(&ValueOf(reply)) : nullptr;
     return busy != nullptr && busy->reason == StoreRefusal::kUnknownCall &&
            busy->retry_after == kUnknownStoreCallWait;
   };
-  EXPECT_TRUE(reason(StoreLeaseGrant{}, 404, ""));
-  EXPECT_TRUE(reason(StoreLeaseGrant{}, 404, R"({"error":"lease_unknown"})"));
-  EXPECT_TRUE(reason(StoreLeaseKeepAlive{}, 404, "<html>"));
-  EXPECT_TRUE(reason(StoreRange{}, 405, "{}"));
-  EXPECT_TRUE(reason(StoreRange{}, 501, "{}"));
-  EXPECT_FALSE(
-      reason(StoreLeaseKeepAlive{}, 404, R"({"error":"lease_unknown"})"));
+  EXPECT_TRUE(is_unknown_call(StoreLeaseGrant{}, 404, ""));
+  EXPECT_TRUE(
+      is_unknown_call(StoreLeaseGrant{}, 404, R"({"error":"lease_unknown"})"));
+  EXPECT_TRUE(is_unknown_call(StoreLeaseKeepAlive{}, 404, "<html>"));
+  EXPECT_TRUE(is_unknown_call(StoreRange{}, 405, "{}"));
+  EXPECT_TRUE(is_unknown_call(StoreRange{}, 501, "{}"));
+  EXPECT_FALSE(is_unknown_call(StoreLeaseKeepAlive{}, 404,
+                               R"({"error":"lease_unknown"})"));
 }
 
-TEST(StoreJsonTest, AnAnswerWithoutItsRevisionIsAnError) {
+TEST(StoreJsonTest, RejectsRepliesWithMissingFields) {
   EXPECT_FALSE(IsOk(DecodeStoreReply(StorePut{}, 200, "{}")));
   EXPECT_FALSE(IsOk(DecodeStoreReply(StorePut{}, 409, "{}")));
 }
--- a/tests/protocol/timeline_test.cc
+++ b/tests/protocol/timeline_test.cc
@@ -40,7 +40,7 @@
   EXPECT_EQ(EventKindFromName(""), std::nullopt);
 }
 
-TEST(TimelineJsonTest, APageReadsBackAsItWas) {
+TEST(TimelineJsonTest, PagesRoundTrip) {
   TimelineEvent event = MakeEvent("n1", 7, 1500, EventId("n2/1/3"));
   event.time.logical = 2;
   event.draft.fields = {{"count", std::int64_t{-3}},
@@ -67,7 +67,7 @@
 // Guards against a time line that no viewer or script can read: a caller names
 // a model in bytes that are not UTF-8, the event of the refusal carries the
 // name, and the JSON library writes strings unchanged and NaN as invalid JSON.
-TEST(TimelineJsonTest, BadTextAndNumbersStillGiveJson) {
+TEST(TimelineJsonTest, InvalidTextAndNumbersStillGiveJson) {
   TimelineEvent event = MakeEvent("n1", 1, 1);
   event.draft.subject = "model-\xff\xc0\x80";
   event.draft.fields = {{"wait_ms", std::numeric_limits<double>::quiet_NaN()}};
@@ -79,7 +79,7 @@
   EXPECT_TRUE(std::isnan(std::get<double>(read.draft.fields[0].value)));
 }
 
-TEST(Utf8Test, KnowsWellFormedText) {
+TEST(Utf8Test, RecognizesWellFormedText) {
   EXPECT_TRUE(IsValidUtf8("a\xc4\x8d\xe2\x82\xac\xf0\x9f\x90\xa6"));
   for (const char* bad : {"\x80", "\xc3", "\xc0\xaf", "\xe0\x80\x80",
                           "\xed\xa0\x80", "\xf4\x90\x80\x80", "\xf5"}) {
@@ -87,30 +87,30 @@
   }
 }
 
-TEST(TimelineJsonTest, RefusesWhatIsNoTimeline) {
+TEST(TimelineJsonTest, RejectsMalformedTimelines) {
   const auto kind = [](boost::json::value event) {
     TimelineDecoder decoder;
     const auto decoded = decoder.DecodePage(
         boost::json::serialize(boost::json::object{{"events", {event}}}));
     return IsOk(decoded) ? std::nullopt : std::optional(ErrorOf(decoded).kind);
   };
-  const boost::json::object sound = EventToJson(MakeEvent("n1", 1, 1));
-  EXPECT_EQ(kind(sound), std::nullopt);
-  for (const auto& member : sound) {
-    boost::json::object changed = sound;
+  const boost::json::object valid = EventToJson(MakeEvent("n1", 1, 1));
+  EXPECT_EQ(kind(valid), std::nullopt);
+  for (const auto& member : valid) {
+    boost::json::object changed = valid;
     changed[member.key()] = boost::json::array();
     EXPECT_EQ(kind(changed), TimelineErrorKind::kMalformed) << member.key();
     changed.erase(member.key());
     EXPECT_EQ(kind(changed), TimelineErrorKind::kMalformed) << member.key();
   }
-  boost::json::object unknown = sound;
+  boost::json::object unknown = valid;
   unknown["event"] = "group_sang";
   EXPECT_EQ(kind(unknown), TimelineErrorKind::kUnknownKind);
-  boost::json::object crowded = sound;
+  boost::json::object too_many_names = valid;
   for (std::size_t name = 0; name <= TimelineDecoder::kMaxNames; ++name) {
-    crowded["fields"].as_object()[std::to_string(name)] = 1;
+    too_many_names["fields"].as_object()[std::to_string(name)] = 1;
   }
-  EXPECT_EQ(kind(crowded), TimelineErrorKind::kTooManyNames);
+  EXPECT_EQ(kind(too_many_names), TimelineErrorKind::kTooManyNames);
   TimelineDecoder decoder;
   EXPECT_EQ(ErrorOf(decoder.DecodePage("{\"events\":[")).kind,
             TimelineErrorKind::kSyntax);
@@ -128,7 +128,7 @@
 // a second behind, and n1 acts on an event of n2 whose time it rejected because
 // it exceeds the bound on clock drift. Time stamps alone do not order such
 // events.
-TEST(MergeTimelinesTest, ACauseComesFirstEvenWhenItsTimeIsLater) {
+TEST(MergeTimelinesTest, CausePrecedesEffectWithEarlierTime) {
   const TimelineEvent cause = MakeEvent("n2", 1, 2000);
   const TimelineEvent effect = MakeEvent("n1", 1, 1000, cause.id);
   const TimelineEvent later = MakeEvent("n3", 1, 1500);
@@ -144,7 +144,7 @@
             (std::vector<std::string>{"n1/1/3", "n1/1/1", "n1/1/2"}));
 }
 
-RC_GTEST_PROP(MergeTimelinesTest, HoldsForAnyEventsInAnyOrder, ()) {
+RC_GTEST_PROP(MergeTimelinesTest, KeepsCausalOrderForAnyInput, ()) {
   const int count = *rc::gen::inRange(0, 40);
   std::vector<TimelineEvent> events;
   for (int number = 0; number < count; ++number) {
@@ -166,16 +166,16 @@
   RC_ASSERT(IdsOf(MergeTimelines({events})) == IdsOf(merged));
 }
 
-TEST(ExportTraceTest, HasAProcessANodeAndAnArrowACause) {
+TEST(ExportTraceTest, HasProcessPerNodeAndArrowPerCause) {
   const TimelineEvent cause = MakeEvent("n2", 1, 1000);
   const TimelineEvent effect = MakeEvent("n1", 1, 1001, cause.id);
   const auto trace =
       boost::json::parse(ExportTrace({cause, effect})).as_object();
   std::map<std::string, int> phases;
   std::set<std::int64_t> processes;
-  for (const auto& each : trace.at("traceEvents").as_array()) {
-    ++phases[std::string(each.at("ph").as_string())];
-    processes.insert(each.at("pid").as_int64());
+  for (const auto& entry : trace.at("traceEvents").as_array()) {
+    ++phases[std::string(entry.at("ph").as_string())];
+    processes.insert(entry.at("pid").as_int64());
   }
   // Two processes with one thread each have 4 names; there are two slices and
   // one arrow.
