--- a/protocol/fingerprint_wire.h
+++ b/protocol/fingerprint_wire.h
@@ -3,14 +3,15 @@
 
 #include "coordination/coordination.h"
 #include "protocol/peer.pb.h"
-#include "protocol/wire_faults.h"
+#include "protocol/wire_field_checker.h"
 
 namespace gcw {
 
-// Part of the messages of membership and of the fingerprint guard.
+// Fingerprint deltas are sent in membership messages and in messages of the
+// fingerprint guard.
 wire::FingerprintDelta ToWire(const FingerprintDelta& delta);
 FingerprintDelta FingerprintFromWire(const wire::FingerprintDelta& in,
-                                     WireFaults& faults);
+                                     WireFieldChecker& checker);
 
 }  // namespace gcw
 
