--- a/coordination/routing/endpoint_desk.cc
+++ b/coordination/routing/endpoint_desk.cc
@@ -6,7 +6,8 @@
 namespace gcw {
 namespace {
 
-// Endpoints that take the same requests: one model's or one service's.
+// Returns the key of the pool of endpoints that serve the same model or
+// service.
 std::string PoolOf(const Endpoint& endpoint) {
   return endpoint.service.empty() ? "model/" + endpoint.model.value()
                                   : "service/" + endpoint.service.value();
@@ -168,8 +169,8 @@
                           },
                           [this, now](EndpointClosed& closed) {
                             open_.erase(closed.endpoint);
-                            // Closing takes effect at once, not with the next
-                            // subset.
+                            // A closed endpoint is removed at once instead of
+                            // with the next subset.
                             if (used_.erase(closed.endpoint) > 0) {
                               modules_.router->OnEndpointDown(now,
                                                               closed.endpoint);
--- a/coordination/routing/endpoint_desk.h
+++ b/coordination/routing/endpoint_desk.h
@@ -20,14 +20,14 @@
 struct EndpointDeskSettings {
   EndpointSubsetSettings subset;
   LoadExchangeSettings loads;
-  // Between reads of the platform's VM list and of the weight store.
+  // Intervals between reads of the platform's VM list and of the weight store.
   Duration vm_list_interval = Duration::Seconds(5);
   Duration weight_store_interval = Duration::Seconds(10);
-  // Between reads of an endpoint's cache events.
+  // Interval between reads of one endpoint's cache events.
   Duration cache_events_interval = Duration::Seconds(2);
 };
 
-// The modules that know of endpoints. All outlive the desk.
+// The modules that the desk coordinates. All of them outlive the desk.
 struct EndpointModules {
   ServingGate* gate = nullptr;
   GroupKeeper* keeper = nullptr;
@@ -41,9 +41,9 @@
                                         std::vector<AdmissionAction>>;
 using EndpointDeskActions = std::vector<EndpointDeskAction>;
 
-// Knows which endpoints there are and how loaded they are: joins the serving
-// gate, the keeper of replica groups and the exchange of load reports, and
-// tells the router and the admission.
+// Tracks the endpoints that serve and their load. It feeds events to the
+// serving gate, the group keeper and the exchange of load reports, and passes
+// their results on to the router and to admission.
 class EndpointDesk {
  public:
   EndpointDesk(EndpointDeskSettings settings,
@@ -75,18 +75,18 @@
 
   void OnRequestStarted(const EndpointId& endpoint);
   EndpointDeskActions OnRequestEnded(Time now, const EndpointId& endpoint);
-  // A request found nothing there.
+  // A request could not reach the endpoint.
   EndpointDeskActions OnFoundLost(Time now, const EndpointId& endpoint);
   EndpointDeskActions Tick(Time now);
 
-  // Fabric domains that the VM list names, of this node's zone.
+  // The fabric domains of this node's zone that have appeared in a VM list.
   const std::set<FabricDomainId>& domains() const { return domains_; }
   std::size_t open_endpoints() const { return open_.size(); }
 
  private:
   struct Load {
     LoadReport report;
-    // Requests that this node sent since.
+    // Requests that this node sent since `report` arrived.
     std::int64_t sent_since = 0;
   };
   struct CacheReading {
@@ -109,8 +109,8 @@
   LoadExchange loads_;
   std::vector<NodePlace> nodes_;
   std::set<FabricDomainId> domains_;
-  // Endpoints whose serving gate is open, and those of them that this node
-  // uses.
+  // The endpoints whose serving gate is open, and the subset of them that this
+  // node routes to.
   std::map<EndpointId, Endpoint> open_;
   std::map<EndpointId, Endpoint> used_;
   bool subset_is_stale_ = false;
--- a/coordination/routing/endpoint_load.cc
+++ b/coordination/routing/endpoint_load.cc
@@ -95,8 +95,8 @@
   const double other_tokens =
       peers.others * (peers.likeness * sent_tokens_ +
                       even * peers.mean_tokens_per_milli * age);
-  // This node's own requests are taken off when they end; the others' end at
-  // the mean pace.
+  // This node's own requests are subtracted when they end. Those of other nodes
+  // are assumed to end at the mean rate.
   const double others_part = peers.others / (peers.others + 1);
   const double ended = std::min(1.0, others_part * age / peers.service_millis) *
                        reported_requests_;
--- a/coordination/routing/endpoint_load.h
+++ b/coordination/routing/endpoint_load.h
@@ -9,50 +9,53 @@
 
 namespace gcw {
 
-// What other nodes are taken to do, for the time since an endpoint's report.
+// A model of what other nodes have sent to an endpoint since its last report.
 struct PeerAssumption {
-  // Other nodes that route to the same endpoints.
+  // Number of other nodes that route to the same endpoints.
   double others = 0;
-  // How far they do what this node did, from 0 to 1.
+  // How closely the other nodes follow this node's choices: 0 if they spread
+  // their requests evenly, 1 if they send what this node sent.
   double likeness = 0;
-  // What this node sends to an endpoint in the mean, per millisecond.
+  // This node's mean rates for one endpoint, per millisecond.
   double mean_requests_per_milli = 0;
   double mean_tokens_per_milli = 0;
-  // How fast requests end and prompt tokens are computed.
+  // Mean time a request is served, and the rate at which prompt tokens are
+  // computed.
   double service_millis = 1;
   double tokens_per_milli = 1;
-  // Reports older than this count as none.
+  // A report older than this is ignored.
   Duration report_timeout;
 };
 
-// An endpoint's load as expected now.
+// An endpoint's estimated current load.
 struct LoadEstimate {
   double requests = 0;
-  // Prompt tokens waiting to be computed.
+  // Prompt tokens that are not computed yet.
   double tokens = 0;
-  // 0 where unknown.
+  // 0 if unknown.
   double batch_limit = 0;
 };
 
-// What one endpoint has to do, as far as this node can know: its last report,
-// which is old, corrected by what this node sent there since, by what other
-// nodes likely sent, and by what the endpoint likely finished.
+// Estimates the load of one endpoint. The last report is out of date, so the
+// estimate adds what this node has sent since and what other nodes likely sent,
+// and subtracts what the endpoint has likely finished.
 class EndpointLoad {
  public:
-  // False for a report that is not newer than the last.
+  // Returns false and ignores the report if it is not newer than the last one.
   bool OnReport(const LoadReport& report);
   void OnSent(Time now,
               DispatchTicket ticket,
               std::int64_t tokens,
               Duration expected_first_byte);
   void OnFirstByte(DispatchTicket ticket);
-  // Finished, failed or cancelled.
+  // The attempt finished, failed or was cancelled.
   void OnEnded(DispatchTicket ticket);
 
   LoadEstimate Estimate(Time now, const PeerAssumption& peers) const;
-  // By how much the request that waits longest for its first byte exceeds what
-  // was expected. Reports of a paused endpoint look well until they stop; this
-  // grows at once.
+  // The longest time by which a request has exceeded its expected time to first
+  // byte. It reveals a paused endpoint at once, while the endpoint's reports
+  // look
+  // normal until they stop.
   Duration Overdue(Time now) const;
 
   std::int64_t own_in_flight() const {
@@ -71,7 +74,7 @@
   };
 
   OwnAttempt* Find(DispatchTicket ticket);
-  // The report cannot know of it yet.
+  // True if the attempt was sent after the last report was taken.
   bool IsAfterReport(const OwnAttempt& attempt) const;
   void CountAfterReport();
 
@@ -81,11 +84,11 @@
   double reported_tokens_ = 0;
   double batch_limit_ = 0;
   std::vector<OwnAttempt> own_;
-  // Own requests sent after the report was taken, and their prompt tokens that
-  // have brought no first byte.
+  // This node's requests that were sent after the report was taken, and the
+  // prompt tokens of those that have no first byte yet.
   double sent_requests_ = 0;
   double sent_tokens_ = 0;
-  // Own requests that the report counts and that ended since.
+  // This node's requests that the report counts and that have ended since.
   double ended_requests_ = 0;
 };
 
--- a/coordination/routing/endpoint_pool.cc
+++ b/coordination/routing/endpoint_pool.cc
@@ -6,10 +6,11 @@
 namespace gcw {
 namespace {
 
-// How fast the record of what this node sent fades.
+// Time constant of the decay of this node's send rates.
 constexpr double kRateSpanMillis = 10000;
 constexpr double kServiceWeight = 0.02;
-// Endpoints of a large pool that one decision looks at, besides holders.
+// Number of endpoints of a large pool that one decision examines, in addition
+// to those that hold part of the prompt.
 constexpr std::size_t kSampleSize = 96;
 constexpr std::size_t kMaxHolders = 16;
 
@@ -88,8 +89,8 @@
   }
 }
 
-// Bounds the cost of a decision in a large pool: the endpoints that hold most
-// of the prompt, and others at even distances from a random one.
+// Bounds the cost of a decision in a large pool. Considers the endpoints that
+// hold most of the prompt, and a sample at even intervals from a random start.
 void EndpointPool::CollectSample(const ChooseInput& input,
                                  const PeerAssumption& peers,
                                  const Random& random) {
@@ -158,7 +159,7 @@
           .uncached_tokens = uncached};
 }
 
-// Requests beyond the batch wait until as many others have ended.
+// A request beyond the batch limit waits until enough others have ended.
 double EndpointPool::QueueMillis(const LoadEstimate& load) const {
   if (load.batch_limit <= 0) {
     return 0;
@@ -197,9 +198,9 @@
   return places * 1000 / service_millis_ / static_cast<double>(nodes);
 }
 
-// Nodes with the same old reports agree on the best endpoint; if all took it,
-// it would be the worst. So two are drawn from all that are nearly as good, and
-// the better one of these is taken.
+// Nodes with the same old reports agree on the best endpoint and would overload
+// it if all of them chose it. Two endpoints are therefore drawn at random from
+// those that are nearly as good, and the better of the two is taken.
 const EndpointPool::Candidate& EndpointPool::Draw(const Random& random) {
   const double least =
       std::ranges::min_element(candidates_, {}, &Candidate::cost)->cost;
--- a/coordination/routing/endpoint_pool.h
+++ b/coordination/routing/endpoint_pool.h
@@ -11,22 +11,22 @@
 
 namespace gcw {
 
-// What `EndpointPool::Choose` needs beside the endpoints.
+// The input of `EndpointPool::Choose`.
 struct ChooseInput {
   Time now;
   const RequestProfile& profile;
   std::span<const EndpointId> excluded;
-  // Only these may be chosen; all where empty.
+  // Only these endpoints may be chosen; if empty, all may.
   std::span<const EndpointId> allowed;
-  // Endpoints believed to hold part of the prompt, the longest first.
+  // Endpoints that likely hold part of the prompt, the longest prefix first.
   std::span<const PrefixMatch> holders;
-  // By slot: blocks of the prompt believed to be held.
+  // Number of prompt blocks that an endpoint likely holds, by slot.
   std::span<const double> cached_blocks;
-  // Nodes that route to the same endpoints, with this one.
+  // Number of nodes that route to the same endpoints, including this one.
   std::int64_t nodes = 1;
 };
 
-// The endpoints of one model or plain service, and the choice among them.
+// Holds the endpoints of one model or plain service and chooses among them.
 class EndpointPool {
  public:
   // `endpoints` is the router's table by slot and outlives the pool.
@@ -46,11 +46,12 @@
                   double millis_per_token);
   std::vector<StragglerAction> Tick(Time now);
 
-  // Without a prompt of its own.
+  // Expected wait of a new request, without the time to compute its own prompt.
   double WaitMillis(Time now,
                     const EndpointState& state,
                     std::int64_t nodes) const;
-  // What this node's share of the free places would carry.
+  // The request rate that this node's share of the free batch capacity can
+  // serve.
   double SpareRequestsPerSecond(Time now, std::int64_t nodes) const;
   const StragglerDetector& stragglers() const { return stragglers_; }
 
@@ -61,7 +62,8 @@
     double first_byte_millis = 0;
     double uncached_tokens = 0;
   };
-  // Which endpoints may be chosen.
+  // The endpoints that may become candidates: a bounded sample of the healthy
+  // ones, all healthy ones, or all.
   enum class Scope { kHealthySample, kHealthy, kAny };
 
   PeerAssumption Peers(Time now, std::int64_t nodes) const;
@@ -91,11 +93,11 @@
   std::vector<EndpointSlot> slots_;
   StragglerDetector stragglers_;
   double service_millis_;
-  // Requests and prompt tokens that this node sent, fading with time.
+  // Requests and prompt tokens that this node sent, decaying exponentially.
   double sent_requests_ = 0;
   double sent_tokens_ = 0;
   Time sent_updated_;
-  // Scratch space of `Choose`.
+  // Scratch space for `Choose`.
   std::vector<Candidate> candidates_;
   std::vector<std::size_t> near_best_;
 };
--- a/coordination/routing/endpoint_state.h
+++ b/coordination/routing/endpoint_state.h
@@ -12,18 +12,18 @@
 
 class EndpointPool;
 
-// What a node keeps of one endpoint that it routes to.
+// The state that a node keeps for one endpoint that it routes to.
 struct EndpointState {
   // Null while the slot is free.
   std::shared_ptr<const Endpoint> endpoint;
   EndpointPool* pool = nullptr;
-  // Tells this use of the slot from earlier ones.
+  // Distinguishes this use of the slot from earlier ones.
   std::int64_t use = 0;
-  // One way.
+  // One-way network delay.
   double distance_millis = 0;
   EndpointLoad load;
   FailureBackoff backoff{FailureBackoffSettings()};
-  // As of the last tick.
+  // `EndpointLoad::Overdue` at the last tick.
   double overdue_millis = 0;
 };
 
--- a/coordination/routing/endpoint_subset.cc
+++ b/coordination/routing/endpoint_subset.cc
@@ -9,8 +9,8 @@
 namespace gcw {
 namespace {
 
-// FNV-1a (Fowler, Noll, Vo), finished by the mix of MurmurHash3: all nodes must
-// order alike, which `std::hash` does not promise.
+// FNV-1a (Fowler, Noll, Vo) with the final mix of MurmurHash3. All nodes must
+// compute the same order, which `std::hash` does not guarantee.
 std::uint64_t StableHash(std::string_view text) {
   std::uint64_t hash = 0xcbf29ce484222325;
   for (const char character : text) {
@@ -48,7 +48,8 @@
   return rings;
 }
 
-// Where the node stands among the nodes of its zone, as a share of the ring.
+// Returns the node's position among the nodes of its zone as a fraction of the
+// ring.
 double ShareOfRing(const NodePlace& self, const std::vector<NodePlace>& nodes) {
   const std::uint64_t own_hash = StableHash(self.id.value());
   std::int64_t before = 0;
--- a/coordination/routing/endpoint_subset.h
+++ b/coordination/routing/endpoint_subset.h
@@ -8,29 +8,31 @@
 namespace gcw {
 
 struct EndpointSubsetSettings {
-  // A node connects to all endpoints up to this number.
+  // A node connects to all endpoints if there are at most this many.
   std::size_t max_endpoints = 128;
-  // Above it: to this many of its own zone, ...
+  // With more endpoints, a node connects to at most this many of its own zone
   std::size_t own_zone = 64;
-  // ... and to this many of each other zone, for spill-over and for the loss of
-  // its own.
+  // and to at most this many of each other zone, which serve if its own zone is
+  // full or lost.
   std::size_t other_zone = 8;
 };
 
-// A node as the subset needs to know it.
+// A node and its zone.
 struct NodePlace {
   NodeId id;
   ZoneId zone;
 };
 
-// Which endpoints of one model or service this node connects to. Without a
-// bound, 420 nodes that each poll 620 endpoints make 260,000 calls a second.
+// Chooses the endpoints of one model or service that this node connects to.
+// Without a bound, 420 nodes that each poll 620 endpoints make 260,000 calls a
+// second.
 //
-// Endpoints of a zone and the nodes of one zone each stand on a ring in the
-// order of their hashes, and each node takes the arc that begins at its place.
-// So every endpoint is taken by nearly the same number of nodes, and a node or
-// endpoint that comes or goes moves each arc by one or two places only. Nodes
-// with different views differ in balance, never in safety.
+// The endpoints of each zone and the nodes of this node's zone are ordered by
+// hash on rings. A node takes the arc of endpoints that begins at its own
+// position. Nearly the same number of nodes therefore takes each endpoint, and
+// adding or removing a node or endpoint shifts each arc by only one or two
+// positions. If nodes have different views, only the balance suffers, not
+// safety.
 std::vector<EndpointId> ChooseEndpointSubset(
     const EndpointSubsetSettings& settings,
     const NodePlace& self,
--- a/coordination/routing/failure_backoff.cc
+++ b/coordination/routing/failure_backoff.cc
@@ -36,7 +36,9 @@
 
 void FailureBackoff::OnFailed(Time now) {
   has_trial_ = false;
-  // Requests that were under way together fail together: one step, not many.
+  // Requests that were in flight at the same time fail together and count as
+  // one
+  // failure.
   if (failures_ > 0 && now < until_) {
     return;
   }
--- a/coordination/routing/failure_backoff.h
+++ b/coordination/routing/failure_backoff.h
@@ -8,17 +8,19 @@
 namespace gcw {
 
 struct FailureBackoffSettings {
-  // Time left out after the first failure; doubles with each further one.
+  // Backoff after the first failure; each further failure doubles it.
   Duration first = Duration::Millis(500);
   Duration longest = Duration::Seconds(10);
-  // A trial request that brought no result by then is sent again.
+  // Another trial request is allowed if the last one has had no result for this
+  // long.
   Duration trial_timeout = Duration::Seconds(10);
 };
 
-// Leaves out an endpoint that fails. One that refuses at once reports no load
-// and would draw all requests; the symptom is many fast failures from a single
-// endpoint that looks idle. After its time it gets one request, and more only
-// once that succeeded.
+// Excludes an endpoint that fails requests. An endpoint that refuses requests
+// immediately reports no load and would attract all of them; the symptom is
+// many fast failures from a single endpoint that looks idle. After the backoff,
+// the endpoint gets one trial request, and others only after that one
+// succeeded.
 class FailureBackoff {
  public:
   explicit FailureBackoff(const FailureBackoffSettings& settings);
@@ -27,7 +29,7 @@
   void OnSent(Time now);
   void OnSucceeded();
   void OnFailed(Time now);
-  // The result will never be known.
+  // The result of the request will never be known.
   void OnAbandoned() { has_trial_ = false; }
 
   Time until() const { return until_; }
@@ -35,8 +37,8 @@
 
  private:
   FailureBackoffSettings settings_;
-  // In a row; a success halves them, so that an endpoint that fails half of its
-  // requests is not taken for healthy.
+  // Recent failures. A success halves the count instead of clearing it, so that
+  // an endpoint that fails half of its requests does not count as healthy.
   std::int64_t failures_ = 0;
   Time until_;
   bool has_trial_ = false;
--- a/coordination/routing/load_exchange.h
+++ b/coordination/routing/load_exchange.h
@@ -11,8 +11,8 @@
 
 namespace gcw {
 
-// Load reports that the sender read, with their age instead of a time, since
-// the clocks of nodes may differ.
+// A load report that the sender read. It carries its age instead of a time
+// because the clocks of nodes may differ.
 struct SharedLoad {
   LoadReport report;
   Duration age;
@@ -23,27 +23,29 @@
 };
 
 struct LoadExchangeSettings {
-  // Between reads of an endpoint by the node that reads it for the others.
+  // Interval between reads of an endpoint by its reader node.
   Duration read_interval = Duration::Millis(500);
-  // An endpoint without a report for this long is read by this node itself.
+  // This node reads an endpoint itself if it has had no report for this long.
   Duration own_read_after = Duration::Seconds(3);
-  // Most reads a second that this node makes because nobody else told it.
+  // Limit on the rate of reads that this node makes itself because no report
+  // arrived from another node.
   double own_reads_per_second = 10;
-  // Fleets up to this size share reports with every node, larger ones within
-  // the zone only.
+  // If the fleet has at most this many nodes, reports are shared with all of
+  // them; otherwise only within the zone.
   std::size_t share_with_all_up_to = 32;
 };
 
-// Read the load of this endpoint now.
+// The caller reads the load of this endpoint now.
 struct LoadReadDue {
   Endpoint endpoint;
 };
 
 using LoadExchangeAction = std::variant<LoadReadDue, PeerSend<LoadDigest>>;
 
-// Keeps load reports fresh without every node reading every endpoint: one node
-// of the endpoint's zone reads it and tells the others. With 8 nodes and 68
-// endpoints, reading all of them twice a second would take 54 KB/s a node.
+// Keeps load reports fresh without every node reading every endpoint: one
+// reader node of the endpoint's zone reads its load and shares it with the
+// others. With 8 nodes and 68 endpoints, reading all of them twice a second
+// would take 54 KB/s per node.
 class LoadExchange {
  public:
   LoadExchange(LoadExchangeSettings settings, NodeId self, ZoneId zone);
@@ -51,21 +53,22 @@
   void OnView(const View& view);
   void OnEndpointUp(Time now, const Endpoint& endpoint);
   void OnEndpointDown(const EndpointId& endpoint);
-  // A report that this node read itself.
+  // This node read the report itself.
   void OnRead(Time now, const LoadReport& report);
-  // Reports for this node, with their times on its own clock.
+  // Returns the digest's reports of endpoints that this node uses, with their
+  // times converted to this node's clock.
   std::vector<LoadReport> OnDigest(Time now, const LoadDigest& digest);
   std::vector<LoadExchangeAction> Tick(Time now);
 
  private:
   struct Watched {
     Endpoint endpoint;
-    // This node reads it for the others.
+    // This node reads the endpoint for the others.
     bool is_reader = false;
     Time next_read;
-    // When the newest report was taken.
+    // Time at which the newest report was taken.
     Time taken_at;
-    // Read since the last digest.
+    // `report` was read since the last digest was sent.
     bool news = false;
     LoadReport report;
   };
@@ -81,7 +84,7 @@
   std::vector<NodeId> nodes_;
   std::vector<NodeId> receivers_;
   std::map<EndpointId, Watched> watched_;
-  // Reads that may still be made on this node's own account.
+  // Token bucket of the reads that this node makes because of missing reports.
   double own_reads_ = 0;
   Time refilled_;
 };
--- a/coordination/routing/route.h
+++ b/coordination/routing/route.h
@@ -8,10 +8,10 @@
 
 namespace gcw {
 
-// Names a dispatched attempt to the router. Zero names none.
+// Identifies a dispatched attempt to the router. Zero identifies none.
 using DispatchTicket = StrongNumber<struct DispatchTicketTag>;
 
-// Where to send an attempt.
+// The endpoint chosen for an attempt.
 struct Route {
   std::shared_ptr<const Endpoint> endpoint;
   EndpointSlot slot;
@@ -19,23 +19,23 @@
   TokenCount uncached_tokens;
   // Expected time from dispatch to first byte.
   Duration expected_first_byte;
-  // The endpoint is ejected and this attempt tells whether it recovered.
+  // The endpoint is ejected, and this attempt tests whether it has recovered.
   bool is_probe = false;
 };
 
-// An endpoint as the router sees it, for the status page.
+// The router's state of one endpoint, for the status page.
 struct EndpointView {
   EndpointId id;
   Generation generation;
   ZoneId zone;
-  // Requests that this node has there.
+  // Requests of this node that are in flight at the endpoint.
   std::int64_t own_in_flight = 0;
-  // Expected wait of a request that comes now, without its own prompt.
+  // Expected wait of a new request, without the time to compute its own prompt.
   Duration expected_wait;
   bool has_report = false;
   Time report_taken_at;
   bool is_ejected = false;
-  // Left out until then, after failures.
+  // The endpoint is excluded until this time because of failures.
   Time backing_off_until;
 };
 
--- a/coordination/routing/router.cc
+++ b/coordination/routing/router.cc
@@ -7,13 +7,13 @@
 namespace gcw {
 namespace {
 
-// A ticket is a place in the table of attempts and the serial number of its
-// use.
+// A ticket combines an index into the table of attempts with the serial number
+// of that entry's use.
 constexpr int kPlaceBits = 20;
 constexpr std::int64_t kPlaceMask = (std::int64_t{1} << kPlaceBits) - 1;
-// Fewer tokens say little about an endpoint's pace.
+// An answer with fewer tokens is too short to measure the endpoint's speed.
 constexpr std::int64_t kMinPacedTokens = 8;
-// Of attempts whose endpoint had gone when they left.
+// `Attempt::slot_use` if the endpoint was removed before the attempt was sent.
 constexpr std::int64_t kNoUse = -1;
 
 DispatchTicket MakeTicket(std::int64_t serial, std::size_t place) {
--- a/coordination/routing/router.h
+++ b/coordination/routing/router.h
@@ -17,73 +17,83 @@
 
 class RouterBuilder;
 
-// Chooses the endpoint for each attempt of a request. It knows the endpoints
-// that are routable now, what they last reported, what this node sent them
-// since, and what prefixes they are believed to hold.
+// Chooses the endpoint for each attempt of a request. It tracks the routable
+// endpoints, their last load reports, what this node has sent them since, and
+// the prompt prefixes that they likely hold.
 //
-// An endpoint's cost is the time to a first byte expected from it: the way
-// there, its backlog, and the prompt tokens it would have to compute. Reports
-// are old, and nodes with the same report would all pick the same endpoint; so
-// each corrects the report by its own dispatches, and picks the better of two
-// drawn at random from the endpoints whose cost is near the least.
+// An endpoint's cost is its expected time to first byte: the network delay, its
+// backlog, and the prompt tokens that it would have to compute. Reports are out
+// of date, and nodes with the same report would all choose the same endpoint.
+// Each node therefore corrects the report by its own dispatches and takes the
+// better of two endpoints drawn at random from those whose cost is near the
+// minimum.
 class Router {
  public:
   explicit Router(RouterBuilder builder);
-  // Its pools refer to its table of endpoints.
+  // The pools hold references to the router's table of endpoints.
   Router(const Router&) = delete;
   Router& operator=(const Router&) = delete;
 
-  // An endpoint is routable from now on, or changed. A new generation starts
-  // without load, prefixes or history. False where the node has no slot left:
-  // it has to choose a subset first (coordination/routing/endpoint_subset.h).
+  // Adds or updates a routable endpoint. A new generation starts without load,
+  // prefixes or history. Returns false if the router has no free slot; the
+  // caller
+  // must choose a subset first (coordination/routing/endpoint_subset.h).
   bool OnEndpointUp(Time now, const Endpoint& endpoint);
-  // The endpoint receives nothing new from now on. Its attempts may go on.
+  // The endpoint receives no new attempts from now on. Attempts in flight
+  // continue.
   void OnEndpointDown(Time now, const EndpointId& endpoint);
-  // Ignored for other generations and for reports older than the last.
+  // Ignores reports of another generation and reports that are not newer than
+  // the
+  // last one.
   void OnLoadReport(Time now, const LoadReport& report);
   void OnCacheEvents(Time now,
                      const EndpointId& endpoint,
                      Generation generation,
                      const CacheEventBatch& batch);
-  // How many nodes route to the same endpoints, with this one.
+  // Sets the number of nodes that route to the same endpoints, including this
+  // one.
   void SetNodeCount(std::int64_t nodes);
 
-  // The endpoint to try next; `excluded` holds those that failed this request.
-  // Nothing is noted until `OnDispatched`.
+  // Chooses the endpoint to try next. `excluded` holds the endpoints that have
+  // failed this request. No state changes until `OnDispatched`.
   Result<Route, RefusalKind> Choose(Time now,
                                     const RequestProfile& profile,
                                     std::span<const EndpointId> excluded);
-  // The same, but only among `allowed`; among all where it is empty.
+  // Like `Choose`, but only among `allowed`, or among all if it is empty.
   Result<Route, RefusalKind> ChooseAmong(Time now,
                                          const RequestProfile& profile,
                                          std::span<const EndpointId> excluded,
                                          std::span<const EndpointId> allowed);
 
-  // The attempt left for the route's endpoint. The ticket names it afterwards;
-  // each of the calls below may come late or twice.
+  // The attempt was sent to the route's endpoint. The returned ticket
+  // identifies
+  // it in the calls below, each of which may arrive late or twice.
   DispatchTicket OnDispatched(Time now,
                               const Route& route,
                               const RequestProfile& profile);
   void OnFirstByte(Time now, DispatchTicket ticket);
   void OnFinished(Time now, DispatchTicket ticket, TokenCount generated);
-  // The endpoint failed the attempt or was not reached.
+  // The endpoint failed the attempt or could not be reached.
   void OnFailed(Time now, DispatchTicket ticket);
-  // The caller or the node gave the attempt up.
+  // The caller or this node abandoned the attempt.
   void OnCancelled(Time now, DispatchTicket ticket);
 
   void Tick(Time now);
 
-  // What this node's share of the free places would carry.
+  // The request rate that this node's share of the free batch capacity can
+  // serve.
   double SpareRequestsPerSecond(Time now, const RequestTarget& target) const;
   // For the status page.
   std::vector<EndpointView> Endpoints(Time now) const;
 
  private:
   struct Attempt {
-    // Tells this use of the place from earlier ones; 0 where it is free.
+    // Distinguishes this use of the table entry from earlier ones; 0 if the
+    // entry
+    // is free.
     std::int64_t serial = 0;
     EndpointSlot slot;
-    // Of the slot, when the attempt was sent.
+    // `EndpointState::use` when the attempt was sent.
     std::int64_t slot_use = 0;
     Time sent;
     Time first_byte;
@@ -97,11 +107,12 @@
   double DistanceMillis(const ZoneId& zone) const;
   DispatchTicket AddAttempt(const Attempt& attempt);
   Attempt* FindAttempt(DispatchTicket ticket);
-  // The endpoint of an attempt; null where it has gone or is another
-  // generation.
+  // Returns the state of the attempt's endpoint, or null if the endpoint was
+  // removed or has another generation by now.
   EndpointState* StateFor(const Attempt& attempt);
-  // Frees the attempt's place and takes its load off its endpoint. Null where
-  // it has ended before or its endpoint has gone; `ended` is the attempt.
+  // Copies the attempt to `ended`, frees its table entry and removes its load
+  // from its endpoint. Returns null if the attempt has ended before or its
+  // endpoint was removed.
   EndpointState* End(DispatchTicket ticket, Attempt& ended);
   void ReportStraggler(const StragglerAction& action);
 
@@ -110,7 +121,7 @@
   EventSink events_;
   std::int64_t nodes_ = 1;
   PrefixIndex prefixes_;
-  // By slot.
+  // Indexed by slot.
   std::vector<EndpointState> endpoints_;
   std::vector<EndpointSlot> free_slots_;
   std::unordered_map<EndpointId, EndpointSlot> slots_;
@@ -120,12 +131,11 @@
   std::vector<std::size_t> free_attempts_;
   std::int64_t next_serial_ = 1;
   std::int64_t next_use_ = 1;
-  // Scratch space of `Choose`.
+  // Scratch space for `ChooseAmong`.
   std::vector<PrefixMatch> matches_;
   std::vector<double> cached_blocks_;
 };
 
-// Collects what a router needs.
 class RouterBuilder {
  public:
   RouterBuilder& SetSettings(RouterSettings settings);
--- a/coordination/routing/router_settings.h
+++ b/coordination/routing/router_settings.h
@@ -10,43 +10,48 @@
 
 namespace gcw {
 
-// How far another zone is.
+// The network delay to another zone.
 struct ZoneDistance {
   ZoneId zone;
-  // One way.
+  // One-way delay.
   double millis = 0;
 };
 
 struct RouterSettings {
   ZoneId zone;
   std::vector<ZoneDistance> distances;
-  // One way, for zones that `distances` does not name.
+  // One-way delay to a zone that `distances` does not contain.
   double unknown_distance_millis = 10;
 
-  // Prompt tokens that an engine computes beside a full batch.
+  // Rate at which an engine computes prompt tokens while its batch is full.
   double prefill_tokens_per_second = 9000;
-  // A new request waits for the step under way and then takes part in the next.
+  // Duration of one engine step. A new request waits for the current step to
+  // end
+  // and joins the next one.
   double step_millis = 35;
   std::int64_t tokens_per_block = 16;
-  // Time a request is served, until finished ones show it.
+  // Initial value of the mean service time, which finished requests update.
   double initial_service_millis = 8000;
 
-  // What a full batch adds to an endpoint's cost; it grows with the square of
-  // occupancy and keeps load even while no endpoint has a queue yet.
+  // Cost that a full batch adds to an endpoint. The cost grows with the square
+  // of
+  // the occupancy and balances load before any endpoint has a queue.
   double occupancy_millis = 25;
-  // An endpoint is drawn when its cost is at most this far above the least:
-  // an absolute part plus a share of the least.
+  // An endpoint may be drawn if its cost exceeds the minimum by at most an
+  // absolute amount plus a share of the minimum.
   double near_best_millis = 2.5;
   double near_best_share = 0.05;
-  // What an endpoint of another zone costs beside the way there. Requests that
-  // stay in their zone lose no cached prefixes when another zone is lost.
+  // Cost of an endpoint of another zone in addition to the network delay.
+  // Requests that stay in their zone lose no cached prefixes if another zone is
+  // lost.
   double other_zone_millis = 10;
-  // How far other nodes are taken to do what this node did since a report: 1
-  // the same, 0 they spread their requests evenly.
+  // How closely other nodes are assumed to follow this node's choices since a
+  // report: 1 if they send what this node sent, 0 if they spread their requests
+  // evenly.
   double peer_likeness = 1;
-  // Share of a doubtful prefix that is believed.
+  // Weight of a doubtful prefix match; a certain match has weight 1.
   double doubtful_weight = 1;
-  // Reports older than this count as none.
+  // A report older than this is ignored.
   Duration report_timeout = Duration::Seconds(10);
 
   FailureBackoffSettings backoff;
--- a/coordination/routing/straggler_detector.cc
+++ b/coordination/routing/straggler_detector.cc
@@ -51,7 +51,7 @@
 }
 
 void StragglerDetector::OnProbeSample(Time now, Peer& peer, double cost) {
-  // Requests sent before the ejection still end; they say nothing new.
+  // Requests sent before the ejection may end after it and are no probes.
   if (!peer.is_probing) {
     return;
   }
--- a/coordination/routing/straggler_detector.h
+++ b/coordination/routing/straggler_detector.h
@@ -10,28 +10,34 @@
 namespace gcw {
 
 struct StragglerSettings {
-  // Weight of a new sample in an endpoint's mean.
+  // Weight of a new sample in an endpoint's moving average.
   double sample_weight = 0.2;
-  // Samples before an endpoint is judged.
+  // Number of samples that an endpoint needs before it can be ejected.
   std::int64_t min_samples = 6;
-  // Peers with enough samples before any of them is judged.
+  // Number of peers with enough samples that are needed before any of them can
+  // be
+  // ejected.
   std::int64_t min_peers = 3;
-  // Ejected above this multiple of the peers' median.
+  // An endpoint is ejected if its mean exceeds this multiple of the peers'
+  // median.
   double eject_factor = 2.5;
-  // A probe restores the endpoint below this multiple.
+  // A probe restores the endpoint if its cost is at most this multiple of the
+  // median.
   double restore_factor = 1.4;
-  // Of all peers, how many may be ejected at once.
+  // Limit on the share of all peers that are ejected at the same time.
   double max_ejected_share = 0.2;
-  // Time to the first probe; doubles with each probe that was slow.
+  // Delay from ejection to the first probe. Each slow probe doubles the delay,
+  // up
+  // to `max_probe_after`.
   Duration first_probe_after = Duration::Seconds(5);
   Duration max_probe_after = Duration::Seconds(60);
-  // A probe that brought no sample by then is sent again.
+  // A probe that has brought no sample after this long is sent again.
   Duration probe_timeout = Duration::Seconds(10);
 };
 
 struct StragglerEjected {
   EndpointSlot slot;
-  // Its mean as a multiple of the peers' median.
+  // The endpoint's mean cost as a multiple of the peers' median.
   double factor = 0;
 };
 
@@ -42,41 +48,44 @@
 using StragglerAction = std::variant<StragglerEjected, StragglerRestored>;
 
 // Finds endpoints that are much slower than their peers for the same work, such
-// as a replica with one throttled accelerator. They answer, so no failure shows
-// it: the symptom is a tail of requests several times slower than the rest.
-// The share ejected is capped, so that a slow fleet, a wrong clock or a bad
-// release never leaves no endpoint.
+// as a replica with one throttled accelerator. Such endpoints answer every
+// request, so no failure reveals them; the symptom is a tail of requests that
+// take several times as long as the rest. The share of ejected endpoints is
+// capped, so that a slow fleet, a wrong clock or a bad release cannot eject all
+// of them.
 class StragglerDetector {
  public:
   explicit StragglerDetector(const StragglerSettings& settings);
 
   void Add(EndpointSlot slot);
-  // Forgets all about it; also for a new generation.
+  // Drops all state of the endpoint. Also called for a new generation.
   void Remove(EndpointSlot slot);
 
-  // A cost that is alike for all peers, such as milliseconds a token.
+  // `cost` must be comparable among all peers, such as milliseconds per token.
   void OnSample(Time now, EndpointSlot slot, double cost);
-  // A request goes to an ejected endpoint to see whether it recovered.
+  // A request was sent to an ejected endpoint to test whether it has recovered.
   void OnProbeSent(Time now, EndpointSlot slot);
 
   bool IsEjected(EndpointSlot slot) const;
-  // Any ejected endpoint that is due for a probe; negative where there is none.
+  // Returns an ejected endpoint that is due for a probe, or a negative slot if
+  // there is none.
   EndpointSlot DueProbe(Time now) const;
 
-  // Judges all endpoints against their peers.
+  // Compares all endpoints with their peers, and ejects and restores endpoints.
   std::vector<StragglerAction> Tick(Time now);
 
   std::int64_t ejected_count() const { return ejected_count_; }
-  // The median of the peers' mean costs; 0 while too few are known.
+  // The median of the peers' mean costs, or 0 if too few peers have enough
+  // samples.
   double median_cost() const { return median_; }
 
  private:
   struct Peer {
     bool is_present = false;
     bool is_ejected = false;
-    // A probe is under way.
+    // A probe is in flight.
     bool is_probing = false;
-    // Its probe brought a fast sample.
+    // The last probe was fast enough to restore the endpoint.
     bool has_recovered = false;
     std::int64_t samples = 0;
     double mean = 0;
@@ -96,7 +105,7 @@
   std::int64_t present_count_ = 0;
   std::int64_t ejected_count_ = 0;
   double median_ = 0;
-  // Scratch space for the median.
+  // Scratch space for `UpdateMedian`.
   std::vector<double> means_;
 };
 
--- a/tests/coordination/routing/endpoint_subset_test.cc
+++ b/tests/coordination/routing/endpoint_subset_test.cc
@@ -58,9 +58,8 @@
   }
 }
 
-// Symptom: one restart makes every node drop and open many connections.
-// Sequence: a node or an endpoint leaves the fleet.
-// Cause: subsets drawn anew from the whole list.
+// Guards against subsets that change as a whole when one node or endpoint
+// leaves the fleet, which would make every node drop and open many connections.
 TEST(EndpointSubsetTest, ALossMovesFewConnections) {
   const Fleet before = LargeFleet(420, 620);
   Fleet after = before;
--- a/tests/coordination/routing/router_test.cc
+++ b/tests/coordination/routing/router_test.cc
@@ -13,7 +13,7 @@
 namespace gcw {
 namespace {
 
-// Sends `count` requests at once and counts them by endpoint.
+// Dispatches `count` requests at `now` and returns their number by endpoint.
 std::map<std::string, int> SendMany(Router& router, Time now, int count) {
   std::map<std::string, int> sent;
   for (int i = 0; i < count; ++i) {
@@ -55,11 +55,9 @@
   EXPECT_NE(ChosenBy(*router, Millis(300), profile), holder);
 }
 
-// Symptom: all requests of a second go to one endpoint, whose queue grows while
-// others idle.
-// Sequence: a report shows one endpoint idle; many requests arrive before its
-// next report.
-// Cause: each decision trusts the same old report.
+// Guards against a herd: a report shows one endpoint idle, many requests arrive
+// before its next report, and every decision trusts the same old report, so
+// that one queue grows while other endpoints idle.
 TEST(RouterTest, AnOldReportDrawsNoStampede) {
   const auto router = NewRouter();
   for (int i = 0; i < 10; ++i) {
@@ -72,16 +70,15 @@
   EXPECT_EQ(sent.size(), 10U);
 }
 
-// Symptom: right after a report, an endpoint gets more than its share.
-// Sequence: requests leave; then a report arrives that was taken before them.
-// Cause: a report that replaces the estimate as a whole forgets what was sent
-// after it was taken.
+// Guards against an endpoint that gets more than its share right after a
+// report: the report was taken before some dispatches but arrives after them,
+// and replaces the estimate that counted them.
 TEST(RouterTest, AReportOlderThanDispatchesKeepsThem) {
   struct Case {
     int requests;
     std::int64_t tokens;
   };
-  // Many requests without a prompt, and one long prompt.
+  // The cases are many requests without a prompt and one long prompt.
   for (const Case sent : {Case{16, 0}, Case{1, 30000}}) {
     const auto router = NewRouter();
     for (const char* id : {"a", "b"}) {
@@ -96,11 +93,11 @@
       router->OnDispatched(Millis(1000), ValueOf(route), profile);
     }
     router->OnLoadReport(Millis(1200), Report("a", 900, 2));
-    // Often enough that a lucky draw hides nothing.
+    // One choice could succeed by a lucky draw.
     for (int i = 0; i < 20; ++i) {
       EXPECT_EQ(ChosenBy(*router, Millis(1200), profile), EndpointId("b"));
     }
-    // Out of order: it must not replace the newer one.
+    // A report that arrives out of order must not replace the newer one.
     router->OnLoadReport(Millis(1300), Report("b", 1250, 90));
     router->OnLoadReport(Millis(1300), Report("b", 800, 0));
     EXPECT_EQ(ChosenBy(*router, Millis(1300), ModelRequest(Millis(1300))),
@@ -108,11 +105,9 @@
   }
 }
 
-// Symptom: after a group was rebuilt, its endpoint gets nothing, or the load of
-// its dead predecessor is counted off twice.
-// Sequence: attempts under way; the endpoint returns as a new generation; late
-// results and reports of the old one arrive.
-// Cause: state kept by endpoint id alone outlives what it describes.
+// Guards against state that is keyed by endpoint id alone: after a group was
+// rebuilt, late results and reports of the old generation would leave the
+// endpoint without requests or subtract the old load twice.
 TEST(RouterTest, ANewGenerationStartsWithoutHistory) {
   const auto router = NewRouter();
   router->OnEndpointUp(Millis(0), ModelEndpoint("a"));
@@ -127,15 +122,14 @@
   EXPECT_EQ(view.own_in_flight, 0);
   EXPECT_FALSE(view.has_report);
   EXPECT_EQ(view.backing_off_until, Time());
-  // A route chosen before is for the old generation.
+  // A route chosen before the change refers to the old generation.
   router->OnDispatched(Millis(30), ValueOf(route), profile);
   EXPECT_EQ(router->Endpoints(Millis(30))[0].own_in_flight, 0);
 }
 
-// Symptom: an endpoint that refuses at once takes all requests.
-// Sequence: it fails each request in a millisecond, so its reports show it
-// idle.
-// Cause: the least load is the best choice only where load means work.
+// Guards against an endpoint that fails each request within a millisecond and
+// therefore reports no load: choosing the least loaded endpoint would send it
+// all requests.
 TEST(RouterTest, AnEndpointThatFailsFastIsLeftOutAndTriedAlone) {
   const auto router = NewRouter();
   for (const char* id : {"bad", "good"}) {
@@ -152,9 +146,8 @@
   EXPECT_EQ(SendMany(*router, Millis(600), 5)["bad"], 1);
 }
 
-// Symptom: with every endpoint failing or left out, nothing is tried any more.
-// Sequence: a fault of the fabric fails all endpoints; it passes.
-// Cause: leaving out has no floor.
+// Guards against a pool that tries no endpoint any more after a temporary fault
+// of the fabric made all of them fail and back off.
 TEST(RouterTest, WithAllLeftOutTheBestIsStillTried) {
   const auto router = NewRouter();
   for (const char* id : {"a", "b"}) {
@@ -170,9 +163,9 @@
   EXPECT_TRUE(IsOk(router->Choose(Millis(5), ModelRequest(), {})));
 }
 
-// Symptom: callers of a zone wait while other zones idle, or get no answer.
-// Sequence: the zone's endpoints fill up; then the zone is lost.
-// Cause: a preference for the own zone that is a rule and not a cost.
+// Guards against a preference for the own zone that is a strict rule instead of
+// a cost: callers of a full or lost zone would wait or fail while other zones
+// idle.
 TEST(RouterTest, AFullOrLostZoneSpillsOver) {
   RouterSettings settings;
   settings.distances = {{ZoneId("south"), 1.5}};
@@ -187,10 +180,8 @@
   EXPECT_EQ(ChosenBy(*router, Millis(40), ModelRequest()), EndpointId("s"));
 }
 
-// Symptom: a paused endpoint goes on getting requests that never begin.
-// Sequence: the endpoint pauses; its last report shows it idle; requests to it
-// bring no first byte.
-// Cause: nothing fails and no report contradicts.
+// Guards against a paused endpoint that keeps getting requests: its last report
+// shows it idle, requests to it bring no first byte, and none of them fails.
 TEST(RouterTest, WaitingTooLongForAFirstByteCounts) {
   const auto router = NewRouter();
   for (const char* id : {"paused", "well"}) {
@@ -216,8 +207,8 @@
             RefusalKind::kDeadline);
 }
 
-// Whatever happens in whatever order, a route names a routable endpoint that
-// is not excluded, and ended attempts leave no load behind.
+// For any sequence of events, a route names a routable endpoint that is not
+// excluded, and ended attempts leave no load behind.
 RC_GTEST_PROP(RouterTest, RoutesOnlyToRoutableEndpoints, ()) {
   const auto router = NewRouter();
   std::map<std::string, std::int64_t> routable;
--- a/tests/coordination/routing/straggler_detector_test.cc
+++ b/tests/coordination/routing/straggler_detector_test.cc
@@ -15,7 +15,8 @@
   return EndpointSlot(slot);
 }
 
-// Ten peers, of which the first `slow` take four times as long.
+// Returns a detector with samples of ten peers, of which the first `slow` take
+// four times as long as the rest.
 StragglerDetector Measured(std::int64_t slow) {
   StragglerDetector detector{StragglerSettings()};
   for (std::int64_t slot = 0; slot < 10; ++slot) {
@@ -34,9 +35,8 @@
   EXPECT_FALSE(detector.IsEjected(Slot(1)));
 }
 
-// Symptom: no endpoint is left though all of them answer.
-// Sequence: several endpoints turn slow, or a release makes most of them slow.
-// Cause: ejection without a cap.
+// Guards against ejecting all endpoints if several of them become slow or a
+// release slows most of them down.
 TEST(StragglerDetectorTest, TheShareEjectedIsCapped) {
   StragglerDetector some = Measured(4);
   some.Tick(At(1));
@@ -59,9 +59,8 @@
   EXPECT_FALSE(detector.IsEjected(Slot(0)));
 }
 
-// Symptom: an endpoint that stays slow costs a slow answer each few seconds.
-// Sequence: probe after probe is slow.
-// Cause: a fixed time between probes.
+// Guards against a fixed probe interval, with which an endpoint that stays slow
+// costs a slow answer every few seconds.
 TEST(StragglerDetectorTest, SlowProbesComeLessOften) {
   StragglerDetector detector = Measured(1);
   detector.Tick(At(1));
@@ -72,9 +71,8 @@
   EXPECT_EQ(detector.DueProbe(At(20)), Slot(0));
 }
 
-// Symptom: an ejected endpoint is restored without having answered a probe.
-// Sequence: requests sent before the ejection end after it.
-// Cause: any late sample taken for a probe's.
+// Guards against restoring an ejected endpoint without a probe because a
+// request sent before the ejection ends after it.
 TEST(StragglerDetectorTest, LateSamplesAreNoProbe) {
   StragglerDetector detector = Measured(1);
   detector.Tick(At(1));
@@ -83,9 +81,8 @@
   EXPECT_TRUE(detector.IsEjected(Slot(0)));
 }
 
-// Symptom: a probe that was never answered keeps an endpoint out for ever.
-// Sequence: the probe's request is cancelled by its caller.
-// Cause: waiting for its sample without a limit.
+// Guards against an endpoint that stays ejected forever because the caller of
+// its probe request cancelled it and the probe never brought a sample.
 TEST(StragglerDetectorTest, ALostProbeIsSentAgain) {
   StragglerDetector detector = Measured(1);
   detector.Tick(At(1));
