--- a/coordination/configuration/config_gossip.cc
+++ b/coordination/configuration/config_gossip.cc
@@ -29,7 +29,7 @@
   if (peers_.empty() || now < next_compare_) {
     return actions;
   }
-  // The first comparison comes at a random phase.
+  // The first comparison is at a random time within the interval.
   const Duration interval = settings_.compare_interval;
   next_compare_ =
       next_compare_ == Time()
@@ -55,7 +55,9 @@
     }
     ++inquiry.attempts;
     inquiry.asked = now;
-    // One more than the questions: the last answer had its time as well.
+    // The last request was sent one timeout ago. The count now exceeds the
+    // limit,
+    // which marks the peer as unreachable.
     if (inquiry.attempts > settings_.attempts) {
       continue;
     }
@@ -192,8 +194,8 @@
     Settle(from);
     return actions;
   }
-  // The peer may hold more than one message could carry, and may have learnt
-  // more since.
+  // The peer may hold more entries than one message can carry, and may have
+  // received others since.
   const auto inquiry = inquiries_.find(from);
   const bool asks =
       surveying_ && inquiry != inquiries_.end() && !inquiry->second.settled;
@@ -211,8 +213,8 @@
   for (const ConfigEntry& entry : push.entries) {
     hooks_.merge(now, entry);
   }
-  // Entries of an earlier push may have been lost, so that the sender's word
-  // for everything up to `to` counts only where nothing before it is missing.
+  // Entries of an earlier push may have been lost. The sender's guarantee up to
+  // `to` therefore holds only if this node lacks nothing up to `from`.
   if (push.to > Revision() && hooks_.digest().floor >= push.from) {
     hooks_.raise_floor(push.to);
   }
@@ -225,12 +227,12 @@
   status.floor = std::max(status.floor, digest.floor);
   status.ready = digest.ready;
   status.heard = now;
-  // It can be reached, so it is asked until it has settled.
+  // The peer is reachable, so it is asked until it has settled.
   const auto inquiry = inquiries_.find(from);
   if (inquiry != inquiries_.end()) {
     inquiry->second.attempts = std::min(inquiry->second.attempts, 1);
   }
-  // Equal copies hold the same, so what the peer vouches for holds here too.
+  // The copies are equal, so the peer's floor holds for this copy too.
   if (digest.digest == hooks_.digest().digest) {
     hooks_.raise_floor(digest.floor);
   }
@@ -261,7 +263,7 @@
       continue;
     }
     bytes += EstimatedSize(*entry);
-    // At least one entry goes out, however large.
+    // At least one entry is sent, regardless of its size.
     if (bytes > settings_.message_bytes && !message.entries.empty()) {
       message.more = true;
       break;
--- a/coordination/configuration/config_gossip.h
+++ b/coordination/configuration/config_gossip.h
@@ -15,21 +15,22 @@
 namespace gcw {
 
 struct ConfigGossipSettings {
-  // Between comparisons with one random peer.
+  // Interval between comparisons with one random peer.
   Duration compare_interval = Duration::Seconds(1);
-  // A peer that has not answered within this is asked again.
+  // A peer that has not answered after this long is asked again.
   Duration answer_timeout = Duration::Seconds(1);
-  // After this many questions without an answer a peer counts as unreachable.
+  // A peer counts as unreachable after this many requests without an answer.
   int attempts = 5;
-  // Entries are left out of a message beyond this size.
+  // Size limit of a message; entries beyond it are omitted.
   std::size_t message_bytes = 65536;
-  // Peers asked at once while the node becomes ready.
+  // Limit on the number of peers asked in one tick while the node becomes
+  // ready.
   std::size_t questions_per_tick = 64;
 };
 
 using ConfigGossipAction = std::variant<PeerSend<ConfigMessage>>;
 
-// What a node knows of its peers' copies.
+// What a node knows about a peer's copy.
 struct ConfigPeerStatus {
   Revision floor;
   bool ready = false;
@@ -41,41 +42,42 @@
  public:
   // Hooks into the owner of the copy.
   struct Hooks {
-    // Takes an entry that a peer sent; true where it was new.
+    // Merges an entry that a peer sent. Returns true if the entry was new.
     std::function<bool(Time now, const ConfigEntry&)> merge;
     std::function<const ConfigStore&()> store;
     std::function<ConfigDigest()> digest;
-    // Everything up to the revision is now held.
+    // The copy now holds every change up to the revision.
     std::function<void(Revision)> raise_floor;
   };
 
   ConfigGossip(ConfigGossipSettings settings, Hooks hooks, Random random);
 
-  // All nodes but this one that are not known to be dead.
+  // Sets the peers: all nodes except this one that are not known to be dead.
   void SetPeers(const std::vector<NodeId>& peers);
   std::vector<ConfigGossipAction> Tick(Time now);
   std::vector<ConfigGossipAction> OnPeer(Time now,
                                          const NodeId& from,
                                          const ConfigMessage& message);
-  // Sends entries to `to` without being asked.
+  // Sends entries to `to` unrequested.
   std::vector<ConfigGossipAction> Push(const std::vector<NodeId>& to,
                                        const ConfigPush& push) const;
-  // Asks the peers not known to hold everything up to `revision`.
+  // Sends a digest to each peer that is not known to hold every change up to
+  // `revision`; the replies carry their floors.
   std::vector<ConfigGossipAction> AskFloors(Revision revision) const;
 
-  // While surveying, every peer is asked until its copy holds nothing that is
-  // not held here.
+  // During a survey, every peer is asked until its copy holds nothing that this
+  // node lacks; the peer is then settled.
   void SetSurveying(bool surveying);
-  // Whether every peer has settled so or is unreachable.
+  // Returns true if every peer has settled or is unreachable.
   bool SurveyDone() const;
-  // Whether one that has settled was itself ready.
+  // Returns true if at least one settled peer is itself ready.
   bool SettledWithReadyPeer() const;
 
   const std::map<NodeId, ConfigPeerStatus>& peers() const { return status_; }
   const std::vector<NodeId>& peer_ids() const { return peers_; }
 
  private:
-  // How far the survey of one peer is.
+  // The progress of the survey of one peer.
   struct Inquiry {
     int attempts = 0;
     Time asked;
@@ -104,7 +106,7 @@
   Random random_;
   std::vector<NodeId> peers_;
   std::map<NodeId, ConfigPeerStatus> status_;
-  // The epoch before the first tick.
+  // Equals `Time()` before the first comparison is scheduled.
   Time next_compare_;
   bool surveying_ = false;
   std::map<NodeId, Inquiry> inquiries_;
--- a/coordination/configuration/config_messages.cc
+++ b/coordination/configuration/config_messages.cc
@@ -5,7 +5,7 @@
 namespace gcw {
 namespace {
 
-// Message type, lengths and numbers around the variable parts.
+// Bytes for the message type, lengths and numbers around the variable parts.
 constexpr std::size_t kFraming = 16;
 constexpr std::size_t kNumber = 8;
 
--- a/coordination/configuration/config_messages.h
+++ b/coordination/configuration/config_messages.h
@@ -11,43 +11,46 @@
 
 namespace gcw {
 
-// What the sender holds. Asks the receiver to compare unless it is a reply.
+// Describes the sender's copy. Unless it is a reply, it asks the receiver to
+// compare it with its own.
 struct ConfigDigest {
   std::uint64_t digest = 0;
-  // Everything up to here is held; see `ConfigSync::floor`.
+  // The sender holds every change up to this revision; see `ConfigSync::floor`.
   Revision floor;
   bool ready = false;
   bool reply = false;
 };
 
-// Answers a digest that differs from the receiver's own.
+// Answers a digest that differs from the answering node's own.
 struct ConfigBuckets {
   ConfigDigest digest;
   ConfigStore::Buckets buckets{};
 };
 
-// Asks for what is newer in some groups of keys than the sender's versions.
+// Requests the entries of some buckets that are newer than the sender's
+// versions.
 struct ConfigPull {
   std::vector<std::uint8_t> buckets;
   std::vector<ConfigKeyRevision> held;
 };
 
-// Answers a pull, or hands on what the receiver asked for by `wanted`.
+// Answers a pull, or sends the entries that the receiver requested in `wanted`.
 struct ConfigEntries {
   ConfigDigest digest;
   std::vector<ConfigEntry> entries;
-  // Keys of which the receiver of this message holds newer versions.
+  // Keys whose newer versions the sender requests from the receiver.
   std::vector<std::string> wanted;
-  // Whether entries were left out to keep the message small.
+  // True if entries were omitted to limit the size of the message.
   bool more = false;
-  // Whether this answers a pull, so that the sender holds nothing else newer.
+  // True if this answers a pull. Unless `more` is set, the sender then holds no
+  // other newer entries.
   bool answers_pull = false;
 };
 
-// New versions, sent without being asked.
+// New versions, sent unrequested.
 struct ConfigPush {
-  // A receiver that held everything up to `from` now holds everything up to
-  // `to`. Both zero where the sender does not vouch for that.
+  // A receiver that held every change up to `from` now holds every change up to
+  // `to`. Both are zero if the sender does not guarantee that.
   Revision from;
   Revision to;
   std::vector<ConfigEntry> entries;
@@ -56,7 +59,7 @@
 using ConfigMessage = std::
     variant<ConfigDigest, ConfigBuckets, ConfigPull, ConfigEntries, ConfigPush>;
 
-// About how many bytes each takes on the wire.
+// Returns the approximate size on the wire in bytes.
 std::size_t EstimatedSize(const ConfigEntry& entry);
 std::size_t EstimatedSize(const ConfigMessage& message);
 
--- a/coordination/configuration/config_proposer.cc
+++ b/coordination/configuration/config_proposer.cc
@@ -6,7 +6,7 @@
 namespace gcw {
 namespace {
 
-// Whether the operator's expectation holds for `current`.
+// Returns true if `current` is the version that the operator expects.
 bool Meets(const std::optional<ConfigEntry>& current, Revision expected) {
   if (expected == Revision()) {
     return !current;
@@ -14,7 +14,8 @@
   return current && current->revision == expected;
 }
 
-// The version of `entry` that `change` made, if it is still known.
+// Returns the revision that `change` wrote, if the entry or its history still
+// names it.
 std::optional<Revision> FindChange(const ConfigEntry& entry,
                                    const ChangeId& change) {
   if (entry.record.change == change) {
@@ -28,14 +29,14 @@
   return std::nullopt;
 }
 
-// Whether the history names every version after `base`.
+// Returns true if the history names every version after `base`.
 bool Covers(const ConfigEntry& entry, Revision base) {
   const auto& history = entry.record.history;
   return history.size() < ConfigRecord::kHistoryLimit ||
          history.back().revision <= base;
 }
 
-// The entry's version, then the ones before it.
+// Returns the entry's version, followed by those before it.
 std::vector<ConfigVersion> VersionsOf(const ConfigEntry& entry) {
   std::vector<ConfigVersion> versions = {{entry.record.change, entry.revision}};
   versions.insert(versions.end(), entry.record.history.begin(),
@@ -91,7 +92,7 @@
                     .seen = {}};
   const ConfigEntry* own = hooks_.find(proposal.change.key);
   if (own != nullptr) {
-    // The operator asks again for the outcome of a change that is known.
+    // The operator asks again about a change that is known to be committed.
     if (const auto revision = FindChange(*own, proposal.change.change)) {
       proposal.seen = *own;
       return {Finish(proposal, ChangeAccepted{*revision})};
@@ -114,8 +115,9 @@
   const ConfigEntry* own = hooks_.find(proposal.change.key);
   const auto current =
       own == nullptr ? std::nullopt : std::optional<ConfigEntry>(*own);
-  // The own copy may be behind, so it never settles a conflict; but a version
-  // that meets the expectation is a good guess to compare and swap against.
+  // The node's own copy may be out of date, so it never decides a conflict. A
+  // version that the operator expects is a good first guess for the
+  // compare-and-swap.
   if (!Meets(current, proposal.change.expected)) {
     return;
   }
@@ -175,13 +177,16 @@
   proposal.call_is_put = proposal.base.has_value();
   if (!proposal.base) {
     // Reads the key by a compare-and-swap that cannot match. A plain read may
-    // be answered from an old state, and an operator would be told of a
-    // conflict although the change has taken effect.
+    // be
+    // answered from an old state, and the operator would be told of a conflict
+    // although the change has taken effect.
     return {last_id_, StoreDelete{proposal.change.key, kNoRevision}};
   }
-  // After a lost answer the same put goes out again. It cannot take effect
-  // twice, since the first one moves the key off `base`; its conflict then
-  // shows the first one's change id.
+  // After a lost answer, the same put is sent again. It cannot take effect
+  // twice
+  // because the first put changes the key's revision from `base`. The second
+  // put
+  // then conflicts, and the conflict shows the change id of the first.
   return {last_id_, StorePut{.key = proposal.change.key,
                              .value = codec_.encode(NewRecord(proposal)),
                              .expected = *proposal.base,
@@ -246,7 +251,7 @@
     const Proposal& proposal,
     Revision revision) const {
   if (revision <= proposal.known_at_call) {
-    // Nodes hold newer versions and would never take this one.
+    // Nodes already hold newer versions and would never apply this one.
     return ChangeUnavailable{ChangeUnavailableKind::kStoreRewound};
   }
   return ChangeAccepted{revision};
@@ -261,7 +266,8 @@
   }
   const Revision found =
       conflict.current ? conflict.current->revision : Revision();
-  // Keys of the configuration are never deleted and only move up, and a
+  // Keys of the configuration are never deleted, their revisions only grow, and
+  // a
   // compare-and-swap is never answered from an old state.
   if (found < proposal.base.value_or(Revision()) ||
       found < proposal.own_at_call) {
@@ -285,8 +291,9 @@
         current ? VersionsOf(*current) : std::vector<ConfigVersion>();
     return std::nullopt;
   }
-  // Others have changed the key since. If this change had come before theirs,
-  // the history would name it, unless it does not reach back far enough.
+  // Other changes to the key have followed. If this change had been committed
+  // before them, the history would name it, unless it does not reach back far
+  // enough.
   const bool asked_before = proposal.maybe_written || proposal.change.repeated;
   if (asked_before && current && !Covers(*current, proposal.change.expected)) {
     return ChangeUnavailable{ChangeUnavailableKind::kOutcomeUnknown};
@@ -313,7 +320,7 @@
   ProposalFinished finished{proposal.change, std::move(outcome), std::nullopt};
   const auto* accepted = std::get_if<ChangeAccepted>(&finished.outcome);
   if (accepted != nullptr) {
-    // Others may have built on the change already.
+    // Other changes may already have replaced this one.
     finished.entry =
         proposal.seen && proposal.seen->revision >= accepted->revision
             ? proposal.seen
--- a/coordination/configuration/config_proposer.h
+++ b/coordination/configuration/config_proposer.h
@@ -15,39 +15,45 @@
 
 namespace gcw {
 
-// A change that an operator asks for.
+// A change that an operator requests.
 struct ConfigChange {
   std::string key;
-  // Absent to withdraw the key.
+  // The new value, or no value to withdraw the key.
   std::optional<std::string> value;
-  // The revision that the operator saw, of a tombstone too; zero where the key
-  // was never written. The change can take effect on this version only.
+  // The revision of the key that the operator saw, which may be a tombstone's,
+  // or
+  // zero if the key was never written. The change takes effect only if the key
+  // still has this revision.
   Revision expected;
   // Chosen by the operator's client. The same change may be proposed again
-  // under the same id, through any node, to learn its outcome.
+  // under
+  // the same id through any node to learn its outcome.
   ChangeId change;
-  // Whether the operator proposed it before and got no final outcome.
+  // True if the operator proposed the change before without a final outcome.
   bool repeated = false;
 };
 
-// The change is committed at this revision. Others may have followed since.
+// The change is committed at this revision. Other changes may have followed.
 struct ChangeAccepted {
   Revision revision;
 };
 
-// The change did not take effect and never will: the key stands otherwise.
+// The change did not take effect and never will, because the key does not have
+// the expected version.
 struct ChangeConflict {
-  // Absent where the key does not exist.
+  // The current entry, or no value if the key does not exist.
   std::optional<ConfigEntry> current;
 };
 
 enum class ChangeUnavailableKind {
-  // It did not take effect and never will.
+  // The change did not take effect and never will.
   kNotWritten,
-  // It may have taken effect or may still do so: ask again with its id.
+  // The change may have taken effect or may still do so. Proposing it again
+  // with
+  // the same id tells.
   kOutcomeUnknown,
-  // The service was set back behind what nodes hold; changes wait for an
-  // operator.
+  // The key-value service was restored to a state older than what nodes hold.
+  // Changes are refused until an operator has dealt with it.
   kStoreRewound,
 };
 
@@ -64,31 +70,33 @@
 struct ProposalFinished {
   ConfigChange change;
   ChangeOutcome outcome;
-  // The key as it stands after an accepted change; absent otherwise.
+  // The current entry of the key after an accepted change; no value otherwise.
   std::optional<ConfigEntry> entry;
 };
 
 struct ConfigProposerSettings {
-  // After this a change is answered as unavailable.
+  // A change without an outcome after this long is answered as unavailable.
   Duration settle_timeout = Duration::Seconds(10);
   Duration call_timeout = Duration::Seconds(2);
   BackoffSettings backoff;
 };
 
-// What the proposer asks of the owner of the node's copy.
+// Hooks into the owner of the node's copy.
 struct ConfigProposerHooks {
-  // The node's own version of a key; null where it has none.
+  // Returns the node's own version of a key, or null if it has none.
   std::function<const ConfigEntry*(const std::string&)> find;
-  // The highest revision that the node knows of.
+  // Returns the highest revision that the node knows of.
   std::function<Revision()> known;
-  // Whether the service is known to have been set back.
+  // Returns true if the service is known to have been restored to an older
+  // state.
   std::function<bool()> rewound;
 };
 
 using ConfigProposerAction = std::variant<StoreRequest, ProposalFinished>;
 
-// Commits changes by compare-and-swap and settles the ones whose answer was
-// lost, by finding the change's id in the key's record or its history.
+// Commits changes by compare-and-swap. If the answer to a put is lost, the
+// proposer determines the outcome by looking for the change's id in the key's
+// record and history.
 class ConfigProposer {
  public:
   class Builder;
@@ -101,27 +109,29 @@
   std::size_t open_proposals() const { return open_.size(); }
 
  private:
-  // A proposal under way.
+  // A proposal without an outcome.
   struct Proposal {
     ConfigChange change;
     Time deadline;
     Time next_call;
     Backoff backoff;
-    // The version that the next put replaces, zero for none; absent until it
-    // is known.
+    // The revision that the next put replaces, or zero if the key does not
+    // exist.
+    // It has no value until that is known.
     std::optional<Revision> base;
-    // The base and the versions before it.
+    // The base version and the versions before it.
     std::vector<ConfigVersion> history;
-    // A put went unanswered.
+    // True if a put was not answered.
     bool maybe_written = false;
     std::optional<StoreCallId> call;
     bool call_is_put = false;
     Time call_sent;
-    // The highest known revision, and the one of the node's own version of the
-    // key, when the call was sent.
+    // The highest known revision and the revision of the node's own version of
+    // the
+    // key when the call was sent.
     Revision known_at_call;
     Revision own_at_call;
-    // The key as the service last showed it.
+    // The key's entry in the last reply of the service.
     std::optional<ConfigEntry> seen;
   };
 
@@ -131,7 +141,7 @@
                  Random random,
                  EventSink sink);
 
-  // An outcome, the next call where one is due, or nothing.
+  // Returns an outcome, the next call if it is due, or no value.
   std::optional<ConfigProposerAction> Advance(Time now, Proposal& proposal);
   std::optional<ChangeOutcome> OnReply(Time now,
                                        Proposal& proposal,
--- a/coordination/configuration/config_sync.cc
+++ b/coordination/configuration/config_sync.cc
@@ -8,8 +8,9 @@
 namespace gcw {
 namespace {
 
-// A node that learns more than this at once leaves the rest of its zone to
-// compare copies: pushing a whole configuration to all would be a burst.
+// A node that receives more entries than this at once does not push them to its
+// zone, whose nodes get them by comparing copies. Pushing a whole configuration
+// to all of them would be a burst.
 constexpr std::size_t kMaxPushed = 32;
 
 std::string WatchKey(const ZoneId& zone) {
@@ -103,7 +104,8 @@
   for (ConfigWatch& watch : watches_) {
     watch.SetWatching(watching_);
     if (watching_ && !watched_before) {
-      // What happened since this node last read is not in the watch.
+      // The watch does not report changes between this node's last read and its
+      // start.
       watch.RequestRead(now);
     }
   }
@@ -135,7 +137,7 @@
                : std::max(settings_.min_read_interval,
                           settings_.read_interval_per_node *
                               static_cast<std::int64_t>(node_count_));
-  // A random phase keeps the fleet's reads apart.
+  // A random phase spreads the fleet's reads over time.
   next_read_ = now + interval / 2 +
                Duration::Millis(static_cast<std::int64_t>(DrawBelow(
                    random_, static_cast<std::uint64_t>(interval.millis()))));
@@ -207,7 +209,8 @@
       continue;
     }
     auto& finished = std::get<ProposalFinished>(action);
-    // The change is in force here before the operator hears that it is
+    // The change takes effect at this node before the operator is told that it
+    // is
     // accepted.
     if (finished.entry && Merge(now, *finished.entry)) {
       accepted_.push_back(*finished.entry);
@@ -219,7 +222,9 @@
     }
     to.emplace_back(std::move(finished));
   }
-  // Calls that the proposer gave up on get no use of a late reply.
+  // Bounds the table: a late reply to a call that the proposer has given up on
+  // is
+  // of no use.
   constexpr std::size_t kMaxCalls = 1024;
   while (proposer_calls_.size() > kMaxCalls) {
     proposer_calls_.erase(proposer_calls_.begin());
@@ -284,8 +289,8 @@
 }
 
 void ConfigSync::PushFloor(std::vector<ConfigSyncAction>& actions) {
-  // Only once the floor passes a change: it also moves with every write of
-  // other keys.
+  // The floor is pushed only after it passes a change of the configuration,
+  // because it also rises with every write of other keys.
   if (store_.newest() <= pushed_floor_ || floor_ < store_.newest()) {
     return;
   }
--- a/coordination/configuration/config_sync.h
+++ b/coordination/configuration/config_sync.h
@@ -22,34 +22,41 @@
 namespace gcw {
 
 struct ConfigSyncSettings {
-  // Prefixes of the configuration's keys.
+  // Key prefixes of the configuration.
   std::vector<std::string> prefixes = {"contract/", "setting/"};
-  // Nodes of each zone that watch the key-value service for the others.
+  // Number of nodes of each zone that watch the key-value service for the
+  // others.
   std::size_t watchers_per_zone = 2;
-  // Every node reads all of the configuration once per this long for each node
-  // of the fleet, so that the fleet's reads do not grow with its size.
+  // Each node reads the whole configuration at an interval of this duration
+  // times
+  // the number of nodes, so that the total read rate does not grow with the
+  // fleet.
   Duration read_interval_per_node = Duration::Seconds(2);
   Duration min_read_interval = Duration::Seconds(30);
-  // Replies below the known revisions for this long are looked into.
+  // If replies show revisions below known ones for this long, the node checks
+  // whether the service was restored to an older state.
   Duration rewind_grace = Duration::Seconds(5);
   ConfigWatchSettings watch;
   ConfigGossipSettings gossip;
   ConfigProposerSettings proposer;
 };
 
-// What the node's copy of the configuration can be relied on for.
+// How far the node's copy of the configuration can be relied on.
 enum class ConfigState {
-  // It has not yet heard every source it can reach; serves nobody.
+  // The node has not yet compared its copy with every reachable source. It
+  // serves
+  // no requests.
   kLearning,
   kReady,
-  // The service was set back behind what this node holds. The node keeps its
-  // copy and serves by it; changes wait for an operator.
+  // The key-value service was restored to a state older than this node's copy.
+  // The node keeps its copy and serves by it. Changes are refused until an
+  // operator has dealt with it.
   kStoreRewound,
 };
 
 std::string_view ConfigStateName(ConfigState state);
 
-// The entry is in force at this node from now on.
+// The entry takes effect at this node.
 struct ConfigApplied {
   ConfigEntry entry;
 };
@@ -59,23 +66,24 @@
                                       ConfigApplied,
                                       ProposalFinished>;
 
-// Where a revision is in force, as far as this node knows.
+// The nodes that have and have not confirmed a revision, as far as this node
+// knows.
 struct ConfigConfirmation {
   Revision revision;
   std::vector<NodeId> confirmed;
   std::vector<NodeId> pending;
 };
 
-// The node's part in spreading the operators' configuration: a few nodes of
-// each zone watch the key-value service and push to the rest; each node
+// Replicates the operators' configuration to this node. A few nodes of each
+// zone watch the key-value service and push changes to the rest, and each node
 // compares its copy with one random peer per second.
 //
 // A node is ready once (a) each prefix was read in full from the service, or
 // every such read has failed and at least one ready peer has answered; and (b)
 // every peer of the view either has nothing newer than this node or did not
-// answer `ConfigGossipSettings::attempts` times. What this can miss: a version
-// that is known only to nodes that cannot be reached or are not in the view,
-// while the service cannot be reached either or answers from an old state.
+// answer `ConfigGossipSettings::attempts` times. A ready node can still lack a
+// version that only unreachable nodes or nodes outside the view hold, if the
+// service is also unreachable or answers from an old state.
 class ConfigSync {
  public:
   class Builder;
@@ -83,7 +91,7 @@
   ConfigSync(const ConfigSync&) = delete;
   ConfigSync& operator=(const ConfigSync&) = delete;
 
-  // Who takes part. Call it whenever the membership's view changes.
+  // Sets the participating nodes. Called whenever the membership view changes.
   void SetView(Time now, const View& view);
   std::vector<ConfigSyncAction> Tick(Time now);
   std::vector<ConfigSyncAction> OnStoreReply(Time now,
@@ -93,10 +101,11 @@
                                        const NodeId& from,
                                        const ConfigMessage& message);
 
-  // Commits an operator's change; `ProposalFinished` carries the answer.
+  // Commits an operator's change. `ProposalFinished` carries the outcome.
   std::vector<ConfigSyncAction> Propose(Time now, ConfigChange change);
 
-  // Asks the peers that may lack `revision`; their answers update
+  // Asks the peers that may lack `revision` for their floors. The answers
+  // update
   // `Confirmation`.
   std::vector<ConfigSyncAction> AskFloors(Revision revision) const;
   ConfigConfirmation Confirmation(Revision revision) const;
@@ -104,7 +113,7 @@
   const ConfigStore& store() const { return store_; }
   ConfigState state() const;
   bool ready() const { return learnt_; }
-  // Every change up to this revision is held.
+  // This node holds every change up to this revision.
   Revision floor() const { return floor_; }
   // The highest revision that this node knows to have existed.
   Revision highest_revision() const;
@@ -119,7 +128,7 @@
              EventSink sink);
 
   bool Merge(Time now, const ConfigEntry& entry);
-  // What the service said.
+  // Handles a read or watch reply of the service.
   void OnBatch(Time now, ConfigWatch& watch, const ConfigBatch& batch);
   std::vector<ConfigEntry> Decode(const ConfigBatch& batch) const;
   bool ProvesRewind(const std::string& prefix,
@@ -135,7 +144,7 @@
   void ScheduleReads(Time now);
   void UpdateReadiness(Time now);
   ConfigDigest OwnDigest() const;
-  // Collects what came up while an event was handled.
+  // Appends the actions that were queued while an event was handled.
   std::vector<ConfigSyncAction> Flush(std::vector<ConfigSyncAction> actions);
   void PushFresh(std::vector<ConfigSyncAction>& actions);
   void PushFloor(std::vector<ConfigSyncAction>& actions);
@@ -154,38 +163,39 @@
   ConfigGossip gossip_;
   ConfigProposer proposer_;
   std::vector<ConfigWatch> watches_;
-  // The proposer counts its own calls; these are the ones it sees.
+  // Maps this node's call ids to those of the proposer, which numbers its own
+  // calls.
   std::map<StoreCallId, StoreCallId> proposer_calls_;
   StoreCallId last_id_;
 
   bool learnt_ = false;
   bool rewound_ = false;
   Revision floor_;
-  // For each prefix, the service's revision up to which it was read.
+  // The service's revision up to which each prefix was read.
   std::map<std::string, Revision> read_to_;
-  // Prefixes that were read in full and well since the service was seen to be
-  // set back.
+  // Prefixes that were read in full and found consistent since the service was
+  // last found to be in an older state.
   std::set<std::string> read_well_;
-  // The highest revision that the service or a peer spoke of.
+  // The highest revision that the service or a peer has reported.
   Revision highest_seen_;
   bool watching_ = false;
   std::size_t node_count_ = 1;
   std::vector<NodeId> zone_peers_;
-  // Watchers of all zones but this node.
+  // The watchers of all zones, except this node.
   std::vector<NodeId> watchers_;
   Time next_read_;
-  // In force since the last flush.
+  // Entries that took effect since the last flush.
   std::vector<ConfigEntry> applied_;
-  // Accepted by this node since the last flush.
+  // Entries of changes that this node committed since the last flush.
   std::vector<ConfigEntry> accepted_;
   Revision pushed_floor_;
-  // Since when replies have been behind known revisions.
+  // Time since which replies have shown revisions below known ones.
   std::optional<Time> behind_since_;
   std::optional<StoreCallId> rewind_check_;
   Time rewind_check_sent_;
-  // The version that the check asks for.
+  // The version that the check looks for.
   ConfigKeyRevision checked_;
-  // Calls that wait for the next flush.
+  // Calls to be sent at the next flush.
   std::vector<StoreRequest> requests_;
 };
 
--- a/coordination/configuration/config_sync_store.cc
+++ b/coordination/configuration/config_sync_store.cc
@@ -1,5 +1,5 @@
-// How the node's copy takes in what the key-value service says, and when it can
-// be relied on.
+// Updates the node's copy from the replies of the key-value service, and
+// decides when the copy is ready.
 
 #include <algorithm>
 #include <map>
@@ -10,7 +10,8 @@
 namespace gcw {
 namespace {
 
-// Between reads while the service's replies are behind what nodes know.
+// Interval between reads while the service's replies show revisions below known
+// ones.
 constexpr Duration kBehindInterval = Duration::Seconds(2);
 
 }  // namespace
@@ -40,7 +41,7 @@
     watch.RequestRead(now + kBehindInterval);
     return;
   }
-  // Entries only move up, so that an old state does no harm here.
+  // Merging ignores older versions, so an old state does no harm here.
   for (const ConfigEntry& entry : entries) {
     Merge(now, entry);
   }
@@ -61,9 +62,10 @@
   return entries;
 }
 
-// A state of the service at some revision holds every version up to it, since
-// keys are never deleted. One that lacks a version that this node holds, or
-// holds another change under its revision, is of another history.
+// Returns true if the batch proves that the service was restored to an older
+// state. Keys are never deleted, so the service's state at a revision holds
+// every version up to it. A state that lacks a version that this node holds, or
+// that holds another change under the same revision, has another history.
 bool ConfigSync::ProvesRewind(const std::string& prefix,
                               const ConfigBatch& batch,
                               const std::vector<ConfigEntry>& entries) const {
@@ -75,7 +77,9 @@
         own->record.change != entry.record.change) {
       return true;
     }
-    // Everything up to the floor is held, so this was written twice.
+    // This node holds every change up to the floor, so this revision was
+    // written
+    // twice.
     const bool newer = own == nullptr || own->revision < entry.revision;
     if (newer && entry.revision <= floor_) {
       return true;
@@ -96,8 +100,8 @@
   return false;
 }
 
-// Whether the service speaks of a revision below one that was known when it was
-// asked.
+// Returns true if the batch shows a revision below the one that was known when
+// the call was sent. Starts a check if that goes on for `rewind_grace`.
 bool ConfigSync::IsBehind(Time now, const ConfigBatch& batch) {
   if (batch.revision >= batch.known) {
     behind_since_.reset();
@@ -112,9 +116,9 @@
   return true;
 }
 
-// Reads from an old state look like a service that was set back, however often
-// they come. A compare-and-swap is always answered from the present state, so
-// one that cannot match tells which it is.
+// Repeated reads from an old state look the same as a service that was restored
+// to an older state. A compare-and-swap is always answered from the present
+// state, so one that cannot match tells the two apart.
 void ConfigSync::CheckForRewind(Time now) {
   const bool waits =
       rewind_check_ && now - rewind_check_sent_ < settings_.watch.call_timeout;
@@ -166,7 +170,7 @@
   if (!batch.after) {
     read_well_.insert(watch.prefix());
   }
-  // The service is believed again once it shows all that this node holds.
+  // The service is trusted again once it shows everything that this node holds.
   if (read_well_.size() == watches_.size()) {
     rewound_ = false;
   }
@@ -174,8 +178,9 @@
     return;
   }
   Revision& read_to = read_to_[watch.prefix()];
-  // A watch reports changes after a revision; it says nothing about a gap
-  // before that.
+  // A watch reports only changes after a revision and does not cover a gap
+  // before
+  // it.
   if (!batch.after || *batch.after <= read_to) {
     read_to = std::max(read_to, batch.revision);
   }
@@ -187,8 +192,9 @@
   RaiseFloor(all);
 }
 
-// A change below one prefix moves the floor only when the other prefixes are
-// known to be unchanged up to its revision.
+// A change below one prefix raises the floor only if the other prefixes have
+// been read up to its revision. Makes the watches that lag behind report their
+// revision.
 void ConfigSync::PokeLagging() {
   for (ConfigWatch& watch : watches_) {
     if (read_to_[watch.prefix()] < store_.newest()) {
@@ -212,7 +218,9 @@
   const bool all_fail =
       rewound_ || std::all_of(watches_.begin(), watches_.end(),
                               [](const ConfigWatch& w) { return w.failing(); });
-  // A copy that no ready peer vouches for may be as empty as this node's own.
+  // Without a ready peer, the copies of all settled peers may be as empty as
+  // this
+  // node's own.
   if (!all_read && !(all_fail && gossip_.SettledWithReadyPeer())) {
     return;
   }
--- a/coordination/configuration/config_watch.cc
+++ b/coordination/configuration/config_watch.cc
@@ -38,8 +38,8 @@
     OnFailure(now, Duration());
   }
   const bool reads = read_due_ && now >= next_read_;
-  // A read or a poke does not wait for a watch to end; its reply, should it
-  // still come, is dropped.
+  // A read or a poke does not wait for the open watch to end. If the reply of
+  // that watch still arrives, it is dropped.
   if (call_ && call_is_watch_ && (reads || poked_)) {
     call_.reset();
   }
@@ -76,8 +76,8 @@
     OnFailure(now, busy->retry_after);
     return std::nullopt;
   }
-  // An answer to another kind of call says no more than none; asking again at
-  // once would go on for as long as such answers come.
+  // A reply of an unexpected type counts as a failure. A retry without backoff
+  // would loop as long as such replies arrive.
   if (!std::holds_alternative<StoreWatchReply>(reply) &&
       !std::holds_alternative<StoreRangeReply>(reply)) {
     OnFailure(now, Duration());
--- a/coordination/configuration/config_watch.h
+++ b/coordination/configuration/config_watch.h
@@ -13,54 +13,54 @@
 namespace gcw {
 
 struct ConfigWatchSettings {
-  // How long the service holds a watch without changes.
+  // Time after which the service answers a watch without changes.
   Duration watch_wait = Duration::Seconds(20);
-  // On top of `watch_wait` for the reply to arrive; alone for reads.
+  // Timeout of a read. A watch times out after `watch_wait` plus this.
   Duration call_timeout = Duration::Seconds(2);
   BackoffSettings backoff;
 };
 
-// What the service said about the keys below one prefix.
+// A reply of the service about the keys below one prefix.
 struct ConfigBatch {
   // The service's revision.
   Revision revision;
-  // The highest revision that the node knew of when it asked.
+  // The highest revision that the node knew of when it sent the call.
   Revision known;
-  // Changes after this revision are all in `entries`; absent for a full read,
-  // which holds every key.
+  // `entries` holds all changes after this revision. It has no value for a full
+  // read, whose entries are all keys.
   std::optional<Revision> after;
   std::vector<StoreEntry> entries;
 };
 
-// Reads one prefix of the key-value service and, where asked to, keeps
-// watching it.
+// Reads one prefix of the key-value service and, if enabled, keeps watching it.
 class ConfigWatch {
  public:
   ConfigWatch(ConfigWatchSettings settings, std::string prefix, Random random);
 
-  // A watching node keeps one waiting call at the service.
+  // A watching node keeps one long-polling call open at the service.
   void SetWatching(bool watching) { watching_ = watching; }
-  // Makes the next call a full read, at `not_before` or later.
+  // Makes the next call a full read, sent at `not_before` or later.
   void RequestRead(Time not_before);
-  // The same, but a read that fails is not repeated. If each node repeated its
-  // routine read through an outage, all would read everything in the seconds
-  // after it.
+  // Like `RequestRead`, but a failed read is not repeated. If each node
+  // repeated
+  // its routine read during an outage, all nodes would read the whole
+  // configuration within seconds of its end.
   void RequestRoutineRead(Time now);
-  // Makes the service tell its revision at once instead of at the end of the
+  // Makes the service report its revision at once instead of at the end of the
   // watch.
   void Poke();
 
-  // `last_id` is the owner's counter of calls, `known` the highest revision
-  // that the node knows of.
+  // Returns the next call if it is due. `last_id` is the owner's counter of
+  // calls, `known` the highest revision that the node knows of.
   std::optional<StoreRequest> Tick(Time now,
                                    StoreCallId& last_id,
                                    Revision known);
-  // Absent where the reply brought nothing.
+  // Returns no value if the reply holds no batch.
   std::optional<ConfigBatch> OnStoreReply(Time now, const StoreReply& reply);
 
   const std::string& prefix() const { return prefix_; }
   bool Awaits(StoreCallId id) const { return call_ == id; }
-  // Whether calls have gone unanswered since the last answer.
+  // True if the last call failed.
   bool failing() const { return failing_; }
 
  private:
@@ -82,7 +82,7 @@
   bool read_is_routine_ = false;
   bool poked_ = false;
   bool failing_ = false;
-  // Watch after this revision.
+  // The next watch reports changes after this revision.
   Revision position_;
   Time next_call_;
   Time next_read_;
--- a/coordination/configuration/contract_directory.h
+++ b/coordination/configuration/contract_directory.h
@@ -9,7 +9,7 @@
 
 namespace gcw {
 
-// The contracts in force at this node, by id and by the digests of their
+// Holds the contracts in force at this node, by id and by the digests of their
 // callers' keys.
 class ContractDirectory {
  public:
@@ -17,10 +17,11 @@
   void Remove(const ContractId& id);
 
   const Contract* Find(const ContractId& id) const;
-  // Of two contracts that name the same key the one set last counts.
+  // If two contracts contain the same key, returns the one that was set last.
   const Contract* FindByKey(const KeyDigest& digest) const;
 
-  // Why a request for this target may not run under the contract now.
+  // Returns the reason why a request for this target may not run under the
+  // contract at `now`, or no value if it may.
   static std::optional<RefusalKind> Check(const Contract& contract,
                                           Time now,
                                           const RequestTarget& target);
--- a/coordination/configuration/record_changes.cc
+++ b/coordination/configuration/record_changes.cc
@@ -61,8 +61,8 @@
            const DrainGroup& move,
            const GroupId& /*new_group*/) {
   GroupRecord* group = FindGroup(record, move.group);
-  // Only a serving group has anything to finish, and only its members are all
-  // known to be at the recorded generation.
+  // Only a serving group has requests to finish, and only a serving group's
+  // members are all known to be at the recorded generation.
   if (group == nullptr || group->state != GroupState::kServing) {
     return false;
   }
--- a/coordination/configuration/record_changes.h
+++ b/coordination/configuration/record_changes.h
@@ -6,24 +6,25 @@
 
 namespace gcw {
 
-// The group with that id, or null.
+// Returns the group with this id, or null.
 const GroupRecord* FindGroup(const DomainRecord& record, const GroupId& group);
 GroupRecord* FindGroup(DomainRecord& record, const GroupId& group);
 
-// The group that the VM is a member of, or null.
+// Returns the group that the VM is a member of, or null.
 const GroupRecord* FindGroupOf(const DomainRecord& record, const VmId& vm);
 
-// Whether the VM is a member of a group or still leaving one.
+// Returns true if the VM is a member of a group or is still leaving one.
 bool IsRecorded(const DomainRecord& record, const VmId& vm);
 
-// Changes `record` as the move says. Returns false, and changes nothing, where
-// the move no longer fits: its group is gone, a VM it adds is taken, or a VM it
-// removes is no member. `new_group` names the group that `FormGroup` makes.
+// Applies the move to `record`. Returns false and changes nothing if the move
+// is no longer valid, for example because its group does not exist, a VM that
+// it adds is already recorded, or a VM that it removes is not a member.
+// `new_group` is the id of the group that `FormGroup` creates.
 bool ApplyMove(DomainRecord& record,
                const RepairMove& move,
                const GroupId& new_group);
 
-// Takes the group out of the record; its members become leaving ones.
+// Removes the group from the record and adds its members to the leaving ones.
 void Dissolve(DomainRecord& record, const GroupId& group);
 
 }  // namespace gcw
--- a/tests/coordination/configuration/config_property_test.cc
+++ b/tests/coordination/configuration/config_property_test.cc
@@ -9,13 +9,13 @@
 const std::vector<std::string> kKeys = {"contract/a", "contract/b",
                                         "setting/c"};
 
-// Operators and the changes that they asked for.
+// Simulates operators and keeps the changes that they have proposed.
 class Operators {
  public:
   explicit Operators(ConfigCluster& cluster) : cluster_(cluster) {}
 
-  // One operator changes or withdraws a key, going by what a node shows, or
-  // asks again for an outcome that is still open.
+  // One operator changes or withdraws a key based on one node's copy, or asks
+  // again for an outcome that is not final.
   void Act() {
     const Random& random = cluster_.random();
     const std::size_t node = DrawBelow(random, cluster_.nodes().size());
@@ -37,7 +37,9 @@
     asked_.push_back({key, value, expected, id, true});
   }
 
-  // Asks through well nodes until every outcome is final.
+  // Asks again through node 0, once all faults are healed, until every outcome
+  // is
+  // final or can no longer be known. Returns false if that takes too long.
   bool SettleAll() {
     for (int round = 0; round < 50; ++round) {
       bool open = false;
@@ -55,7 +57,7 @@
     return false;
   }
 
-  // Whether what operators were told is what the service did.
+  // Checks that the operators' answers match the writes of the service.
   void CheckAnswers() const {
     std::map<ChangeId, std::vector<Revision>> written;
     for (const FakeStore::Change& change : cluster_.link().store().changes()) {
@@ -72,7 +74,7 @@
       RC_ASSERT(revisions.size() <= 1U);
       if (const auto* accepted = std::get_if<ChangeAccepted>(&it->second)) {
         RC_ASSERT(revisions == std::vector<Revision>{accepted->revision});
-        // One winner for each version of a key.
+        // At most one change is accepted for each version of a key.
         RC_ASSERT(won.emplace(change.key, change.expected).second);
       } else if (std::holds_alternative<ChangeConflict>(it->second)) {
         RC_ASSERT(revisions.empty());
@@ -87,8 +89,8 @@
            !std::holds_alternative<ChangeUnavailable>(it->second);
   }
 
-  // Whether so many changes followed that the key's history cannot name this
-  // one any more: then "outcome unknown" is the truth for good.
+  // Returns true if more changes followed than the key's history can name. The
+  // final outcome of this change is then "outcome unknown".
   bool IsForgotten(const ConfigChange& change) const {
     std::size_t later = 0;
     for (const FakeStore::Change& write : cluster_.link().store().changes()) {
@@ -111,7 +113,7 @@
   std::vector<ConfigChange> asked_;
 };
 
-// One random fault or recovery.
+// Injects or ends one random fault.
 void Disturb(ConfigCluster& cluster) {
   const Random& random = cluster.random();
   const std::size_t index = DrawBelow(random, cluster.nodes().size());
@@ -167,13 +169,10 @@
   }
 }
 
-// Symptom: an accepted change reverts at a node, is missing at a node, or was
-// never written; a refused one is in force; two operators win one version.
-// Sequence: any mix of racing operators who ask again through other nodes, lost
-// and late answers, stale reads, busy and absent service, nodes paused and
-// started anew, and messages lost, doubled, late and cut off.
-// Cause: any one of the mechanisms of docs/design/0006-configuration.md
-// failing.
+// Checks the guarantees of docs/design/0006-configuration.md under racing
+// operators, a faulty service, paused and restarted nodes and a faulty network:
+// an accepted change was written, reaches every node and is never reverted, a
+// refused change never takes effect, and each version has one winner.
 RC_GTEST_PROP(ConfigProperty,
               AnswersAreTrueAndNothingReverts,
               (std::uint64_t seed)) {
@@ -207,10 +206,8 @@
   }
 }
 
-// Symptom: a node's claim to hold everything up to a revision is false, and
-// operators read "in force" where it is not.
-// Sequence: as above.
-// Cause: a floor raised over an entry that was lost on the way.
+// Guards against a floor that is raised past an entry that was lost in transit,
+// which would tell operators that a change is in force at a node that lacks it.
 RC_GTEST_PROP(ConfigProperty, FloorsAreTrue, (std::uint64_t seed)) {
   ConfigCluster cluster(4, seed);
   Operators operators(cluster);
--- a/tests/coordination/configuration/config_sync_test.cc
+++ b/tests/coordination/configuration/config_sync_test.cc
@@ -19,7 +19,7 @@
   return entry == nullptr ? "none" : entry->record.value.value_or("withdrawn");
 }
 
-// Nodes whose messages and store calls are cut off.
+// Cuts `nodes` off from the other nodes and from the key-value service.
 void Isolate(ConfigCluster& cluster, const std::set<NodeId>& nodes) {
   cluster.network().SetConnected([nodes](const NodeId& a, const NodeId& b) {
     return nodes.contains(a) == nodes.contains(b);
@@ -49,15 +49,13 @@
 TEST(ConfigSyncTest, OnlyAFewNodesWatch) {
   ConfigCluster cluster(20, 2);
   cluster.Run(Duration::Seconds(10));
-  // Two nodes in each of two zones, each for two prefixes.
+  // Two nodes in each of two zones watch two prefixes each.
   EXPECT_EQ(cluster.link().waiting_watches(), 8U);
 }
 
-// Symptom: an operator is told of two outcomes for one revision.
-// Sequence: two operators change the same version through different nodes at
-// the same moment; a third withdraws it.
-// Cause: accepting a change before its compare-and-swap is known to be
-// committed.
+// Guards against accepting a change before its compare-and-swap is known to be
+// committed: two operators change the same version through different nodes at
+// the same time, and a third withdraws it.
 TEST(ConfigSyncTest, ExactlyOneOfRacingChangesWins) {
   ConfigCluster cluster(4, 3);
   cluster.Run(Duration::Seconds(5));
@@ -83,10 +81,9 @@
   EXPECT_TRUE(cluster.Converged());
 }
 
-// Symptom: an operator hears "conflict" for a change that is in force.
-// Sequence: the put takes effect; its answer is lost; another operator builds
-// on it before the first node reads back.
-// Cause: comparing only with the key's last change.
+// Guards against reporting a conflict for a committed change: the answer to its
+// put is lost, and another operator replaces the value before the first node
+// reads it back, so that the key's last change is no longer this one.
 TEST(ConfigSyncTest, LostAnswerIsSettledAlsoWhenOthersBuiltOnTheChange) {
   ConfigCluster cluster(2, 4);
   cluster.Run(Duration::Seconds(5));
@@ -101,10 +98,9 @@
   EXPECT_EQ(AcceptedAt(cluster.outcomes().at(first)), written);
 }
 
-// Symptom: an operator never learns whether a change was accepted.
-// Sequence: the node answers "outcome unknown" during an outage, or dies; the
-// operator asks again through another node.
-// Cause: an outcome that only the first node could tell.
+// Guards against an outcome that only the first node can determine: it answers
+// "outcome unknown" during an outage, and the operator asks again through
+// another node.
 TEST(ConfigSyncTest, AskingAgainThroughAnotherNodeSettles) {
   ConfigCluster cluster(3, 5);
   cluster.Run(Duration::Seconds(5));
@@ -125,10 +121,9 @@
             cluster.link().store().entries().at(kKey).revision);
 }
 
-// Symptom: an operator hears "conflict" for a change that took effect long ago.
-// Sequence: the answer is lost and the node starts anew; nine changes follow;
-// the operator asks again.
-// Cause: a history that does not reach back, read as if it did.
+// Guards against reporting a conflict for a committed change that the key's
+// history no longer names: the answer is lost, the node restarts, nine changes
+// follow, and the operator asks again.
 TEST(ConfigSyncTest, ForgottenChangeIsSaidToBeUnknown) {
   ConfigCluster cluster(3, 14);
   cluster.Run(Duration::Seconds(5));
@@ -149,10 +144,9 @@
   EXPECT_EQ(unavailable->kind, ChangeUnavailableKind::kOutcomeUnknown);
 }
 
-// Symptom: a withdrawn contract comes back.
-// Sequence: a contract is withdrawn; a push of its earlier version was under
-// way for long and arrives afterwards.
-// Cause: a withdrawal that leaves nothing to compare with.
+// Guards against a withdrawn contract that returns because the withdrawal left
+// no version to compare with: a delayed push of an earlier version arrives
+// after it.
 TEST(ConfigSyncTest, WithdrawnKeyIsNotBroughtBackByALateMessage) {
   ConfigCluster cluster(3, 6);
   cluster.Run(Duration::Seconds(5));
@@ -168,10 +162,9 @@
   EXPECT_FALSE(cluster.nodes()[1].reverted);
 }
 
-// Symptom: a node that slept applies old versions over new ones, or misses one.
-// Sequence: a node is paused; three changes are accepted; it wakes and its old
-// messages and replies reach it first.
-// Cause: taking what arrives last for what is newest.
+// Guards against treating the last message as the newest version: a node is
+// paused while three changes are accepted, and on resuming it receives its old
+// messages and replies first.
 TEST(ConfigSyncTest, PausedNodeCatchesUpOverSeveralChanges) {
   ConfigCluster cluster(6, 7);
   cluster.Run(Duration::Seconds(5));
@@ -188,10 +181,9 @@
   EXPECT_FALSE(cluster.nodes()[2].reverted);
 }
 
-// Symptom: half of the fleet stays behind after a partition.
-// Sequence: half of the nodes lose the others and the service; a change is
-// accepted; the partition heals.
-// Cause: relying on pushes that were sent once.
+// Guards against relying on pushes that are sent only once: half of the nodes
+// are cut off from the others and the service while a change is accepted, and
+// would stay out of date after the partition heals.
 TEST(ConfigSyncTest, PartitionHeals) {
   ConfigCluster cluster(8, 8);
   cluster.Run(Duration::Seconds(5));
@@ -208,8 +200,8 @@
 
 class EmptyStartTest : public ::testing::Test {
  protected:
-  // n1 is left behind at the first version, the others hold the second; then
-  // the service goes away and n0 starts anew.
+  // n1 holds the first version and the other nodes hold the second when the
+  // service fails.
   EmptyStartTest() : cluster_(4, 9) {
     cluster_.Run(Duration::Seconds(5));
     first_ = AcceptedAt(cluster_.Settle(0, kKey, "old", Revision()));
@@ -232,10 +224,9 @@
   Revision second_;
 };
 
-// Symptom: a node serves by a contract that was changed before it started.
-// Sequence: the service is away; a node starts empty and hears a stale peer
-// first, a fresh one only after a pause and losses.
-// Cause: being ready with the first copy that turns up.
+// Guards against a node that is ready with the first copy it receives: the
+// service is unreachable, and an empty node hears from an outdated peer first
+// and from a current one only after a pause and lost messages.
 TEST_F(EmptyStartTest, IsNotReadyBeforeItHoldsTheNewestReachable) {
   LetOnlyReach({NodeId("n0"), NodeId("n1"), NodeId("n2")});
   cluster_.network().faults().lost = 0.1;
@@ -252,10 +243,9 @@
   }
 }
 
-// Symptom: as above, where the newest version cannot be had at all.
-// Sequence: only a stale peer can be reached; later the fresh ones can.
-// Cause: none: the node serves by the newest that any reachable source knows,
-// as the guarantee says, and moves up as soon as another can be reached.
+// If only an outdated peer is reachable, the node serves by the newest version
+// of any reachable source, as guaranteed, and updates once current peers become
+// reachable.
 TEST_F(EmptyStartTest, ServesByTheNewestThatCanBeReachedAndMovesUp) {
   LetOnlyReach({NodeId("n0"), NodeId("n1")});
   cluster_.Restart(0);
@@ -268,9 +258,8 @@
   EXPECT_FALSE(cluster_.nodes()[0].reverted);
 }
 
-// Symptom: a fleet that started during an outage serves without contracts.
-// Sequence: all nodes start anew while the service is away.
-// Cause: empty peers vouching for each other.
+// Guards against empty nodes that make each other ready: if all nodes restart
+// while the service is unreachable, the fleet would serve without contracts.
 TEST_F(EmptyStartTest, EmptyPeersDoNotMakeANodeReady) {
   for (std::size_t i = 0; i < cluster_.nodes().size(); ++i) {
     cluster_.Restart(i);
@@ -285,10 +274,9 @@
   EXPECT_TRUE(cluster_.nodes()[0].sync->ready());
 }
 
-// Symptom: accepted changes are gone everywhere.
-// Sequence: the service is restored from a backup taken before the change;
-// nodes read it again, and one of them starts anew.
-// Cause: taking the service's word over what nodes know to have been accepted.
+// Guards against trusting the service over changes that nodes know to be
+// accepted: the service is restored from a backup taken before a change, the
+// nodes read it again, and one of them restarts.
 TEST(ConfigSyncTest, RestoredServiceIsRefusedLoudly) {
   ConfigCluster cluster(6, 10);
   cluster.Run(Duration::Seconds(5));
@@ -307,17 +295,16 @@
   ASSERT_TRUE(std::holds_alternative<ChangeUnavailable>(outcome));
   EXPECT_EQ(std::get<ChangeUnavailable>(outcome).kind,
             ChangeUnavailableKind::kStoreRewound);
-  // A node that starts now takes the peers' copy, not the service's.
+  // A node that starts now takes its peers' copy instead of the service's.
   cluster.Restart(2);
   cluster.Run(Duration::Seconds(30));
   EXPECT_TRUE(cluster.nodes()[2].sync->ready());
   EXPECT_EQ(ValueAt(cluster, 2), "b");
 }
 
-// Symptom: as above, and nobody is alarmed.
-// Sequence: the administrators restore a backup and raise the service's counter
-// above all earlier revisions, as they should, but the change is not in it.
-// Cause: looking at the counter only.
+// Guards against detecting a restore only by the service's revision counter:
+// the administrators restore a backup that lacks a change and raise the counter
+// above all earlier revisions, as they should.
 TEST(ConfigSyncTest, RestoredServiceWithARaisedCounterIsRefusedToo) {
   ConfigCluster cluster(4, 13);
   cluster.Run(Duration::Seconds(5));
@@ -334,9 +321,8 @@
   }
 }
 
-// Symptom: operators are alarmed of a restored service that is well.
-// Sequence: the service answers some reads from an old state.
-// Cause: one old answer taken as proof.
+// Guards against a false alarm: reads that the service answers from an old
+// state do not prove that it was restored.
 TEST(ConfigSyncTest, StaleReadsAreNotTakenForARestore) {
   ConfigCluster cluster(6, 11);
   cluster.Run(Duration::Seconds(5));
@@ -350,10 +336,9 @@
   EXPECT_TRUE(cluster.Converged());
 }
 
-// Symptom: the service is flooded when it returns.
-// Sequence: an outage of ten minutes, over which every node's routine read
-// comes due.
-// Cause: each node repeating its read until it succeeds.
+// Guards against a burst of reads after an outage: every node's routine read
+// becomes due during the ten minutes, and each node would repeat its read until
+// it succeeds.
 TEST(ConfigSyncTest, ReturnOfTheServiceDrawsNoBurst) {
   ConfigCluster cluster(40, 12);
   cluster.Run(Duration::Seconds(10));
@@ -362,7 +347,7 @@
   cluster.link().SetOutage(cluster.now(), false);
   const std::int64_t before = cluster.link().calls();
   cluster.Run(Duration::Seconds(10));
-  // Four watchers with two prefixes each, and two routine reads.
+  // Four watchers read two prefixes each, and two routine reads may become due.
   EXPECT_LT(cluster.link().calls() - before, 30);
 }
 
--- a/tests/support/config_cluster.h
+++ b/tests/support/config_cluster.h
@@ -14,8 +14,8 @@
 
 namespace gcw {
 
-// Nodes that hold copies of the configuration, with one fake key-value service
-// and network. The view holds every node as alive throughout.
+// Simulates nodes that replicate the configuration, with a fake key-value
+// service and a fake network. The view always lists every node as alive.
 class ConfigCluster {
  public:
   static constexpr Duration kStep = Duration::Millis(50);
@@ -26,7 +26,9 @@
     bool paused = false;
     std::int64_t process = 0;
     std::unique_ptr<ConfigSync> sync;
-    // What the node applied last for each key, and whether it ever went back.
+    // The last revision applied for each key, and whether any key ever went
+    // back to
+    // an older or equal revision.
     std::map<std::string, Revision> applied;
     bool reverted = false;
     std::vector<FakeStoreLink::Delivery> store_inbox;
@@ -55,7 +57,7 @@
     }
   }
 
-  // A new process with an empty copy.
+  // Restarts the node as a new process with an empty copy.
   void Restart(std::size_t index) {
     Node& node = nodes_[index];
     ++node.process;
@@ -75,7 +77,7 @@
     node.sync->SetView(now_, view_);
   }
 
-  // Changes a key through a node; the answer turns up in `outcomes`.
+  // Proposes a change through a node. The outcome appears in `outcomes`.
   ChangeId Propose(std::size_t index,
                    const std::string& key,
                    std::optional<std::string> value,
@@ -87,7 +89,7 @@
   void Propose(std::size_t index, const ConfigChange& change) {
     Act(index, nodes_[index].sync->Propose(now_, change));
   }
-  // The same, and waits until it is answered.
+  // Like `Propose`, but runs the cluster until the outcome is known.
   ChangeOutcome Settle(std::size_t index,
                        const std::string& key,
                        std::optional<std::string> value,
@@ -121,7 +123,7 @@
     }
   }
 
-  // Whether all nodes hold exactly what the service holds.
+  // Returns true if all nodes hold exactly the service's entries.
   bool Converged() const {
     for (const Node& node : nodes_) {
       const auto& held = node.sync->store().entries();
@@ -151,7 +153,7 @@
   const std::map<ChangeId, ChangeOutcome>& outcomes() const {
     return outcomes_;
   }
-  // Whether a final answer was followed by another one.
+  // True if a final outcome was followed by a different one.
   bool contradicted() const { return contradicted_; }
   std::int64_t events(EventKind kind) { return events_[kind]; }
   std::int64_t sent_bytes() const { return sent_bytes_; }
@@ -205,7 +207,8 @@
     if (first) {
       return;
     }
-    // A node that gives up says nothing against what another one told.
+    // `ChangeUnavailable` does not contradict a final outcome from another
+    // node.
     const auto final_now =
         !std::holds_alternative<ChangeUnavailable>(finished.outcome);
     const bool was_final =
