--- a/coordination/configuration/config_watch.cc
+++ b/coordination/configuration/config_watch.cc
@@ -38,8 +38,9 @@
     OnFailure(now, Duration());
   }
   const bool reads = read_due_ && now >= next_read_;
-  // A read or a poke does not wait for the open watch to end. If the reply of
-  // that watch still arrives, it is dropped.
+  // A read or a request for the revision does not wait for the open watch to
+  // end.
+  // If the reply of that watch still arrives, it is dropped.
   if (call_ && call_is_watch_ && (reads || poked_)) {
     call_.reset();
   }
--- a/coordination/routing/router.h
+++ b/coordination/routing/router.h
@@ -83,7 +83,7 @@
   // The request rate that this node's share of the free batch capacity can
   // serve.
   double SpareRequestsPerSecond(Time now, const RequestTarget& target) const;
-  // For the status page.
+  // Returns the state of all endpoints for the status page, ordered by id.
   std::vector<EndpointView> Endpoints(Time now) const;
 
  private:
--- a/coordination/routing/router_settings.h
+++ b/coordination/routing/router_settings.h
@@ -49,7 +49,7 @@
   // report: 1 if they send what this node sent, 0 if they spread their requests
   // evenly.
   double peer_likeness = 1;
-  // Weight of a doubtful prefix match; a certain match has weight 1.
+  // Weight of an unconfirmed prefix match; a confirmed match has weight 1.
   double doubtful_weight = 1;
   // A report older than this is ignored.
   Duration report_timeout = Duration::Seconds(10);
