--- a/coordination/configuration/config_gossip.cc
+++ b/coordination/configuration/config_gossip.cc
@@ -15,16 +15,16 @@
 void ConfigGossip::SetPeers(const std::vector<NodeId>& peers) {
   peers_ = peers;
   const std::set<NodeId> kept(peers.begin(), peers.end());
-  std::erase_if(status_,
+  std::erase_if(peer_status_,
                 [&](const auto& peer) { return !kept.contains(peer.first); });
-  std::erase_if(inquiries_,
+  std::erase_if(surveys_,
                 [&](const auto& peer) { return !kept.contains(peer.first); });
 }
 
 std::vector<ConfigGossipAction> ConfigGossip::Tick(Time now) {
   std::vector<ConfigGossipAction> actions;
   if (surveying_) {
-    Survey(now, actions);
+    SurveyPeers(now, actions);
   }
   if (peers_.empty() || now < next_compare_) {
     return actions;
@@ -41,24 +41,25 @@
   return actions;
 }
 
-void ConfigGossip::Survey(Time now, std::vector<ConfigGossipAction>& actions) {
+void ConfigGossip::SurveyPeers(Time now,
+                               std::vector<ConfigGossipAction>& actions) {
   std::size_t asked = 0;
   for (const NodeId& peer : peers_) {
-    if (asked >= settings_.questions_per_tick) {
+    if (asked >= settings_.max_requests_per_tick) {
       return;
     }
-    Inquiry& inquiry = inquiries_[peer];
-    const bool waits =
-        inquiry.attempts > 0 && now - inquiry.asked < settings_.answer_timeout;
-    if (inquiry.settled || waits || inquiry.attempts > settings_.attempts) {
+    PeerSurvey& survey = surveys_[peer];
+    const bool is_waiting =
+        survey.attempts > 0 && now - survey.asked < settings_.answer_timeout;
+    if (survey.settled || is_waiting ||
+        survey.attempts > settings_.max_attempts) {
       continue;
     }
-    ++inquiry.attempts;
-    inquiry.asked = now;
-    // The last request was sent one timeout ago. The count now exceeds the
-    // limit,
-    // which marks the peer as unreachable.
-    if (inquiry.attempts > settings_.attempts) {
+    ++survey.attempts;
+    survey.asked = now;
+    // The last request has timed out too. A count above the limit marks the
+    // peer as unreachable.
+    if (survey.attempts > settings_.max_attempts) {
       continue;
     }
     ++asked;
@@ -68,19 +69,18 @@
 
 bool ConfigGossip::SurveyDone() const {
   return std::all_of(peers_.begin(), peers_.end(), [&](const NodeId& peer) {
-    const auto it = inquiries_.find(peer);
-    return it != inquiries_.end() &&
-           (it->second.settled || it->second.attempts > settings_.attempts);
+    const auto it = surveys_.find(peer);
+    return it != surveys_.end() &&
+           (it->second.settled || it->second.attempts > settings_.max_attempts);
   });
 }
 
 bool ConfigGossip::SettledWithReadyPeer() const {
-  return std::any_of(inquiries_.begin(), inquiries_.end(),
-                     [&](const auto& inquiry) {
-                       const auto it = status_.find(inquiry.first);
-                       return inquiry.second.settled && it != status_.end() &&
-                              it->second.ready;
-                     });
+  return std::any_of(surveys_.begin(), surveys_.end(), [&](const auto& survey) {
+    const auto it = peer_status_.find(survey.first);
+    return survey.second.settled && it != peer_status_.end() &&
+           it->second.ready;
+  });
 }
 
 std::vector<ConfigGossipAction> ConfigGossip::OnPeer(
@@ -111,11 +111,11 @@
     Time now,
     const NodeId& from,
     const ConfigDigest& digest) {
-  Learn(now, from, digest);
+  UpdatePeerStatus(now, from, digest);
   ConfigDigest own = hooks_.digest();
   const bool equal = own.digest == digest.digest;
   if (equal) {
-    Settle(from);
+    MarkSettled(from);
   }
   if (digest.reply) {
     return {};
@@ -132,7 +132,7 @@
     Time now,
     const NodeId& from,
     const ConfigBuckets& buckets) {
-  Learn(now, from, buckets.digest);
+  UpdatePeerStatus(now, from, buckets.digest);
   const ConfigStore::Buckets& own = hooks_.store().bucket_digests();
   ConfigPull pull;
   for (std::size_t bucket = 0; bucket < own.size(); ++bucket) {
@@ -141,7 +141,7 @@
     }
   }
   if (pull.buckets.empty()) {
-    Settle(from);
+    MarkSettled(from);
     return {};
   }
   pull.held = hooks_.store().KeysIn(pull.buckets);
@@ -151,10 +151,10 @@
 std::vector<ConfigGossipAction> ConfigGossip::OnPull(const NodeId& from,
                                                      const ConfigPull& pull) {
   const ConfigStore& store = hooks_.store();
-  std::map<std::string, Revision> theirs;
+  std::map<std::string, Revision> peer_revisions;
   std::vector<std::string> wanted;
   for (const ConfigKeyRevision& held : pull.held) {
-    theirs[held.key] = held.revision;
+    peer_revisions[held.key] = held.revision;
     const ConfigEntry* own = store.Find(held.key);
     if (own == nullptr || own->revision < held.revision) {
       wanted.push_back(held.key);
@@ -162,12 +162,12 @@
   }
   std::vector<std::string> newer;
   for (const ConfigKeyRevision& own : store.KeysIn(pull.buckets)) {
-    const auto it = theirs.find(own.key);
-    if (it == theirs.end() || it->second < own.revision) {
+    const auto it = peer_revisions.find(own.key);
+    if (it == peer_revisions.end() || it->second < own.revision) {
       newer.push_back(own.key);
     }
   }
-  ConfigEntries answer = Collect(newer);
+  ConfigEntries answer = BuildEntries(newer);
   answer.wanted = std::move(wanted);
   answer.answers_pull = true;
   return {PeerSend<ConfigMessage>{from, std::move(answer)}};
@@ -177,32 +177,32 @@
     Time now,
     const NodeId& from,
     const ConfigEntries& entries) {
-  bool learnt = false;
+  bool merged_any = false;
   for (const ConfigEntry& entry : entries.entries) {
-    learnt |= hooks_.merge(now, entry);
+    merged_any |= hooks_.merge(now, entry);
   }
-  Learn(now, from, entries.digest);
+  UpdatePeerStatus(now, from, entries.digest);
   std::vector<ConfigGossipAction> actions;
   if (!entries.wanted.empty()) {
     actions.emplace_back(
-        PeerSend<ConfigMessage>{from, Collect(entries.wanted)});
+        PeerSend<ConfigMessage>{from, BuildEntries(entries.wanted)});
   }
   if (!entries.answers_pull) {
     return actions;
   }
-  if (!learnt && !entries.more) {
-    Settle(from);
+  if (!merged_any && !entries.more) {
+    MarkSettled(from);
     return actions;
   }
   // The peer may hold more entries than one message can carry, and may have
   // received others since.
-  const auto inquiry = inquiries_.find(from);
-  const bool asks =
-      surveying_ && inquiry != inquiries_.end() && !inquiry->second.settled;
-  if (asks || entries.more) {
-    if (asks) {
-      inquiry->second.attempts = 1;
-      inquiry->second.asked = now;
+  const auto survey = surveys_.find(from);
+  const bool continues_survey =
+      surveying_ && survey != surveys_.end() && !survey->second.settled;
+  if (continues_survey || entries.more) {
+    if (continues_survey) {
+      survey->second.attempts = 1;
+      survey->second.asked = now;
     }
     actions.emplace_back(PeerSend<ConfigMessage>{from, hooks_.digest()});
   }
@@ -220,17 +220,17 @@
   }
 }
 
-void ConfigGossip::Learn(Time now,
-                         const NodeId& from,
-                         const ConfigDigest& digest) {
-  ConfigPeerStatus& status = status_[from];
+void ConfigGossip::UpdatePeerStatus(Time now,
+                                    const NodeId& from,
+                                    const ConfigDigest& digest) {
+  ConfigPeerStatus& status = peer_status_[from];
   status.floor = std::max(status.floor, digest.floor);
   status.ready = digest.ready;
-  status.heard = now;
+  status.last_heard = now;
   // The peer is reachable, so it is asked until it has settled.
-  const auto inquiry = inquiries_.find(from);
-  if (inquiry != inquiries_.end()) {
-    inquiry->second.attempts = std::min(inquiry->second.attempts, 1);
+  const auto survey = surveys_.find(from);
+  if (survey != surveys_.end()) {
+    survey->second.attempts = std::min(survey->second.attempts, 1);
   }
   // The copies are equal, so the peer's floor holds for this copy too.
   if (digest.digest == hooks_.digest().digest) {
@@ -238,20 +238,20 @@
   }
 }
 
-void ConfigGossip::Settle(const NodeId& from) {
+void ConfigGossip::MarkSettled(const NodeId& from) {
   if (surveying_) {
-    inquiries_[from].settled = true;
+    surveys_[from].settled = true;
   }
 }
 
 void ConfigGossip::SetSurveying(bool surveying) {
   surveying_ = surveying;
   if (!surveying) {
-    inquiries_.clear();
+    surveys_.clear();
   }
 }
 
-ConfigEntries ConfigGossip::Collect(
+ConfigEntries ConfigGossip::BuildEntries(
     const std::vector<std::string>& keys) const {
   ConfigEntries message;
   message.digest = hooks_.digest();
@@ -264,7 +264,7 @@
     }
     bytes += EstimatedSize(*entry);
     // At least one entry is sent, regardless of its size.
-    if (bytes > settings_.message_bytes && !message.entries.empty()) {
+    if (bytes > settings_.max_message_bytes && !message.entries.empty()) {
       message.more = true;
       break;
     }
@@ -288,8 +288,8 @@
     Revision revision) const {
   std::vector<ConfigGossipAction> actions;
   for (const NodeId& peer : peers_) {
-    const auto it = status_.find(peer);
-    if (it == status_.end() || it->second.floor < revision) {
+    const auto it = peer_status_.find(peer);
+    if (it == peer_status_.end() || it->second.floor < revision) {
       actions.emplace_back(PeerSend<ConfigMessage>{peer, hooks_.digest()});
     }
   }
--- a/coordination/configuration/config_gossip.h
+++ b/coordination/configuration/config_gossip.h
@@ -20,12 +20,12 @@
   // A peer that has not answered after this long is asked again.
   Duration answer_timeout = Duration::Seconds(1);
   // A peer counts as unreachable after this many requests without an answer.
-  int attempts = 5;
+  int max_attempts = 5;
   // Size limit of a message; entries beyond it are omitted.
-  std::size_t message_bytes = 65536;
+  std::size_t max_message_bytes = 65536;
   // Limit on the number of peers asked in one tick while the node becomes
   // ready.
-  std::size_t questions_per_tick = 64;
+  std::size_t max_requests_per_tick = 64;
 };
 
 using ConfigGossipAction = std::variant<PeerSend<ConfigMessage>>;
@@ -34,7 +34,7 @@
 struct ConfigPeerStatus {
   Revision floor;
   bool ready = false;
-  Time heard;
+  Time last_heard;
 };
 
 // Compares and exchanges copies of the configuration between nodes.
@@ -73,12 +73,14 @@
   // Returns true if at least one settled peer is itself ready.
   bool SettledWithReadyPeer() const;
 
-  const std::map<NodeId, ConfigPeerStatus>& peers() const { return status_; }
+  const std::map<NodeId, ConfigPeerStatus>& peers() const {
+    return peer_status_;
+  }
   const std::vector<NodeId>& peer_ids() const { return peers_; }
 
  private:
   // The progress of the survey of one peer.
-  struct Inquiry {
+  struct PeerSurvey {
     int attempts = 0;
     Time asked;
     bool settled = false;
@@ -96,20 +98,22 @@
                                             const NodeId& from,
                                             const ConfigEntries& entries);
   void OnPush(Time now, const ConfigPush& push);
-  void Learn(Time now, const NodeId& from, const ConfigDigest& digest);
-  void Settle(const NodeId& from);
-  void Survey(Time now, std::vector<ConfigGossipAction>& actions);
-  ConfigEntries Collect(const std::vector<std::string>& keys) const;
+  void UpdatePeerStatus(Time now,
+                        const NodeId& from,
+                        const ConfigDigest& digest);
+  void MarkSettled(const NodeId& from);
+  void SurveyPeers(Time now, std::vector<ConfigGossipAction>& actions);
+  ConfigEntries BuildEntries(const std::vector<std::string>& keys) const;
 
   ConfigGossipSettings settings_;
   Hooks hooks_;
   Random random_;
   std::vector<NodeId> peers_;
-  std::map<NodeId, ConfigPeerStatus> status_;
+  std::map<NodeId, ConfigPeerStatus> peer_status_;
   // Equals `Time()` before the first comparison is scheduled.
   Time next_compare_;
   bool surveying_ = false;
-  std::map<NodeId, Inquiry> inquiries_;
+  std::map<NodeId, PeerSurvey> surveys_;
 };
 
 }  // namespace gcw
--- a/coordination/configuration/config_proposer.cc
+++ b/coordination/configuration/config_proposer.cc
@@ -7,7 +7,8 @@
 namespace {
 
 // Returns true if `current` is the version that the operator expects.
-bool Meets(const std::optional<ConfigEntry>& current, Revision expected) {
+bool MatchesExpected(const std::optional<ConfigEntry>& current,
+                     Revision expected) {
   if (expected == Revision()) {
     return !current;
   }
@@ -29,11 +30,11 @@
   return std::nullopt;
 }
 
-// Returns true if the history names every version after `base`.
-bool Covers(const ConfigEntry& entry, Revision base) {
+// Returns true if the history names every version after `base_revision`.
+bool HistoryReaches(const ConfigEntry& entry, Revision base_revision) {
   const auto& history = entry.record.history;
   return history.size() < ConfigRecord::kHistoryLimit ||
-         history.back().revision <= base;
+         history.back().revision <= base_revision;
 }
 
 // Returns the entry's version, followed by those before it.
@@ -74,39 +75,39 @@
 
 std::vector<ConfigProposerAction> ConfigProposer::Propose(Time now,
                                                           ConfigChange change) {
-  if (open_.contains(change.change)) {
+  if (proposals_.contains(change.change)) {
     return {};
   }
   Proposal proposal{.change = std::move(change),
-                    .deadline = now + settings_.settle_timeout,
+                    .deadline = now + settings_.proposal_timeout,
                     .next_call = now,
                     .backoff = Backoff(settings_.backoff),
-                    .base = {},
+                    .base_revision = {},
                     .history = {},
-                    .maybe_written = false,
+                    .may_be_written = false,
                     .call = {},
                     .call_is_put = false,
                     .call_sent = {},
                     .known_at_call = {},
-                    .own_at_call = {},
-                    .seen = {}};
+                    .own_revision_at_call = {},
+                    .latest_entry = {}};
   const ConfigEntry* own = hooks_.find(proposal.change.key);
   if (own != nullptr) {
     // The operator asks again about a change that is known to be committed.
     if (const auto revision = FindChange(*own, proposal.change.change)) {
-      proposal.seen = *own;
+      proposal.latest_entry = *own;
       return {Finish(proposal, ChangeAccepted{*revision})};
     }
   }
   StartFromOwnCopy(proposal);
   const auto [it, inserted] =
-      open_.emplace(proposal.change.change, std::move(proposal));
+      proposals_.emplace(proposal.change.change, std::move(proposal));
   std::optional<ConfigProposerAction> action = Advance(now, it->second);
   if (!action) {
     return {};
   }
   if (std::holds_alternative<ProposalFinished>(*action)) {
-    open_.erase(it);
+    proposals_.erase(it);
   }
   return {*std::move(action)};
 }
@@ -118,17 +119,17 @@
   // The node's own copy may be out of date, so it never decides a conflict. A
   // version that the operator expects is a good first guess for the
   // compare-and-swap.
-  if (!Meets(current, proposal.change.expected)) {
+  if (!MatchesExpected(current, proposal.change.expected)) {
     return;
   }
-  proposal.base = current ? current->revision : Revision();
+  proposal.base_revision = current ? current->revision : Revision();
   proposal.history =
       current ? VersionsOf(*current) : std::vector<ConfigVersion>();
 }
 
 std::vector<ConfigProposerAction> ConfigProposer::Tick(Time now) {
   std::vector<ConfigProposerAction> actions;
-  for (auto it = open_.begin(); it != open_.end();) {
+  for (auto it = proposals_.begin(); it != proposals_.end();) {
     const auto current = it++;
     std::optional<ConfigProposerAction> action = Advance(now, current->second);
     if (!action) {
@@ -137,7 +138,7 @@
     const bool finished = std::holds_alternative<ProposalFinished>(*action);
     actions.push_back(*std::move(action));
     if (finished) {
-      open_.erase(current);
+      proposals_.erase(current);
     }
   }
   return actions;
@@ -146,21 +147,21 @@
 std::optional<ConfigProposerAction> ConfigProposer::Advance(
     Time now,
     Proposal& proposal) {
-  if (hooks_.rewound()) {
+  if (hooks_.is_rewound()) {
     return Finish(proposal,
                   ChangeUnavailable{ChangeUnavailableKind::kStoreRewound});
   }
   const bool put_is_open = proposal.call && proposal.call_is_put;
   if (now >= proposal.deadline) {
     const bool unknown =
-        proposal.maybe_written || put_is_open || proposal.change.repeated;
+        proposal.may_be_written || put_is_open || proposal.change.repeated;
     return Finish(proposal, ChangeUnavailable{
                                 unknown ? ChangeUnavailableKind::kOutcomeUnknown
                                         : ChangeUnavailableKind::kNotWritten});
   }
   if (proposal.call && now - proposal.call_sent >= settings_.call_timeout) {
-    proposal.maybe_written |= put_is_open;
-    Wait(now, proposal, Duration());
+    proposal.may_be_written |= put_is_open;
+    ScheduleRetry(now, proposal, Duration());
   }
   if (proposal.call || now < proposal.next_call) {
     return std::nullopt;
@@ -171,25 +172,23 @@
 StoreRequest ConfigProposer::Call(Time now, Proposal& proposal) {
   proposal.call = ++last_id_;
   proposal.call_sent = now;
-  proposal.known_at_call = hooks_.known();
+  proposal.known_at_call = hooks_.highest_revision();
   const ConfigEntry* own = hooks_.find(proposal.change.key);
-  proposal.own_at_call = own == nullptr ? Revision() : own->revision;
-  proposal.call_is_put = proposal.base.has_value();
-  if (!proposal.base) {
+  proposal.own_revision_at_call = own == nullptr ? Revision() : own->revision;
+  proposal.call_is_put = proposal.base_revision.has_value();
+  if (!proposal.base_revision) {
     // Reads the key by a compare-and-swap that cannot match. A plain read may
-    // be
-    // answered from an old state, and the operator would be told of a conflict
-    // although the change has taken effect.
+    // be answered from an old state, and the operator would be told of a
+    // conflict although the change has taken effect.
     return {last_id_, StoreDelete{proposal.change.key, kNoRevision}};
   }
   // After a lost answer, the same put is sent again. It cannot take effect
-  // twice
-  // because the first put changes the key's revision from `base`. The second
-  // put
-  // then conflicts, and the conflict shows the change id of the first.
+  // twice because the first put changes the key's revision from
+  // `base_revision`. The second put then conflicts, and the conflict shows the
+  // change id of the first.
   return {last_id_, StorePut{.key = proposal.change.key,
                              .value = codec_.encode(NewRecord(proposal)),
-                             .expected = *proposal.base,
+                             .expected = *proposal.base_revision,
                              .lease = LeaseId()}};
 }
 
@@ -203,22 +202,22 @@
     Time now,
     StoreCallId id,
     const StoreReply& reply) {
-  const auto it = std::find_if(open_.begin(), open_.end(), [&](const auto& p) {
-    return p.second.call == id;
-  });
-  if (it == open_.end()) {
+  const auto it =
+      std::find_if(proposals_.begin(), proposals_.end(),
+                   [&](const auto& p) { return p.second.call == id; });
+  if (it == proposals_.end()) {
     return {};
   }
   Proposal& proposal = it->second;
   if (const auto outcome = OnReply(now, proposal, reply)) {
     const ProposalFinished finished = Finish(proposal, *outcome);
-    open_.erase(it);
+    proposals_.erase(it);
     return {finished};
   }
   if (auto action = Advance(now, proposal)) {
     const bool finished = std::holds_alternative<ProposalFinished>(*action);
     if (finished) {
-      open_.erase(it);
+      proposals_.erase(it);
     }
     return {*std::move(action)};
   }
@@ -229,12 +228,12 @@
                                                      Proposal& proposal,
                                                      const StoreReply& reply) {
   if (const auto* busy = std::get_if<StoreBusy>(&reply)) {
-    Wait(now, proposal, busy->retry_after);
+    ScheduleRetry(now, proposal, busy->retry_after);
     return std::nullopt;
   }
   if (std::holds_alternative<StoreNoAnswer>(reply)) {
-    proposal.maybe_written |= proposal.call_is_put;
-    Wait(now, proposal, Duration());
+    proposal.may_be_written |= proposal.call_is_put;
+    ScheduleRetry(now, proposal, Duration());
     return std::nullopt;
   }
   proposal.call.reset();
@@ -267,26 +266,25 @@
   const Revision found =
       conflict.current ? conflict.current->revision : Revision();
   // Keys of the configuration are never deleted, their revisions only grow, and
-  // a
-  // compare-and-swap is never answered from an old state.
-  if (found < proposal.base.value_or(Revision()) ||
-      found < proposal.own_at_call) {
+  // a compare-and-swap is never answered from an old state.
+  if (found < proposal.base_revision.value_or(Revision()) ||
+      found < proposal.own_revision_at_call) {
     return ChangeUnavailable{ChangeUnavailableKind::kStoreRewound};
   }
-  return Judge(proposal, current);
+  return DecideOutcome(proposal, current);
 }
 
-std::optional<ChangeOutcome> ConfigProposer::Judge(
+std::optional<ChangeOutcome> ConfigProposer::DecideOutcome(
     Proposal& proposal,
     const std::optional<ConfigEntry>& current) {
-  proposal.seen = current;
+  proposal.latest_entry = current;
   if (current) {
     if (const auto revision = FindChange(*current, proposal.change.change)) {
       return ChangeAccepted{*revision};
     }
   }
-  if (Meets(current, proposal.change.expected)) {
-    proposal.base = current ? current->revision : Revision();
+  if (MatchesExpected(current, proposal.change.expected)) {
+    proposal.base_revision = current ? current->revision : Revision();
     proposal.history =
         current ? VersionsOf(*current) : std::vector<ConfigVersion>();
     return std::nullopt;
@@ -294,14 +292,18 @@
   // Other changes to the key have followed. If this change had been committed
   // before them, the history would name it, unless it does not reach back far
   // enough.
-  const bool asked_before = proposal.maybe_written || proposal.change.repeated;
-  if (asked_before && current && !Covers(*current, proposal.change.expected)) {
+  const bool may_be_committed =
+      proposal.may_be_written || proposal.change.repeated;
+  if (may_be_committed && current &&
+      !HistoryReaches(*current, proposal.change.expected)) {
     return ChangeUnavailable{ChangeUnavailableKind::kOutcomeUnknown};
   }
   return ChangeConflict{current};
 }
 
-void ConfigProposer::Wait(Time now, Proposal& proposal, Duration at_least) {
+void ConfigProposer::ScheduleRetry(Time now,
+                                   Proposal& proposal,
+                                   Duration at_least) {
   proposal.call.reset();
   proposal.next_call = now + std::max(at_least, proposal.backoff.Next(random_));
 }
@@ -321,11 +323,11 @@
   const auto* accepted = std::get_if<ChangeAccepted>(&finished.outcome);
   if (accepted != nullptr) {
     // Other changes may already have replaced this one.
-    finished.entry =
-        proposal.seen && proposal.seen->revision >= accepted->revision
-            ? proposal.seen
-            : ConfigEntry{proposal.change.key, accepted->revision,
-                          NewRecord(proposal)};
+    finished.entry = proposal.latest_entry && proposal.latest_entry->revision >=
+                                                  accepted->revision
+                         ? proposal.latest_entry
+                         : ConfigEntry{proposal.change.key, accepted->revision,
+                                       NewRecord(proposal)};
     sink_({.kind = proposal.change.value ? EventKind::kContractAccepted
                                          : EventKind::kContractWithdrawn,
            .subject = proposal.change.key,
--- a/coordination/configuration/config_proposer.h
+++ b/coordination/configuration/config_proposer.h
@@ -21,13 +21,11 @@
   // The new value, or no value to withdraw the key.
   std::optional<std::string> value;
   // The revision of the key that the operator saw, which may be a tombstone's,
-  // or
-  // zero if the key was never written. The change takes effect only if the key
-  // still has this revision.
+  // or zero if the key was never written. The change takes effect only if the
+  // key still has this revision.
   Revision expected;
   // Chosen by the operator's client. The same change may be proposed again
-  // under
-  // the same id through any node to learn its outcome.
+  // under the same id through any node to learn its outcome.
   ChangeId change;
   // True if the operator proposed the change before without a final outcome.
   bool repeated = false;
@@ -49,8 +47,7 @@
   // The change did not take effect and never will.
   kNotWritten,
   // The change may have taken effect or may still do so. Proposing it again
-  // with
-  // the same id tells.
+  // with the same id tells.
   kOutcomeUnknown,
   // The key-value service was restored to a state older than what nodes hold.
   // Changes are refused until an operator has dealt with it.
@@ -76,7 +73,7 @@
 
 struct ConfigProposerSettings {
   // A change without an outcome after this long is answered as unavailable.
-  Duration settle_timeout = Duration::Seconds(10);
+  Duration proposal_timeout = Duration::Seconds(10);
   Duration call_timeout = Duration::Seconds(2);
   BackoffSettings backoff;
 };
@@ -86,10 +83,10 @@
   // Returns the node's own version of a key, or null if it has none.
   std::function<const ConfigEntry*(const std::string&)> find;
   // Returns the highest revision that the node knows of.
-  std::function<Revision()> known;
+  std::function<Revision()> highest_revision;
   // Returns true if the service is known to have been restored to an older
   // state.
-  std::function<bool()> rewound;
+  std::function<bool()> is_rewound;
 };
 
 using ConfigProposerAction = std::variant<StoreRequest, ProposalFinished>;
@@ -106,7 +103,7 @@
   std::vector<ConfigProposerAction> OnStoreReply(Time now,
                                                  StoreCallId id,
                                                  const StoreReply& reply);
-  std::size_t open_proposals() const { return open_.size(); }
+  std::size_t open_proposals() const { return proposals_.size(); }
 
  private:
   // A proposal without an outcome.
@@ -116,23 +113,21 @@
     Time next_call;
     Backoff backoff;
     // The revision that the next put replaces, or zero if the key does not
-    // exist.
-    // It has no value until that is known.
-    std::optional<Revision> base;
+    // exist. It has no value until that is known.
+    std::optional<Revision> base_revision;
     // The base version and the versions before it.
     std::vector<ConfigVersion> history;
     // True if a put was not answered.
-    bool maybe_written = false;
+    bool may_be_written = false;
     std::optional<StoreCallId> call;
     bool call_is_put = false;
     Time call_sent;
     // The highest known revision and the revision of the node's own version of
-    // the
-    // key when the call was sent.
+    // the key when the call was sent.
     Revision known_at_call;
-    Revision own_at_call;
+    Revision own_revision_at_call;
     // The key's entry in the last reply of the service.
-    std::optional<ConfigEntry> seen;
+    std::optional<ConfigEntry> latest_entry;
   };
 
   ConfigProposer(ConfigProposerSettings settings,
@@ -150,11 +145,12 @@
                                          Revision revision) const;
   std::optional<ChangeOutcome> OnConflict(Proposal& proposal,
                                           const StoreConflict& conflict);
-  std::optional<ChangeOutcome> Judge(Proposal& proposal,
-                                     const std::optional<ConfigEntry>& current);
+  std::optional<ChangeOutcome> DecideOutcome(
+      Proposal& proposal,
+      const std::optional<ConfigEntry>& current);
   void StartFromOwnCopy(Proposal& proposal) const;
   StoreRequest Call(Time now, Proposal& proposal);
-  void Wait(Time now, Proposal& proposal, Duration at_least);
+  void ScheduleRetry(Time now, Proposal& proposal, Duration at_least);
   ConfigRecord NewRecord(const Proposal& proposal) const;
   std::optional<ConfigEntry> Decode(const StoreEntry& entry) const;
   ProposalFinished Finish(const Proposal& proposal, ChangeOutcome outcome);
@@ -165,7 +161,7 @@
   Random random_;
   EventSink sink_;
 
-  std::map<ChangeId, Proposal> open_;
+  std::map<ChangeId, Proposal> proposals_;
   StoreCallId last_id_;
 };
 
--- a/coordination/configuration/config_sync.cc
+++ b/coordination/configuration/config_sync.cc
@@ -11,13 +11,13 @@
 // A node that receives more entries than this at once does not push them to its
 // zone, whose nodes get them by comparing copies. Pushing a whole configuration
 // to all of them would be a burst.
-constexpr std::size_t kMaxPushed = 32;
+constexpr std::size_t kMaxPushedEntries = 32;
 
 std::string WatchKey(const ZoneId& zone) {
   return "config-watcher/" + zone.value();
 }
 
-std::vector<NodeId> Without(std::vector<NodeId> nodes, const NodeId& node) {
+std::vector<NodeId> Excluding(std::vector<NodeId> nodes, const NodeId& node) {
   std::erase(nodes, node);
   return nodes;
 }
@@ -59,10 +59,11 @@
           ConfigProposer::Builder()
               .SetSettings(settings_.proposer)
               .SetCodec(codec_)
-              .SetHooks({.find = [this](const std::string& key)
-                             -> const ConfigEntry* { return store_.Find(key); },
-                         .known = [this] { return highest_revision(); },
-                         .rewound = [this] { return rewound_; }})
+              .SetHooks(
+                  {.find = [this](const std::string& key)
+                       -> const ConfigEntry* { return store_.Find(key); },
+                   .highest_revision = [this] { return highest_revision(); },
+                   .is_rewound = [this] { return rewound_; }})
               .SetRandom(random_)
               .SetEventSink(sink_)
               .Build()) {
@@ -73,7 +74,7 @@
 }
 
 ConfigState ConfigSync::state() const {
-  if (!learnt_) {
+  if (!ready_) {
     return ConfigState::kLearning;
   }
   return rewound_ ? ConfigState::kStoreRewound : ConfigState::kReady;
@@ -85,8 +86,8 @@
 
 void ConfigSync::SetView(Time now, const View& view) {
   node_count_ = std::max<std::size_t>(1, view.Owners().size());
-  gossip_.SetPeers(Without(view.Reachable(), self_));
-  zone_peers_ = Without(view.ReachableIn(zone_), self_);
+  gossip_.SetPeers(Excluding(view.Reachable(), self_));
+  zone_peers_ = Excluding(view.ReachableIn(zone_), self_);
   watchers_.clear();
   const bool watched_before = watching_;
   watching_ = false;
@@ -154,15 +155,16 @@
   std::vector<ConfigSyncAction> actions;
   const auto call = proposer_calls_.find(id);
   if (call != proposer_calls_.end()) {
-    const StoreCallId inner = call->second;
+    const StoreCallId proposer_call_id = call->second;
     proposer_calls_.erase(call);
-    OnProposerActions(now, proposer_.OnStoreReply(now, inner, reply), actions);
+    OnProposerActions(now, proposer_.OnStoreReply(now, proposer_call_id, reply),
+                      actions);
   }
   if (rewind_check_ == id) {
     OnRewindCheck(reply);
   }
   for (ConfigWatch& watch : watches_) {
-    if (!watch.Awaits(id)) {
+    if (!watch.IsWaitingFor(id)) {
       continue;
     }
     if (const auto batch = watch.OnStoreReply(now, reply)) {
@@ -210,8 +212,7 @@
     }
     auto& finished = std::get<ProposalFinished>(action);
     // The change takes effect at this node before the operator is told that it
-    // is
-    // accepted.
+    // is accepted.
     if (finished.entry && Merge(now, *finished.entry)) {
       accepted_.push_back(*finished.entry);
     }
@@ -223,8 +224,7 @@
     to.emplace_back(std::move(finished));
   }
   // Bounds the table: a late reply to a call that the proposer has given up on
-  // is
-  // of no use.
+  // is of no use.
   constexpr std::size_t kMaxCalls = 1024;
   while (proposer_calls_.size() > kMaxCalls) {
     proposer_calls_.erase(proposer_calls_.begin());
@@ -256,7 +256,7 @@
 
 std::vector<ConfigSyncAction> ConfigSync::Flush(
     std::vector<ConfigSyncAction> actions) {
-  PushFresh(actions);
+  PushNewEntries(actions);
   PushFloor(actions);
   for (StoreRequest& request : requests_) {
     actions.emplace_back(std::move(request));
@@ -270,7 +270,7 @@
   return actions;
 }
 
-void ConfigSync::PushFresh(std::vector<ConfigSyncAction>& actions) {
+void ConfigSync::PushNewEntries(std::vector<ConfigSyncAction>& actions) {
   const auto push = [&](const std::vector<NodeId>& to,
                         const std::vector<ConfigEntry>& entries) {
     for (auto& action :
@@ -282,8 +282,8 @@
   if (!accepted_.empty()) {
     push(watchers_, accepted_);
   }
-  if (watching_ && learnt_ && !applied_.empty() &&
-      applied_.size() <= kMaxPushed) {
+  if (watching_ && ready_ && !applied_.empty() &&
+      applied_.size() <= kMaxPushedEntries) {
     push(zone_peers_, applied_);
   }
 }
@@ -295,7 +295,7 @@
     return;
   }
   const Revision from = std::exchange(pushed_floor_, floor_);
-  if (!watching_ || !learnt_) {
+  if (!watching_ || !ready_) {
     return;
   }
   ConfigPush push{.from = from, .to = floor_, .entries = {}};
@@ -304,7 +304,7 @@
       push.entries.push_back(entry);
     }
   }
-  if (push.entries.size() > kMaxPushed) {
+  if (push.entries.size() > kMaxPushedEntries) {
     return;
   }
   for (auto& action : gossip_.Push(zone_peers_, push)) {
--- a/coordination/configuration/config_sync.h
+++ b/coordination/configuration/config_sync.h
@@ -28,14 +28,13 @@
   // others.
   std::size_t watchers_per_zone = 2;
   // Each node reads the whole configuration at an interval of this duration
-  // times
-  // the number of nodes, so that the total read rate does not grow with the
-  // fleet.
+  // times the number of nodes, so that the total read rate does not grow with
+  // the fleet.
   Duration read_interval_per_node = Duration::Seconds(2);
   Duration min_read_interval = Duration::Seconds(30);
   // If replies show revisions below known ones for this long, the node checks
   // whether the service was restored to an older state.
-  Duration rewind_grace = Duration::Seconds(5);
+  Duration rewind_grace_period = Duration::Seconds(5);
   ConfigWatchSettings watch;
   ConfigGossipSettings gossip;
   ConfigProposerSettings proposer;
@@ -44,8 +43,7 @@
 // How far the node's copy of the configuration can be relied on.
 enum class ConfigState {
   // The node has not yet compared its copy with every reachable source. It
-  // serves
-  // no requests.
+  // serves no requests.
   kLearning,
   kReady,
   // The key-value service was restored to a state older than this node's copy.
@@ -81,9 +79,9 @@
 // A node is ready once (a) each prefix was read in full from the service, or
 // every such read has failed and at least one ready peer has answered; and (b)
 // every peer of the view either has nothing newer than this node or did not
-// answer `ConfigGossipSettings::attempts` times. A ready node can still lack a
-// version that only unreachable nodes or nodes outside the view hold, if the
-// service is also unreachable or answers from an old state.
+// answer `ConfigGossipSettings::max_attempts` times. A ready node can still
+// lack a version that only unreachable nodes or nodes outside the view hold, if
+// the service is also unreachable or answers from an old state.
 class ConfigSync {
  public:
   class Builder;
@@ -105,14 +103,13 @@
   std::vector<ConfigSyncAction> Propose(Time now, ConfigChange change);
 
   // Asks the peers that may lack `revision` for their floors. The answers
-  // update
-  // `Confirmation`.
+  // update `Confirmation`.
   std::vector<ConfigSyncAction> AskFloors(Revision revision) const;
   ConfigConfirmation Confirmation(Revision revision) const;
 
   const ConfigStore& store() const { return store_; }
   ConfigState state() const;
-  bool ready() const { return learnt_; }
+  bool ready() const { return ready_; }
   // This node holds every change up to this revision.
   Revision floor() const { return floor_; }
   // The highest revision that this node knows to have existed.
@@ -138,15 +135,15 @@
   void CheckForRewind(Time now);
   void OnRewindCheck(const StoreReply& reply);
   void MarkRewound(Revision shown);
-  void OnGoodRead(const ConfigWatch& watch, const ConfigBatch& batch);
+  void OnConsistentRead(const ConfigWatch& watch, const ConfigBatch& batch);
   void RaiseFloor(Revision revision);
-  void PokeLagging();
+  void RequestLaggingRevisions();
   void ScheduleReads(Time now);
   void UpdateReadiness(Time now);
   ConfigDigest OwnDigest() const;
   // Appends the actions that were queued while an event was handled.
   std::vector<ConfigSyncAction> Flush(std::vector<ConfigSyncAction> actions);
-  void PushFresh(std::vector<ConfigSyncAction>& actions);
+  void PushNewEntries(std::vector<ConfigSyncAction>& actions);
   void PushFloor(std::vector<ConfigSyncAction>& actions);
   void OnProposerActions(Time now,
                          std::vector<ConfigProposerAction> from,
@@ -168,14 +165,14 @@
   std::map<StoreCallId, StoreCallId> proposer_calls_;
   StoreCallId last_id_;
 
-  bool learnt_ = false;
+  bool ready_ = false;
   bool rewound_ = false;
   Revision floor_;
   // The service's revision up to which each prefix was read.
-  std::map<std::string, Revision> read_to_;
+  std::map<std::string, Revision> read_revisions_;
   // Prefixes that were read in full and found consistent since the service was
   // last found to be in an older state.
-  std::set<std::string> read_well_;
+  std::set<std::string> fully_read_prefixes_;
   // The highest revision that the service or a peer has reported.
   Revision highest_seen_;
   bool watching_ = false;
@@ -194,7 +191,7 @@
   std::optional<StoreCallId> rewind_check_;
   Time rewind_check_sent_;
   // The version that the check looks for.
-  ConfigKeyRevision checked_;
+  ConfigKeyRevision rewind_check_version_;
   // Calls to be sent at the next flush.
   std::vector<StoreRequest> requests_;
 };
--- a/coordination/configuration/config_sync_store.cc
+++ b/coordination/configuration/config_sync_store.cc
@@ -12,7 +12,7 @@
 
 // Interval between reads while the service's replies show revisions below known
 // ones.
-constexpr Duration kBehindInterval = Duration::Seconds(2);
+constexpr Duration kBehindReadInterval = Duration::Seconds(2);
 
 }  // namespace
 
@@ -22,7 +22,7 @@
     return false;
   }
   applied_.push_back(entry);
-  if (learnt_) {
+  if (ready_) {
     sink_({.kind = EventKind::kConfigurationApplied,
            .subject = entry.key,
            .cause = {},
@@ -38,7 +38,7 @@
   const std::vector<ConfigEntry> entries = Decode(batch);
   if (ProvesRewind(watch.prefix(), batch, entries)) {
     MarkRewound(batch.revision);
-    watch.RequestRead(now + kBehindInterval);
+    watch.RequestRead(now + kBehindReadInterval);
     return;
   }
   // Merging ignores older versions, so an old state does no harm here.
@@ -46,10 +46,10 @@
     Merge(now, entry);
   }
   if (IsBehind(now, batch)) {
-    watch.RequestRead(now + kBehindInterval);
+    watch.RequestRead(now + kBehindReadInterval);
     return;
   }
-  OnGoodRead(watch, batch);
+  OnConsistentRead(watch, batch);
 }
 
 std::vector<ConfigEntry> ConfigSync::Decode(const ConfigBatch& batch) const {
@@ -78,8 +78,7 @@
       return true;
     }
     // This node holds every change up to the floor, so this revision was
-    // written
-    // twice.
+    // written twice.
     const bool newer = own == nullptr || own->revision < entry.revision;
     if (newer && entry.revision <= floor_) {
       return true;
@@ -101,7 +100,7 @@
 }
 
 // Returns true if the batch shows a revision below the one that was known when
-// the call was sent. Starts a check if that goes on for `rewind_grace`.
+// the call was sent. Starts a check if that goes on for `rewind_grace_period`.
 bool ConfigSync::IsBehind(Time now, const ConfigBatch& batch) {
   if (batch.revision >= batch.known) {
     behind_since_.reset();
@@ -110,7 +109,7 @@
   if (!behind_since_) {
     behind_since_ = now;
   }
-  if (now - *behind_since_ >= settings_.rewind_grace) {
+  if (now - *behind_since_ >= settings_.rewind_grace_period) {
     CheckForRewind(now);
   }
   return true;
@@ -120,9 +119,9 @@
 // to an older state. A compare-and-swap is always answered from the present
 // state, so one that cannot match tells the two apart.
 void ConfigSync::CheckForRewind(Time now) {
-  const bool waits =
+  const bool is_waiting =
       rewind_check_ && now - rewind_check_sent_ < settings_.watch.call_timeout;
-  if (waits || store_.entries().empty()) {
+  if (is_waiting || store_.entries().empty()) {
     return;
   }
   const auto newest =
@@ -130,10 +129,11 @@
                        [](const auto& a, const auto& b) {
                          return a.second.revision < b.second.revision;
                        });
-  checked_ = {newest->first, newest->second.revision};
+  rewind_check_version_ = {newest->first, newest->second.revision};
   rewind_check_ = ++last_id_;
   rewind_check_sent_ = now;
-  requests_.push_back({last_id_, StoreDelete{checked_.key, kNoRevision}});
+  requests_.push_back(
+      {last_id_, StoreDelete{rewind_check_version_.key, kNoRevision}});
 }
 
 void ConfigSync::OnRewindCheck(const StoreReply& reply) {
@@ -144,7 +144,7 @@
   }
   const Revision shown =
       conflict->current ? conflict->current->revision : Revision();
-  if (shown < checked_.revision) {
+  if (shown < rewind_check_version_.revision) {
     MarkRewound(shown);
   } else {
     behind_since_.reset();
@@ -152,7 +152,7 @@
 }
 
 void ConfigSync::MarkRewound(Revision shown) {
-  read_well_.clear();
+  fully_read_prefixes_.clear();
   if (rewound_) {
     return;
   }
@@ -164,41 +164,40 @@
                     {"known", highest_revision().value()}}});
 }
 
-void ConfigSync::OnGoodRead(const ConfigWatch& watch,
-                            const ConfigBatch& batch) {
+void ConfigSync::OnConsistentRead(const ConfigWatch& watch,
+                                  const ConfigBatch& batch) {
   highest_seen_ = std::max(highest_seen_, batch.revision);
   if (!batch.after) {
-    read_well_.insert(watch.prefix());
+    fully_read_prefixes_.insert(watch.prefix());
   }
   // The service is trusted again once it shows everything that this node holds.
-  if (read_well_.size() == watches_.size()) {
+  if (fully_read_prefixes_.size() == watches_.size()) {
     rewound_ = false;
   }
   if (rewound_) {
     return;
   }
-  Revision& read_to = read_to_[watch.prefix()];
+  Revision& read_revision = read_revisions_[watch.prefix()];
   // A watch reports only changes after a revision and does not cover a gap
-  // before
-  // it.
-  if (!batch.after || *batch.after <= read_to) {
-    read_to = std::max(read_to, batch.revision);
+  // before it.
+  if (!batch.after || *batch.after <= read_revision) {
+    read_revision = std::max(read_revision, batch.revision);
   }
-  PokeLagging();
-  Revision all = batch.revision;
-  for (const ConfigWatch& each : watches_) {
-    all = std::min(all, read_to_[each.prefix()]);
+  RequestLaggingRevisions();
+  Revision read_by_all = batch.revision;
+  for (const ConfigWatch& other : watches_) {
+    read_by_all = std::min(read_by_all, read_revisions_[other.prefix()]);
   }
-  RaiseFloor(all);
+  RaiseFloor(read_by_all);
 }
 
 // A change below one prefix raises the floor only if the other prefixes have
 // been read up to its revision. Makes the watches that lag behind report their
 // revision.
-void ConfigSync::PokeLagging() {
+void ConfigSync::RequestLaggingRevisions() {
   for (ConfigWatch& watch : watches_) {
-    if (read_to_[watch.prefix()] < store_.newest()) {
-      watch.Poke();
+    if (read_revisions_[watch.prefix()] < store_.newest()) {
+      watch.RequestRevision();
     }
   }
 }
@@ -208,23 +207,22 @@
 }
 
 void ConfigSync::UpdateReadiness(Time) {
-  if (learnt_) {
+  if (ready_) {
     return;
   }
   if (!gossip_.SurveyDone()) {
     return;
   }
-  const bool all_read = read_well_.size() == watches_.size();
+  const bool all_read = fully_read_prefixes_.size() == watches_.size();
   const bool all_fail =
       rewound_ || std::all_of(watches_.begin(), watches_.end(),
                               [](const ConfigWatch& w) { return w.failing(); });
   // Without a ready peer, the copies of all settled peers may be as empty as
-  // this
-  // node's own.
+  // this node's own.
   if (!all_read && !(all_fail && gossip_.SettledWithReadyPeer())) {
     return;
   }
-  learnt_ = true;
+  ready_ = true;
   gossip_.SetSurveying(false);
   sink_({.kind = EventKind::kConfigurationApplied,
          .subject = self_.value(),
@@ -238,7 +236,7 @@
 ConfigDigest ConfigSync::OwnDigest() const {
   return {.digest = store_.Digest(),
           .floor = floor_,
-          .ready = learnt_,
+          .ready = ready_,
           .reply = false};
 }
 
--- a/coordination/configuration/config_watch.cc
+++ b/coordination/configuration/config_watch.cc
@@ -27,8 +27,8 @@
   read_is_routine_ = true;
 }
 
-void ConfigWatch::Poke() {
-  poked_ = watching_;
+void ConfigWatch::RequestRevision() {
+  revision_requested_ = watching_;
 }
 
 std::optional<StoreRequest> ConfigWatch::Tick(Time now,
@@ -37,27 +37,27 @@
   if (call_ && now >= call_expires_) {
     OnFailure(now, Duration());
   }
-  const bool reads = read_due_ && now >= next_read_;
+  const bool is_read_ready = read_due_ && now >= next_read_;
   // A read or a request for the revision does not wait for the open watch to
-  // end.
-  // If the reply of that watch still arrives, it is dropped.
-  if (call_ && call_is_watch_ && (reads || poked_)) {
+  // end. If the reply of that watch still arrives, it is dropped.
+  if (call_ && call_is_watch_ && (is_read_ready || revision_requested_)) {
     call_.reset();
   }
   if (call_ || now < next_call_) {
     return std::nullopt;
   }
-  if (reads) {
+  if (is_read_ready) {
     call_is_watch_ = false;
     return Call(now, last_id, known, StoreRange{prefix_}, Duration());
   }
   if (!watching_) {
     return std::nullopt;
   }
-  call_is_watch_ = !poked_;
-  const Duration wait = poked_ ? Duration() : settings_.watch_wait;
-  poked_ = false;
-  return Call(now, last_id, known, StoreWatch{prefix_, position_, wait}, wait);
+  call_is_watch_ = !revision_requested_;
+  const Duration wait = revision_requested_ ? Duration() : settings_.watch_wait;
+  revision_requested_ = false;
+  return Call(now, last_id, known, StoreWatch{prefix_, watch_revision_, wait},
+              wait);
 }
 
 StoreRequest ConfigWatch::Call(Time now,
@@ -92,7 +92,7 @@
   }
   const auto& range = std::get<StoreRangeReply>(reply);
   read_due_ = false;
-  position_ = range.revision;
+  watch_revision_ = range.revision;
   return ConfigBatch{range.revision, known_at_call_, std::nullopt,
                      range.entries};
 }
@@ -100,12 +100,12 @@
 std::optional<ConfigBatch> ConfigWatch::OnWatchReply(
     Time now,
     const StoreWatchReply& reply) {
-  if (reply.compacted || reply.revision < position_) {
+  if (reply.compacted || reply.revision < watch_revision_) {
     RequestRead(now);
     return std::nullopt;
   }
-  const Revision after = position_;
-  position_ = reply.revision;
+  const Revision after = watch_revision_;
+  watch_revision_ = reply.revision;
   return ConfigBatch{reply.revision, known_at_call_, after, reply.changed};
 }
 
--- a/coordination/configuration/config_watch.h
+++ b/coordination/configuration/config_watch.h
@@ -42,13 +42,12 @@
   // Makes the next call a full read, sent at `not_before` or later.
   void RequestRead(Time not_before);
   // Like `RequestRead`, but a failed read is not repeated. If each node
-  // repeated
-  // its routine read during an outage, all nodes would read the whole
+  // repeated its routine read during an outage, all nodes would read the whole
   // configuration within seconds of its end.
   void RequestRoutineRead(Time now);
   // Makes the service report its revision at once instead of at the end of the
   // watch.
-  void Poke();
+  void RequestRevision();
 
   // Returns the next call if it is due. `last_id` is the owner's counter of
   // calls, `known` the highest revision that the node knows of.
@@ -59,7 +58,7 @@
   std::optional<ConfigBatch> OnStoreReply(Time now, const StoreReply& reply);
 
   const std::string& prefix() const { return prefix_; }
-  bool Awaits(StoreCallId id) const { return call_ == id; }
+  bool IsWaitingFor(StoreCallId id) const { return call_ == id; }
   // True if the last call failed.
   bool failing() const { return failing_; }
 
@@ -80,10 +79,10 @@
   bool watching_ = false;
   bool read_due_ = true;
   bool read_is_routine_ = false;
-  bool poked_ = false;
+  bool revision_requested_ = false;
   bool failing_ = false;
   // The next watch reports changes after this revision.
-  Revision position_;
+  Revision watch_revision_;
   Time next_call_;
   Time next_read_;
   std::optional<StoreCallId> call_;
--- a/coordination/configuration/record_changes.cc
+++ b/coordination/configuration/record_changes.cc
@@ -76,7 +76,7 @@
   if (FindGroup(record, move.group) == nullptr) {
     return false;
   }
-  Dissolve(record, move.group);
+  RemoveGroup(record, move.group);
   return true;
 }
 
@@ -123,7 +123,7 @@
       [&](const auto& typed) { return Apply(record, typed, new_group); }, move);
 }
 
-void Dissolve(DomainRecord& record, const GroupId& group) {
+void RemoveGroup(DomainRecord& record, const GroupId& group) {
   for (const GroupRecord& candidate : record.groups) {
     if (candidate.id != group) {
       continue;
--- a/coordination/configuration/record_changes.h
+++ b/coordination/configuration/record_changes.h
@@ -25,7 +25,7 @@
                const GroupId& new_group);
 
 // Removes the group from the record and adds its members to the leaving ones.
-void Dissolve(DomainRecord& record, const GroupId& group);
+void RemoveGroup(DomainRecord& record, const GroupId& group);
 
 }  // namespace gcw
 
--- a/coordination/routing/endpoint_desk.cc
+++ b/coordination/routing/endpoint_desk.cc
@@ -22,19 +22,19 @@
     : settings_(settings),
       self_{self, zone},
       modules_(modules),
-      loads_(settings_.loads, self, zone) {}
+      load_exchange_(settings_.load_exchange, self, zone) {}
 
 EndpointDeskActions EndpointDesk::OnView(Time now, const View& view) {
   nodes_.clear();
   std::vector<GatePeer> peers;
   for (const NodeId& node : view.Owners()) {
     const ZoneId zone = view.Find(node)->record.zone;
-    nodes_.push_back(NodePlace{node, zone});
+    nodes_.push_back(NodeLocation{node, zone});
     peers.push_back(GatePeer{node, zone});
   }
   subset_is_stale_ = true;
   modules_.router->SetNodeCount(static_cast<std::int64_t>(nodes_.size()));
-  loads_.OnView(view);
+  load_exchange_.OnView(view);
   Apply(now, modules_.gate->OnPeers(now, peers));
   return TakeActions();
 }
@@ -93,14 +93,14 @@
 }
 
 EndpointDeskActions EndpointDesk::OnLoad(Time now, const LoadReport& report) {
-  loads_.OnRead(now, report);
-  UseReport(now, report);
+  load_exchange_.OnLocalReport(now, report);
+  ApplyLoadReport(now, report);
   return TakeActions();
 }
 
 EndpointDeskActions EndpointDesk::OnLoads(Time now, const LoadDigest& digest) {
-  for (const LoadReport& report : loads_.OnDigest(now, digest)) {
-    UseReport(now, report);
+  for (const LoadReport& report : load_exchange_.OnDigest(now, digest)) {
+    ApplyLoadReport(now, report);
   }
   return TakeActions();
 }
@@ -108,11 +108,11 @@
 EndpointDeskActions EndpointDesk::OnCacheEvents(Time now,
                                                 const EndpointId& endpoint,
                                                 const CacheEventBatch& batch) {
-  const auto reading = cache_readings_.find(endpoint);
-  if (reading != cache_readings_.end()) {
-    reading->second.after = batch.next - 1;
-    modules_.router->OnCacheEvents(now, endpoint, used_.at(endpoint).generation,
-                                   batch);
+  const auto cursor = cache_cursors_.find(endpoint);
+  if (cursor != cache_cursors_.end()) {
+    cursor->second.after = batch.next - 1;
+    modules_.router->OnCacheEvents(now, endpoint,
+                                   subset_.at(endpoint).generation, batch);
   }
   return TakeActions();
 }
@@ -121,7 +121,7 @@
   modules_.gate->OnRequestStarted(endpoint);
   const auto report = reports_.find(endpoint);
   if (report != reports_.end()) {
-    ++report->second.sent_since;
+    ++report->second.sent_after_report;
   }
 }
 
@@ -141,9 +141,9 @@
   Apply(now, modules_.gate->Tick(now));
   Apply(modules_.keeper->Tick(now));
   if (std::exchange(subset_is_stale_, false)) {
-    ChooseUsed(now);
+    UpdateSubset(now);
   }
-  for (LoadExchangeAction& action : loads_.Tick(now)) {
+  for (LoadExchangeAction& action : load_exchange_.Tick(now)) {
     std::visit(Overloaded{[this](LoadReadDue& due) {
                             actions_.emplace_back(
                                 NodeAction(ReadLoad{std::move(due.endpoint)}));
@@ -153,9 +153,9 @@
                           }},
                action);
   }
-  ReadPlatform(now);
+  RequestPlatformReads(now);
   if (std::exchange(capacity_is_stale_, false)) {
-    TellCapacity(now);
+    UpdateCapacity(now);
   }
   return TakeActions();
 }
@@ -163,20 +163,20 @@
 void EndpointDesk::Apply(Time now, std::vector<ServingGateAction> actions) {
   for (ServingGateAction& action : actions) {
     std::visit(Overloaded{[this](EndpointOpened& opened) {
-                            open_.insert_or_assign(opened.endpoint.id,
-                                                   opened.endpoint);
+                            open_endpoints_.insert_or_assign(opened.endpoint.id,
+                                                             opened.endpoint);
                             subset_is_stale_ = true;
                           },
                           [this, now](EndpointClosed& closed) {
-                            open_.erase(closed.endpoint);
+                            open_endpoints_.erase(closed.endpoint);
                             // A closed endpoint is removed at once instead of
                             // with the next subset.
-                            if (used_.erase(closed.endpoint) > 0) {
+                            if (subset_.erase(closed.endpoint) > 0) {
                               modules_.router->OnEndpointDown(now,
                                                               closed.endpoint);
-                              loads_.OnEndpointDown(closed.endpoint);
+                              load_exchange_.OnEndpointDown(closed.endpoint);
                               reports_.erase(closed.endpoint);
-                              cache_readings_.erase(closed.endpoint);
+                              cache_cursors_.erase(closed.endpoint);
                               capacity_is_stale_ = true;
                             }
                             subset_is_stale_ = true;
@@ -216,52 +216,52 @@
   }
 }
 
-void EndpointDesk::ChooseUsed(Time now) {
+void EndpointDesk::UpdateSubset(Time now) {
   std::map<std::string, std::vector<Endpoint>> pools;
-  for (const auto& [id, endpoint] : open_) {
+  for (const auto& [id, endpoint] : open_endpoints_) {
     pools[PoolOf(endpoint)].push_back(endpoint);
   }
   std::map<EndpointId, Endpoint> chosen;
   for (const auto& [pool, endpoints] : pools) {
     for (const EndpointId& id :
          ChooseEndpointSubset(settings_.subset, self_, nodes_, endpoints)) {
-      chosen.emplace(id, open_.at(id));
+      chosen.emplace(id, open_endpoints_.at(id));
     }
   }
-  for (const auto& [id, endpoint] : used_) {
+  for (const auto& [id, endpoint] : subset_) {
     if (!chosen.contains(id)) {
       modules_.router->OnEndpointDown(now, id);
-      loads_.OnEndpointDown(id);
+      load_exchange_.OnEndpointDown(id);
       reports_.erase(id);
-      cache_readings_.erase(id);
+      cache_cursors_.erase(id);
     }
   }
   for (const auto& [id, endpoint] : chosen) {
-    const auto before = used_.find(id);
-    if (before == used_.end() || before->second != endpoint) {
+    const auto before = subset_.find(id);
+    if (before == subset_.end() || before->second != endpoint) {
       modules_.router->OnEndpointUp(now, endpoint);
-      loads_.OnEndpointUp(now, endpoint);
+      load_exchange_.OnEndpointUp(now, endpoint);
       if (endpoint.service.empty()) {
-        cache_readings_[id] = CacheReading{0, now};
+        cache_cursors_[id] = CacheEventCursor{0, now};
       }
     }
   }
-  used_ = std::move(chosen);
+  subset_ = std::move(chosen);
   capacity_is_stale_ = true;
 }
 
-void EndpointDesk::UseReport(Time now, const LoadReport& report) {
-  if (!used_.contains(report.endpoint)) {
+void EndpointDesk::ApplyLoadReport(Time now, const LoadReport& report) {
+  if (!subset_.contains(report.endpoint)) {
     return;
   }
-  reports_[report.endpoint] = Load{report, 0};
+  reports_[report.endpoint] = ReportedLoad{report, 0};
   modules_.router->OnLoadReport(now, report);
   capacity_is_stale_ = true;
 }
 
-void EndpointDesk::TellCapacity(Time now) {
+void EndpointDesk::UpdateCapacity(Time now) {
   std::map<ModelId, std::vector<const Endpoint*>> by_model;
-  for (const auto& [id, endpoint] : used_) {
+  for (const auto& [id, endpoint] : subset_) {
     if (endpoint.service.empty()) {
       by_model[endpoint.model].push_back(&endpoint);
     }
@@ -283,22 +283,24 @@
       continue;
     }
     const LoadReport& report = found->second.report;
-    EndpointHeadroom room;
-    room.endpoint = endpoint->id;
-    room.batch_limit = report.batch_limit;
-    room.running = report.running_requests;
-    room.queued = report.queued_requests + found->second.sent_since;
+    EndpointHeadroom endpoint_headroom;
+    endpoint_headroom.endpoint = endpoint->id;
+    endpoint_headroom.batch_limit = report.batch_limit;
+    endpoint_headroom.running = report.running_requests;
+    endpoint_headroom.queued =
+        report.queued_requests + found->second.sent_after_report;
     if (report.cache_capacity > TokenCount()) {
-      room.cache_share = static_cast<double>(report.cache_used.value()) /
-                         static_cast<double>(report.cache_capacity.value());
+      endpoint_headroom.cache_share =
+          static_cast<double>(report.cache_used.value()) /
+          static_cast<double>(report.cache_capacity.value());
     }
-    headroom.endpoints.push_back(room);
+    headroom.endpoints.push_back(endpoint_headroom);
     headroom.taken_at = std::max(headroom.taken_at, report.taken_at);
   }
   return headroom;
 }
 
-void EndpointDesk::ReadPlatform(Time now) {
+void EndpointDesk::RequestPlatformReads(Time now) {
   if (now >= next_vm_list_) {
     next_vm_list_ = now + settings_.vm_list_interval;
     actions_.emplace_back(NodeAction(ReadVmList{}));
@@ -307,11 +309,11 @@
     next_weight_store_ = now + settings_.weight_store_interval;
     actions_.emplace_back(NodeAction(ReadWeightStore{}));
   }
-  for (auto& [id, reading] : cache_readings_) {
-    if (now >= reading.next) {
-      reading.next = now + settings_.cache_events_interval;
+  for (auto& [id, cursor] : cache_cursors_) {
+    if (now >= cursor.next) {
+      cursor.next = now + settings_.cache_events_interval;
       actions_.emplace_back(
-          NodeAction(ReadCacheEvents{used_.at(id), reading.after}));
+          NodeAction(ReadCacheEvents{subset_.at(id), cursor.after}));
     }
   }
 }
--- a/coordination/routing/endpoint_desk.h
+++ b/coordination/routing/endpoint_desk.h
@@ -19,7 +19,7 @@
 
 struct EndpointDeskSettings {
   EndpointSubsetSettings subset;
-  LoadExchangeSettings loads;
+  LoadExchangeSettings load_exchange;
   // Intervals between reads of the platform's VM list and of the weight store.
   Duration vm_list_interval = Duration::Seconds(5);
   Duration weight_store_interval = Duration::Seconds(10);
@@ -81,41 +81,41 @@
 
   // The fabric domains of this node's zone that have appeared in a VM list.
   const std::set<FabricDomainId>& domains() const { return domains_; }
-  std::size_t open_endpoints() const { return open_.size(); }
+  std::size_t open_endpoints() const { return open_endpoints_.size(); }
 
  private:
-  struct Load {
+  struct ReportedLoad {
     LoadReport report;
     // Requests that this node sent since `report` arrived.
-    std::int64_t sent_since = 0;
+    std::int64_t sent_after_report = 0;
   };
-  struct CacheReading {
+  struct CacheEventCursor {
     std::int64_t after = 0;
     Time next;
   };
 
   void Apply(Time now, std::vector<ServingGateAction> actions);
   void Apply(std::vector<GroupKeeperAction> actions);
-  void ChooseUsed(Time now);
-  void UseReport(Time now, const LoadReport& report);
-  void TellCapacity(Time now);
+  void UpdateSubset(Time now);
+  void ApplyLoadReport(Time now, const LoadReport& report);
+  void UpdateCapacity(Time now);
   Headroom HeadroomOf(const std::vector<const Endpoint*>& endpoints) const;
-  void ReadPlatform(Time now);
+  void RequestPlatformReads(Time now);
   EndpointDeskActions TakeActions();
 
   EndpointDeskSettings settings_;
-  NodePlace self_;
+  NodeLocation self_;
   EndpointModules modules_;
-  LoadExchange loads_;
-  std::vector<NodePlace> nodes_;
+  LoadExchange load_exchange_;
+  std::vector<NodeLocation> nodes_;
   std::set<FabricDomainId> domains_;
   // The endpoints whose serving gate is open, and the subset of them that this
   // node routes to.
-  std::map<EndpointId, Endpoint> open_;
-  std::map<EndpointId, Endpoint> used_;
+  std::map<EndpointId, Endpoint> open_endpoints_;
+  std::map<EndpointId, Endpoint> subset_;
   bool subset_is_stale_ = false;
-  std::map<EndpointId, Load> reports_;
-  std::map<EndpointId, CacheReading> cache_readings_;
+  std::map<EndpointId, ReportedLoad> reports_;
+  std::map<EndpointId, CacheEventCursor> cache_cursors_;
   bool capacity_is_stale_ = false;
   Time next_vm_list_;
   Time next_weight_store_;
--- a/coordination/routing/endpoint_load.cc
+++ b/coordination/routing/endpoint_load.cc
@@ -14,15 +14,15 @@
       static_cast<double>(report.queued_requests + report.running_requests);
   reported_tokens_ = static_cast<double>(report.queued_prompt_tokens.value());
   batch_limit_ = static_cast<double>(report.batch_limit);
-  CountAfterReport();
+  RecountAfterReport();
   return true;
 }
 
-void EndpointLoad::CountAfterReport() {
+void EndpointLoad::RecountAfterReport() {
   sent_requests_ = 0;
   sent_tokens_ = 0;
   ended_requests_ = 0;
-  for (const OwnAttempt& attempt : own_) {
+  for (const OwnAttempt& attempt : own_attempts_) {
     if (!IsAfterReport(attempt)) {
       continue;
     }
@@ -41,21 +41,22 @@
                           DispatchTicket ticket,
                           std::int64_t tokens,
                           Duration expected_first_byte) {
-  own_.push_back({.ticket = ticket,
-                  .sent = now,
-                  .tokens = tokens,
-                  .expected_first_byte = expected_first_byte});
+  own_attempts_.push_back({.ticket = ticket,
+                           .sent = now,
+                           .tokens = tokens,
+                           .expected_first_byte = expected_first_byte});
   sent_requests_ += 1;
   sent_tokens_ += static_cast<double>(tokens);
 }
 
-EndpointLoad::OwnAttempt* EndpointLoad::Find(DispatchTicket ticket) {
-  const auto found = std::ranges::find(own_, ticket, &OwnAttempt::ticket);
-  return found == own_.end() ? nullptr : &*found;
+EndpointLoad::OwnAttempt* EndpointLoad::FindAttempt(DispatchTicket ticket) {
+  const auto found =
+      std::ranges::find(own_attempts_, ticket, &OwnAttempt::ticket);
+  return found == own_attempts_.end() ? nullptr : &*found;
 }
 
 void EndpointLoad::OnFirstByte(DispatchTicket ticket) {
-  OwnAttempt* attempt = Find(ticket);
+  OwnAttempt* attempt = FindAttempt(ticket);
   if (attempt == nullptr || attempt->has_first_byte) {
     return;
   }
@@ -67,7 +68,7 @@
 
 void EndpointLoad::OnEnded(DispatchTicket ticket) {
   OnFirstByte(ticket);
-  OwnAttempt* attempt = Find(ticket);
+  OwnAttempt* attempt = FindAttempt(ticket);
   if (attempt == nullptr) {
     return;
   }
@@ -76,30 +77,32 @@
   } else {
     ended_requests_ += 1;
   }
-  *attempt = own_.back();
-  own_.pop_back();
+  *attempt = own_attempts_.back();
+  own_attempts_.pop_back();
 }
 
 LoadEstimate EndpointLoad::Estimate(Time now,
-                                    const PeerAssumption& peers) const {
+                                    const PeerLoadModel& peers) const {
   if (!has_report_ || now - taken_at_ > peers.report_timeout) {
-    return {.requests = static_cast<double>(own_.size()) * (peers.others + 1),
-            .tokens = sent_tokens_ * (peers.others + 1),
+    return {.requests = static_cast<double>(own_attempts_.size()) *
+                        (peers.other_nodes + 1),
+            .tokens = sent_tokens_ * (peers.other_nodes + 1),
             .batch_limit = batch_limit_};
   }
   const auto age = static_cast<double>((now - taken_at_).millis());
-  const double even = 1 - peers.likeness;
+  const double even_share = 1 - peers.similarity;
   const double other_requests =
-      peers.others * (peers.likeness * sent_requests_ +
-                      even * peers.mean_requests_per_milli * age);
+      peers.other_nodes * (peers.similarity * sent_requests_ +
+                           even_share * peers.mean_requests_per_milli * age);
   const double other_tokens =
-      peers.others * (peers.likeness * sent_tokens_ +
-                      even * peers.mean_tokens_per_milli * age);
+      peers.other_nodes * (peers.similarity * sent_tokens_ +
+                           even_share * peers.mean_tokens_per_milli * age);
   // This node's own requests are subtracted when they end. Those of other nodes
   // are assumed to end at the mean rate.
-  const double others_part = peers.others / (peers.others + 1);
-  const double ended = std::min(1.0, others_part * age / peers.service_millis) *
-                       reported_requests_;
+  const double other_nodes_share = peers.other_nodes / (peers.other_nodes + 1);
+  const double ended =
+      std::min(1.0, other_nodes_share * age / peers.service_millis) *
+      reported_requests_;
   const double tokens = reported_tokens_ + sent_tokens_ + other_tokens -
                         age * peers.tokens_per_milli;
   return {
@@ -111,7 +114,7 @@
 
 Duration EndpointLoad::Overdue(Time now) const {
   Duration overdue;
-  for (const OwnAttempt& attempt : own_) {
+  for (const OwnAttempt& attempt : own_attempts_) {
     if (!attempt.has_first_byte) {
       overdue =
           std::max(overdue, now - attempt.sent - attempt.expected_first_byte);
--- a/coordination/routing/endpoint_load.h
+++ b/coordination/routing/endpoint_load.h
@@ -10,12 +10,12 @@
 namespace gcw {
 
 // A model of what other nodes have sent to an endpoint since its last report.
-struct PeerAssumption {
+struct PeerLoadModel {
   // Number of other nodes that route to the same endpoints.
-  double others = 0;
+  double other_nodes = 0;
   // How closely the other nodes follow this node's choices: 0 if they spread
   // their requests evenly, 1 if they send what this node sent.
-  double likeness = 0;
+  double similarity = 0;
   // This node's mean rates for one endpoint, per millisecond.
   double mean_requests_per_milli = 0;
   double mean_tokens_per_milli = 0;
@@ -51,15 +51,14 @@
   // The attempt finished, failed or was cancelled.
   void OnEnded(DispatchTicket ticket);
 
-  LoadEstimate Estimate(Time now, const PeerAssumption& peers) const;
+  LoadEstimate Estimate(Time now, const PeerLoadModel& peers) const;
   // The longest time by which a request has exceeded its expected time to first
   // byte. It reveals a paused endpoint at once, while the endpoint's reports
-  // look
-  // normal until they stop.
+  // look normal until they stop.
   Duration Overdue(Time now) const;
 
   std::int64_t own_in_flight() const {
-    return static_cast<std::int64_t>(own_.size());
+    return static_cast<std::int64_t>(own_attempts_.size());
   }
   bool has_report() const { return has_report_; }
   Time report_taken_at() const { return taken_at_; }
@@ -73,17 +72,17 @@
     bool has_first_byte = false;
   };
 
-  OwnAttempt* Find(DispatchTicket ticket);
+  OwnAttempt* FindAttempt(DispatchTicket ticket);
   // True if the attempt was sent after the last report was taken.
   bool IsAfterReport(const OwnAttempt& attempt) const;
-  void CountAfterReport();
+  void RecountAfterReport();
 
   bool has_report_ = false;
   Time taken_at_;
   double reported_requests_ = 0;
   double reported_tokens_ = 0;
   double batch_limit_ = 0;
-  std::vector<OwnAttempt> own_;
+  std::vector<OwnAttempt> own_attempts_;
   // This node's requests that were sent after the report was taken, and the
   // prompt tokens of those that have no first byte yet.
   double sent_requests_ = 0;
--- a/coordination/routing/endpoint_pool.cc
+++ b/coordination/routing/endpoint_pool.cc
@@ -7,8 +7,8 @@
 namespace {
 
 // Time constant of the decay of this node's send rates.
-constexpr double kRateSpanMillis = 10000;
-constexpr double kServiceWeight = 0.02;
+constexpr double kRateDecayMillis = 10000;
+constexpr double kServiceSampleWeight = 0.02;
 // Number of endpoints of a large pool that one decision examines, in addition
 // to those that hold part of the prompt.
 constexpr std::size_t kSampleSize = 96;
@@ -40,12 +40,12 @@
 Result<Route, RefusalKind> EndpointPool::Choose(const ChooseInput& input,
                                                 const Random& random) {
   Candidate probe;
-  if (TakeProbe(input, probe)) {
+  if (ChooseProbe(input, probe)) {
     return RouteTo(probe, true);
   }
   for (const Scope scope :
        {Scope::kHealthySample, Scope::kHealthy, Scope::kAny}) {
-    Collect(input, scope, random);
+    CollectCandidates(input, scope, random);
     if (!candidates_.empty()) {
       break;
     }
@@ -53,7 +53,7 @@
   if (candidates_.empty()) {
     return RefusalKind::kNoEndpoint;
   }
-  const Candidate& chosen = Draw(random);
+  const Candidate& chosen = DrawBetterOfTwo(random);
   if (input.now + RoundedMillis(chosen.first_byte_millis) >
       input.profile.deadline) {
     return RefusalKind::kDeadline;
@@ -61,58 +61,60 @@
   return RouteTo(chosen, false);
 }
 
-bool EndpointPool::TakeProbe(const ChooseInput& input, Candidate& probe) const {
+bool EndpointPool::ChooseProbe(const ChooseInput& input,
+                               Candidate& probe) const {
   if (!input.profile.repeatable || !input.excluded.empty() ||
       !input.allowed.empty()) {
     return false;
   }
-  const EndpointSlot slot = stragglers_.DueProbe(input.now);
+  const EndpointSlot slot = stragglers_.FindDueProbe(input.now);
   if (slot.value() < 0 || !StateOf(slot).backoff.IsOpen(input.now)) {
     return false;
   }
-  probe = CandidateFor(input, Peers(input.now, input.nodes), slot);
+  probe =
+      CandidateFor(input, MakePeerLoadModel(input.now, input.node_count), slot);
   return true;
 }
 
-void EndpointPool::Collect(const ChooseInput& input,
-                           Scope scope,
-                           const Random& random) {
+void EndpointPool::CollectCandidates(const ChooseInput& input,
+                                     Scope scope,
+                                     const Random& random) {
   candidates_.clear();
-  const PeerAssumption peers = Peers(input.now, input.nodes);
+  const PeerLoadModel peers = MakePeerLoadModel(input.now, input.node_count);
   if (scope == Scope::kHealthySample && slots_.size() > kSampleSize &&
       input.allowed.empty()) {
     CollectSample(input, peers, random);
     return;
   }
   for (const EndpointSlot slot : slots_) {
-    Consider(input, peers, scope, slot);
+    AddIfEligible(input, peers, scope, slot);
   }
 }
 
 // Bounds the cost of a decision in a large pool. Considers the endpoints that
 // hold most of the prompt, and a sample at even intervals from a random start.
 void EndpointPool::CollectSample(const ChooseInput& input,
-                                 const PeerAssumption& peers,
+                                 const PeerLoadModel& peers,
                                  const Random& random) {
   const std::size_t holders = std::min(input.holders.size(), kMaxHolders);
   for (const PrefixMatch& holder : input.holders.first(holders)) {
     const bool is_own = StateOf(holder.slot).pool == this;
     if (is_own) {
-      Consider(input, peers, Scope::kHealthySample, holder.slot);
+      AddIfEligible(input, peers, Scope::kHealthySample, holder.slot);
     }
   }
   const std::size_t start = DrawBelow(random, slots_.size());
   for (std::size_t i = 0; i < kSampleSize; ++i) {
     const std::size_t index =
         (start + i * slots_.size() / kSampleSize) % slots_.size();
-    Consider(input, peers, Scope::kHealthySample, slots_[index]);
+    AddIfEligible(input, peers, Scope::kHealthySample, slots_[index]);
   }
 }
 
-void EndpointPool::Consider(const ChooseInput& input,
-                            const PeerAssumption& peers,
-                            Scope scope,
-                            EndpointSlot slot) {
+void EndpointPool::AddIfEligible(const ChooseInput& input,
+                                 const PeerLoadModel& peers,
+                                 Scope scope,
+                                 EndpointSlot slot) {
   if (IsExcluded(input, slot)) {
     return;
   }
@@ -139,7 +141,7 @@
 }
 
 EndpointPool::Candidate EndpointPool::CandidateFor(const ChooseInput& input,
-                                                   const PeerAssumption& peers,
+                                                   const PeerLoadModel& peers,
                                                    EndpointSlot slot) const {
   const EndpointState& state = StateOf(slot);
   const LoadEstimate load = state.load.Estimate(input.now, peers);
@@ -148,13 +150,13 @@
       static_cast<double>(settings_.tokens_per_block);
   const auto prompt = static_cast<double>(input.profile.prompt_tokens.value());
   const double uncached = std::max(0.0, prompt - cached);
-  const double crossing =
+  const double other_zone_cost =
       state.distance_millis > 0 ? settings_.other_zone_millis : 0;
   const double millis =
       2 * state.distance_millis + settings_.step_millis + QueueMillis(load) +
       (load.tokens + uncached) / peers.tokens_per_milli + state.overdue_millis;
   return {.slot = slot,
-          .cost = millis + OccupancyMillis(load) + crossing,
+          .cost = millis + OccupancyMillis(load) + other_zone_cost,
           .first_byte_millis = millis,
           .uncached_tokens = uncached};
 }
@@ -178,34 +180,36 @@
 
 double EndpointPool::WaitMillis(Time now,
                                 const EndpointState& state,
-                                std::int64_t nodes) const {
-  const PeerAssumption peers = Peers(now, nodes);
+                                std::int64_t node_count) const {
+  const PeerLoadModel peers = MakePeerLoadModel(now, node_count);
   const LoadEstimate load = state.load.Estimate(now, peers);
   return QueueMillis(load) + load.tokens / peers.tokens_per_milli +
          state.overdue_millis;
 }
 
 double EndpointPool::SpareRequestsPerSecond(Time now,
-                                            std::int64_t nodes) const {
-  const PeerAssumption peers = Peers(now, nodes);
-  double places = 0;
+                                            std::int64_t node_count) const {
+  const PeerLoadModel peers = MakePeerLoadModel(now, node_count);
+  double free_capacity = 0;
   for (const EndpointSlot slot : slots_) {
     if (IsHealthy(now, slot)) {
       const LoadEstimate load = StateOf(slot).load.Estimate(now, peers);
-      places += std::max(0.0, load.batch_limit - load.requests);
+      free_capacity += std::max(0.0, load.batch_limit - load.requests);
     }
   }
-  return places * 1000 / service_millis_ / static_cast<double>(nodes);
+  return free_capacity * 1000 / service_millis_ /
+         static_cast<double>(node_count);
 }
 
 // Nodes with the same old reports agree on the best endpoint and would overload
 // it if all of them chose it. Two endpoints are therefore drawn at random from
 // those that are nearly as good, and the better of the two is taken.
-const EndpointPool::Candidate& EndpointPool::Draw(const Random& random) {
-  const double least =
+const EndpointPool::Candidate& EndpointPool::DrawBetterOfTwo(
+    const Random& random) {
+  const double min_cost =
       std::ranges::min_element(candidates_, {}, &Candidate::cost)->cost;
   const double limit =
-      least * (1 + settings_.near_best_share) + settings_.near_best_millis;
+      min_cost * (1 + settings_.near_best_share) + settings_.near_best_millis;
   near_best_.clear();
   for (std::size_t i = 0; i < candidates_.size(); ++i) {
     if (candidates_[i].cost <= limit) {
@@ -229,8 +233,8 @@
 }
 
 void EndpointPool::OnDispatched(Time now, const Route& route) {
-  sent_requests_ = RatePerMilli(now, sent_requests_) * kRateSpanMillis + 1;
-  sent_tokens_ = RatePerMilli(now, sent_tokens_) * kRateSpanMillis +
+  sent_requests_ = RatePerMilli(now, sent_requests_) * kRateDecayMillis + 1;
+  sent_tokens_ = RatePerMilli(now, sent_tokens_) * kRateDecayMillis +
                  static_cast<double>(route.uncached_tokens.value());
   sent_updated_ = now;
   if (route.is_probe) {
@@ -240,7 +244,7 @@
 
 double EndpointPool::RatePerMilli(Time now, double sum) const {
   const auto since = static_cast<double>((now - sent_updated_).millis());
-  return sum * std::exp(-since / kRateSpanMillis) / kRateSpanMillis;
+  return sum * std::exp(-since / kRateDecayMillis) / kRateDecayMillis;
 }
 
 void EndpointPool::OnFinished(Time now,
@@ -248,7 +252,7 @@
                               Duration service,
                               double millis_per_token) {
   const auto millis = static_cast<double>(service.millis());
-  service_millis_ += kServiceWeight * (millis - service_millis_);
+  service_millis_ += kServiceSampleWeight * (millis - service_millis_);
   service_millis_ = std::max(service_millis_, 1.0);
   if (millis_per_token > 0) {
     stragglers_.OnSample(now, slot, millis_per_token);
@@ -259,12 +263,13 @@
   return stragglers_.Tick(now);
 }
 
-PeerAssumption EndpointPool::Peers(Time now, std::int64_t nodes) const {
+PeerLoadModel EndpointPool::MakePeerLoadModel(Time now,
+                                              std::int64_t node_count) const {
   const auto endpoints =
       static_cast<double>(std::max<std::size_t>(1, slots_.size()));
   return {
-      .others = static_cast<double>(nodes - 1),
-      .likeness = settings_.peer_likeness,
+      .other_nodes = static_cast<double>(node_count - 1),
+      .similarity = settings_.peer_similarity,
       .mean_requests_per_milli = RatePerMilli(now, sent_requests_) / endpoints,
       .mean_tokens_per_milli = RatePerMilli(now, sent_tokens_) / endpoints,
       .service_millis = service_millis_,
--- a/coordination/routing/endpoint_pool.h
+++ b/coordination/routing/endpoint_pool.h
@@ -23,7 +23,7 @@
   // Number of prompt blocks that an endpoint likely holds, by slot.
   std::span<const double> cached_blocks;
   // Number of nodes that route to the same endpoints, including this one.
-  std::int64_t nodes = 1;
+  std::int64_t node_count = 1;
 };
 
 // Holds the endpoints of one model or plain service and chooses among them.
@@ -49,10 +49,10 @@
   // Expected wait of a new request, without the time to compute its own prompt.
   double WaitMillis(Time now,
                     const EndpointState& state,
-                    std::int64_t nodes) const;
+                    std::int64_t node_count) const;
   // The request rate that this node's share of the free batch capacity can
   // serve.
-  double SpareRequestsPerSecond(Time now, std::int64_t nodes) const;
+  double SpareRequestsPerSecond(Time now, std::int64_t node_count) const;
   const StragglerDetector& stragglers() const { return stragglers_; }
 
  private:
@@ -66,24 +66,26 @@
   // ones, all healthy ones, or all.
   enum class Scope { kHealthySample, kHealthy, kAny };
 
-  PeerAssumption Peers(Time now, std::int64_t nodes) const;
+  PeerLoadModel MakePeerLoadModel(Time now, std::int64_t node_count) const;
   bool IsExcluded(const ChooseInput& input, EndpointSlot slot) const;
   bool IsHealthy(Time now, EndpointSlot slot) const;
-  void Collect(const ChooseInput& input, Scope scope, const Random& random);
+  void CollectCandidates(const ChooseInput& input,
+                         Scope scope,
+                         const Random& random);
   void CollectSample(const ChooseInput& input,
-                     const PeerAssumption& peers,
+                     const PeerLoadModel& peers,
                      const Random& random);
-  void Consider(const ChooseInput& input,
-                const PeerAssumption& peers,
-                Scope scope,
-                EndpointSlot slot);
+  void AddIfEligible(const ChooseInput& input,
+                     const PeerLoadModel& peers,
+                     Scope scope,
+                     EndpointSlot slot);
   Candidate CandidateFor(const ChooseInput& input,
-                         const PeerAssumption& peers,
+                         const PeerLoadModel& peers,
                          EndpointSlot slot) const;
   double QueueMillis(const LoadEstimate& load) const;
   double OccupancyMillis(const LoadEstimate& load) const;
-  bool TakeProbe(const ChooseInput& input, Candidate& probe) const;
-  const Candidate& Draw(const Random& random);
+  bool ChooseProbe(const ChooseInput& input, Candidate& probe) const;
+  const Candidate& DrawBetterOfTwo(const Random& random);
   Route RouteTo(const Candidate& candidate, bool is_probe) const;
   const EndpointState& StateOf(EndpointSlot slot) const;
   double RatePerMilli(Time now, double sum) const;
--- a/coordination/routing/endpoint_state.h
+++ b/coordination/routing/endpoint_state.h
@@ -18,7 +18,7 @@
   std::shared_ptr<const Endpoint> endpoint;
   EndpointPool* pool = nullptr;
   // Distinguishes this use of the slot from earlier ones.
-  std::int64_t use = 0;
+  std::int64_t slot_serial = 0;
   // One-way network delay.
   double distance_millis = 0;
   EndpointLoad load;
--- a/coordination/routing/endpoint_subset.cc
+++ b/coordination/routing/endpoint_subset.cc
@@ -24,15 +24,15 @@
 }
 
 template <typename Id>
-struct RingPlace {
+struct RingPosition {
   std::uint64_t hash = 0;
   Id id;
 
-  friend auto operator<=>(const RingPlace&, const RingPlace&) = default;
+  friend auto operator<=>(const RingPosition&, const RingPosition&) = default;
 };
 
 template <typename Id>
-using Ring = std::vector<RingPlace<Id>>;
+using Ring = std::vector<RingPosition<Id>>;
 
 using EndpointRings = std::map<ZoneId, Ring<EndpointId>>;
 
@@ -50,27 +50,28 @@
 
 // Returns the node's position among the nodes of its zone as a fraction of the
 // ring.
-double ShareOfRing(const NodePlace& self, const std::vector<NodePlace>& nodes) {
+double RingFraction(const NodeLocation& self,
+                    const std::vector<NodeLocation>& nodes) {
   const std::uint64_t own_hash = StableHash(self.id.value());
-  std::int64_t before = 0;
+  std::int64_t preceding = 0;
   std::int64_t peers = 1;
-  for (const NodePlace& node : nodes) {
+  for (const NodeLocation& node : nodes) {
     if (node.zone != self.zone || node.id == self.id) {
       continue;
     }
     ++peers;
-    const auto place = std::make_pair(StableHash(node.id.value()), node.id);
-    before += place < std::make_pair(own_hash, self.id) ? 1 : 0;
+    const auto position = std::make_pair(StableHash(node.id.value()), node.id);
+    preceding += position < std::make_pair(own_hash, self.id) ? 1 : 0;
   }
-  return static_cast<double>(before) / static_cast<double>(peers);
+  return static_cast<double>(preceding) / static_cast<double>(peers);
 }
 
 void AppendArc(const Ring<EndpointId>& ring,
-               double share,
+               double fraction,
                std::size_t length,
                std::vector<EndpointId>& chosen) {
   const auto first =
-      static_cast<std::size_t>(share * static_cast<double>(ring.size()));
+      static_cast<std::size_t>(fraction * static_cast<double>(ring.size()));
   for (std::size_t i = 0; i < std::min(length, ring.size()); ++i) {
     chosen.push_back(ring[(first + i) % ring.size()].id);
   }
@@ -80,8 +81,8 @@
 
 std::vector<EndpointId> ChooseEndpointSubset(
     const EndpointSubsetSettings& settings,
-    const NodePlace& self,
-    const std::vector<NodePlace>& nodes,
+    const NodeLocation& self,
+    const std::vector<NodeLocation>& nodes,
     const std::vector<Endpoint>& endpoints) {
   std::vector<EndpointId> chosen;
   if (endpoints.size() <= settings.max_endpoints) {
@@ -90,11 +91,12 @@
     }
     return chosen;
   }
-  const double share = ShareOfRing(self, nodes);
+  const double fraction = RingFraction(self, nodes);
   for (const auto& [zone, ring] : RingsByZone(endpoints)) {
-    const std::size_t length =
-        zone == self.zone ? settings.own_zone : settings.other_zone;
-    AppendArc(ring, share, length, chosen);
+    const std::size_t length = zone == self.zone
+                                   ? settings.max_own_zone_endpoints
+                                   : settings.max_other_zone_endpoints;
+    AppendArc(ring, fraction, length, chosen);
   }
   return chosen;
 }
--- a/coordination/routing/endpoint_subset.h
+++ b/coordination/routing/endpoint_subset.h
@@ -11,14 +11,14 @@
   // A node connects to all endpoints if there are at most this many.
   std::size_t max_endpoints = 128;
   // With more endpoints, a node connects to at most this many of its own zone
-  std::size_t own_zone = 64;
+  std::size_t max_own_zone_endpoints = 64;
   // and to at most this many of each other zone, which serve if its own zone is
   // full or lost.
-  std::size_t other_zone = 8;
+  std::size_t max_other_zone_endpoints = 8;
 };
 
 // A node and its zone.
-struct NodePlace {
+struct NodeLocation {
   NodeId id;
   ZoneId zone;
 };
@@ -35,8 +35,8 @@
 // safety.
 std::vector<EndpointId> ChooseEndpointSubset(
     const EndpointSubsetSettings& settings,
-    const NodePlace& self,
-    const std::vector<NodePlace>& nodes,
+    const NodeLocation& self,
+    const std::vector<NodeLocation>& nodes,
     const std::vector<Endpoint>& endpoints);
 
 }  // namespace gcw
--- a/coordination/routing/failure_backoff.cc
+++ b/coordination/routing/failure_backoff.cc
@@ -16,7 +16,7 @@
   if (failures_ == 0) {
     return true;
   }
-  if (now < until_) {
+  if (now < ends_at_) {
     return false;
   }
   return !has_trial_ || now - trial_sent_ >= settings_.trial_timeout;
@@ -37,14 +37,14 @@
 void FailureBackoff::OnFailed(Time now) {
   has_trial_ = false;
   // Requests that were in flight at the same time fail together and count as
-  // one
-  // failure.
-  if (failures_ > 0 && now < until_) {
+  // one failure.
+  if (failures_ > 0 && now < ends_at_) {
     return;
   }
   const std::int64_t doublings = std::min(failures_, kMaxDoublings);
-  const Duration wait = settings_.first * (std::int64_t{1} << doublings);
-  until_ = now + std::min(wait, settings_.longest);
+  const Duration wait =
+      settings_.initial_backoff * (std::int64_t{1} << doublings);
+  ends_at_ = now + std::min(wait, settings_.max_backoff);
   ++failures_;
 }
 
--- a/coordination/routing/failure_backoff.h
+++ b/coordination/routing/failure_backoff.h
@@ -9,8 +9,8 @@
 
 struct FailureBackoffSettings {
   // Backoff after the first failure; each further failure doubles it.
-  Duration first = Duration::Millis(500);
-  Duration longest = Duration::Seconds(10);
+  Duration initial_backoff = Duration::Millis(500);
+  Duration max_backoff = Duration::Seconds(10);
   // Another trial request is allowed if the last one has had no result for this
   // long.
   Duration trial_timeout = Duration::Seconds(10);
@@ -32,7 +32,7 @@
   // The result of the request will never be known.
   void OnAbandoned() { has_trial_ = false; }
 
-  Time until() const { return until_; }
+  Time ends_at() const { return ends_at_; }
   std::int64_t failures() const { return failures_; }
 
  private:
@@ -40,7 +40,7 @@
   // Recent failures. A success halves the count instead of clearing it, so that
   // an endpoint that fails half of its requests does not count as healthy.
   std::int64_t failures_ = 0;
-  Time until_;
+  Time ends_at_;
   bool has_trial_ = false;
   Time trial_sent_;
 };
--- a/coordination/routing/load_exchange.cc
+++ b/coordination/routing/load_exchange.cc
@@ -23,7 +23,7 @@
   for (const ZoneId& zone : view.Zones()) {
     nodes_by_zone_[zone] = view.OwnersIn(zone);
   }
-  receivers_ = nodes_.size() <= settings_.share_with_all_up_to
+  receivers_ = nodes_.size() <= settings_.max_nodes_for_global_sharing
                    ? nodes_
                    : view.OwnersIn(zone_);
   std::erase(receivers_, self_);
@@ -33,7 +33,7 @@
 }
 
 void LoadExchange::OnEndpointUp(Time now, const Endpoint& endpoint) {
-  Watched watched;
+  WatchedEndpoint watched;
   watched.endpoint = endpoint;
   watched.next_read = now;
   watched.taken_at = now;
@@ -45,15 +45,15 @@
   watched_.erase(endpoint);
 }
 
-void LoadExchange::OnRead(Time now, const LoadReport& report) {
+void LoadExchange::OnLocalReport(Time now, const LoadReport& report) {
   const auto found = watched_.find(report.endpoint);
   if (found == watched_.end()) {
     return;
   }
-  Watched& watched = found->second;
+  WatchedEndpoint& watched = found->second;
   watched.taken_at = std::min(now, report.taken_at);
   watched.report = report;
-  watched.news = watched.is_reader;
+  watched.has_unshared_report = watched.is_reader;
 }
 
 std::vector<LoadReport> LoadExchange::OnDigest(Time now,
@@ -74,14 +74,16 @@
 
 std::vector<LoadExchangeAction> LoadExchange::Tick(Time now) {
   const double seconds =
-      static_cast<double>((now - refilled_).millis()) / kMillisPerSecond;
-  own_reads_ = std::min(settings_.own_reads_per_second,
-                        own_reads_ + settings_.own_reads_per_second * seconds);
-  refilled_ = now;
+      static_cast<double>((now - last_refill_).millis()) / kMillisPerSecond;
+  fallback_read_tokens_ =
+      std::min(settings_.max_fallback_reads_per_second,
+               fallback_read_tokens_ +
+                   settings_.max_fallback_reads_per_second * seconds);
+  last_refill_ = now;
   std::vector<LoadExchangeAction> actions;
-  Share(now, actions);
+  ShareReports(now, actions);
   for (auto& [id, watched] : watched_) {
-    if (IsDue(now, watched)) {
+    if (TryTakeRead(now, watched)) {
       watched.next_read = now + settings_.read_interval;
       actions.emplace_back(LoadReadDue{watched.endpoint});
     }
@@ -89,7 +91,7 @@
   return actions;
 }
 
-void LoadExchange::ChooseReader(Watched& watched) const {
+void LoadExchange::ChooseReader(WatchedEndpoint& watched) const {
   const auto zone = nodes_by_zone_.find(watched.endpoint.zone);
   const bool has_nodes = zone != nodes_by_zone_.end() && !zone->second.empty();
   const std::vector<NodeId>& candidates = has_nodes ? zone->second : nodes_;
@@ -97,24 +99,26 @@
       RendezvousOwner(watched.endpoint.id.value(), candidates) == self_;
 }
 
-bool LoadExchange::IsDue(Time now, Watched& watched) {
+bool LoadExchange::TryTakeRead(Time now, WatchedEndpoint& watched) {
   if (now < watched.next_read) {
     return false;
   }
   if (watched.is_reader) {
     return true;
   }
-  if (now - watched.taken_at < settings_.own_read_after || own_reads_ < 1) {
+  if (now - watched.taken_at < settings_.fallback_read_delay ||
+      fallback_read_tokens_ < 1) {
     return false;
   }
-  own_reads_ -= 1;
+  fallback_read_tokens_ -= 1;
   return true;
 }
 
-void LoadExchange::Share(Time now, std::vector<LoadExchangeAction>& actions) {
+void LoadExchange::ShareReports(Time now,
+                                std::vector<LoadExchangeAction>& actions) {
   LoadDigest digest;
   for (auto& [id, watched] : watched_) {
-    if (std::exchange(watched.news, false)) {
+    if (std::exchange(watched.has_unshared_report, false)) {
       digest.loads.push_back(
           SharedLoad{watched.report, now - watched.report.taken_at});
     }
--- a/coordination/routing/load_exchange.h
+++ b/coordination/routing/load_exchange.h
@@ -26,13 +26,13 @@
   // Interval between reads of an endpoint by its reader node.
   Duration read_interval = Duration::Millis(500);
   // This node reads an endpoint itself if it has had no report for this long.
-  Duration own_read_after = Duration::Seconds(3);
+  Duration fallback_read_delay = Duration::Seconds(3);
   // Limit on the rate of reads that this node makes itself because no report
   // arrived from another node.
-  double own_reads_per_second = 10;
+  double max_fallback_reads_per_second = 10;
   // If the fleet has at most this many nodes, reports are shared with all of
   // them; otherwise only within the zone.
-  std::size_t share_with_all_up_to = 32;
+  std::size_t max_nodes_for_global_sharing = 32;
 };
 
 // The caller reads the load of this endpoint now.
@@ -54,14 +54,14 @@
   void OnEndpointUp(Time now, const Endpoint& endpoint);
   void OnEndpointDown(const EndpointId& endpoint);
   // This node read the report itself.
-  void OnRead(Time now, const LoadReport& report);
+  void OnLocalReport(Time now, const LoadReport& report);
   // Returns the digest's reports of endpoints that this node uses, with their
   // times converted to this node's clock.
   std::vector<LoadReport> OnDigest(Time now, const LoadDigest& digest);
   std::vector<LoadExchangeAction> Tick(Time now);
 
  private:
-  struct Watched {
+  struct WatchedEndpoint {
     Endpoint endpoint;
     // This node reads the endpoint for the others.
     bool is_reader = false;
@@ -69,13 +69,13 @@
     // Time at which the newest report was taken.
     Time taken_at;
     // `report` was read since the last digest was sent.
-    bool news = false;
+    bool has_unshared_report = false;
     LoadReport report;
   };
 
-  void ChooseReader(Watched& watched) const;
-  bool IsDue(Time now, Watched& watched);
-  void Share(Time now, std::vector<LoadExchangeAction>& actions);
+  void ChooseReader(WatchedEndpoint& watched) const;
+  bool TryTakeRead(Time now, WatchedEndpoint& watched);
+  void ShareReports(Time now, std::vector<LoadExchangeAction>& actions);
 
   LoadExchangeSettings settings_;
   NodeId self_;
@@ -83,10 +83,10 @@
   std::map<ZoneId, std::vector<NodeId>> nodes_by_zone_;
   std::vector<NodeId> nodes_;
   std::vector<NodeId> receivers_;
-  std::map<EndpointId, Watched> watched_;
+  std::map<EndpointId, WatchedEndpoint> watched_;
   // Token bucket of the reads that this node makes because of missing reports.
-  double own_reads_ = 0;
-  Time refilled_;
+  double fallback_read_tokens_ = 0;
+  Time last_refill_;
 };
 
 }  // namespace gcw
--- a/coordination/routing/router.cc
+++ b/coordination/routing/router.cc
@@ -9,16 +9,17 @@
 
 // A ticket combines an index into the table of attempts with the serial number
 // of that entry's use.
-constexpr int kPlaceBits = 20;
-constexpr std::int64_t kPlaceMask = (std::int64_t{1} << kPlaceBits) - 1;
+constexpr int kIndexBits = 20;
+constexpr std::int64_t kIndexMask = (std::int64_t{1} << kIndexBits) - 1;
 // An answer with fewer tokens is too short to measure the endpoint's speed.
-constexpr std::int64_t kMinPacedTokens = 8;
-// `Attempt::slot_use` if the endpoint was removed before the attempt was sent.
-constexpr std::int64_t kNoUse = -1;
-
-DispatchTicket MakeTicket(std::int64_t serial, std::size_t place) {
-  return DispatchTicket((serial << kPlaceBits) |
-                        static_cast<std::int64_t>(place));
+constexpr std::int64_t kMinTokensForSpeed = 8;
+// `Attempt::slot_serial` if the endpoint was removed before the attempt was
+// sent.
+constexpr std::int64_t kNoSlotSerial = -1;
+
+DispatchTicket MakeTicket(std::int64_t serial, std::size_t index) {
+  return DispatchTicket((serial << kIndexBits) |
+                        static_cast<std::int64_t>(index));
 }
 
 }  // namespace
@@ -74,7 +75,7 @@
   EndpointPool& pool = PoolFor(endpoint);
   StateAt(slot) = {.endpoint = std::make_shared<const Endpoint>(endpoint),
                    .pool = &pool,
-                   .use = next_use_++,
+                   .slot_serial = next_slot_serial_++,
                    .distance_millis = DistanceMillis(endpoint.zone),
                    .load = {},
                    .backoff = FailureBackoff(settings_.backoff)};
@@ -116,8 +117,8 @@
   }
 }
 
-void Router::SetNodeCount(std::int64_t nodes) {
-  nodes_ = std::max<std::int64_t>(1, nodes);
+void Router::SetNodeCount(std::int64_t node_count) {
+  node_count_ = std::max<std::int64_t>(1, node_count);
 }
 
 Result<Route, RefusalKind> Router::Choose(
@@ -140,7 +141,7 @@
   }
   prefixes_.Match(profile.prefix_blocks, matches_);
   for (const PrefixMatch& match : matches_) {
-    const double weight = match.is_doubtful ? settings_.doubtful_weight : 1;
+    const double weight = match.is_doubtful ? settings_.unconfirmed_weight : 1;
     cached_blocks_[static_cast<std::size_t>(match.slot.value())] =
         weight * static_cast<double>(match.blocks);
   }
@@ -150,7 +151,7 @@
                               .allowed = allowed,
                               .holders = matches_,
                               .cached_blocks = cached_blocks_,
-                              .nodes = nodes_},
+                              .node_count = node_count_},
                              random_);
   for (const PrefixMatch& match : matches_) {
     cached_blocks_[static_cast<std::size_t>(match.slot.value())] = 0;
@@ -167,7 +168,7 @@
       state.endpoint->generation == route.endpoint->generation;
   const DispatchTicket ticket =
       AddAttempt({.slot = route.slot,
-                  .slot_use = is_present ? state.use : kNoUse,
+                  .slot_serial = is_present ? state.slot_serial : kNoSlotSerial,
                   .sent = now,
                   .first_byte = now});
   if (!is_present) {
@@ -195,13 +196,13 @@
 
 void Router::OnFinished(Time now, DispatchTicket ticket, TokenCount generated) {
   Attempt attempt;
-  EndpointState* state = End(ticket, attempt);
+  EndpointState* state = EndAttempt(ticket, attempt);
   if (state == nullptr) {
     return;
   }
   state->backoff.OnSucceeded();
   double millis_per_token = 0;
-  if (attempt.has_first_byte && generated.value() >= kMinPacedTokens) {
+  if (attempt.has_first_byte && generated.value() >= kMinTokensForSpeed) {
     millis_per_token =
         static_cast<double>((now - attempt.first_byte).millis()) /
         static_cast<double>(generated.value() - 1);
@@ -212,14 +213,14 @@
 
 void Router::OnFailed(Time now, DispatchTicket ticket) {
   Attempt attempt;
-  if (EndpointState* state = End(ticket, attempt)) {
+  if (EndpointState* state = EndAttempt(ticket, attempt)) {
     state->backoff.OnFailed(now);
   }
 }
 
 void Router::OnCancelled(Time /*now*/, DispatchTicket ticket) {
   Attempt attempt;
-  if (EndpointState* state = End(ticket, attempt)) {
+  if (EndpointState* state = EndAttempt(ticket, attempt)) {
     state->backoff.OnAbandoned();
   }
 }
@@ -263,7 +264,7 @@
 double Router::SpareRequestsPerSecond(Time now,
                                       const RequestTarget& target) const {
   const EndpointPool* pool = FindPool(target);
-  return pool == nullptr ? 0 : pool->SpareRequestsPerSecond(now, nodes_);
+  return pool == nullptr ? 0 : pool->SpareRequestsPerSecond(now, node_count_);
 }
 
 std::vector<EndpointView> Router::Endpoints(Time now) const {
@@ -271,7 +272,7 @@
   for (const auto& [id, slot] : slots_) {
     const EndpointState& state =
         endpoints_[static_cast<std::size_t>(slot.value())];
-    const double wait = state.pool->WaitMillis(now, state, nodes_);
+    const double wait = state.pool->WaitMillis(now, state, node_count_);
     views.push_back(
         {.id = id,
          .generation = state.endpoint->generation,
@@ -281,7 +282,7 @@
          .has_report = state.load.has_report(),
          .report_taken_at = state.load.report_taken_at(),
          .is_ejected = state.pool->stragglers().IsEjected(slot),
-         .backing_off_until = state.backoff.until()});
+         .backing_off_until = state.backoff.ends_at()});
   }
   std::ranges::sort(views, {}, &EndpointView::id);
   return views;
@@ -321,7 +322,7 @@
   }
   const auto found =
       std::ranges::find(settings_.distances, zone, &ZoneDistance::zone);
-  return found == settings_.distances.end() ? settings_.unknown_distance_millis
+  return found == settings_.distances.end() ? settings_.default_distance_millis
                                             : found->millis;
 }
 
@@ -330,31 +331,31 @@
     free_attempts_.push_back(attempts_.size());
     attempts_.emplace_back();
   }
-  const std::size_t place = free_attempts_.back();
+  const std::size_t index = free_attempts_.back();
   free_attempts_.pop_back();
-  attempts_[place] = attempt;
-  attempts_[place].serial = next_serial_++;
-  return MakeTicket(attempts_[place].serial, place);
+  attempts_[index] = attempt;
+  attempts_[index].serial = next_serial_++;
+  return MakeTicket(attempts_[index].serial, index);
 }
 
 Router::Attempt* Router::FindAttempt(DispatchTicket ticket) {
-  const auto place = static_cast<std::size_t>(ticket.value() & kPlaceMask);
-  const std::int64_t serial = ticket.value() >> kPlaceBits;
-  if (place >= attempts_.size() || serial == 0 ||
-      attempts_[place].serial != serial) {
+  const auto index = static_cast<std::size_t>(ticket.value() & kIndexMask);
+  const std::int64_t serial = ticket.value() >> kIndexBits;
+  if (index >= attempts_.size() || serial == 0 ||
+      attempts_[index].serial != serial) {
     return nullptr;
   }
-  return &attempts_[place];
+  return &attempts_[index];
 }
 
 EndpointState* Router::StateFor(const Attempt& attempt) {
   EndpointState& state = StateAt(attempt.slot);
   const bool is_same =
-      state.endpoint != nullptr && state.use == attempt.slot_use;
+      state.endpoint != nullptr && state.slot_serial == attempt.slot_serial;
   return is_same ? &state : nullptr;
 }
 
-EndpointState* Router::End(DispatchTicket ticket, Attempt& ended) {
+EndpointState* Router::EndAttempt(DispatchTicket ticket, Attempt& ended) {
   Attempt* attempt = FindAttempt(ticket);
   if (attempt == nullptr) {
     return nullptr;
@@ -362,7 +363,7 @@
   ended = *attempt;
   attempt->serial = 0;
   free_attempts_.push_back(
-      static_cast<std::size_t>(ticket.value() & kPlaceMask));
+      static_cast<std::size_t>(ticket.value() & kIndexMask));
   EndpointState* state = StateFor(ended);
   if (state != nullptr) {
     state->load.OnEnded(ticket);
--- a/coordination/routing/router.h
+++ b/coordination/routing/router.h
@@ -36,15 +36,13 @@
 
   // Adds or updates a routable endpoint. A new generation starts without load,
   // prefixes or history. Returns false if the router has no free slot; the
-  // caller
-  // must choose a subset first (coordination/routing/endpoint_subset.h).
+  // caller must choose a subset first (coordination/routing/endpoint_subset.h).
   bool OnEndpointUp(Time now, const Endpoint& endpoint);
   // The endpoint receives no new attempts from now on. Attempts in flight
   // continue.
   void OnEndpointDown(Time now, const EndpointId& endpoint);
   // Ignores reports of another generation and reports that are not newer than
-  // the
-  // last one.
+  // the last one.
   void OnLoadReport(Time now, const LoadReport& report);
   void OnCacheEvents(Time now,
                      const EndpointId& endpoint,
@@ -52,7 +50,7 @@
                      const CacheEventBatch& batch);
   // Sets the number of nodes that route to the same endpoints, including this
   // one.
-  void SetNodeCount(std::int64_t nodes);
+  void SetNodeCount(std::int64_t node_count);
 
   // Chooses the endpoint to try next. `excluded` holds the endpoints that have
   // failed this request. No state changes until `OnDispatched`.
@@ -66,8 +64,7 @@
                                          std::span<const EndpointId> allowed);
 
   // The attempt was sent to the route's endpoint. The returned ticket
-  // identifies
-  // it in the calls below, each of which may arrive late or twice.
+  // identifies it in the calls below, each of which may arrive late or twice.
   DispatchTicket OnDispatched(Time now,
                               const Route& route,
                               const RequestProfile& profile);
@@ -89,12 +86,11 @@
  private:
   struct Attempt {
     // Distinguishes this use of the table entry from earlier ones; 0 if the
-    // entry
-    // is free.
+    // entry is free.
     std::int64_t serial = 0;
     EndpointSlot slot;
-    // `EndpointState::use` when the attempt was sent.
-    std::int64_t slot_use = 0;
+    // `EndpointState::slot_serial` when the attempt was sent.
+    std::int64_t slot_serial = 0;
     Time sent;
     Time first_byte;
     bool has_first_byte = false;
@@ -113,13 +109,13 @@
   // Copies the attempt to `ended`, frees its table entry and removes its load
   // from its endpoint. Returns null if the attempt has ended before or its
   // endpoint was removed.
-  EndpointState* End(DispatchTicket ticket, Attempt& ended);
+  EndpointState* EndAttempt(DispatchTicket ticket, Attempt& ended);
   void ReportStraggler(const StragglerAction& action);
 
   RouterSettings settings_;
   Random random_;
   EventSink events_;
-  std::int64_t nodes_ = 1;
+  std::int64_t node_count_ = 1;
   PrefixIndex prefixes_;
   // Indexed by slot.
   std::vector<EndpointState> endpoints_;
@@ -130,7 +126,7 @@
   std::vector<Attempt> attempts_;
   std::vector<std::size_t> free_attempts_;
   std::int64_t next_serial_ = 1;
-  std::int64_t next_use_ = 1;
+  std::int64_t next_slot_serial_ = 1;
   // Scratch space for `ChooseAmong`.
   std::vector<PrefixMatch> matches_;
   std::vector<double> cached_blocks_;
--- a/coordination/routing/router_settings.h
+++ b/coordination/routing/router_settings.h
@@ -21,21 +21,19 @@
   ZoneId zone;
   std::vector<ZoneDistance> distances;
   // One-way delay to a zone that `distances` does not contain.
-  double unknown_distance_millis = 10;
+  double default_distance_millis = 10;
 
   // Rate at which an engine computes prompt tokens while its batch is full.
   double prefill_tokens_per_second = 9000;
   // Duration of one engine step. A new request waits for the current step to
-  // end
-  // and joins the next one.
+  // end and joins the next one.
   double step_millis = 35;
   std::int64_t tokens_per_block = 16;
   // Initial value of the mean service time, which finished requests update.
   double initial_service_millis = 8000;
 
   // Cost that a full batch adds to an endpoint. The cost grows with the square
-  // of
-  // the occupancy and balances load before any endpoint has a queue.
+  // of the occupancy and balances load before any endpoint has a queue.
   double occupancy_millis = 25;
   // An endpoint may be drawn if its cost exceeds the minimum by at most an
   // absolute amount plus a share of the minimum.
@@ -48,9 +46,9 @@
   // How closely other nodes are assumed to follow this node's choices since a
   // report: 1 if they send what this node sent, 0 if they spread their requests
   // evenly.
-  double peer_likeness = 1;
+  double peer_similarity = 1;
   // Weight of an unconfirmed prefix match; a confirmed match has weight 1.
-  double doubtful_weight = 1;
+  double unconfirmed_weight = 1;
   // A report older than this is ignored.
   Duration report_timeout = Duration::Seconds(10);
 
--- a/coordination/routing/straggler_detector.cc
+++ b/coordination/routing/straggler_detector.cc
@@ -60,8 +60,8 @@
     peer.has_recovered = true;
     return;
   }
-  peer.probe_after = std::min(peer.probe_after * 2, settings_.max_probe_after);
-  peer.next_probe = now + peer.probe_after;
+  peer.probe_delay = std::min(peer.probe_delay * 2, settings_.max_probe_delay);
+  peer.next_probe = now + peer.probe_delay;
 }
 
 void StragglerDetector::OnProbeSent(Time now, EndpointSlot slot) {
@@ -79,7 +79,7 @@
   return peer != nullptr && peer->is_ejected;
 }
 
-EndpointSlot StragglerDetector::DueProbe(Time now) const {
+EndpointSlot StragglerDetector::FindDueProbe(Time now) const {
   if (ejected_count_ == 0) {
     return kNoSlot;
   }
@@ -103,16 +103,16 @@
       actions.emplace_back(StragglerRestored{SlotAt(index)});
     }
   }
-  while (MayEjectOneMore()) {
-    const std::size_t slowest = SlowestSuspect();
+  while (CanEjectAnother()) {
+    const std::size_t slowest = SlowestOutlier();
     if (slowest == peers_.size()) {
       break;
     }
     Peer& peer = peers_[slowest];
     peer.is_ejected = true;
     peer.is_probing = false;
-    peer.probe_after = settings_.first_probe_after;
-    peer.next_probe = now + peer.probe_after;
+    peer.probe_delay = settings_.initial_probe_delay;
+    peer.next_probe = now + peer.probe_delay;
     ++ejected_count_;
     actions.emplace_back(
         StragglerEjected{SlotAt(slowest), peer.mean / median_});
@@ -137,13 +137,13 @@
   median_ = *middle;
 }
 
-bool StragglerDetector::MayEjectOneMore() const {
+bool StragglerDetector::CanEjectAnother() const {
   return median_ > 0 &&
          static_cast<double>(ejected_count_ + 1) <=
              settings_.max_ejected_share * static_cast<double>(present_count_);
 }
 
-std::size_t StragglerDetector::SlowestSuspect() const {
+std::size_t StragglerDetector::SlowestOutlier() const {
   std::size_t slowest = peers_.size();
   for (std::size_t index = 0; index < peers_.size(); ++index) {
     const Peer& peer = peers_[index];
--- a/coordination/routing/straggler_detector.h
+++ b/coordination/routing/straggler_detector.h
@@ -15,8 +15,7 @@
   // Number of samples that an endpoint needs before it can be ejected.
   std::int64_t min_samples = 6;
   // Number of peers with enough samples that are needed before any of them can
-  // be
-  // ejected.
+  // be ejected.
   std::int64_t min_peers = 3;
   // An endpoint is ejected if its mean exceeds this multiple of the peers'
   // median.
@@ -27,10 +26,9 @@
   // Limit on the share of all peers that are ejected at the same time.
   double max_ejected_share = 0.2;
   // Delay from ejection to the first probe. Each slow probe doubles the delay,
-  // up
-  // to `max_probe_after`.
-  Duration first_probe_after = Duration::Seconds(5);
-  Duration max_probe_after = Duration::Seconds(60);
+  // up to `max_probe_delay`.
+  Duration initial_probe_delay = Duration::Seconds(5);
+  Duration max_probe_delay = Duration::Seconds(60);
   // A probe that has brought no sample after this long is sent again.
   Duration probe_timeout = Duration::Seconds(10);
 };
@@ -69,7 +67,7 @@
   bool IsEjected(EndpointSlot slot) const;
   // Returns an ejected endpoint that is due for a probe, or a negative slot if
   // there is none.
-  EndpointSlot DueProbe(Time now) const;
+  EndpointSlot FindDueProbe(Time now) const;
 
   // Compares all endpoints with their peers, and ejects and restores endpoints.
   std::vector<StragglerAction> Tick(Time now);
@@ -90,15 +88,15 @@
     std::int64_t samples = 0;
     double mean = 0;
     Time next_probe;
-    Duration probe_after;
+    Duration probe_delay;
   };
 
   Peer* Find(EndpointSlot slot);
   const Peer* Find(EndpointSlot slot) const;
   void OnProbeSample(Time now, Peer& peer, double cost);
   void UpdateMedian();
-  bool MayEjectOneMore() const;
-  std::size_t SlowestSuspect() const;
+  bool CanEjectAnother() const;
+  std::size_t SlowestOutlier() const;
 
   StragglerSettings settings_;
   std::vector<Peer> peers_;
--- a/tests/coordination/configuration/config_property_test.cc
+++ b/tests/coordination/configuration/config_property_test.cc
@@ -16,37 +16,36 @@
 
   // One operator changes or withdraws a key based on one node's copy, or asks
   // again for an outcome that is not final.
-  void Act() {
+  void ProposeRandomChange() {
     const Random& random = cluster_.random();
     const std::size_t node = DrawBelow(random, cluster_.nodes().size());
     if (cluster_.nodes()[node].paused) {
       return;
     }
-    if (!asked_.empty() && DrawBelow(random, 3) == 0) {
-      AskAgain(node, asked_[DrawBelow(random, asked_.size())]);
+    if (!changes_.empty() && DrawBelow(random, 3) == 0) {
+      ProposeAgain(node, changes_[DrawBelow(random, changes_.size())]);
       return;
     }
     const std::string& key = kKeys[DrawBelow(random, kKeys.size())];
     const ConfigEntry* seen = cluster_.store_of(node).Find(key);
     std::optional<std::string> value;
     if (DrawBelow(random, 4) != 0) {
-      value = "v" + std::to_string(asked_.size());
+      value = "v" + std::to_string(changes_.size());
     }
     const Revision expected = seen != nullptr ? seen->revision : Revision();
     const ChangeId id = cluster_.Propose(node, key, value, expected);
-    asked_.push_back({key, value, expected, id, true});
+    changes_.push_back({key, value, expected, id, true});
   }
 
   // Asks again through node 0, once all faults are healed, until every outcome
-  // is
-  // final or can no longer be known. Returns false if that takes too long.
-  bool SettleAll() {
+  // is final or can no longer be known. Returns false if that takes too long.
+  bool SettleAllChanges() {
     for (int round = 0; round < 50; ++round) {
       bool open = false;
-      for (const ConfigChange& change : asked_) {
+      for (const ConfigChange& change : changes_) {
         if (!IsFinal(change.change) && !IsForgotten(change)) {
           open = true;
-          AskAgain(0, change);
+          ProposeAgain(0, change);
         }
       }
       if (!open) {
@@ -58,14 +57,14 @@
   }
 
   // Checks that the operators' answers match the writes of the service.
-  void CheckAnswers() const {
+  void CheckOutcomes() const {
     std::map<ChangeId, std::vector<Revision>> written;
     for (const FakeStore::Change& change : cluster_.link().store().changes()) {
       const auto record = TextConfigCodec().decode(change.entry->value);
       written[record->change].push_back(change.revision);
     }
-    std::set<std::pair<std::string, Revision>> won;
-    for (const ConfigChange& change : asked_) {
+    std::set<std::pair<std::string, Revision>> accepted_versions;
+    for (const ConfigChange& change : changes_) {
       const auto it = cluster_.outcomes().find(change.change);
       if (it == cluster_.outcomes().end()) {
         continue;
@@ -75,7 +74,8 @@
       if (const auto* accepted = std::get_if<ChangeAccepted>(&it->second)) {
         RC_ASSERT(revisions == std::vector<Revision>{accepted->revision});
         // At most one change is accepted for each version of a key.
-        RC_ASSERT(won.emplace(change.key, change.expected).second);
+        RC_ASSERT(
+            accepted_versions.emplace(change.key, change.expected).second);
       } else if (std::holds_alternative<ChangeConflict>(it->second)) {
         RC_ASSERT(revisions.empty());
       }
@@ -103,18 +103,18 @@
                ChangeUnavailableKind::kOutcomeUnknown;
   }
 
-  void AskAgain(std::size_t node, const ConfigChange& change) {
+  void ProposeAgain(std::size_t node, const ConfigChange& change) {
     if (!IsFinal(change.change)) {
       cluster_.Propose(node, change);
     }
   }
 
   ConfigCluster& cluster_;
-  std::vector<ConfigChange> asked_;
+  std::vector<ConfigChange> changes_;
 };
 
 // Injects or ends one random fault.
-void Disturb(ConfigCluster& cluster) {
+void InjectFault(ConfigCluster& cluster) {
   const Random& random = cluster.random();
   const std::size_t index = DrawBelow(random, cluster.nodes().size());
   FakeStoreFaults& faults = cluster.link().faults();
@@ -149,16 +149,17 @@
           static_cast<std::int64_t>(DrawBelow(random, 20000)) + 1);
       break;
     default: {
-      const std::uint64_t side = random();
-      cluster.network().SetConnected([side](const NodeId& a, const NodeId& b) {
-        return (RendezvousScore(std::to_string(side), a) & 1) ==
-               (RendezvousScore(std::to_string(side), b) & 1);
-      });
+      const std::uint64_t partition_seed = random();
+      cluster.network().SetConnected(
+          [partition_seed](const NodeId& a, const NodeId& b) {
+            return (RendezvousScore(std::to_string(partition_seed), a) & 1) ==
+                   (RendezvousScore(std::to_string(partition_seed), b) & 1);
+          });
     }
   }
 }
 
-void Heal(ConfigCluster& cluster) {
+void ClearFaults(ConfigCluster& cluster) {
   cluster.link().SetOutage(cluster.now(), false);
   cluster.link().faults() = FakeStoreFaults();
   cluster.network().faults() = FakeNetworkFaults();
@@ -174,31 +175,31 @@
 // an accepted change was written, reaches every node and is never reverted, a
 // refused change never takes effect, and each version has one winner.
 RC_GTEST_PROP(ConfigProperty,
-              AnswersAreTrueAndNothingReverts,
+              OutcomesAreCorrectAndNothingReverts,
               (std::uint64_t seed)) {
   ConfigCluster cluster(5, seed);
   Operators operators(cluster);
   cluster.Run(Duration::Seconds(5));
   for (int step = 0; step < 1500; ++step) {
     if (DrawBelow(cluster.random(), 25) == 0) {
-      Disturb(cluster);
+      InjectFault(cluster);
     }
     if (DrawBelow(cluster.random(), 10) == 0) {
-      operators.Act();
+      operators.ProposeRandomChange();
     }
     cluster.Step();
     for (const ConfigCluster::Node& node : cluster.nodes()) {
       RC_ASSERT(!node.reverted);
     }
   }
-  operators.CheckAnswers();
-  Heal(cluster);
+  operators.CheckOutcomes();
+  ClearFaults(cluster);
   cluster.Run(Duration::Seconds(30));
-  RC_ASSERT(operators.SettleAll());
-  operators.CheckAnswers();
+  RC_ASSERT(operators.SettleAllChanges());
+  operators.CheckOutcomes();
   cluster.Run(Duration::Seconds(40));
   RC_ASSERT(cluster.events(EventKind::kStoreRewound) == 0);
-  RC_ASSERT(!cluster.contradicted());
+  RC_ASSERT(!cluster.has_contradiction());
   RC_ASSERT(cluster.Converged());
   for (const ConfigCluster::Node& node : cluster.nodes()) {
     RC_ASSERT(node.sync->ready());
@@ -208,15 +209,15 @@
 
 // Guards against a floor that is raised past an entry that was lost in transit,
 // which would tell operators that a change is in force at a node that lacks it.
-RC_GTEST_PROP(ConfigProperty, FloorsAreTrue, (std::uint64_t seed)) {
+RC_GTEST_PROP(ConfigProperty, FloorsAreCorrect, (std::uint64_t seed)) {
   ConfigCluster cluster(4, seed);
   Operators operators(cluster);
   for (int step = 0; step < 1500; ++step) {
     if (DrawBelow(cluster.random(), 25) == 0) {
-      Disturb(cluster);
+      InjectFault(cluster);
     }
     if (DrawBelow(cluster.random(), 10) == 0) {
-      operators.Act();
+      operators.ProposeRandomChange();
     }
     cluster.Step();
     for (const ConfigCluster::Node& node : cluster.nodes()) {
--- a/tests/coordination/configuration/config_sync_test.cc
+++ b/tests/coordination/configuration/config_sync_test.cc
@@ -9,7 +9,7 @@
 
 constexpr char kKey[] = "contract/oblak";
 
-Revision AcceptedAt(const ChangeOutcome& outcome) {
+Revision AcceptedRevision(const ChangeOutcome& outcome) {
   const auto* accepted = std::get_if<ChangeAccepted>(&outcome);
   return accepted == nullptr ? Revision() : accepted->revision;
 }
@@ -36,7 +36,7 @@
     ASSERT_TRUE(node.sync->ready());
   }
   const Revision revision =
-      AcceptedAt(cluster.Settle(3, kKey, "a", Revision()));
+      AcceptedRevision(cluster.Settle(3, kKey, "a", Revision()));
   ASSERT_GT(revision, Revision());
   cluster.Run(Duration::Seconds(2));
   EXPECT_TRUE(cluster.Converged());
@@ -59,7 +59,8 @@
 TEST(ConfigSyncTest, ExactlyOneOfRacingChangesWins) {
   ConfigCluster cluster(4, 3);
   cluster.Run(Duration::Seconds(5));
-  const Revision base = AcceptedAt(cluster.Settle(0, kKey, "a", Revision()));
+  const Revision base =
+      AcceptedRevision(cluster.Settle(0, kKey, "a", Revision()));
   cluster.Run(Duration::Seconds(2));
   const std::vector<ChangeId> changes = {
       cluster.Propose(1, kKey, "b", base), cluster.Propose(2, kKey, "c", base),
@@ -84,7 +85,7 @@
 // Guards against reporting a conflict for a committed change: the answer to its
 // put is lost, and another operator replaces the value before the first node
 // reads it back, so that the key's last change is no longer this one.
-TEST(ConfigSyncTest, LostAnswerIsSettledAlsoWhenOthersBuiltOnTheChange) {
+TEST(ConfigSyncTest, LostAnswerIsSettledAfterAnotherChangeFollowed) {
   ConfigCluster cluster(2, 4);
   cluster.Run(Duration::Seconds(5));
   cluster.link().faults().reply_lost = 1;
@@ -93,15 +94,15 @@
   ASSERT_EQ(cluster.link().store().entries().count(kKey), 1U);
   const Revision written = cluster.link().store().entries().at(kKey).revision;
   cluster.link().faults().reply_lost = 0;
-  EXPECT_GT(AcceptedAt(cluster.Settle(1, kKey, "b", written)), written);
+  EXPECT_GT(AcceptedRevision(cluster.Settle(1, kKey, "b", written)), written);
   cluster.Run(Duration::Seconds(10));
-  EXPECT_EQ(AcceptedAt(cluster.outcomes().at(first)), written);
+  EXPECT_EQ(AcceptedRevision(cluster.outcomes().at(first)), written);
 }
 
 // Guards against an outcome that only the first node can determine: it answers
 // "outcome unknown" during an outage, and the operator asks again through
 // another node.
-TEST(ConfigSyncTest, AskingAgainThroughAnotherNodeSettles) {
+TEST(ConfigSyncTest, RepeatingAChangeThroughAnotherNodeSettlesIt) {
   ConfigCluster cluster(3, 5);
   cluster.Run(Duration::Seconds(5));
   cluster.link().faults().reply_lost = 1;
@@ -117,14 +118,14 @@
   cluster.link().faults().reply_lost = 0;
   cluster.Propose(1, {kKey, "a", Revision(), change, true});
   cluster.Run(Duration::Seconds(5));
-  EXPECT_EQ(AcceptedAt(cluster.outcomes().at(change)),
+  EXPECT_EQ(AcceptedRevision(cluster.outcomes().at(change)),
             cluster.link().store().entries().at(kKey).revision);
 }
 
 // Guards against reporting a conflict for a committed change that the key's
 // history no longer names: the answer is lost, the node restarts, nine changes
 // follow, and the operator asks again.
-TEST(ConfigSyncTest, ForgottenChangeIsSaidToBeUnknown) {
+TEST(ConfigSyncTest, ChangeOutsideTheHistoryHasUnknownOutcome) {
   ConfigCluster cluster(3, 14);
   cluster.Run(Duration::Seconds(5));
   cluster.link().faults().reply_lost = 1;
@@ -134,7 +135,7 @@
   cluster.link().faults().reply_lost = 0;
   Revision at = cluster.link().store().entries().at(kKey).revision;
   for (int i = 0; i < 9; ++i) {
-    at = AcceptedAt(cluster.Settle(1, kKey, "v" + std::to_string(i), at));
+    at = AcceptedRevision(cluster.Settle(1, kKey, "v" + std::to_string(i), at));
   }
   cluster.Propose(1, {kKey, "a", Revision(), change, true});
   cluster.Run(Duration::Seconds(5));
@@ -147,10 +148,11 @@
 // Guards against a withdrawn contract that returns because the withdrawal left
 // no version to compare with: a delayed push of an earlier version arrives
 // after it.
-TEST(ConfigSyncTest, WithdrawnKeyIsNotBroughtBackByALateMessage) {
+TEST(ConfigSyncTest, LateMessageDoesNotRestoreAWithdrawnKey) {
   ConfigCluster cluster(3, 6);
   cluster.Run(Duration::Seconds(5));
-  const Revision first = AcceptedAt(cluster.Settle(0, kKey, "a", Revision()));
+  const Revision first =
+      AcceptedRevision(cluster.Settle(0, kKey, "a", Revision()));
   cluster.Run(Duration::Seconds(2));
   const ConfigEntry old = *cluster.store_of(1).Find(kKey);
   cluster.Settle(0, kKey, std::nullopt, first);
@@ -171,7 +173,7 @@
   cluster.nodes()[2].paused = true;
   Revision at;
   for (const char* value : {"a", "b", "c"}) {
-    at = AcceptedAt(cluster.Settle(0, kKey, value, at));
+    at = AcceptedRevision(cluster.Settle(0, kKey, value, at));
     ASSERT_GT(at, Revision());
   }
   cluster.Run(Duration::Seconds(60));
@@ -187,9 +189,9 @@
 TEST(ConfigSyncTest, PartitionHeals) {
   ConfigCluster cluster(8, 8);
   cluster.Run(Duration::Seconds(5));
-  const std::set<NodeId> cut = {NodeId("n4"), NodeId("n5"), NodeId("n6"),
-                                NodeId("n7")};
-  Isolate(cluster, cut);
+  const std::set<NodeId> isolated = {NodeId("n4"), NodeId("n5"), NodeId("n6"),
+                                     NodeId("n7")};
+  Isolate(cluster, isolated);
   cluster.Settle(0, kKey, "a", Revision());
   cluster.Run(Duration::Seconds(30));
   EXPECT_EQ(ValueAt(cluster, 5), "none");
@@ -204,16 +206,16 @@
   // service fails.
   EmptyStartTest() : cluster_(4, 9) {
     cluster_.Run(Duration::Seconds(5));
-    first_ = AcceptedAt(cluster_.Settle(0, kKey, "old", Revision()));
+    first_ = AcceptedRevision(cluster_.Settle(0, kKey, "old", Revision()));
     cluster_.Run(Duration::Seconds(20));
     Isolate(cluster_, {NodeId("n1")});
-    second_ = AcceptedAt(cluster_.Settle(0, kKey, "new", first_));
+    second_ = AcceptedRevision(cluster_.Settle(0, kKey, "new", first_));
     cluster_.Run(Duration::Seconds(5));
     Isolate(cluster_, {});
     cluster_.link().SetOutage(cluster_.now(), true);
   }
 
-  void LetOnlyReach(const std::set<NodeId>& nodes) {
+  void ConnectOnly(const std::set<NodeId>& nodes) {
     cluster_.network().SetConnected([nodes](const NodeId& a, const NodeId& b) {
       return nodes.contains(a) && nodes.contains(b);
     });
@@ -227,8 +229,8 @@
 // Guards against a node that is ready with the first copy it receives: the
 // service is unreachable, and an empty node hears from an outdated peer first
 // and from a current one only after a pause and lost messages.
-TEST_F(EmptyStartTest, IsNotReadyBeforeItHoldsTheNewestReachable) {
-  LetOnlyReach({NodeId("n0"), NodeId("n1"), NodeId("n2")});
+TEST_F(EmptyStartTest, IsNotReadyBeforeItHoldsTheNewestReachableVersion) {
+  ConnectOnly({NodeId("n0"), NodeId("n1"), NodeId("n2")});
   cluster_.network().faults().lost = 0.1;
   for (int round = 0; round < 50; ++round) {
     cluster_.Restart(0);
@@ -246,12 +248,12 @@
 // If only an outdated peer is reachable, the node serves by the newest version
 // of any reachable source, as guaranteed, and updates once current peers become
 // reachable.
-TEST_F(EmptyStartTest, ServesByTheNewestThatCanBeReachedAndMovesUp) {
-  LetOnlyReach({NodeId("n0"), NodeId("n1")});
+TEST_F(EmptyStartTest, ServesTheNewestReachableVersionAndCatchesUp) {
+  ConnectOnly({NodeId("n0"), NodeId("n1")});
   cluster_.Restart(0);
   cluster_.Run(Duration::Seconds(15));
   ASSERT_TRUE(cluster_.nodes()[0].sync->ready());
-  LetOnlyReach({NodeId("n0"), NodeId("n1"), NodeId("n2"), NodeId("n3")});
+  ConnectOnly({NodeId("n0"), NodeId("n1"), NodeId("n2"), NodeId("n3")});
   cluster_.Run(Duration::Seconds(10));
   EXPECT_EQ(ValueAt(cluster_, 0), "new");
   EXPECT_EQ(cluster_.store_of(1).newest(), second_);
@@ -277,12 +279,13 @@
 // Guards against trusting the service over changes that nodes know to be
 // accepted: the service is restored from a backup taken before a change, the
 // nodes read it again, and one of them restarts.
-TEST(ConfigSyncTest, RestoredServiceIsRefusedLoudly) {
+TEST(ConfigSyncTest, RestoredServiceIsDetectedAndReported) {
   ConfigCluster cluster(6, 10);
   cluster.Run(Duration::Seconds(5));
-  const Revision first = AcceptedAt(cluster.Settle(0, kKey, "a", Revision()));
+  const Revision first =
+      AcceptedRevision(cluster.Settle(0, kKey, "a", Revision()));
   cluster.link().Snapshot();
-  const Revision second = AcceptedAt(cluster.Settle(0, kKey, "b", first));
+  const Revision second = AcceptedRevision(cluster.Settle(0, kKey, "b", first));
   cluster.Run(Duration::Seconds(5));
   cluster.link().Restore();
   cluster.Run(Duration::Seconds(120));
@@ -305,10 +308,11 @@
 // Guards against detecting a restore only by the service's revision counter:
 // the administrators restore a backup that lacks a change and raise the counter
 // above all earlier revisions, as they should.
-TEST(ConfigSyncTest, RestoredServiceWithARaisedCounterIsRefusedToo) {
+TEST(ConfigSyncTest, RestoredServiceWithARaisedCounterIsDetected) {
   ConfigCluster cluster(4, 13);
   cluster.Run(Duration::Seconds(5));
-  const Revision first = AcceptedAt(cluster.Settle(0, kKey, "a", Revision()));
+  const Revision first =
+      AcceptedRevision(cluster.Settle(0, kKey, "a", Revision()));
   cluster.link().Snapshot();
   cluster.Settle(0, kKey, "b", first);
   cluster.Run(Duration::Seconds(5));
@@ -339,7 +343,7 @@
 // Guards against a burst of reads after an outage: every node's routine read
 // becomes due during the ten minutes, and each node would repeat its read until
 // it succeeds.
-TEST(ConfigSyncTest, ReturnOfTheServiceDrawsNoBurst) {
+TEST(ConfigSyncTest, RecoveryOfTheServiceCausesNoReadBurst) {
   ConfigCluster cluster(40, 12);
   cluster.Run(Duration::Seconds(10));
   cluster.link().SetOutage(cluster.now(), true);
--- a/tests/coordination/routing/endpoint_subset_test.cc
+++ b/tests/coordination/routing/endpoint_subset_test.cc
@@ -14,7 +14,7 @@
 namespace {
 
 struct Fleet {
-  std::vector<NodePlace> nodes;
+  std::vector<NodeLocation> nodes;
   std::vector<Endpoint> endpoints;
 };
 
@@ -36,23 +36,23 @@
                               fleet.nodes, fleet.endpoints);
 }
 
-TEST(EndpointSubsetTest, TakesAllOfASmallFleet) {
+TEST(EndpointSubsetTest, TakesAllEndpointsOfASmallFleet) {
   EXPECT_EQ(SubsetOf(LargeFleet(8, 68), 0).size(), 68U);
 }
 
-TEST(EndpointSubsetTest, IsBoundedAndCoversAllAlike) {
+TEST(EndpointSubsetTest, IsBoundedAndCoversEndpointsEvenly) {
   const Fleet fleet = LargeFleet(420, 620);
-  std::map<EndpointId, int> takers;
+  std::map<EndpointId, int> connection_counts;
   for (std::size_t node = 0; node < fleet.nodes.size(); ++node) {
     const auto subset = SubsetOf(fleet, node);
     EXPECT_EQ(subset.size(), 64U + 4 * 8);
     EXPECT_EQ(std::set(subset.begin(), subset.end()).size(), subset.size());
     for (const EndpointId& id : subset) {
-      ++takers[id];
+      ++connection_counts[id];
     }
   }
-  ASSERT_EQ(takers.size(), 620U);
-  for (const auto& [id, count] : takers) {
+  ASSERT_EQ(connection_counts.size(), 620U);
+  for (const auto& [id, count] : connection_counts) {
     EXPECT_GE(count, 60) << id;
     EXPECT_LE(count, 70) << id;
   }
@@ -60,7 +60,7 @@
 
 // Guards against subsets that change as a whole when one node or endpoint
 // leaves the fleet, which would make every node drop and open many connections.
-TEST(EndpointSubsetTest, ALossMovesFewConnections) {
+TEST(EndpointSubsetTest, LosingANodeAndAnEndpointMovesFewConnections) {
   const Fleet before = LargeFleet(420, 620);
   Fleet after = before;
   after.nodes.erase(after.nodes.begin() + 200);
--- a/tests/coordination/routing/router_test.cc
+++ b/tests/coordination/routing/router_test.cc
@@ -14,7 +14,7 @@
 namespace {
 
 // Dispatches `count` requests at `now` and returns their number by endpoint.
-std::map<std::string, int> SendMany(Router& router, Time now, int count) {
+std::map<std::string, int> DispatchMany(Router& router, Time now, int count) {
   std::map<std::string, int> sent;
   for (int i = 0; i < count; ++i) {
     const RequestProfile profile = ModelRequest(now);
@@ -25,7 +25,7 @@
   return sent;
 }
 
-TEST(RouterTest, RefusesWhatItDoesNotKnow) {
+TEST(RouterTest, RefusesUnknownModelAndMissingEndpoint) {
   const auto router = NewRouter();
   EXPECT_EQ(ErrorOf(router->Choose(Millis(0), ModelRequest(), {})),
             RefusalKind::kUnknownModel);
@@ -35,7 +35,7 @@
             RefusalKind::kNoEndpoint);
 }
 
-TEST(RouterTest, GoesWhereThePromptIsHeldUnlessThatIsFull) {
+TEST(RouterTest, PrefersThePrefixHolderUnlessItIsFull) {
   const auto router = NewRouter();
   for (const char* id : {"a", "b", "c"}) {
     router->OnEndpointUp(Millis(0), ModelEndpoint(id));
@@ -58,14 +58,14 @@
 // Guards against a herd: a report shows one endpoint idle, many requests arrive
 // before its next report, and every decision trusts the same old report, so
 // that one queue grows while other endpoints idle.
-TEST(RouterTest, AnOldReportDrawsNoStampede) {
+TEST(RouterTest, OldReportDoesNotCauseAHerd) {
   const auto router = NewRouter();
   for (int i = 0; i < 10; ++i) {
     const std::string id = "e" + std::to_string(i);
     router->OnEndpointUp(Millis(0), ModelEndpoint(id));
     router->OnLoadReport(Millis(0), Report(id, 0, i == 0 ? 0 : 8));
   }
-  const auto sent = SendMany(*router, Millis(100), 60);
+  const auto sent = DispatchMany(*router, Millis(100), 60);
   EXPECT_LE(sent.at("e0"), 16);
   EXPECT_EQ(sent.size(), 10U);
 }
@@ -73,7 +73,7 @@
 // Guards against an endpoint that gets more than its share right after a
 // report: the report was taken before some dispatches but arrives after them,
 // and replaces the estimate that counted them.
-TEST(RouterTest, AReportOlderThanDispatchesKeepsThem) {
+TEST(RouterTest, ReportKeepsDispatchesSentAfterIt) {
   struct Case {
     int requests;
     std::int64_t tokens;
@@ -87,9 +87,9 @@
     }
     RequestProfile profile = ModelRequest(Millis(1000));
     profile.prompt_tokens = TokenCount(sent.tokens);
-    const std::vector<EndpointId> not_b = {EndpointId("b")};
+    const std::vector<EndpointId> excluded = {EndpointId("b")};
     for (int i = 0; i < sent.requests; ++i) {
-      const auto route = router->Choose(Millis(1000), profile, not_b);
+      const auto route = router->Choose(Millis(1000), profile, excluded);
       router->OnDispatched(Millis(1000), ValueOf(route), profile);
     }
     router->OnLoadReport(Millis(1200), Report("a", 900, 2));
@@ -130,7 +130,7 @@
 // Guards against an endpoint that fails each request within a millisecond and
 // therefore reports no load: choosing the least loaded endpoint would send it
 // all requests.
-TEST(RouterTest, AnEndpointThatFailsFastIsLeftOutAndTriedAlone) {
+TEST(RouterTest, FastFailingEndpointBacksOffAndGetsOneTrial) {
   const auto router = NewRouter();
   for (const char* id : {"bad", "good"}) {
     router->OnEndpointUp(Millis(0), ModelEndpoint(id));
@@ -142,13 +142,13 @@
   ASSERT_EQ(ValueOf(route).endpoint->id, EndpointId("bad"));
   router->OnFailed(Millis(1),
                    router->OnDispatched(Millis(0), ValueOf(route), profile));
-  EXPECT_EQ(SendMany(*router, Millis(2), 5).count("bad"), 0U);
-  EXPECT_EQ(SendMany(*router, Millis(600), 5)["bad"], 1);
+  EXPECT_EQ(DispatchMany(*router, Millis(2), 5).count("bad"), 0U);
+  EXPECT_EQ(DispatchMany(*router, Millis(600), 5)["bad"], 1);
 }
 
 // Guards against a pool that tries no endpoint any more after a temporary fault
 // of the fabric made all of them fail and back off.
-TEST(RouterTest, WithAllLeftOutTheBestIsStillTried) {
+TEST(RouterTest, TriesTheBestEndpointWhenAllBackOff) {
   const auto router = NewRouter();
   for (const char* id : {"a", "b"}) {
     router->OnEndpointUp(Millis(0), ModelEndpoint(id));
@@ -166,7 +166,7 @@
 // Guards against a preference for the own zone that is a strict rule instead of
 // a cost: callers of a full or lost zone would wait or fail while other zones
 // idle.
-TEST(RouterTest, AFullOrLostZoneSpillsOver) {
+TEST(RouterTest, SpillsOverFromAFullOrLostZone) {
   RouterSettings settings;
   settings.distances = {{ZoneId("south"), 1.5}};
   const auto router = NewRouter(settings);
@@ -182,7 +182,7 @@
 
 // Guards against a paused endpoint that keeps getting requests: its last report
 // shows it idle, requests to it bring no first byte, and none of them fails.
-TEST(RouterTest, WaitingTooLongForAFirstByteCounts) {
+TEST(RouterTest, AvoidsEndpointWithOverdueFirstByte) {
   const auto router = NewRouter();
   for (const char* id : {"paused", "well"}) {
     router->OnEndpointUp(Millis(0), ModelEndpoint(id));
@@ -197,7 +197,7 @@
   EXPECT_EQ(ChosenBy(*router, Millis(2000), profile), EndpointId("well"));
 }
 
-TEST(RouterTest, RefusesWhatCannotBeAnsweredInTime) {
+TEST(RouterTest, RefusesRequestsThatWouldMissTheirDeadline) {
   const auto router = NewRouter();
   router->OnEndpointUp(Millis(0), ModelEndpoint("a"));
   router->OnLoadReport(Millis(0), Report("a", 0, 64));
--- a/tests/coordination/routing/straggler_detector_test.cc
+++ b/tests/coordination/routing/straggler_detector_test.cc
@@ -17,7 +17,7 @@
 
 // Returns a detector with samples of ten peers, of which the first `slow` take
 // four times as long as the rest.
-StragglerDetector Measured(std::int64_t slow) {
+StragglerDetector DetectorWithSlowPeers(std::int64_t slow) {
   StragglerDetector detector{StragglerSettings()};
   for (std::int64_t slot = 0; slot < 10; ++slot) {
     detector.Add(Slot(slot));
@@ -28,8 +28,8 @@
   return detector;
 }
 
-TEST(StragglerDetectorTest, EjectsOneThatIsSlowAgainstItsPeers) {
-  StragglerDetector detector = Measured(1);
+TEST(StragglerDetectorTest, EjectsEndpointSlowerThanItsPeers) {
+  StragglerDetector detector = DetectorWithSlowPeers(1);
   EXPECT_EQ(detector.Tick(At(1)).size(), 1U);
   EXPECT_TRUE(detector.IsEjected(Slot(0)));
   EXPECT_FALSE(detector.IsEjected(Slot(1)));
@@ -37,21 +37,21 @@
 
 // Guards against ejecting all endpoints if several of them become slow or a
 // release slows most of them down.
-TEST(StragglerDetectorTest, TheShareEjectedIsCapped) {
-  StragglerDetector some = Measured(4);
-  some.Tick(At(1));
-  EXPECT_EQ(some.ejected_count(), 2);
-  StragglerDetector all = Measured(10);
-  EXPECT_TRUE(all.Tick(At(1)).empty());
+TEST(StragglerDetectorTest, EjectedShareIsCapped) {
+  StragglerDetector partly_slow = DetectorWithSlowPeers(4);
+  partly_slow.Tick(At(1));
+  EXPECT_EQ(partly_slow.ejected_count(), 2);
+  StragglerDetector all_slow = DetectorWithSlowPeers(10);
+  EXPECT_TRUE(all_slow.Tick(At(1)).empty());
 }
 
 TEST(StragglerDetectorTest, IsProbedAndRestored) {
-  StragglerDetector detector = Measured(1);
+  StragglerDetector detector = DetectorWithSlowPeers(1);
   detector.Tick(At(1));
-  EXPECT_LT(detector.DueProbe(At(2)), Slot(0));
-  EXPECT_EQ(detector.DueProbe(At(7)), Slot(0));
+  EXPECT_LT(detector.FindDueProbe(At(2)), Slot(0));
+  EXPECT_EQ(detector.FindDueProbe(At(7)), Slot(0));
   detector.OnProbeSent(At(7), Slot(0));
-  EXPECT_LT(detector.DueProbe(At(8)), Slot(0));
+  EXPECT_LT(detector.FindDueProbe(At(8)), Slot(0));
   detector.OnSample(At(9), Slot(0), 31);
   const auto actions = detector.Tick(At(9));
   ASSERT_EQ(actions.size(), 1U);
@@ -61,20 +61,20 @@
 
 // Guards against a fixed probe interval, with which an endpoint that stays slow
 // costs a slow answer every few seconds.
-TEST(StragglerDetectorTest, SlowProbesComeLessOften) {
-  StragglerDetector detector = Measured(1);
+TEST(StragglerDetectorTest, SlowProbesIncreaseTheProbeDelay) {
+  StragglerDetector detector = DetectorWithSlowPeers(1);
   detector.Tick(At(1));
   detector.OnProbeSent(At(7), Slot(0));
   detector.OnSample(At(9), Slot(0), 120);
   detector.Tick(At(9));
-  EXPECT_LT(detector.DueProbe(At(15)), Slot(0));
-  EXPECT_EQ(detector.DueProbe(At(20)), Slot(0));
+  EXPECT_LT(detector.FindDueProbe(At(15)), Slot(0));
+  EXPECT_EQ(detector.FindDueProbe(At(20)), Slot(0));
 }
 
 // Guards against restoring an ejected endpoint without a probe because a
 // request sent before the ejection ends after it.
-TEST(StragglerDetectorTest, LateSamplesAreNoProbe) {
-  StragglerDetector detector = Measured(1);
+TEST(StragglerDetectorTest, LateSamplesDoNotCountAsProbes) {
+  StragglerDetector detector = DetectorWithSlowPeers(1);
   detector.Tick(At(1));
   detector.OnSample(At(2), Slot(0), 30);
   EXPECT_TRUE(detector.Tick(At(2)).empty());
@@ -83,11 +83,11 @@
 
 // Guards against an endpoint that stays ejected forever because the caller of
 // its probe request cancelled it and the probe never brought a sample.
-TEST(StragglerDetectorTest, ALostProbeIsSentAgain) {
-  StragglerDetector detector = Measured(1);
+TEST(StragglerDetectorTest, LostProbeIsSentAgain) {
+  StragglerDetector detector = DetectorWithSlowPeers(1);
   detector.Tick(At(1));
   detector.OnProbeSent(At(7), Slot(0));
-  EXPECT_EQ(detector.DueProbe(At(18)), Slot(0));
+  EXPECT_EQ(detector.FindDueProbe(At(18)), Slot(0));
 }
 
 }  // namespace
--- a/tests/support/config_cluster.h
+++ b/tests/support/config_cluster.h
@@ -27,8 +27,7 @@
     std::int64_t process = 0;
     std::unique_ptr<ConfigSync> sync;
     // The last revision applied for each key, and whether any key ever went
-    // back to
-    // an older or equal revision.
+    // back to an older or equal revision.
     std::map<std::string, Revision> applied;
     bool reverted = false;
     std::vector<FakeStoreLink::Delivery> store_inbox;
@@ -87,7 +86,7 @@
     return id;
   }
   void Propose(std::size_t index, const ConfigChange& change) {
-    Act(index, nodes_[index].sync->Propose(now_, change));
+    ApplyActions(index, nodes_[index].sync->Propose(now_, change));
   }
   // Like `Propose`, but runs the cluster until the outcome is known.
   ChangeOutcome Settle(std::size_t index,
@@ -154,7 +153,7 @@
     return outcomes_;
   }
   // True if a final outcome was followed by a different one.
-  bool contradicted() const { return contradicted_; }
+  bool has_contradiction() const { return has_contradiction_; }
   std::int64_t events(EventKind kind) { return events_[kind]; }
   std::int64_t sent_bytes() const { return sent_bytes_; }
 
@@ -163,20 +162,22 @@
     Node& node = nodes_[index];
     for (const auto& delivery : std::exchange(node.store_inbox, {})) {
       if (delivery.caller == CallerOf(index)) {
-        Act(index, node.sync->OnStoreReply(now_, delivery.id, delivery.reply));
+        ApplyActions(
+            index, node.sync->OnStoreReply(now_, delivery.id, delivery.reply));
       }
     }
     for (const auto& delivery : std::exchange(node.peer_inbox, {})) {
-      Act(index, node.sync->OnPeer(now_, delivery.from, delivery.message));
+      ApplyActions(index,
+                   node.sync->OnPeer(now_, delivery.from, delivery.message));
     }
-    Act(index, node.sync->Tick(now_));
+    ApplyActions(index, node.sync->Tick(now_));
   }
 
   std::string CallerOf(std::size_t index) const {
     return std::to_string(index) + "/" + std::to_string(nodes_[index].process);
   }
 
-  void Act(std::size_t index, std::vector<ConfigSyncAction> actions) {
+  void ApplyActions(std::size_t index, std::vector<ConfigSyncAction> actions) {
     for (ConfigSyncAction& action : actions) {
       std::visit(
           Overloaded{
@@ -195,28 +196,30 @@
                 nodes_[index].reverted |= applied.entry.revision <= last;
                 last = applied.entry.revision;
               },
-              [&](const ProposalFinished& finished) { Record(finished); },
+              [&](const ProposalFinished& finished) {
+                RecordOutcome(finished);
+              },
           },
           action);
     }
   }
 
-  void Record(const ProposalFinished& finished) {
-    const auto [it, first] =
+  void RecordOutcome(const ProposalFinished& finished) {
+    const auto [it, inserted] =
         outcomes_.emplace(finished.change.change, finished.outcome);
-    if (first) {
+    if (inserted) {
       return;
     }
     // `ChangeUnavailable` does not contradict a final outcome from another
     // node.
-    const auto final_now =
+    const auto is_final =
         !std::holds_alternative<ChangeUnavailable>(finished.outcome);
     const bool was_final =
         !std::holds_alternative<ChangeUnavailable>(it->second);
-    if (was_final && !final_now) {
+    if (was_final && !is_final) {
       return;
     }
-    contradicted_ |=
+    has_contradiction_ |=
         was_final && it->second.index() != finished.outcome.index();
     it->second = finished.outcome;
   }
@@ -233,7 +236,7 @@
   std::map<ChangeId, ChangeOutcome> outcomes_;
   std::map<EventKind, std::int64_t> events_;
   std::int64_t sent_bytes_ = 0;
-  bool contradicted_ = false;
+  bool has_contradiction_ = false;
 };
 
 }  // namespace gcw
