--- a/coordination/configuration/config_sync_store.cc
+++ b/coordination/configuration/config_sync_store.cc
@@ -1,5 +1,5 @@
-// How the node's copy takes in what the key-value service says, and when it can
-// be relied on.
+// Updates the node's copy from the replies of the key-value service, and
+// decides when the copy is ready.
 
 #include <algorithm>
 #include <map>
@@ -10,8 +10,9 @@
 namespace gcw {
 namespace {
 
-// Between reads while the service's replies are behind what nodes know.
-constexpr Duration kBehindInterval = Duration::Seconds(2);
+// Interval between reads while the service's replies show revisions below known
+// ones.
+constexpr Duration kBehindReadInterval = Duration::Seconds(2);
 
 }  // namespace
 
@@ -21,7 +22,7 @@
     return false;
   }
   applied_.push_back(entry);
-  if (learnt_) {
+  if (ready_) {
     sink_({.kind = EventKind::kConfigurationApplied,
            .subject = entry.key,
            .cause = {},
@@ -37,18 +38,18 @@
   const std::vector<ConfigEntry> entries = Decode(batch);
   if (ProvesRewind(watch.prefix(), batch, entries)) {
     MarkRewound(batch.revision);
-    watch.RequestRead(now + kBehindInterval);
+    watch.RequestRead(now + kBehindReadInterval);
     return;
   }
-  // Entries only move up, so that an old state does no harm here.
+  // Merging ignores older versions, so an old state does no harm here.
   for (const ConfigEntry& entry : entries) {
     Merge(now, entry);
   }
   if (IsBehind(now, batch)) {
-    watch.RequestRead(now + kBehindInterval);
+    watch.RequestRead(now + kBehindReadInterval);
     return;
   }
-  OnGoodRead(watch, batch);
+  OnConsistentRead(watch, batch);
 }
 
 std::vector<ConfigEntry> ConfigSync::Decode(const ConfigBatch& batch) const {
@@ -61,9 +62,10 @@
   return entries;
 }
 
-// A state of the service at some revision holds every version up to it, since
-// keys are never deleted. One that lacks a version that this node holds, or
-// holds another change under its revision, is of another history.
+// Returns true if the batch proves that the service was restored to an older
+// state. Keys are never deleted, so the service's state at a revision holds
+// every version up to it. A state that lacks a version that this node holds, or
+// that holds another change under the same revision, has another history.
 bool ConfigSync::ProvesRewind(const std::string& prefix,
                               const ConfigBatch& batch,
                               const std::vector<ConfigEntry>& entries) const {
@@ -75,7 +77,8 @@
         own->record.change != entry.record.change) {
       return true;
     }
-    // Everything up to the floor is held, so this was written twice.
+    // This node holds every change up to the floor, so this revision was
+    // written twice.
     const bool newer = own == nullptr || own->revision < entry.revision;
     if (newer && entry.revision <= floor_) {
       return true;
@@ -96,8 +99,8 @@
   return false;
 }
 
-// Whether the service speaks of a revision below one that was known when it was
-// asked.
+// Returns true if the batch shows a revision below the one that was known when
+// the call was sent. Starts a check if that goes on for `rewind_grace_period`.
 bool ConfigSync::IsBehind(Time now, const ConfigBatch& batch) {
   if (batch.revision >= batch.known) {
     behind_since_.reset();
@@ -106,19 +109,19 @@
   if (!behind_since_) {
     behind_since_ = now;
   }
-  if (now - *behind_since_ >= settings_.rewind_grace) {
+  if (now - *behind_since_ >= settings_.rewind_grace_period) {
     CheckForRewind(now);
   }
   return true;
 }
 
-// Reads from an old state look like a service that was set back, however often
-// they come. A compare-and-swap is always answered from the present state, so
-// one that cannot match tells which it is.
+// Repeated reads from an old state look the same as a service that was restored
+// to an older state. A compare-and-swap is always answered from the present
+// state, so one that cannot match tells the two apart.
 void ConfigSync::CheckForRewind(Time now) {
-  const bool waits =
+  const bool is_waiting =
       rewind_check_ && now - rewind_check_sent_ < settings_.watch.call_timeout;
-  if (waits || store_.entries().empty()) {
+  if (is_waiting || store_.entries().empty()) {
     return;
   }
   const auto newest =
@@ -126,10 +129,11 @@
                        [](const auto& a, const auto& b) {
                          return a.second.revision < b.second.revision;
                        });
-  checked_ = {newest->first, newest->second.revision};
+  rewind_check_version_ = {newest->first, newest->second.revision};
   rewind_check_ = ++last_id_;
   rewind_check_sent_ = now;
-  requests_.push_back({last_id_, StoreDelete{checked_.key, kNoRevision}});
+  requests_.push_back(
+      {last_id_, StoreDelete{rewind_check_version_.key, kNoRevision}});
 }
 
 void ConfigSync::OnRewindCheck(const StoreReply& reply) {
@@ -140,7 +144,7 @@
   }
   const Revision shown =
       conflict->current ? conflict->current->revision : Revision();
-  if (shown < checked_.revision) {
+  if (shown < rewind_check_version_.revision) {
     MarkRewound(shown);
   } else {
     behind_since_.reset();
@@ -148,7 +152,7 @@
 }
 
 void ConfigSync::MarkRewound(Revision shown) {
-  read_well_.clear();
+  fully_read_prefixes_.clear();
   if (rewound_) {
     return;
   }
@@ -160,39 +164,40 @@
                     {"known", highest_revision().value()}}});
 }
 
-void ConfigSync::OnGoodRead(const ConfigWatch& watch,
-                            const ConfigBatch& batch) {
+void ConfigSync::OnConsistentRead(const ConfigWatch& watch,
+                                  const ConfigBatch& batch) {
   highest_seen_ = std::max(highest_seen_, batch.revision);
   if (!batch.after) {
-    read_well_.insert(watch.prefix());
+    fully_read_prefixes_.insert(watch.prefix());
   }
-  // The service is believed again once it shows all that this node holds.
-  if (read_well_.size() == watches_.size()) {
+  // The service is trusted again once it shows everything that this node holds.
+  if (fully_read_prefixes_.size() == watches_.size()) {
     rewound_ = false;
   }
   if (rewound_) {
     return;
   }
-  Revision& read_to = read_to_[watch.prefix()];
-  // A watch reports changes after a revision; it says nothing about a gap
-  // before that.
-  if (!batch.after || *batch.after <= read_to) {
-    read_to = std::max(read_to, batch.revision);
+  Revision& read_revision = read_revisions_[watch.prefix()];
+  // A watch reports only changes after a revision and does not cover a gap
+  // before it.
+  if (!batch.after || *batch.after <= read_revision) {
+    read_revision = std::max(read_revision, batch.revision);
   }
-  PokeLagging();
-  Revision all = batch.revision;
-  for (const ConfigWatch& each : watches_) {
-    all = std::min(all, read_to_[each.prefix()]);
+  RequestLaggingRevisions();
+  Revision read_by_all = batch.revision;
+  for (const ConfigWatch& other : watches_) {
+    read_by_all = std::min(read_by_all, read_revisions_[other.prefix()]);
   }
-  RaiseFloor(all);
+  RaiseFloor(read_by_all);
 }
 
-// A change below one prefix moves the floor only when the other prefixes are
-// known to be unchanged up to its revision.
-void ConfigSync::PokeLagging() {
+// A change below one prefix raises the floor only if the other prefixes have
+// been read up to its revision. Makes the watches that lag behind report their
+// revision.
+void ConfigSync::RequestLaggingRevisions() {
   for (ConfigWatch& watch : watches_) {
-    if (read_to_[watch.prefix()] < store_.newest()) {
-      watch.Poke();
+    if (read_revisions_[watch.prefix()] < store_.newest()) {
+      watch.RequestRevision();
     }
   }
 }
@@ -202,21 +207,22 @@
 }
 
 void ConfigSync::UpdateReadiness(Time) {
-  if (learnt_) {
+  if (ready_) {
     return;
   }
   if (!gossip_.SurveyDone()) {
     return;
   }
-  const bool all_read = read_well_.size() == watches_.size();
+  const bool all_read = fully_read_prefixes_.size() == watches_.size();
   const bool all_fail =
       rewound_ || std::all_of(watches_.begin(), watches_.end(),
                               [](const ConfigWatch& w) { return w.failing(); });
-  // A copy that no ready peer vouches for may be as empty as this node's own.
+  // Without a ready peer, the copies of all settled peers may be as empty as
+  // this node's own.
   if (!all_read && !(all_fail && gossip_.SettledWithReadyPeer())) {
     return;
   }
-  learnt_ = true;
+  ready_ = true;
   gossip_.SetSurveying(false);
   sink_({.kind = EventKind::kConfigurationApplied,
          .subject = self_.value(),
@@ -230,7 +236,7 @@
 ConfigDigest ConfigSync::OwnDigest() const {
   return {.digest = store_.Digest(),
           .floor = floor_,
-          .ready = learnt_,
+          .ready = ready_,
           .reply = false};
 }
 
--- a/coordination/configuration/record_changes.cc
+++ b/coordination/configuration/record_changes.cc
@@ -61,8 +61,8 @@
            const DrainGroup& move,
            const GroupId& /*new_group*/) {
   GroupRecord* group = FindGroup(record, move.group);
-  // Only a serving group has anything to finish, and only its members are all
-  // known to be at the recorded generation.
+  // Only a serving group has requests to finish, and only a serving group's
+  // members are all known to be at the recorded generation.
   if (group == nullptr || group->state != GroupState::kServing) {
     return false;
   }
@@ -76,7 +76,7 @@
   if (FindGroup(record, move.group) == nullptr) {
     return false;
   }
-  Dissolve(record, move.group);
+  RemoveGroup(record, move.group);
   return true;
 }
 
@@ -123,7 +123,7 @@
       [&](const auto& typed) { return Apply(record, typed, new_group); }, move);
 }
 
-void Dissolve(DomainRecord& record, const GroupId& group) {
+void RemoveGroup(DomainRecord& record, const GroupId& group) {
   for (const GroupRecord& candidate : record.groups) {
     if (candidate.id != group) {
       continue;
--- a/coordination/routing/endpoint_pool.h
+++ b/coordination/routing/endpoint_pool.h
@@ -11,22 +11,22 @@
 
 namespace gcw {
 
-// What `EndpointPool::Choose` needs beside the endpoints.
+// The input of `EndpointPool::Choose`.
 struct ChooseInput {
   Time now;
   const RequestProfile& profile;
   std::span<const EndpointId> excluded;
-  // Only these may be chosen; all where empty.
+  // Only these endpoints may be chosen; if empty, all may.
   std::span<const EndpointId> allowed;
-  // Endpoints believed to hold part of the prompt, the longest first.
+  // Endpoints that likely hold part of the prompt, the longest prefix first.
   std::span<const PrefixMatch> holders;
-  // By slot: blocks of the prompt believed to be held.
+  // Number of prompt blocks that an endpoint likely holds, by slot.
   std::span<const double> cached_blocks;
-  // Nodes that route to the same endpoints, with this one.
-  std::int64_t nodes = 1;
+  // Number of nodes that route to the same endpoints, including this one.
+  std::int64_t node_count = 1;
 };
 
-// The endpoints of one model or plain service, and the choice among them.
+// Holds the endpoints of one model or plain service and chooses among them.
 class EndpointPool {
  public:
   // `endpoints` is the router's table by slot and outlives the pool.
@@ -46,12 +46,13 @@
                   double millis_per_token);
   std::vector<StragglerAction> Tick(Time now);
 
-  // Without a prompt of its own.
+  // Expected wait of a new request, without the time to compute its own prompt.
   double WaitMillis(Time now,
                     const EndpointState& state,
-                    std::int64_t nodes) const;
-  // What this node's share of the free places would carry.
-  double SpareRequestsPerSecond(Time now, std::int64_t nodes) const;
+                    std::int64_t node_count) const;
+  // The request rate that this node's share of the free batch capacity can
+  // serve.
+  double SpareRequestsPerSecond(Time now, std::int64_t node_count) const;
   const StragglerDetector& stragglers() const { return stragglers_; }
 
  private:
@@ -61,27 +62,30 @@
     double first_byte_millis = 0;
     double uncached_tokens = 0;
   };
-  // Which endpoints may be chosen.
+  // The endpoints that may become candidates: a bounded sample of the healthy
+  // ones, all healthy ones, or all.
   enum class Scope { kHealthySample, kHealthy, kAny };
 
-  PeerAssumption Peers(Time now, std::int64_t nodes) const;
+  PeerLoadModel MakePeerLoadModel(Time now, std::int64_t node_count) const;
   bool IsExcluded(const ChooseInput& input, EndpointSlot slot) const;
   bool IsHealthy(Time now, EndpointSlot slot) const;
-  void Collect(const ChooseInput& input, Scope scope, const Random& random);
+  void CollectCandidates(const ChooseInput& input,
+                         Scope scope,
+                         const Random& random);
   void CollectSample(const ChooseInput& input,
-                     const PeerAssumption& peers,
+                     const PeerLoadModel& peers,
                      const Random& random);
-  void Consider(const ChooseInput& input,
-                const PeerAssumption& peers,
-                Scope scope,
-                EndpointSlot slot);
+  void AddIfEligible(const ChooseInput& input,
+                     const PeerLoadModel& peers,
+                     Scope scope,
+                     EndpointSlot slot);
   Candidate CandidateFor(const ChooseInput& input,
-                         const PeerAssumption& peers,
+                         const PeerLoadModel& peers,
                          EndpointSlot slot) const;
   double QueueMillis(const LoadEstimate& load) const;
   double OccupancyMillis(const LoadEstimate& load) const;
-  bool TakeProbe(const ChooseInput& input, Candidate& probe) const;
-  const Candidate& Draw(const Random& random);
+  bool ChooseProbe(const ChooseInput& input, Candidate& probe) const;
+  const Candidate& DrawBetterOfTwo(const Random& random);
   Route RouteTo(const Candidate& candidate, bool is_probe) const;
   const EndpointState& StateOf(EndpointSlot slot) const;
   double RatePerMilli(Time now, double sum) const;
@@ -91,11 +95,11 @@
   std::vector<EndpointSlot> slots_;
   StragglerDetector stragglers_;
   double service_millis_;
-  // Requests and prompt tokens that this node sent, fading with time.
+  // Requests and prompt tokens that this node sent, decaying exponentially.
   double sent_requests_ = 0;
   double sent_tokens_ = 0;
   Time sent_updated_;
-  // Scratch space of `Choose`.
+  // Scratch space for `Choose`.
   std::vector<Candidate> candidates_;
   std::vector<std::size_t> near_best_;
 };
--- a/tests/coordination/configuration/config_property_test.cc
+++ b/tests/coordination/configuration/config_property_test.cc
@@ -9,42 +9,43 @@
 const std::vector<std::string> kKeys = {"contract/a", "contract/b",
                                         "setting/c"};
 
-// Operators and the changes that they asked for.
+// Simulates operators and keeps the changes that they have proposed.
 class Operators {
  public:
   explicit Operators(ConfigCluster& cluster) : cluster_(cluster) {}
 
-  // One operator changes or withdraws a key, going by what a node shows, or
-  // asks again for an outcome that is still open.
-  void Act() {
+  // One operator changes or withdraws a key based on one node's copy, or asks
+  // again for an outcome that is not final.
+  void ProposeRandomChange() {
     const Random& random = cluster_.random();
     const std::size_t node = DrawBelow(random, cluster_.nodes().size());
     if (cluster_.nodes()[node].paused) {
       return;
     }
-    if (!asked_.empty() && DrawBelow(random, 3) == 0) {
-      AskAgain(node, asked_[DrawBelow(random, asked_.size())]);
+    if (!changes_.empty() && DrawBelow(random, 3) == 0) {
+      ProposeAgain(node, changes_[DrawBelow(random, changes_.size())]);
       return;
     }
     const std::string& key = kKeys[DrawBelow(random, kKeys.size())];
     const ConfigEntry* seen = cluster_.store_of(node).Find(key);
     std::optional<std::string> value;
     if (DrawBelow(random, 4) != 0) {
-      value = "v" + std::to_string(asked_.size());
+      value = "v" + std::to_string(changes_.size());
     }
     const Revision expected = seen != nullptr ? seen->revision : Revision();
     const ChangeId id = cluster_.Propose(node, key, value, expected);
-    asked_.push_back({key, value, expected, id, true});
+    changes_.push_back({key, value, expected, id, true});
   }
 
-  // Asks through well nodes until every outcome is final.
-  bool SettleAll() {
+  // Asks again through node 0, once all faults are healed, until every outcome
+  // is final or can no longer be known. Returns false if that takes too long.
+  bool SettleAllChanges() {
     for (int round = 0; round < 50; ++round) {
       bool open = false;
-      for (const ConfigChange& change : asked_) {
+      for (const ConfigChange& change : changes_) {
         if (!IsFinal(change.change) && !IsForgotten(change)) {
           open = true;
-          AskAgain(0, change);
+          ProposeAgain(0, change);
         }
       }
       if (!open) {
@@ -55,15 +56,15 @@
     return false;
   }
 
-  // Whether what operators were told is what the service did.
-  void CheckAnswers() const {
+  // Checks that the operators' answers match the writes of the service.
+  void CheckOutcomes() const {
     std::map<ChangeId, std::vector<Revision>> written;
     for (const FakeStore::Change& change : cluster_.link().store().changes()) {
       const auto record = TextConfigCodec().decode(change.entry->value);
       written[record->change].push_back(change.revision);
     }
-    std::set<std::pair<std::string, Revision>> won;
-    for (const ConfigChange& change : asked_) {
+    std::set<std::pair<std::string, Revision>> accepted_versions;
+    for (const ConfigChange& change : changes_) {
       const auto it = cluster_.outcomes().find(change.change);
       if (it == cluster_.outcomes().end()) {
         continue;
@@ -72,8 +73,9 @@
       RC_ASSERT(revisions.size() <= 1U);
       if (const auto* accepted = std::get_if<ChangeAccepted>(&it->second)) {
         RC_ASSERT(revisions == std::vector<Revision>{accepted->revision});
-        // One winner for each version of a key.
-        RC_ASSERT(won.emplace(change.key, change.expected).second);
+        // At most one change is accepted for each version of a key.
+        RC_ASSERT(
+            accepted_versions.emplace(change.key, change.expected).second);
       } else if (std::holds_alternative<ChangeConflict>(it->second)) {
         RC_ASSERT(revisions.empty());
       }
@@ -87,8 +89,8 @@
            !std::holds_alternative<ChangeUnavailable>(it->second);
   }
 
-  // Whether so many changes followed that the key's history cannot name this
-  // one any more: then "outcome unknown" is the truth for good.
+  // Returns true if more changes followed than the key's history can name. The
+  // final outcome of this change is then "outcome unknown".
   bool IsForgotten(const ConfigChange& change) const {
     std::size_t later = 0;
     for (const FakeStore::Change& write : cluster_.link().store().changes()) {
@@ -101,18 +103,18 @@
                ChangeUnavailableKind::kOutcomeUnknown;
   }
 
-  void AskAgain(std::size_t node, const ConfigChange& change) {
+  void ProposeAgain(std::size_t node, const ConfigChange& change) {
     if (!IsFinal(change.change)) {
       cluster_.Propose(node, change);
     }
   }
 
   ConfigCluster& cluster_;
-  std::vector<ConfigChange> asked_;
+  std::vector<ConfigChange> changes_;
 };
 
-// One random fault or recovery.
-void Disturb(ConfigCluster& cluster) {
+// Injects or ends one random fault.
+void InjectFault(ConfigCluster& cluster) {
   const Random& random = cluster.random();
   const std::size_t index = DrawBelow(random, cluster.nodes().size());
   FakeStoreFaults& faults = cluster.link().faults();
@@ -147,16 +149,17 @@
           static_cast<std::int64_t>(DrawBelow(random, 20000)) + 1);
       break;
     default: {
-      const std::uint64_t side = random();
-      cluster.network().SetConnected([side](const NodeId& a, const NodeId& b) {
-        return (RendezvousScore(std::to_string(side), a) & 1) ==
-               (RendezvousScore(std::to_string(side), b) & 1);
-      });
+      const std::uint64_t partition_seed = random();
+      cluster.network().SetConnected(
+          [partition_seed](const NodeId& a, const NodeId& b) {
+            return (RendezvousScore(std::to_string(partition_seed), a) & 1) ==
+                   (RendezvousScore(std::to_string(partition_seed), b) & 1);
+          });
     }
   }
 }
 
-void Heal(ConfigCluster& cluster) {
+void ClearFaults(ConfigCluster& cluster) {
   cluster.link().SetOutage(cluster.now(), false);
   cluster.link().faults() = FakeStoreFaults();
   cluster.network().faults() = FakeNetworkFaults();
@@ -167,39 +170,36 @@
   }
 }
 
-// Symptom: an accepted change reverts at a node, is missing at a node, or was
-// never written; a refused one is in force; two operators win one version.
-// Sequence: any mix of racing operators who ask again through other nodes, lost
-// and late answers, stale reads, busy and absent service, nodes paused and
-// started anew, and messages lost, doubled, late and cut off.
-// Cause: any one of the mechanisms of docs/design/0006-configuration.md
-// failing.
+// Checks the guarantees of docs/design/0006-configuration.md under racing
+// operators, a faulty service, paused and restarted nodes and a faulty network:
+// an accepted change was written, reaches every node and is never reverted, a
+// refused change never takes effect, and each version has one winner.
 RC_GTEST_PROP(ConfigProperty,
-              AnswersAreTrueAndNothingReverts,
+              OutcomesAreCorrectAndNothingReverts,
               (std::uint64_t seed)) {
   ConfigCluster cluster(5, seed);
   Operators operators(cluster);
   cluster.Run(Duration::Seconds(5));
   for (int step = 0; step < 1500; ++step) {
     if (DrawBelow(cluster.random(), 25) == 0) {
-      Disturb(cluster);
+      InjectFault(cluster);
     }
     if (DrawBelow(cluster.random(), 10) == 0) {
-      operators.Act();
+      operators.ProposeRandomChange();
     }
     cluster.Step();
     for (const ConfigCluster::Node& node : cluster.nodes()) {
       RC_ASSERT(!node.reverted);
     }
   }
-  operators.CheckAnswers();
-  Heal(cluster);
+  operators.CheckOutcomes();
+  ClearFaults(cluster);
   cluster.Run(Duration::Seconds(30));
-  RC_ASSERT(operators.SettleAll());
-  operators.CheckAnswers();
+  RC_ASSERT(operators.SettleAllChanges());
+  operators.CheckOutcomes();
   cluster.Run(Duration::Seconds(40));
   RC_ASSERT(cluster.events(EventKind::kStoreRewound) == 0);
-  RC_ASSERT(!cluster.contradicted());
+  RC_ASSERT(!cluster.has_contradiction());
   RC_ASSERT(cluster.Converged());
   for (const ConfigCluster::Node& node : cluster.nodes()) {
     RC_ASSERT(node.sync->ready());
@@ -207,19 +207,17 @@
   }
 }
 
-// Symptom: a node's claim to hold everything up to a revision is false, and
-// operators read "in force" where it is not.
-// Sequence: as above.
-// Cause: a floor raised over an entry that was lost on the way.
-RC_GTEST_PROP(ConfigProperty, FloorsAreTrue, (std::uint64_t seed)) {
+// Guards against a floor that is raised past an entry that was lost in transit,
+// which would tell operators that a change is in force at a node that lacks it.
+RC_GTEST_PROP(ConfigProperty, FloorsAreCorrect, (std::uint64_t seed)) {
   ConfigCluster cluster(4, seed);
   Operators operators(cluster);
   for (int step = 0; step < 1500; ++step) {
     if (DrawBelow(cluster.random(), 25) == 0) {
-      Disturb(cluster);
+      InjectFault(cluster);
     }
     if (DrawBelow(cluster.random(), 10) == 0) {
-      operators.Act();
+      operators.ProposeRandomChange();
     }
     cluster.Step();
     for (const ConfigCluster::Node& node : cluster.nodes()) {
--- a/tests/support/config_cluster.h
+++ b/tests/support/config_cluster.h
@@ -14,8 +14,8 @@
 
 namespace gcw {
 
-// Nodes that hold copies of the configuration, with one fake key-value service
-// and network. The view holds every node as alive throughout.
+// Simulates nodes that replicate the configuration, with a fake key-value
+// service and a fake network. The view always lists every node as alive.
 class ConfigCluster {
  public:
   static constexpr Duration kStep = Duration::Millis(50);
@@ -26,7 +26,8 @@
     bool paused = false;
     std::int64_t process = 0;
     std::unique_ptr<ConfigSync> sync;
-    // What the node applied last for each key, and whether it ever went back.
+    // The last revision applied for each key, and whether any key ever went
+    // back to an older or equal revision.
     std::map<std::string, Revision> applied;
     bool reverted = false;
     std::vector<FakeStoreLink::Delivery> store_inbox;
@@ -55,7 +56,7 @@
     }
   }
 
-  // A new process with an empty copy.
+  // Restarts the node as a new process with an empty copy.
   void Restart(std::size_t index) {
     Node& node = nodes_[index];
     ++node.process;
@@ -75,7 +76,7 @@
     node.sync->SetView(now_, view_);
   }
 
-  // Changes a key through a node; the answer turns up in `outcomes`.
+  // Proposes a change through a node. The outcome appears in `outcomes`.
   ChangeId Propose(std::size_t index,
                    const std::string& key,
                    std::optional<std::string> value,
@@ -85,9 +86,9 @@
     return id;
   }
   void Propose(std::size_t index, const ConfigChange& change) {
-    Act(index, nodes_[index].sync->Propose(now_, change));
+    ApplyActions(index, nodes_[index].sync->Propose(now_, change));
   }
-  // The same, and waits until it is answered.
+  // Like `Propose`, but runs the cluster until the outcome is known.
   ChangeOutcome Settle(std::size_t index,
                        const std::string& key,
                        std::optional<std::string> value,
@@ -121,7 +122,7 @@
     }
   }
 
-  // Whether all nodes hold exactly what the service holds.
+  // Returns true if all nodes hold exactly the service's entries.
   bool Converged() const {
     for (const Node& node : nodes_) {
       const auto& held = node.sync->store().entries();
@@ -151,8 +152,8 @@
   const std::map<ChangeId, ChangeOutcome>& outcomes() const {
     return outcomes_;
   }
-  // Whether a final answer was followed by another one.
-  bool contradicted() const { return contradicted_; }
+  // True if a final outcome was followed by a different one.
+  bool has_contradiction() const { return has_contradiction_; }
   std::int64_t events(EventKind kind) { return events_[kind]; }
   std::int64_t sent_bytes() const { return sent_bytes_; }
 
@@ -161,20 +162,22 @@
     Node& node = nodes_[index];
     for (const auto& delivery : std::exchange(node.store_inbox, {})) {
       if (delivery.caller == CallerOf(index)) {
-        Act(index, node.sync->OnStoreReply(now_, delivery.id, delivery.reply));
+        ApplyActions(
+            index, node.sync->OnStoreReply(now_, delivery.id, delivery.reply));
       }
     }
     for (const auto& delivery : std::exchange(node.peer_inbox, {})) {
-      Act(index, node.sync->OnPeer(now_, delivery.from, delivery.message));
+      ApplyActions(index,
+                   node.sync->OnPeer(now_, delivery.from, delivery.message));
     }
-    Act(index, node.sync->Tick(now_));
+    ApplyActions(index, node.sync->Tick(now_));
   }
 
   std::string CallerOf(std::size_t index) const {
     return std::to_string(index) + "/" + std::to_string(nodes_[index].process);
   }
 
-  void Act(std::size_t index, std::vector<ConfigSyncAction> actions) {
+  void ApplyActions(std::size_t index, std::vector<ConfigSyncAction> actions) {
     for (ConfigSyncAction& action : actions) {
       std::visit(
           Overloaded{
@@ -193,27 +196,30 @@
                 nodes_[index].reverted |= applied.entry.revision <= last;
                 last = applied.entry.revision;
               },
-              [&](const ProposalFinished& finished) { Record(finished); },
+              [&](const ProposalFinished& finished) {
+                RecordOutcome(finished);
+              },
           },
           action);
     }
   }
 
-  void Record(const ProposalFinished& finished) {
-    const auto [it, first] =
+  void RecordOutcome(const ProposalFinished& finished) {
+    const auto [it, inserted] =
         outcomes_.emplace(finished.change.change, finished.outcome);
-    if (first) {
+    if (inserted) {
       return;
     }
-    // A node that gives up says nothing against what another one told.
-    const auto final_now =
+    // `ChangeUnavailable` does not contradict a final outcome from another
+    // node.
+    const auto is_final =
         !std::holds_alternative<ChangeUnavailable>(finished.outcome);
     const bool was_final =
         !std::holds_alternative<ChangeUnavailable>(it->second);
-    if (was_final && !final_now) {
+    if (was_final && !is_final) {
       return;
     }
-    contradicted_ |=
+    has_contradiction_ |=
         was_final && it->second.index() != finished.outcome.index();
     it->second = finished.outcome;
   }
@@ -230,7 +236,7 @@
   std::map<ChangeId, ChangeOutcome> outcomes_;
   std::map<EventKind, std::int64_t> events_;
   std::int64_t sent_bytes_ = 0;
-  bool contradicted_ = false;
+  bool has_contradiction_ = false;
 };
 
 }  // namespace gcw
