--- a/coordination/membership/delta_filter.h
+++ b/coordination/membership/delta_filter.h
@@ -8,13 +8,12 @@
 
 namespace gcw {
 
-// Tells deltas that are heard for the first time from repetitions, in constant
-// memory for each origin.
+// Detects repeated deltas, in constant memory for each origin.
 class DeltaFilter {
  public:
-  // True the first time. A delta that comes more than `kWindow` sequence
-  // numbers late counts as heard: soft state may lose a delta, but must not
-  // take an old one for new.
+  // Records the delta and returns true if it is new. A delta that arrives
+  // `kWindow` or more sequence numbers late counts as a repetition: losing a
+  // delta of soft state is acceptable, but applying an old one as new is not.
   bool FirstTime(const DeltaRumor& rumor);
   void Forget(const NodeId& origin) { origins_.erase(origin); }
 
@@ -24,7 +23,7 @@
   struct Origin {
     Incarnation incarnation;
     std::int64_t highest = 0;
-    // Bit n stands for sequence number `highest` - n.
+    // Bit n is set if sequence number `highest` - n was received.
     std::uint64_t heard = 0;
   };
 
--- a/coordination/membership/member.cc
+++ b/coordination/membership/member.cc
@@ -5,7 +5,7 @@
 namespace gcw {
 namespace {
 
-// The ids of the members for which `holds` is true.
+// Returns the ids of the members for which `holds` is true.
 template <typename Predicate>
 std::vector<NodeId> Select(const View::Members& members, Predicate holds) {
   std::vector<NodeId> nodes;
--- a/coordination/membership/member.h
+++ b/coordination/membership/member.h
@@ -14,22 +14,23 @@
 
 enum class MemberState {
   kAlive,
-  // Did not answer probes; has time to refute before it counts as dead.
+  // The member did not answer probes. It can refute the suspicion until it
+  // counts as dead.
   kSuspect,
   kDead,
-  // Alive, but on its way to a planned stop.
+  // The member is alive but in a planned stop.
   kLeaving,
 };
 
 std::string_view MemberStateName(MemberState state);
 
-// Orders what is said of a member. A member that is wrongly suspected answers
-// with a higher `refutation`.
+// Orders the statements about a member. A member that is wrongly suspected
+// refutes this with a higher `refutation`.
 struct MemberVersion {
   Incarnation incarnation;
   std::int64_t refutation = 0;
 
-  // Above every other version.
+  // A version that is higher than any other.
   static constexpr MemberVersion Highest() {
     return {Incarnation(std::numeric_limits<std::int64_t>::max()), 0};
   }
@@ -37,31 +38,33 @@
   friend auto operator<=>(const MemberVersion&, const MemberVersion&) = default;
 };
 
-// A node as another one sees it.
+// What one node knows of another.
 struct Member {
   NodeRecord record;
   MemberVersion version;
   MemberState state = MemberState::kAlive;
-  // Of the last change of `state`.
+  // Time of the last change of `state`.
   Time since;
 };
 
-// All nodes that one node knows of, itself included. Views of different nodes
-// may differ: they steer work, and no safety property rests on them.
+// All nodes that one node knows of, including itself. The views of different
+// nodes may differ: work is distributed by them, but no safety property depends
+// on them.
 class View {
  public:
   using Members = std::map<NodeId, Member>;
 
   const Members& members() const { return members_; }
-  // Null where the node is not known.
+  // Returns null if the node is not known.
   const Member* Find(const NodeId& node) const;
   bool IsIn(const NodeId& node, MemberState state) const;
 
-  // Nodes that take part in owning work: alive ones, and suspect ones until
-  // they count as dead, so that one lost probe moves nothing. In order of id.
+  // Returns the nodes that may own work, in order of their ids: alive ones, and
+  // suspect ones until they count as dead, so that a lost probe does not move
+  // work. Leaving nodes are not included.
   std::vector<NodeId> Owners() const;
   std::vector<NodeId> OwnersIn(const ZoneId& zone) const;
-  // Nodes that messages can be sent to: all but dead ones.
+  // Returns the nodes that messages are sent to: all except dead ones.
   std::vector<NodeId> Reachable() const;
   std::vector<NodeId> ReachableIn(const ZoneId& zone) const;
   std::vector<ZoneId> Zones() const;
--- a/coordination/membership/membership.cc
+++ b/coordination/membership/membership.cc
@@ -54,7 +54,7 @@
 
 void Membership::Start(Time now) {
   OwnMember().since = now;
-  // Random phases keep the nodes of a fleet that started together apart.
+  // Random phases prevent nodes that started together from acting in step.
   next_period_ = now + RandomPart(random_, settings_.period);
   next_reconnect_ = now + RandomPart(random_, settings_.reconnect_interval);
   for (const NodeRecord& seed : seeds_) {
@@ -71,9 +71,9 @@
   AnnounceSelf();
 }
 
-// A node that was paused finds its probe unanswered and its suspects' time run
-// out, although the others did answer. Without this it would report healthy
-// members as dead to the whole fleet.
+// A node that was paused finds its probe unanswered and the time of its
+// suspects expired, although the others did answer. Without this adjustment it
+// would report healthy members as dead to the whole fleet.
 void Membership::NoticePause(Time now) {
   if (!last_tick_ || now - *last_tick_ <= settings_.pause_threshold) {
     return;
@@ -90,8 +90,8 @@
 void Membership::BeginPeriod(Time now) {
   next_period_ = next_period_ + settings_.period;
   if (next_period_ <= now) {
-    // Periods that were missed are not made up for: a probe would have no time
-    // to be answered before the next one.
+    // Missed periods are skipped: otherwise a probe would have no time to be
+    // answered before the next one.
     next_period_ = now + settings_.period;
   }
   urgent_left_ = settings_.urgent_per_period;
@@ -113,8 +113,9 @@
   StartProbe(now);
 }
 
-// Tells a member that this node suspects it, until it answers: it can refute
-// only what it hears, and by chance alone it may hear too late.
+// Pings the members that this node suspects until they answer. A member can
+// refute a suspicion only after it has received it, and rumors alone may reach
+// it too late.
 void Membership::PingAccused() {
   std::erase_if(accused_, [&](const NodeId& node) {
     return !view_.IsIn(node, MemberState::kSuspect);
@@ -133,8 +134,9 @@
   probe_ = Probe{*target, last_probe_, now, false};
 }
 
-// Each member once in a random order, then all again: a failed member is
-// probed by somebody within a bounded time, unlike with independent draws.
+// Returns each member once in a random order before any is repeated, so that a
+// failed member is probed by some node within a bounded time, which independent
+// random choices would not ensure.
 std::optional<NodeId> Membership::NextTarget() {
   for (int attempt = 0; attempt < 2; ++attempt) {
     while (!round_.empty()) {
@@ -197,14 +199,14 @@
   });
 }
 
-// Nobody probes a dead member in the normal round, so that after a partition
-// both halves would stay apart for good.
+// Dead members are not probed in the normal round, so that without this the
+// halves of a healed partition would never find each other again.
 void Membership::Reconnect(Time now) {
   if (now < next_reconnect_) {
     return;
   }
   next_reconnect_ = now + settings_.reconnect_interval;
-  // In rounds, so that each is tried within a bounded time.
+  // In rounds, so that each dead member is tried within a bounded time.
   while (!reconnect_round_.empty() &&
          !view_.IsIn(reconnect_round_.back(), MemberState::kDead)) {
     reconnect_round_.pop_back();
--- a/coordination/membership/membership.h
+++ b/coordination/membership/membership.h
@@ -23,44 +23,47 @@
 struct MembershipSettings {
   // One member is probed in each period.
   Duration period = Duration::Seconds(1);
-  // After this without an acknowledgement others are asked to probe as well.
+  // Time without an acknowledgement after which other nodes are asked to probe
+  // as well.
   Duration probe_timeout = Duration::Millis(300);
   std::size_t indirect_probes = 3;
   // A suspect has max(min_suspicion, suspicion_factor * log2(nodes) * period)
-  // to refute.
+  // to refute the suspicion.
   Duration min_suspicion = Duration::Seconds(5);
   double suspicion_factor = 1.0;
-  // Each rumor is sent transmission_factor * log2(nodes) times by each node.
+  // Each node sends each rumor transmission_factor * log2(nodes) times.
   double transmission_factor = 2.0;
   std::size_t rumor_bytes = 1200;
-  // A leaving node tells this many nodes at once, and each of them as many.
+  // Number of nodes to which an urgent rumor is sent at once by the node that
+  // starts it, and by each node that receives it.
   std::size_t urgent_fanout = 3;
-  // Most urgent messages that a node sends within a period.
+  // Maximum number of urgent messages that a node sends in a period.
   std::size_t urgent_per_period = 9;
-  // Between probes of a dead member or seed, so that the halves of a healed
-  // partition find each other.
+  // Interval between probes of dead members or seeds, by which the halves of a
+  // healed partition find each other.
   Duration reconnect_interval = Duration::Seconds(5);
-  // A dead member is forgotten after this, unless the key-value service lists
-  // it.
+  // A dead member is forgotten after this time, unless the key-value service
+  // lists it.
   Duration dead_memory = Duration::Seconds(14400);
-  // Every node reads the list of nodes once per this long for each node of the
-  // fleet, so that the fleet's reads do not grow with its size.
+  // Each node reads the list of nodes at intervals of this duration times the
+  // number of nodes, so that the total rate of reads does not grow with the
+  // fleet.
   Duration read_interval_per_node = Duration::Seconds(1);
   Duration min_read_interval = Duration::Seconds(30);
   Duration call_timeout = Duration::Seconds(2);
-  // A gap between two ticks beyond this means that the node itself was paused
-  // and missed acknowledgements that others did send.
+  // A longer gap between two ticks means that this node was paused and may have
+  // missed acknowledgements that were sent.
   Duration pause_threshold = Duration::Seconds(1);
   BackoffSettings backoff;
 };
 
-// A member's state changed as this node sees it.
+// A member's state changed in this node's view.
 struct MemberChanged {
   NodeId node;
   MemberState state;
 };
 
-// A delta of another node's module arrived for the first time.
+// A delta of another node arrived for the first time.
 struct DeltaHeard {
   NodeId origin;
   Delta delta;
@@ -71,10 +74,11 @@
                                       MemberChanged,
                                       DeltaHeard>;
 
-// Which nodes there are and which of them answer, after the SWIM protocol: one
-// random member is probed in each period, directly and then through others;
-// what is learnt rides along on the probes. A node's cost does not grow with
-// the fleet, but for the logarithm in how often a rumor is repeated.
+// Tracks which nodes exist and which of them respond, with the SWIM protocol:
+// in each period one random member is probed, directly and then through other
+// members, and news is piggybacked on the probes. The cost for a node does not
+// depend on the size of the fleet, except that the number of times a rumor is
+// repeated grows with its logarithm.
 class Membership {
  public:
   class Builder;
@@ -87,29 +91,29 @@
                                              StoreCallId id,
                                              const StoreReply& reply);
 
-  // For nodes whose record bears no incarnation: the lease has a new one; see
-  // `NodeLease::incarnation`.
+  // For nodes whose record has no incarnation: sets the incarnation of a new
+  // lease. See `NodeLease::incarnation`.
   void SetIncarnation(Time now, Incarnation incarnation);
-  // A planned stop has begun: tells others at once.
+  // Begins a planned stop and announces it to other nodes at once.
   std::vector<MembershipAction> Leave(Time now);
-  // Lets a delta of another module ride along to all nodes; an urgent one
-  // leaves with the next tick.
+  // Sends a delta to all nodes, piggybacked on probes. An urgent delta is sent
+  // with the next tick.
   void Spread(const Delta& delta);
 
   const View& view() const { return view_; }
   const Member& self() const;
-  // Grows whenever `view` changes.
+  // Increases whenever `view` changes.
   std::uint64_t view_version() const { return view_version_; }
 
  private:
-  // The probe of this period.
+  // The probe of the current period.
   struct Probe {
     NodeId target;
     ProbeId id;
     Time sent;
     bool indirect = false;
   };
-  // A probe on behalf of another node.
+  // A probe that this node sent on behalf of another.
   struct Relay {
     NodeId requester;
     ProbeId requester_probe;
@@ -142,7 +146,8 @@
   // The list of nodes in the key-value service.
   void ReadNodes(Time now);
   void OnNodeList(Time now, const StoreRangeReply& reply);
-  // Whether this run of the node wrote the record, not an earlier one.
+  // Returns true if the record was written by this run of the node and not by
+  // an earlier one.
   bool IsOwnRun(const NodeRecord& record) const;
 
   // Messages.
@@ -158,7 +163,7 @@
   std::vector<Rumor> RumorsFor(const NodeId& to, const MemberVersion& version);
   std::vector<NodeId> RandomPeers(std::size_t count, const NodeId& except);
 
-  // What is said of members.
+  // Rumors.
   void HearAll(Time now, const NodeId& from, const std::vector<Rumor>& rumors);
   void Hear(Time now, const NodeId& from, const MemberRumor& rumor);
   void Hear(Time now, const NodeId& from, const DeltaRumor& rumor);
@@ -189,22 +194,23 @@
   std::optional<Time> last_tick_;
   Time next_period_;
   std::optional<Probe> probe_;
-  // The members still to be probed in this round, in random order.
+  // Members that are still to be probed in this round, in random order.
   std::vector<NodeId> round_;
   ProbeId last_probe_;
   std::map<ProbeId, Relay> relays_;
-  // Until when each suspect may refute.
+  // Time until which each suspect may refute the suspicion.
   std::map<NodeId, Time> suspects_;
-  // Suspects by this node's own probe.
+  // Members that are suspect because this node's own probe failed.
   std::set<NodeId> accused_;
   Time next_reconnect_;
-  // The dead members still to be tried in this round.
+  // Dead members that are still to be probed in this round.
   std::vector<NodeId> reconnect_round_;
-  // Members that are not dead, as of the last period.
+  // Number of members that are not dead, as of the last period.
   std::size_t live_ = 1;
   std::size_t urgent_left_ = 0;
-  // The full list of members was received, from the service or a peer; one from
-  // the service counts where it shows this run of the node as well.
+  // Whether the full list of members was received from a peer or from the
+  // key-value service. A list from the service counts only if it includes this
+  // run of the node.
   bool listed_ = false;
   std::set<NodeId> in_store_;
 
@@ -219,7 +225,7 @@
  public:
   Builder& SetSettings(MembershipSettings settings);
   Builder& SetSelf(NodeRecord self);
-  // Nodes to ask when the key-value service does not answer.
+  // Nodes to contact if the key-value service does not answer.
   Builder& SetSeeds(std::vector<NodeRecord> seeds);
   Builder& SetDecode(
       std::function<std::optional<NodeRecord>(std::string_view)> decode);
--- a/coordination/membership/membership_messages.cc
+++ b/coordination/membership/membership_messages.cc
@@ -73,7 +73,7 @@
 }  // namespace
 
 bool IsUrgent(const Delta& delta) {
-  // While a block spreads, the request may crash more endpoints.
+  // The request may crash more endpoints until the block has reached all nodes.
   const auto* fingerprint = std::get_if<FingerprintDelta>(&delta);
   return fingerprint != nullptr && fingerprint->blocked;
 }
@@ -83,7 +83,7 @@
 }
 
 std::size_t EstimatedSize(const MembershipMessage& message) {
-  // Each carries a probe id and the sender's version.
+  // Each message carries a probe id and the sender's version.
   return kFraming + 3 * kNumber +
          std::visit([](const auto& m) { return SizeOf(m); }, message);
 }
--- a/coordination/membership/membership_messages.h
+++ b/coordination/membership/membership_messages.h
@@ -13,24 +13,25 @@
 
 namespace gcw {
 
-// What nodes tell each other of one member.
+// A statement about one member that nodes pass on to each other.
 struct MemberRumor {
   NodeId node;
   MemberVersion version;
-  // `kLeaving` never stands here: it is part of the record.
+  // Never `kLeaving`, which is a part of the record.
   MemberState state = MemberState::kAlive;
-  // Present where `state` is `kAlive`.
+  // Present if `state` is `kAlive`.
   std::optional<NodeRecord> record;
 };
 
-// A request with this fingerprint is not to be dispatched, since it crashed
+// Says whether requests with this fingerprint are blocked because they crashed
 // endpoints, or may be dispatched again.
 struct FingerprintDelta {
   Fingerprint fingerprint;
   bool blocked = true;
-  // Endpoints that it crashed so far.
+  // Number of endpoints that these requests have crashed.
   std::int64_t losses = 0;
-  // From the receipt on; clocks of nodes may differ.
+  // Counted from the receipt of the delta, because the clocks of nodes may
+  // differ.
   Duration time_to_live;
 
   friend bool operator==(const FingerprintDelta&,
@@ -46,17 +47,18 @@
                          const RoleHolderDelta&) = default;
 };
 
-// Small soft state of other modules that rides along. Each delta replaces what
-// earlier ones of the same origin said of the same subject.
+// Small soft state of other modules that is piggybacked on membership messages.
+// Each delta replaces earlier ones of the same origin on the same subject.
 using Delta = std::variant<FingerprintDelta, RoleHolderDelta>;
 
-// Whether a delta is sent on at once instead of riding along on probes.
+// Returns true if the delta is forwarded at once instead of being piggybacked
+// on probes.
 bool IsUrgent(const Delta& delta);
 
-// A delta on its way through the fleet.
+// A delta together with its origin and sequence number.
 struct DeltaRumor {
   NodeId origin;
-  // Sequence numbers begin anew with each incarnation.
+  // Sequence numbers start again with each incarnation.
   MemberVersion origin_version;
   std::int64_t sequence = 0;
   Delta delta;
@@ -64,13 +66,13 @@
 
 using Rumor = std::variant<MemberRumor, DeltaRumor>;
 
-// Names a probe until its acknowledgement arrives.
+// Identifies a probe until its acknowledgement arrives.
 using ProbeId = StrongNumber<struct ProbeIdTag>;
 
 // Asks the receiver to acknowledge at once.
 struct Ping {
   ProbeId probe;
-  // Of the sender.
+  // The sender's version.
   MemberVersion version;
   std::vector<Rumor> rumors;
 };
@@ -83,10 +85,10 @@
   std::vector<Rumor> rumors;
 };
 
-// The node that the probe was for is alive.
+// Acknowledges that the probed node is alive.
 struct PingAck {
   ProbeId probe;
-  // The node that is alive: the sender, or the target of a ping request.
+  // The probed node: the sender, or the target of a ping request.
   NodeId target;
   MemberVersion version;
   std::vector<Rumor> rumors;
@@ -98,7 +100,8 @@
   std::vector<Rumor> rumors;
 };
 
-// A node that starts without the key-value service asks for all members.
+// Requests the list of all members, for a node that starts without the
+// key-value service.
 struct MemberListRequest {
   MemberVersion version;
 };
@@ -115,7 +118,7 @@
                                        MemberListRequest,
                                        MemberList>;
 
-// About how many bytes each takes on the wire.
+// Estimates the encoded size in bytes.
 std::size_t EstimatedSize(const Rumor& rumor);
 std::size_t EstimatedSize(const MembershipMessage& message);
 
--- a/coordination/membership/membership_peers.cc
+++ b/coordination/membership/membership_peers.cc
@@ -1,4 +1,4 @@
-// How members talk: probes, acknowledgements, urgent rumors and lists.
+// Messages between members: probes, acknowledgements, urgent rumors and lists.
 
 #include <algorithm>
 #include <utility>
@@ -11,7 +11,8 @@
     Time now,
     const NodeId& from,
     const MembershipMessage& message) {
-  // Messages that waited through a pause come before the next tick.
+  // After a pause, messages that arrived meanwhile are handled before the next
+  // tick.
   NoticePause(now);
   std::visit([&](const auto& typed) { OnMessage(now, from, typed); }, message);
   return TakeActions();
@@ -22,7 +23,7 @@
   Send(from, PingAck{ping.probe, self_, self().version,
                      RumorsFor(from, ping.version)});
   if (view_.Find(from) == nullptr) {
-    // Its announcement was lost on the way here.
+    // The sender's announcement was lost.
     Send(from, MemberListRequest{self().version});
   }
 }
@@ -95,8 +96,8 @@
 }
 
 void Membership::SendUrgent(const Rumor& rumor) {
-  // Bounded, so that many nodes leaving at once do not become a storm; the
-  // rumor still rides along on probes.
+  // Bounded, so that many nodes leaving at once do not cause a message storm.
+  // The rumor is still piggybacked on probes.
   const std::size_t count = std::min(settings_.urgent_fanout, urgent_left_);
   for (const NodeId& peer : RandomPeers(count, self_)) {
     --urgent_left_;
@@ -104,10 +105,11 @@
   }
 }
 
-// What the receiver must hear of itself, then what is due to ride along. A
-// member that is wrongly believed failed, that started anew without knowing its
-// incarnation, or whose last announcement did not arrive here, can only answer
-// what it hears.
+// Returns the rumors to send to a node: first the rumor about that node, if it
+// must react to it, then the ones that are due. A member that is wrongly
+// believed to have failed, that restarted without knowing its incarnation, or
+// whose last announcement did not arrive here can correct only what it
+// receives.
 std::vector<Rumor> Membership::RumorsFor(const NodeId& to,
                                          const MemberVersion& version) {
   std::vector<Rumor> rumors;
--- a/coordination/membership/membership_rumors.cc
+++ b/coordination/membership/membership_rumors.cc
@@ -1,4 +1,4 @@
-// What is said of members, and how it changes the view.
+// Rumors about members, and how they change the view.
 
 #include <algorithm>
 #include <utility>
@@ -70,9 +70,9 @@
     ++own.version.refutation;
     AnnounceSelf();
   }
-  // Whoever believes it hears the answer at once, also where it was given
-  // before, and spreads it on its side, which may be a part of the fleet that
-  // this node is not probed from.
+  // The sender of the outdated rumor gets the refutation at once, even if it
+  // was given before, and spreads it among the nodes that it reaches, which may
+  // be a part of the fleet that does not probe this node.
   if (urgent_left_ > 0) {
     --urgent_left_;
     Send(from, UrgentRumors{own.version, {RumorOn(own)}});
@@ -208,8 +208,8 @@
       is_own_run_listed = IsOwnRun(*record);
       continue;
     }
-    // The version under which the node announces itself. A lower one would make
-    // each node of a fleet that starts spread its announcement to all others.
+    // The version with which the node announces itself. With a lower one, each
+    // node of a fleet that starts would forward its announcement to all others.
     const Incarnation incarnation = record->incarnation == Incarnation()
                                         ? Incarnation(entry.revision.value())
                                         : record->incarnation;
@@ -221,10 +221,10 @@
               /*pass_on=*/false);
   }
   if (!is_own_run_listed) {
-    // Nodes that start together would each read the list before any of them
-    // stands in it, and be alone until the next read: each would take over what
-    // the others own. Of two nodes, at least the one that was written last sees
-    // the other in a list that shows itself.
+    // Nodes that start together could each read the list before any of them is
+    // in it, stay alone until the next read and take over what the others own.
+    // Therefore a list counts only if it includes this run: of two nodes, at
+    // least the one that was written last then sees the other.
     next_read_ = std::min(next_read_, now + backoff_.Next(random_));
     return;
   }
--- a/coordination/membership/peer_presence.cc
+++ b/coordination/membership/peer_presence.cc
@@ -18,8 +18,8 @@
   }
   newest_stamp_ = report.stamp;
   last_heard_ = now;
-  // What it echoes or acknowledges of an earlier run of this node means nothing
-  // now.
+  // An echo or acknowledgement that refers to an earlier run of this node is
+  // void.
   const bool knows_this_run = report.receiver == self_;
   acknowledged_ = knows_this_run ? report.acknowledged : 0;
   if (report.base > version_) {
--- a/coordination/membership/peer_presence.h
+++ b/coordination/membership/peer_presence.h
@@ -10,26 +10,27 @@
 
 namespace gcw {
 
-// What one other node said of endpoints, and how old that is on this node's
-// own clock.
+// What another node reports about endpoints, and the age of that evidence on
+// this node's clock.
 class PeerPresence {
  public:
   explicit PeerPresence(Incarnation self);
 
-  // Returns false where the report is of an earlier run, out of order, or
+  // Returns false if the report comes from an earlier run, is out of order, or
   // builds on a version that this node does not have.
   bool Apply(Time now, const PresenceReport& report);
 
-  // What the peer says of the endpoint; nothing where it says nothing.
+  // Returns what the peer reports about the endpoint, if anything.
   std::optional<PresenceEntry> Find(const EndpointId& endpoint) const;
 
-  // All evidence of this peer was taken at this time or later. Absent until a
-  // report came that answers one of this node's own.
+  // Time since which all evidence of this peer was collected. Absent until the
+  // peer has answered a report of this run of the node.
   std::optional<Time> evidence_time() const { return evidence_time_; }
 
   Time last_heard() const { return last_heard_; }
 
-  // Fills in what the next report to this peer must echo.
+  // Fills in the fields by which the next report to this peer acknowledges its
+  // reports.
   void Acknowledge(PresenceReport& report) const;
 
   // The newest version of this node's log that the peer has.
--- a/coordination/membership/presence_log.h
+++ b/coordination/membership/presence_log.h
@@ -10,20 +10,19 @@
 
 namespace gcw {
 
-// What this node says of endpoints, with a version for each change, so that a
+// What this node reports about endpoints. Each change has a version, so that a
 // report carries only what its receiver has not acknowledged.
 class PresenceLog {
  public:
-  // Returns whether this differs from what was said before.
+  // Returns true if this changes the reported state.
   bool Set(const EndpointId& endpoint,
            Generation generation,
            Presence presence);
 
-  // Says that the node no longer speaks of the endpoint. Returns whether it
-  // did.
+  // Stops reporting the endpoint. Returns true if it was reported before.
   bool Withdraw(const EndpointId& endpoint);
 
-  // Everything that changed after `base`.
+  // Returns all entries that changed after version `base`.
   std::vector<PresenceEntry> ChangesAfter(std::int64_t base) const;
 
   std::int64_t version() const { return version_; }
--- a/coordination/membership/presence_prober.cc
+++ b/coordination/membership/presence_prober.cc
@@ -113,7 +113,7 @@
                                ? status->vm == sent.vm
                                : view.purpose == VmPurpose::kPlainService;
   if (!is_expected) {
-    // The address was given to another VM.
+    // The address now belongs to another VM.
     OnFailure(now, sent, view, /*refused=*/true);
     return;
   }
@@ -227,10 +227,11 @@
          view.status.state == EngineState::kReady;
 }
 
-// Looks at first VMs only: they are all probed within one interval, so that
-// after a cut all have failed before the first one's evidence has run out.
+// Considers first VMs only: they are all probed within one interval, so that
+// after a network failure all probes have failed before the evidence of the
+// first one expires.
 bool PresenceProber::SeemsCutOff() const {
-  // One VM that does not answer says nothing of this node.
+  // A single VM that does not answer is no evidence about this node.
   constexpr std::size_t kFewestVms = 2;
   std::size_t all = 0;
   std::size_t silent = 0;
--- a/coordination/membership/presence_prober.h
+++ b/coordination/membership/presence_prober.h
@@ -13,65 +13,67 @@
 
 namespace gcw {
 
-// Settings of the prober.
 struct ProberSettings {
-  // Between probes of a group's first VM, or of a plain service.
+  // Interval between probes of a group's first VM, or of a plain service.
   Duration interval = Duration::Millis(1000);
-  // Between probes of each other VM of a group. Where engines do not vouch,
-  // `interval` is used for all.
+  // Interval between probes of each other VM of a group. If `engines_vouch` is
+  // false, `interval` applies to all VMs.
   Duration member_interval = Duration::Seconds(10);
   Duration timeout = Duration::Millis(500);
-  // A VM counts as present this long after the sending of a probe that it
+  // A VM counts as present for this time after the sending of a probe that it
   // answered.
   Duration fresh = Duration::Millis(2500);
-  // Whether rank 0's `members_seen` counts as evidence of other members.
+  // Whether `members_seen` of the VM with rank 0 is evidence of the other
+  // members' presence.
   bool engines_vouch = true;
-  // How far `members_seen` may lag behind the members.
+  // Maximum time after which a lost member disappears from `members_seen`.
   Duration vouch_lag = Duration::Millis(500);
 };
 
-// Whom to ask about one endpoint.
+// The VMs to probe for one endpoint.
 struct ProbeTarget {
   EndpointId endpoint;
   // Empty for plain services.
   GroupId group;
   Generation generation;
   VmPurpose purpose = VmPurpose::kModelEngine;
-  // In rank order.
+  // In order of rank.
   std::vector<GroupMember> members;
 
   friend bool operator==(const ProbeTarget&, const ProbeTarget&) = default;
 };
 
-// What the prober found about one endpoint.
+// The result of probing one endpoint.
 struct PresenceFinding {
   Presence presence = Presence::kIncomplete;
-  // Meaningful where complete: no member's evidence is older.
+  // Time of the oldest evidence among the members. Valid only if the endpoint
+  // is complete.
   Time evidence_time;
-  // The first VM at fault where incomplete.
+  // The first VM that is missing. Set only if the endpoint is incomplete.
   VmId missing;
 };
 
-// Probes the VMs of the endpoints that this node was chosen for and tells
+// Probes the VMs of the endpoints that are assigned to this node and reports
 // whether each endpoint is complete.
 class PresenceProber {
  public:
   explicit PresenceProber(ProberSettings settings);
 
-  // Replaces the endpoints to probe; keeps what is known of those that stay.
+  // Replaces the endpoints to probe and keeps the results of those that remain.
   void SetTargets(Time now, const std::vector<ProbeTarget>& targets);
 
-  // The probes that are due.
+  // Returns the probes that are due.
   std::vector<ProbeVm> Tick(Time now);
 
   void OnReply(Time now, ProbeId id, const ProbeReply& reply);
 
-  // Nothing for endpoints that are not probed here.
+  // Returns nothing for an endpoint that this node does not probe, or whose VMs
+  // have not all been probed yet.
   std::optional<PresenceFinding> Find(Time now,
                                       const EndpointId& endpoint) const;
 
-  // Whether half of the first VMs or more fell silent at once, which more
-  // likely means that this node is cut off than that they all are.
+  // Returns true if at least half of the first VMs do not answer, which more
+  // likely means that this node is isolated than that all of them failed.
   bool SeemsCutOff() const;
 
  private:
@@ -80,13 +82,15 @@
     VmPurpose purpose = VmPurpose::kModelEngine;
     Duration interval;
     Time next_probe;
-    // When the newest answered probe was sent; absent until one is.
+    // Time at which the newest answered probe was sent. Absent until a probe is
+    // answered.
     std::optional<Time> answered;
-    // The newest probe whose outcome is known was answered.
+    // Whether the newest probe whose outcome is known was answered.
     bool answers = false;
-    // The newest outcome proves that the VM is not there as expected.
+    // Whether the newest outcome proves that the expected VM is not at this
+    // address.
     bool refused = false;
-    // The outcome of at least one probe is known.
+    // Whether the outcome of at least one probe is known.
     bool concluded = false;
     EngineStatus status;
   };
@@ -95,8 +99,8 @@
     Time at;
   };
 
-  // What is known of one member: nothing before its first probe's outcome; the
-  // time of the evidence where it is present; else absent.
+  // What is known of one member. `known` is false before the first probe's
+  // outcome; `evidence` is the time of the evidence if the member is present.
   struct MemberFinding {
     bool known = false;
     std::optional<Time> evidence;
--- a/coordination/membership/rumor_queue.h
+++ b/coordination/membership/rumor_queue.h
@@ -10,24 +10,25 @@
 
 namespace gcw {
 
-// Rumors that still ride along with messages. Each is sent a number of times
-// that grows with the logarithm of the fleet, the least sent first.
+// Rumors that are still to be piggybacked on messages. The number of times each
+// is sent grows with the logarithm of the fleet's size, and those that were
+// sent least often are sent first.
 class RumorQueue {
  public:
   RumorQueue() = default;
-  // The index points into the queue.
+  // Not copyable, because the index holds iterators into the queue.
   RumorQueue(const RumorQueue&) = delete;
   RumorQueue& operator=(const RumorQueue&) = delete;
   RumorQueue(RumorQueue&&) = default;
   RumorQueue& operator=(RumorQueue&&) = default;
   ~RumorQueue() = default;
 
-  // `transmissions`: how often each rumor is sent.
+  // Sets how often each rumor is sent.
   void SetTransmissions(int transmissions) { transmissions_ = transmissions; }
 
   // Replaces an older rumor on the same subject.
   void Add(const Rumor& rumor);
-  // The next rumors to send, within about `max_bytes` together.
+  // Returns the next rumors to send, of about `max_bytes` in total.
   std::vector<Rumor> Take(std::size_t max_bytes);
   std::size_t size() const { return waiting_.size(); }
 
@@ -37,10 +38,10 @@
     Rumor rumor;
     std::size_t bytes;
   };
-  // By how often it was sent.
+  // Ordered by the number of times that each rumor was sent.
   using Queue = std::multimap<int, Waiting>;
 
-  // Beyond this the most sent ones are dropped.
+  // If there are more rumors, the ones that were sent most often are dropped.
   static constexpr std::size_t kMaxWaiting = 2048;
 
   void Erase(Queue::iterator it);
--- a/coordination/membership/suspect_table.cc
+++ b/coordination/membership/suspect_table.cc
@@ -23,9 +23,9 @@
   }
 }
 
-// Deltas of different nodes come in any order. A late "cleared" must not undo a
-// block, so that only expiry and the operators do; a late "suspected" makes a
-// cleared request run once more under watch, which costs it a wait.
+// Deltas of different nodes arrive in any order. A late "cleared" must not undo
+// a block, so that only expiry and the operators lift one. A late "suspected"
+// makes a cleared request run under watch once more, which costs it a wait.
 void SuspectTable::Merge(Time now, const FingerprintDelta& delta) {
   if (!delta.blocked && delta.losses == 0) {
     Clear(now, delta.fingerprint);
--- a/coordination/membership/suspect_table.h
+++ b/coordination/membership/suspect_table.h
@@ -12,33 +12,34 @@
 enum class SuspectLevel { kNone, kSuspect, kBlocked };
 
 struct SuspectSettings {
-  // Endpoints that a fingerprint may take before it is refused, at least 2.
-  // Losses in company count once together, since any of many requests may have
-  // caused them.
+  // Number of lost endpoints at which a fingerprint is blocked; at least 2. All
+  // losses that a fingerprint shares with other requests together count as one,
+  // because any of those requests may have caused them.
   std::int64_t most_endpoints = 2;
   // Evidence older than this is forgotten.
   Duration expiry = Duration::Seconds(1800);
-  // Bounds the memory; beyond it new suspects are not taken in.
+  // Bounds the memory; if the table is full, new suspects are ignored.
   std::size_t most_suspects = 20000;
 };
 
-// The suspected fingerprints as one node knows them.
+// The suspected fingerprints that one node knows of.
 class SuspectTable {
  public:
   explicit SuspectTable(SuspectSettings settings);
 
-  // An endpoint was lost on which many requests ran, this one among them.
+  // An endpoint was lost while several requests ran on it, this one among them.
   void AddLossInCompany(Time now, Fingerprint fingerprint);
-  // An endpoint was lost on which this was the only suspect.
+  // An endpoint was lost while this was the only suspect on it.
   void AddLossAlone(Time now, Fingerprint fingerprint);
-  // It ended well while it was watched. A blocked one stays blocked.
+  // The request ended normally while its endpoint was watched. A blocked
+  // fingerprint stays blocked.
   void Clear(Time now, Fingerprint fingerprint);
   void Merge(Time now, const FingerprintDelta& delta);
 
   SuspectLevel Level(Time now, Fingerprint fingerprint) const;
-  // What to tell the other nodes.
+  // Returns the delta that tells other nodes about the fingerprint.
   FingerprintDelta Delta(Time now, Fingerprint fingerprint) const;
-  // The operators' override: these are never suspected.
+  // Sets the fingerprints that operators exempt from suspicion.
   void SetAllowed(std::set<Fingerprint> allowed);
   void Tick(Time now);
   std::size_t size() const { return suspects_.size(); }
--- a/coordination/node/entry_directory.h
+++ b/coordination/node/entry_directory.h
@@ -11,11 +11,13 @@
 namespace gcw {
 
 struct EntryDirectorySettings {
-  // How long callers may keep an answer.
+  // How long callers may cache an answer.
   Duration keep = Duration::Seconds(30);
-  // Until a node's leaving has reached every node that answers callers.
+  // How long the news that a node is leaving takes to reach every node that
+  // answers callers.
   Duration spread_time = Duration::Seconds(10);
-  // Most addresses in one answer; each answer draws others.
+  // Maximum number of addresses in an answer. If there are more nodes, each
+  // answer holds a new random selection.
   std::size_t max_entries = 32;
 };
 
@@ -26,21 +28,21 @@
   std::int64_t weight = 1;
 };
 
-// Answer to "which of your addresses should I use".
+// The nodes that a caller may connect to, and how long it may cache the list.
 struct EntryAnswer {
   std::vector<EntryAddress> entries;
   Duration keep;
 };
 
-// Tells callers which nodes to connect to. Leaving, suspect and dead nodes are
-// left out.
+// Selects the nodes whose addresses are given to callers. Leaving, suspect and
+// dead nodes are left out.
 class EntryDirectory {
  public:
   EntryDirectory(EntryDirectorySettings settings, NodeId self, Random random);
 
   EntryAnswer Answer(const View& view) const;
-  // A node that began to leave at `since` may still be used by callers until
-  // then, and goes on serving them.
+  // Returns until when a node that began to leave at `since` must go on serving
+  // callers: until then some of them may still have its address cached.
   Time ServeUntil(Time since) const;
 
  private:
--- a/coordination/node/node_actions.h
+++ b/coordination/node/node_actions.h
@@ -9,34 +9,35 @@
 
 namespace gcw {
 
-// Send the request to the endpoint, as this attempt. `AttemptEnded` follows
-// exactly once.
+// Sends the request to the endpoint as this attempt. Exactly one `AttemptEnded`
+// follows.
 struct DispatchAttempt {
   RequestId request;
   AttemptId attempt;
   Endpoint endpoint;
   EnginePriority priority;
   Time deadline;
-  // Looked at right before the first byte is given to the kernel, on a clock
-  // that counts time suspended: from this time on nothing may be written.
+  // Nothing may be written from this time on. It is checked right before the
+  // first byte is given to the kernel, on a clock that also counts time in
+  // suspension.
   Time send_before;
-  // Tokens that the caller has already.
+  // Number of tokens that the caller already has.
   TokenCount resume_from;
-  // Requests that may not be repeated get a new connection, since a pooled one
-  // may have died unseen.
+  // Set for requests that must not be repeated, because a pooled connection may
+  // have failed unnoticed.
   bool fresh_connection = false;
-  // The answer is to be handed in with `AttemptAnswered`.
+  // Whether `AttemptAnswered` must carry the answer.
   bool keep_answer = false;
 };
 
-// Stop working on the attempt; `AttemptEnded` still follows.
+// Cancels the attempt; `AttemptEnded` still follows.
 struct CancelAttempt {
   RequestId request;
   AttemptId attempt;
 };
 
-// The final answers to a request that was not answered whole. After each of
-// them the request's id is forgotten.
+// The following actions end a request that did not get a complete answer. The
+// request's id is forgotten after each of them.
 
 // The request was not run.
 struct TellRefused {
@@ -49,25 +50,25 @@
   RequestId request;
 };
 
-// The caller holds a part of the answer; no more will come.
+// The caller has received a part of the answer and gets no more of it.
 struct TellStreamBroken {
   RequestId request;
 };
 
-// A trial request was stopped to make room for paid work; it has run in part.
+// A trial request was stopped to make room for paid work. A part of it has run.
 struct TellPreempted {
   RequestId request;
   Duration retry_after;
 };
 
-// An earlier send with the same idempotency key ran; this is its answer.
+// An earlier send with the same idempotency key ran; `answer` is its answer.
 struct TellReplay {
   RequestId request;
   OnceAnswer answer;
 };
 
-// This send was not run; an earlier one with the same key ran (`certain`) or
-// may have run, and its answer is not held any more.
+// This send was not run. An earlier send with the same key ran if `certain` is
+// true and may have run otherwise; its answer is no longer stored.
 struct TellEarlierSend {
   RequestId request;
   bool certain = false;
@@ -90,9 +91,9 @@
   ProbeVm probe;
 };
 
-// `SendOrder` of the group keeper is an action as it stands.
+// `SendOrder` of the group keeper is used as an action without a wrapper.
 
-// Read the platform's VM list, `VmListRead` follows where it answers.
+// Reads the platform's VM list. `VmListRead` follows if the platform answers.
 struct ReadVmList {};
 struct ReadWeightStore {};
 struct ReadLoad {
@@ -100,16 +101,18 @@
 };
 struct ReadCacheEvents {
   Endpoint endpoint;
-  // The highest sequence number read so far.
+  // The highest sequence number that has been read.
   std::int64_t after = 0;
 };
 
-// Pooled connections there are dead although the endpoint is alive.
+// Closes the pooled connections to this address: they are dead although the
+// endpoint is alive.
 struct DropConnections {
   Address address;
 };
 
-// This node's keeper committed a domain's record; the core spreads it.
+// The group keeper of this node committed a domain's record, which the core
+// passes on to the other modules.
 struct PublishRecord {
   DomainRecord record;
   Revision revision;
@@ -120,7 +123,8 @@
   ChangeOutcome outcome;
 };
 
-// The planned stop is complete: nothing runs here any more.
+// The planned stop is complete, and the process can exit: the node has no open
+// requests and holds no roles.
 struct StopNow {};
 
 using NodeAction = std::variant<DispatchAttempt,
--- a/coordination/node/node_core.cc
+++ b/coordination/node/node_core.cc
@@ -7,22 +7,22 @@
 
 constexpr std::string_view kKeeperRole = "keeper/";
 
-// Domain records are spread like configuration, by the same watches and the
-// same exchange between nodes: a node without them could open no group while
-// the key-value service is down.
+// Domain records are replicated like configuration, by the same watches and the
+// same exchange between nodes, because a node without them could open no group
+// while the key-value service is unreachable.
 ConfigSyncSettings SpreadDomains(ConfigSyncSettings settings) {
   settings.prefixes.emplace_back(kDomainPrefix);
   return settings;
 }
 
-// The record says which run of the process it is of, so that the list in the
-// key-value service and what nodes tell each other carry the same version.
+// The record names the run of the process, so that the list in the key-value
+// service and the messages between nodes carry the same version.
 NodeCoreSettings WithIncarnation(NodeCoreSettings settings) {
   settings.self.incarnation = settings.incarnation;
   return settings;
 }
 
-// Makes attempt ids unique over nodes and their runs.
+// Returns a prefix that makes attempt ids unique across nodes and their runs.
 std::string AttemptPrefix(const NodeCoreSettings& settings) {
   return settings.self.id.value() + "." +
          std::to_string(settings.incarnation.value()) + ".";
@@ -311,8 +311,8 @@
   CallStoreFor(NodeModule::kNodeLease, lease_.SetRecord(now, record));
 }
 
-// Carries a planned stop on: callers that keep this node's address are served
-// for as long as they were told to keep it, and no request is cut off.
+// Advances a planned stop. Callers that have this node's address cached are
+// served until their copies have expired, and no request is cut off.
 void NodeCore::AdvanceStop(Time now) {
   if (!leaving_since_ || stopped_ ||
       now < entries_.ServeUntil(*leaving_since_) ||
@@ -385,9 +385,11 @@
                roles_.SetDesired(now, std::move(desired)));
 }
 
-// A role is not given up at once. A keeper's successor waits out a lease before
-// its first order, so a view that changes back and forth would leave a domain
-// without repair; a limit role is given up when nothing granted under it lives.
+// Keeps held roles that are no longer desired until they may be released. A
+// keeper's successor waits for the previous lease to expire before its first
+// order, so that a view that changes back and forth would leave a domain
+// without repair. A limit role is released when no grant made under it is in
+// force any more.
 void NodeCore::KeepWhileReleasing(Time now, std::set<RoleName>& desired) {
   for (const RoleName& role : roles_.HeldRoles(now)) {
     if (desired.contains(role)) {
--- a/coordination/node/node_core.h
+++ b/coordination/node/node_core.h
@@ -31,20 +31,20 @@
 
 namespace gcw {
 
-// How values stand in the key-value service. Codecs live in a higher layer.
+// Encodings of values in the key-value service. The codecs are implemented in a
+// higher layer.
 struct NodeCodecs {
   NodeRecordCodec node_record;
   ConfigRecordCodec config_record;
   DomainRecordCodec domain_record;
-  // Absent where the text is no contract.
+  // Returns nothing if the text is not a valid contract.
   std::function<std::optional<Contract>(std::string_view)> decode_contract;
   std::function<std::optional<WantedModel>(std::string_view)> decode_model;
 };
 
 struct NodeCoreSettings {
   NodeRecord self;
-  // Tells this run of the process from earlier ones; later runs have higher
-  // numbers.
+  // Identifies this run of the process; later runs have higher numbers.
   Incarnation incarnation;
   std::vector<NodeRecord> seeds;
   NodeLeaseSettings lease;
@@ -64,15 +64,16 @@
   KeeperSettings keeper;
   EndpointDeskSettings endpoints;
   RequestDeskSettings requests;
-  // How long a keeper role that should go to another node is kept.
+  // How long this node keeps a keeper role that is assigned to another node.
   Duration role_hold = Duration::Seconds(10);
-  // Between announcements of a role to nodes that came later.
+  // Interval between announcements of a held role, for nodes that joined after
+  // the previous one.
   Duration role_announcement = Duration::Seconds(20);
 };
 
-// The decisions of one node: takes what happened and a time, returns what to
-// do. It does no input or output and holds no thread; the daemon, tests and any
-// harness drive it alike. See docs/CORE.md.
+// Makes the decisions of one node: takes an event and the time and returns the
+// actions to perform. It does no input or output and has no threads, so that
+// the daemon and the tests drive it in the same way. See docs/CORE.md.
 class NodeCore {
  public:
   class Builder;
@@ -82,19 +83,19 @@
 
   NodeActions Handle(Time now, const NodeEvent& event);
 
-  // The answer to `GET /v1/entries`.
+  // Returns the answer to `GET /v1/entries`.
   EntryAnswer Entries() const;
-  // A key for `POST /v1/idempotency-keys`; empty where the caller is unknown.
+  // Returns a key for `POST /v1/idempotency-keys`, or an empty one if no
+  // contract has the digest `key`.
   IdempotencyKey IssueKey(Time now, const KeyDigest& key);
 
-  // For the operators' pages.
+  // Accessors for the operators' pages.
   const Contract* FindContract(const KeyDigest& key) const;
   const NodeId& id() const { return settings_.self.id; }
   bool ready() const { return configuration_->ready(); }
   bool draining() const { return leaving_since_.has_value(); }
   bool store_reachable() const { return lease_.store_reachable(); }
   std::size_t open_requests() const { return requests_.open_requests(); }
-  // Whether the request is still being worked on.
   bool HasRequest(const RequestId& request) const {
     return requests_.Has(request);
   }
@@ -106,7 +107,7 @@
     return router_->Endpoints(now);
   }
   std::vector<RoleName> Roles(Time now) const { return roles_.HeldRoles(now); }
-  // The newest domain records that this node knows.
+  // Returns the newest domain records that this node knows.
   std::vector<DomainRecord> Domains() const;
   std::int64_t queued(Tier tier) const { return admission_.queued(tier); }
   std::int64_t running(Tier tier) const { return admission_.running(tier); }
@@ -137,7 +138,7 @@
   void On(Time now, const OperatorAskRevision& event);
   void On(Time now, const StopAsked& event);
 
-  // Messages of other nodes.
+  // Messages from other nodes.
   void OnPeer(Time now, const NodeId& from, const MembershipMessage& message);
   void OnPeer(Time now, const NodeId& from, const ConfigMessage& message);
   void OnPeer(Time now, const NodeId& from, const LimitBatch& message);
@@ -146,7 +147,7 @@
   void OnPeer(Time now, const NodeId& from, const PresenceReport& message);
   void OnPeer(Time now, const NodeId& from, const LoadDigest& message);
 
-  // Actions of the modules.
+  // Actions that the modules return.
   void CallStoreFor(NodeModule module,
                     std::vector<std::variant<StoreRequest>> actions);
   void Apply(Time now, std::vector<MembershipAction> actions);
@@ -169,7 +170,8 @@
   void UpdateRefusal(Time now);
   void AdvanceStop(Time now);
   void CallStoreFor(NodeModule module, StoreRequest request);
-  // Messages to this node itself are handled after the event at hand.
+  // Messages to this node itself are queued and handled after the current
+  // event.
   void Send(const NodeId& to, PeerMessage message);
 
   NodeCoreSettings settings_;
@@ -195,9 +197,11 @@
   RequestDesk requests_;
 
   std::uint64_t seen_view_ = 0;
-  // Roles that were held at the last tick, and when each was announced.
+  // Roles that were held at the last tick, with the time of their last
+  // announcement.
   std::map<RoleName, Time> announced_roles_;
-  // Roles that go to another node, and when they may be released.
+  // Held roles that are assigned to another node, with the time at which each
+  // may be released.
   std::map<RoleName, Time> releasing_;
   std::map<std::string, WantedModel> wanted_;
   std::map<ChangeId, std::vector<OperatorCallId>> operator_calls_;
--- a/coordination/node/node_core_actions.cc
+++ b/coordination/node/node_core_actions.cc
@@ -1,4 +1,4 @@
-// The part of the node's core that carries actions of one module to others.
+// Passes the actions of one module of the node's core on to the others.
 
 #include <utility>
 
@@ -97,7 +97,8 @@
                    [this](PeerSend<MembershipMessage>& send) {
                      Send(send.to, std::move(send.message));
                    },
-                   // The view's version tells of it.
+                   // Not needed: a change of the view's version is noticed at
+                   // each tick.
                    [](MemberChanged&) {},
                    [this, now](DeltaHeard& heard) { OnDelta(now, heard); }},
         action);
--- a/coordination/node/node_events.h
+++ b/coordination/node/node_events.h
@@ -15,7 +15,7 @@
 
 namespace gcw {
 
-// The part of the core that asked for something and gets the answer.
+// Part of the core that started a call and receives its answer.
 enum class NodeModule {
   kNodeLease,
   kRoleLeases,
@@ -27,11 +27,12 @@
   kRequests,
 };
 
-// Time passed; sent about every 50 ms.
+// Clock tick, sent about every 50 ms.
 struct TimePassed {};
 
-// A caller's request, read whole. The contract's fields of the profile are
-// still empty: the core fills them from the key.
+// A caller's request that was read completely. The fields of the profile that
+// come from the contract are still empty: the core looks the contract up by the
+// key and fills them in.
 struct CallerArrived {
   KeyDigest key;
   RequestProfile profile;
@@ -42,20 +43,21 @@
   RequestId request;
 };
 
-// The first piece of the answer reached the caller's connection.
+// The first part of the answer was passed to the caller's connection.
 struct AttemptFirstByte {
   RequestId request;
   AttemptId attempt;
 };
 
-// The whole answer arrived and was given to the caller's connection.
+// The whole answer arrived and was passed to the caller's connection.
 struct AttemptAnswered {
   TokenCount generated;
-  // Kept for a second send; absent where it is too large or not asked for.
+  // The answer for a second send of the request. Absent if it is too large or
+  // was not requested with `keep_answer`.
   std::optional<OnceAnswer> answer;
 };
 
-// The endpoint said, in a whole answer with this attempt's id, that it did not
+// The endpoint answered, completely and with this attempt's id, that it did not
 // run the request.
 struct AttemptRefused {};
 
@@ -65,10 +67,12 @@
   kReset,
   kSilent,
   kDeadline,
-  // The answer broke the protocol: another attempt's id, a gap, a bad length.
+  // The answer violated the protocol: another attempt's id, a gap, or a wrong
+  // length.
   kMalformed,
   kTruncated,
-  // Not written, since `send_before` had passed or the attempt was cancelled.
+  // The request was not written, because `send_before` had passed or the
+  // attempt was cancelled.
   kWithheld,
 };
 
@@ -77,7 +81,7 @@
 struct AttemptBroke {
   AttemptBreakKind kind = AttemptBreakKind::kReset;
   AttemptProgress progress = AttemptProgress::kNothingSent;
-  // Tokens of the answer that the caller's connection was given so far.
+  // Number of tokens of the answer that were passed to the caller's connection.
   TokenCount delivered;
 };
 
@@ -124,12 +128,12 @@
   CacheEventBatch batch;
 };
 
-// How long a load that is queued now waits for the weight store.
+// Expected wait for the weight store of a load that is queued now.
 struct WeightStoreRead {
   Duration wait;
 };
 
-// Names an operator's call until it is answered.
+// Identifies an operator's call until it is answered.
 using OperatorCallId = StrongNumber<struct OperatorCallIdTag>;
 
 struct OperatorChange {
@@ -137,18 +141,18 @@
   ConfigChange change;
 };
 
-// An operator asks for a planned stop of a replica group.
+// An operator requests a planned stop of a replica group.
 struct OperatorDrainGroup {
   FabricDomainId domain;
   GroupId group;
 };
 
-// An operator asks where a revision is in force.
+// An operator requests the list of nodes on which a revision is in force.
 struct OperatorAskRevision {
   Revision revision;
 };
 
-// A planned stop of this node: SIGTERM or `gcwctl node drain`.
+// A planned stop of this node was requested by SIGTERM or `gcwctl node drain`.
 struct StopAsked {};
 
 using NodeEvent = std::variant<TimePassed,
--- a/coordination/node/node_keys.h
+++ b/coordination/node/node_keys.h
@@ -11,7 +11,8 @@
 
 namespace gcw {
 
-// Families of keys in the key-value service that are spread to every node.
+// Prefixes of the keys in the key-value service that are replicated to every
+// node.
 inline constexpr std::string_view kContractPrefix = "contract/";
 inline constexpr std::string_view kModelPrefix = "setting/model/";
 inline constexpr std::string_view kDomainPrefix = "domain/";
@@ -23,7 +24,7 @@
                   std::to_string(shard.value()));
 }
 
-// Absent where the role is not a limit owner's.
+// Returns nothing if the role is not that of a limit owner.
 inline std::optional<LimitShard> LimitShardOf(const RoleName& role) {
   std::string_view text = role.value();
   if (!text.starts_with(kLimitRolePrefix)) {
--- a/coordination/node/peer_message.h
+++ b/coordination/node/peer_message.h
@@ -13,7 +13,7 @@
 
 namespace gcw {
 
-// Everything that one node says to another.
+// A message from one node to another.
 using PeerMessage = std::variant<MembershipMessage,
                                  ConfigMessage,
                                  LimitBatch,
--- a/tests/coordination/membership/membership_test.cc
+++ b/tests/coordination/membership/membership_test.cc
@@ -8,15 +8,15 @@
 namespace gcw {
 namespace {
 
-// Messages pass only within `side` and within the rest.
+// Lets messages pass only among the nodes of `side` and among the others.
 void Split(MemberCluster& cluster, const std::set<NodeId>& side) {
   cluster.network().SetConnected([side](const NodeId& a, const NodeId& b) {
     return side.contains(a) == side.contains(b);
   });
 }
 
-// Each node's key comes to stand in the service after it has read the list of
-// nodes; messages arrive only where the sender knows the address.
+// Registers each node in the service only after it has read the list of nodes.
+// Messages arrive only if the sender knows the receiver's address.
 void RegisterLate(MemberCluster& cluster) {
   cluster.network().SetConnected([&](const NodeId& from, const NodeId& to) {
     return cluster.KnowsAddress(from, to);
@@ -35,13 +35,11 @@
   EXPECT_EQ(cluster.changes(MemberState::kSuspect), 0);
 }
 
-// Symptom: nodes that started together do not see each other for half a minute;
-// each takes the shards of the others over, and a second send of a request that
-// ran is told that its outcome is unknown.
-// Sequence: all nodes of a fleet start; each reads the list of nodes before any
-// of them has its lease and its key.
-// Cause: a list that was read before the node's own key stood in it passes for
-// complete, and the next one is read much later.
+// Guards against nodes that start together and do not see each other for half a
+// minute. Each takes over the shards of the others, and a second send of a
+// request that ran is told that its outcome is unknown. This happened if every
+// node read the list before any had its lease and key, and took a list without
+// its own key for complete.
 TEST(MembershipTest, NodesThatStartTogetherFindEachOther) {
   constexpr std::size_t kNodes = 4;
   MemberCluster cluster(kNodes, 9);
@@ -53,10 +51,10 @@
   EXPECT_TRUE(cluster.Agrees());
 }
 
-// Symptom: as above, where the nodes start anew under their old ids.
-// Sequence: the keys of the earlier runs, with addresses where nobody listens
-// any more, still stand in the service when all nodes read the list.
-// Cause: the key of the node's own earlier run passes for that of this run.
+// The same with nodes that restart under their old ids, while the keys of their
+// earlier runs, with addresses at which nothing listens, are still in the
+// service. A node must not take the key of its earlier run for that of the
+// current one.
 TEST(MembershipTest, NodesThatStartAnewTogetherFindEachOther) {
   constexpr std::size_t kNodes = 4;
   MemberCluster cluster(kNodes, 10);
@@ -69,9 +67,8 @@
   EXPECT_TRUE(cluster.Agrees());
 }
 
-// Symptom: callers and work go on being sent to a dead node.
-// Sequence: a node is killed.
-// Cause: nobody probing it, or suspicion that never ends.
+// Guards against callers and work being sent to a dead node because no node
+// probes it or because its suspicion never expires.
 TEST(MembershipTest, KilledNodeIsSeenDeadByAll) {
   MemberCluster cluster(20, 2);
   cluster.Run(Duration::Seconds(10));
@@ -81,9 +78,8 @@
   EXPECT_EQ(cluster.changes(MemberState::kDead), 19);
 }
 
-// Symptom: a healthy node is taken for dead.
-// Sequence: one of the pair of paths between two nodes is cut; both run.
-// Cause: judging by the direct probe alone.
+// Guards against declaring a healthy node dead if the path between it and one
+// other node is cut and only the direct probe counts.
 TEST(MembershipTest, OneCutPathDoesNotMakeANodeSuspect) {
   MemberCluster cluster(8, 3);
   cluster.Run(Duration::Seconds(5));
@@ -95,9 +91,8 @@
   EXPECT_EQ(cluster.changes(MemberState::kSuspect), 0);
 }
 
-// Symptom: nodes drop out and come back all day.
-// Sequence: a tenth of all messages is lost.
-// Cause: declaring a node dead without giving it time to refute.
+// Guards against nodes that repeatedly drop out and return while a tenth of all
+// messages is lost, because they get no time to refute a suspicion.
 TEST(MembershipTest, LossyNetworkKillsNobody) {
   MemberCluster cluster(20, 4);
   cluster.Run(Duration::Seconds(5));
@@ -107,10 +102,9 @@
   EXPECT_TRUE(cluster.Agrees());
 }
 
-// Symptom: a node that wakes reports healthy nodes as dead to the fleet.
-// Sequence: a node is paused just after it sent probes and heard of suspects;
-// it wakes half a minute later.
-// Cause: taking its own pause for the silence of others.
+// Guards against a node that reports healthy nodes as dead when it resumes
+// after a pause that began while its probes and suspicions were pending: it
+// takes the silence during its own pause for that of the others.
 TEST(MembershipTest, PausedNodeAccusesNobody) {
   MemberCluster cluster(10, 5);
   cluster.Run(Duration::Seconds(10));
@@ -127,9 +121,8 @@
   EXPECT_EQ(cluster.changes(MemberState::kDead), 0);
 }
 
-// Symptom: a node that was long away stays dead to the others.
-// Sequence: a node is paused until all see it dead; it wakes.
-// Cause: a refutation that does not reach those who believe otherwise.
+// Guards against a node that stays dead in the others' views after a long
+// pause, because its refutation does not reach the nodes that believe it dead.
 TEST(MembershipTest, LongPausedNodeComesBack) {
   MemberCluster cluster(10, 6);
   cluster.Run(Duration::Seconds(10));
@@ -141,10 +134,9 @@
   EXPECT_TRUE(cluster.Agrees());
 }
 
-// Symptom: the halves of a healed partition never see each other again.
-// Sequence: two regions lose each other for an hour, until each takes the other
-// for dead; then the network heals.
-// Cause: nobody probes the dead.
+// Guards against the halves of a healed partition never seeing each other
+// again: after an hour each half takes the other for dead, and dead members are
+// not probed.
 TEST(MembershipTest, RegionsFindEachOtherAfterAnHour) {
   MemberCluster cluster(20, 7);
   cluster.Run(Duration::Seconds(10));
@@ -160,10 +152,9 @@
   EXPECT_TRUE(cluster.Agrees());
 }
 
-// Symptom: a node that starts during an outage is alone, or is refused as old.
-// Sequence: the service is away; a node starts anew under its old id, knowing
-// one seed and no incarnation.
-// Cause: an incarnation of zero beside the known one of its earlier process.
+// Guards against a node that is alone or rejected as outdated when it restarts
+// under its old id while the service is unreachable: it knows one seed and no
+// incarnation, which is lower than the known one of its earlier run.
 TEST(MembershipTest, NodeJoinsBySeedDuringAnOutage) {
   MemberCluster cluster(10, 8);
   cluster.Run(Duration::Seconds(10));
@@ -184,9 +175,8 @@
             Address("10.0.0.9:8000"));
 }
 
-// Symptom: callers are sent to a node that is leaving.
-// Sequence: a node begins its planned stop.
-// Cause: the news waiting its turn among other rumors.
+// Guards against callers being sent to a leaving node because the announcement
+// waits in the queue behind other rumors.
 TEST(MembershipTest, LeavingIsKnownToAllWithinTwoSeconds) {
   MemberCluster cluster(60, 9);
   cluster.Run(Duration::Seconds(20));
@@ -202,10 +192,9 @@
   }
 }
 
-// Symptom: a blocked request goes on crashing endpoints through other nodes, or
-// a module is told the same news again and again.
-// Sequence: a node spreads a block; messages are lost and doubled.
-// Cause: rumors that die out or that are not recognised.
+// Guards against a block that does not reach all nodes, so that the request
+// crashes more endpoints, and against a module that gets the same delta
+// repeatedly, while messages are lost and duplicated.
 TEST(MembershipTest, DeltaReachesEveryNodeOnce) {
   MemberCluster cluster(40, 10);
   cluster.Run(Duration::Seconds(10));
@@ -235,11 +224,10 @@
   EXPECT_LT(bytes[128], bytes[8] * 11 / 10);
 }
 
-// Symptom: after a bad hour some node is missing in some view for good, or a
-// dead one stays in it.
-// Sequence: any mix of kills, new starts with and without the service, pauses,
-// cuts, losses and doubled and late messages; then quiet.
-// Cause: versions of members that never come to agree.
+// Guards against views that stay different after any mix of kills, restarts
+// with and without the service, pauses, partitions and lost, duplicated and
+// late messages: a node missing from a view or a dead one that stays in it,
+// because versions of members do not converge.
 RC_GTEST_PROP(MembershipProperty,
               ViewsAgreeOnceFaultsEnd,
               (std::uint64_t seed)) {
--- a/tests/coordination/node/node_core_test.cc
+++ b/tests/coordination/node/node_core_test.cc
@@ -25,7 +25,7 @@
                      .Build());
 }
 
-// Three nodes, five VMs in one fabric domain, groups of two.
+// Three nodes and five VMs in one fabric domain, with groups of two VMs.
 class NodeCoreTest : public testing::Test {
  protected:
   void Start() {
@@ -76,10 +76,10 @@
   int last_request_ = 0;
 };
 
-// Symptom: 90 calls a second and node to a service that does not know them.
-// Sequence: a node is given the address of another kind of key-value service,
-// which answers each call with 404. Cause: 404 was read as a lapsed lease, also
-// where a lease was asked for, and a lapsed lease is asked for anew at once.
+// Guards against flooding a service that is not the expected key-value service
+// and answers each call with 404. 404 was read as an expired lease, even in
+// reply to a lease grant, and an expired lease is requested again at once: 90
+// calls a second per node.
 TEST_F(NodeCoreTest, AServiceThatKnowsNoLeaseIsNotFlooded) {
   for (const char* id : {"n1", "n2", "n3"}) {
     fleet_.AddNode(id, "z1");
@@ -102,12 +102,10 @@
   }
 }
 
-// Symptom: every node ended with std::out_of_range when the first groups of two
-// data centres were written.
-// Sequence: keepers in two zones write their domains' records; each node hears
-// of both.
-// Cause: the keeper planned over records of domains in which its own zone has
-// no VM, and the planner looked such a domain's VMs up.
+// Guards against a crash with std::out_of_range of every node when the first
+// groups of two data centres were written. The keeper planned over records of
+// domains in which its own zone has no VM, and the planner looked up the VMs of
+// such a domain.
 TEST_F(NodeCoreTest, KeepersOfTwoZonesHearOfEachOthersRecords) {
   fleet_.AddNode("n1", "z1");
   fleet_.AddNode("n2", "z2");
@@ -129,9 +127,9 @@
   EXPECT_EQ(fleet_.core("n2").Endpoints(fleet_.now()).size(), 2U);
 }
 
-// Symptom: a group goes on getting requests after one of its VMs has died.
-// Sequence: two groups serve; a member that is not the first dies.
-// Cause: the first VM still answers, so only evidence on each VM shows it.
+// Guards against a group that still gets requests after one of its VMs other
+// than the first died. The first VM still answers, so that only evidence of
+// each VM shows the loss.
 TEST_F(NodeCoreTest, AGroupThatLostAVmClosesAndIsRepairedWithTheSpare) {
   Start();
   FleetEngine* victim = nullptr;
@@ -196,7 +194,8 @@
   for (const EntryAddress& entry : fleet_.core("n1").Entries().entries) {
     EXPECT_NE(entry.address, Address("n3:caller"));
   }
-  // Callers that keep the address for its stated time are still served.
+  // Callers that have the address cached are still served until the cached copy
+  // expires.
   const RequestId late = Ask("n3", ModelTarget{ModelId("notes"), {}});
   fleet_.RunFor(Duration::Seconds(1));
   EXPECT_TRUE(fleet_.answered.contains(late));
--- a/tests/support/core_fleet.h
+++ b/tests/support/core_fleet.h
@@ -17,8 +17,8 @@
 
 namespace gcw {
 
-// Codec for tests of the layers below the real ones: keeps the value itself and
-// writes its number.
+// Codec for tests below the layer with the real codecs: stores the value and
+// encodes its index.
 template <typename Value>
 class NumberedCodec {
  public:
@@ -41,8 +41,8 @@
   std::vector<Value> values_;
 };
 
-// An engine of one VM as far as the core meets it: executes orders after a
-// while and answers requests after a while.
+// An engine of one VM as the core sees it: it executes orders and answers
+// requests after fixed delays.
 struct FleetEngine {
   VmEntry vm;
   bool alive = true;
@@ -56,8 +56,8 @@
   std::vector<AttemptId> executed;
 };
 
-// Several cores in one process, with the platform's store, a VM list and
-// engines around them; all in virtual time.
+// Several cores in one process with fakes of the platform's store, VM list and
+// engines, in virtual time.
 class CoreFleet {
  public:
   struct Told {
@@ -66,7 +66,7 @@
   struct Node {
     NodeRecord record;
     std::unique_ptr<NodeCore> core;
-    // A paused node neither ticks nor hears.
+    // A paused node does not tick; its events are queued.
     bool paused = false;
     std::vector<NodeEvent> held;
   };
@@ -118,7 +118,7 @@
                     .Build(now_);
   }
 
-  // The process is gone at once, with all that it knew.
+  // Ends the process at once; its state is lost.
   void KillNode(const NodeId& id) { nodes_.at(id).core.reset(); }
 
   void AddVm(const std::string& id,
@@ -142,7 +142,7 @@
     engines_.emplace(engine.vm.id, std::move(engine));
   }
 
-  // An operator's change through this node.
+  // Makes an operator's change through this node.
   void Change(const NodeId& node,
               const std::string& key,
               std::optional<std::string> value,
@@ -162,7 +162,7 @@
            Revision());
   }
 
-  // Runs until `until` in steps of 10 ms; `each` is called after each step.
+  // Runs until `until` in steps of 10 ms and calls `each` after each step.
   void RunUntil(Time until, const std::function<void()>& each = {}) {
     while (now_ < until) {
       now_ = now_ + kStep;
@@ -204,15 +204,15 @@
   std::map<VmId, FleetEngine>& engines() { return engines_; }
   FakeStoreLink& store() { return store_; }
   FakeNetwork<PeerMessage>& network() { return network_; }
-  // The final answer to each request that ended; an `AttemptAnswered` is not
-  // among them, see `answered`.
+  // The final action for each request that ended without an `AttemptAnswered`;
+  // see `answered` for the others.
   std::map<RequestId, NodeAction> told;
   std::set<RequestId> answered;
   std::vector<EventDraft> events;
-  // Every dispatch: who, where and when.
+  // Called for each dispatch.
   std::function<void(const NodeId&, const DispatchAttempt&)> on_dispatch;
   std::function<void(NodeCoreSettings&)> tune;
-  // Whether a node reaches a VM.
+  // Returns true if a node can reach a VM.
   std::function<bool(const NodeId&, const VmId&)> reaches =
       [](const NodeId&, const VmId&) { return true; };
   bool stopped(const NodeId& id) const { return stopped_.contains(id); }
@@ -341,7 +341,7 @@
     return found == engines_.end() ? nullptr : &found->second;
   }
 
-  // Whether all members of the engine's group run its generation.
+  // Returns true if all members of the engine's group run its generation.
   bool IsWhole(const FleetEngine& first) {
     for (const GroupMember& member : first.loaded.members) {
       const FleetEngine& engine = engines_.at(member.vm);
--- a/tests/support/fake_engines.h
+++ b/tests/support/fake_engines.h
@@ -17,22 +17,22 @@
   Incarnation incarnation{1};
   bool is_up = true;
   bool is_paused = false;
-  // Whether it refuses orders with an old fencing number.
+  // Whether the engine refuses orders with an outdated fencing token.
   bool checks_fences = true;
   EngineOrder order;
   EngineState state = EngineState::kIdle;
   Time ready_at;
-  // When it last stopped or left a group.
+  // Time at which the engine last stopped or left a group.
   Time lost_at;
   FencingToken seen;
   std::int64_t active = 0;
-  // Orders that its kernel took while it was paused.
+  // Orders that the kernel received while the engine was paused.
   std::vector<EngineOrder> unread;
 
   const GroupId& group() const { return order.group; }
 };
 
-// The model engines of a fleet, obeying docs/PLATFORM.md.
+// The model engines of a fleet, which behave as described in docs/PLATFORM.md.
 class FakeEngines {
  public:
   explicit FakeEngines(Duration load_time) : load_time_(load_time) {}
@@ -75,7 +75,8 @@
     at(vm).is_paused = true;
   }
 
-  // A paused engine executes on waking what its kernel took meanwhile.
+  // When it resumes, a paused engine executes the orders that the kernel
+  // received meanwhile.
   void Resume(Time now, const VmId& vm) {
     FakeEngine& engine = at(vm);
     engine.is_paused = false;
@@ -84,7 +85,7 @@
     }
   }
 
-  // Nothing where the engine is down or paused.
+  // Returns nothing if the engine is down or paused.
   std::optional<OrderReply> Execute(Time now,
                                     const VmId& vm,
                                     const EngineOrder& order) {
@@ -116,7 +117,7 @@
     return EngineOrderAccepted{};
   }
 
-  // Nothing where the engine is down or paused.
+  // Returns nothing if the engine is down or paused.
   std::optional<EngineStatus> Status(Time now, const VmId& vm) {
     const FakeEngine& engine = at(vm);
     if (!engine.is_up || engine.is_paused) {
@@ -143,7 +144,7 @@
     return status;
   }
 
-  // Whether the VM's engine is at work in this generation.
+  // Returns true if the VM's engine serves in this generation.
   bool IsPresent(const VmId& vm, const GroupId& group, Generation generation) {
     const FakeEngine& engine = at(vm);
     return engine.is_up && !engine.is_paused && engine.group() == group &&
@@ -157,7 +158,7 @@
            engine.order.members.front().vm == engine.entry.id;
   }
 
-  // The first VM notices a lost member only after a while.
+  // The first VM notices the loss of a member only after a delay.
   bool Sees(Time now, const FakeEngine& first, const VmId& vm) {
     const Duration lag = Duration::Millis(400);
     const FakeEngine& engine = at(vm);
@@ -165,8 +166,8 @@
            (engine.lost_at != Time() && now - engine.lost_at < lag);
   }
 
-  // The first VM sees a lost member for a while after the loss, and not again
-  // when the VM is killed once more.
+  // Records when the engine was lost. The first VM still reports it for a
+  // while, but not again when a VM that is already down is killed once more.
   static void NoteLoss(Time now, FakeEngine& engine) {
     if (engine.is_up && !engine.is_paused && !engine.group().empty()) {
       engine.lost_at = now;
--- a/tests/support/fake_network.h
+++ b/tests/support/fake_network.h
@@ -11,16 +11,16 @@
 
 namespace gcw {
 
-// What may go wrong with messages between nodes. Shares are from 0 to 1.
+// Faults of messages between nodes. Rates are from 0 to 1.
 struct FakeNetworkFaults {
   Duration min_delay = Duration::Millis(1);
-  // Delays differ, so that messages overtake each other.
+  // Delays vary, so that messages can overtake each other.
   Duration max_delay = Duration::Millis(3);
   double lost = 0;
   double doubled = 0;
 };
 
-// Carries messages between nodes in virtual time.
+// Delivers messages between nodes in virtual time.
 template <typename Message>
 class FakeNetwork {
  public:
@@ -33,7 +33,8 @@
   explicit FakeNetwork(Random random) : random_(std::move(random)) {}
 
   FakeNetworkFaults& faults() { return faults_; }
-  // Pairs for which this holds reach each other; all do at first.
+  // Sets the predicate for pairs of nodes that reach each other; initially all
+  // do.
   void SetConnected(
       std::function<bool(const NodeId& from, const NodeId& to)> connected) {
     connected_ = std::move(connected);
@@ -52,7 +53,7 @@
     }
   }
 
-  // The messages that have arrived by `now`, in order of arrival.
+  // Returns the messages that have arrived by `now`, in order of arrival.
   std::vector<Delivery> Deliver(Time now) {
     std::vector<Delivery> due;
     while (!under_way_.empty() && under_way_.begin()->first <= now) {
--- a/tests/support/fake_store.h
+++ b/tests/support/fake_store.h
@@ -12,18 +12,18 @@
 
 namespace gcw {
 
-// The key-value service's rules without time outs or faults: each call takes
-// effect at once. `FakeStoreLink` adds delay and faults.
+// The rules of the key-value service without timeouts or faults: each call
+// takes effect at once. `FakeStoreLink` adds delays and faults.
 class FakeStore {
  public:
   struct Change {
     Revision revision;
     std::string key;
-    // Absent where the key was deleted.
+    // Absent if the key was deleted.
     std::optional<StoreEntry> entry;
   };
 
-  // Absent where a watch has nothing to report yet.
+  // Returns nothing if a watch has nothing to report yet.
   std::optional<StoreReply> Execute(Time now, const StoreCall& call) {
     DropLapsed(now);
     return std::visit(
@@ -33,7 +33,7 @@
         call);
   }
 
-  // A read of the state as it stands, leases that have run out included.
+  // Reads the current state without expiring leases first.
   StoreReply Read(const StoreRange& range) const { return Run(Time(), range); }
 
   void DropLapsed(Time now) {
@@ -45,21 +45,22 @@
     }
   }
 
-  // What is held, for invariants.
+  // The current entries, for invariants.
   const std::map<std::string, StoreEntry>& entries() const { return entries_; }
   // All writes so far, in order.
   const std::vector<Change>& changes() const { return changes_; }
   Revision revision() const { return revision_; }
   bool HasLease(LeaseId lease) const { return leases_.contains(lease); }
 
-  // An outage does not run down leases: on return each gets its full time.
+  // Gives each lease its full time again after an outage, because leases do not
+  // expire during one.
   void ExtendLeases(Time now) {
     for (auto& [id, lease] : leases_) {
       lease.expires = std::max(lease.expires, now + lease.time_to_live);
     }
   }
 
-  // Lets the administrators of a restored service skip revisions.
+  // Skips revisions, as administrators of a restored service do.
   void BumpRevision(Revision by) { revision_ += by; }
 
  private:
--- a/tests/support/fake_store_link.h
+++ b/tests/support/fake_store_link.h
@@ -10,25 +10,27 @@
 
 namespace gcw {
 
-// What may go wrong between callers and the key-value service. Shares are of
-// all calls, from 0 to 1.
+// Faults between callers and the key-value service. Rates are fractions of all
+// calls, from 0 to 1.
 struct FakeStoreFaults {
   Duration min_delay = Duration::Millis(1);
-  // Each way; delays differ, so that calls overtake each other.
+  // Applies to each direction. Delays vary, so that calls can overtake each
+  // other.
   Duration max_delay = Duration::Millis(5);
-  // No call arrives and no reply leaves.
+  // While set, calls do not arrive and replies are not sent.
   bool outage = false;
   double request_lost = 0;
   double reply_lost = 0;
   double busy = 0;
-  // Each call is answered at once, as if its lease had lapsed.
+  // Each call is answered as if its lease had expired, without reaching the
+  // store.
   bool knows_no_lease = false;
-  // Reads are answered from the last snapshot.
+  // Fraction of reads that are answered from the last snapshot.
   double stale_read = 0;
 };
 
-// Carries calls to a `FakeStore` and replies back in virtual time. Calls that
-// are lost get no reply at all, as after a silent connection.
+// Delivers calls to a `FakeStore` and replies back in virtual time. Lost calls
+// get no reply at all, as on a stalled connection.
 class FakeStoreLink {
  public:
   struct Delivery {
@@ -42,7 +44,7 @@
   FakeStore& store() { return store_; }
   const FakeStore& store() const { return store_; }
   FakeStoreFaults& faults() { return faults_; }
-  // Callers for which this holds reach the service; all do at first.
+  // Sets the predicate for callers that reach the service; initially all do.
   void SetReaches(std::function<bool(const std::string& caller)> reaches) {
     reaches_ = std::move(reaches);
   }
@@ -53,9 +55,9 @@
     }
     faults_.outage = outage;
   }
-  // Keeps the present state for `Restore` and for stale reads.
+  // Saves the current state for `Restore` and for stale reads.
   void Snapshot() { snapshot_ = store_; }
-  // Sets the service back to the last snapshot, as a restored backup.
+  // Returns the service to the last snapshot, as after the restore of a backup.
   void Restore() { store_ = snapshot_; }
 
   void Send(Time now, std::string caller, StoreCallId id, StoreCall call) {
@@ -75,7 +77,8 @@
     waiting_.push_back(std::move(waiting));
   }
 
-  // Runs what has arrived by `now` and returns the replies that are back.
+  // Executes the calls that have arrived by `now` and returns the replies that
+  // have come back.
   std::vector<Delivery> Deliver(Time now) {
     if (!faults_.outage) {
       store_.DropLapsed(now);
@@ -92,7 +95,7 @@
     return due;
   }
 
-  // All calls so far, and the watches that wait now.
+  // Counters of all calls so far and of the watches that are waiting.
   std::int64_t calls() const { return calls_; }
   std::size_t waiting_watches() const {
     std::size_t count = 0;
@@ -134,7 +137,7 @@
     }
   }
 
-  // False where a watch goes on waiting.
+  // Returns false if a watch is still waiting.
   bool Run(Time now, const Waiting& waiting) {
     std::optional<StoreReply> reply = Answer(now, waiting);
     if (!reply) {
--- a/tests/support/gateway_path.h
+++ b/tests/support/gateway_path.h
@@ -17,7 +17,7 @@
 
 namespace gcw {
 
-// Real gateways before the stand-in of the users' platform.
+// Real gateways connected to the stand-in of the users' platform.
 class GatewayPathTest : public testing::Test {
  protected:
   static constexpr Duration kCallLimit = Duration::Seconds(10);
@@ -79,7 +79,7 @@
     return all;
   }
 
-  // A fault of the stand-in, which refuses what it does not know.
+  // Sets a fault of the stand-in, which rejects unknown names.
   void SetFault(const std::string& name, bool value) {
     const auto answer = Call(store_, {"POST",
                                       "/faults",
@@ -115,7 +115,7 @@
   Address store_;
   ProcessFleet::GatewayAddresses first_;
   ProcessFleet::GatewayAddresses second_;
-  // Several callers ask at once in some tests.
+  // Atomic, because several callers send requests at once in some tests.
   std::atomic<int> last_request_ = 0;
 };
 
--- a/tests/support/member_cluster.h
+++ b/tests/support/member_cluster.h
@@ -15,9 +15,9 @@
 
 namespace gcw {
 
-// Nodes that watch over each other, with one fake key-value service and
-// network. Each node's key stands in the service from its start, unless it is
-// told to stay unregistered.
+// Nodes that track each other's membership, with one fake key-value service and
+// network. Each node's key is in the service from its start, unless the node is
+// started unregistered.
 class MemberCluster {
  public:
   static constexpr Duration kStep = Duration::Millis(50);
@@ -53,7 +53,7 @@
     }
   }
 
-  // A new process; its lease is granted where the service can be reached.
+  // Starts a new process. Its lease is granted if the service is reachable.
   void Restart(std::size_t index, std::vector<NodeRecord> seeds = {}) {
     RestartUnregistered(index, std::move(seeds));
     if (!link_.faults().outage) {
@@ -61,7 +61,7 @@
     }
   }
 
-  // A new process whose key does not stand in the service yet.
+  // Starts a new process whose key is not in the service yet.
   void RestartUnregistered(std::size_t index,
                            std::vector<NodeRecord> seeds = {}) {
     Node& node = nodes_[index];
@@ -79,13 +79,13 @@
                                          .Build());
   }
 
-  // Takes the node's key away, as at the end of its lease.
+  // Removes the node's key, as at the end of its lease.
   void Unregister(std::size_t index) {
     link_.store().Execute(
         now_, StoreDelete{"node/" + nodes_[index].record.id.value(), {}});
   }
 
-  // Writes `node/<id>` and tells the node its incarnation.
+  // Writes `node/<id>` and passes the incarnation to the node.
   void Register(std::size_t index) {
     Node& node = nodes_[index];
     const std::string key = "node/" + node.record.id.value();
@@ -129,14 +129,15 @@
     }
   }
 
-  // Whether `from` has the address at which the present run of `to` listens.
+  // Returns true if `from` knows the address at which the current run of `to`
+  // listens.
   bool KnowsAddress(const NodeId& from, const NodeId& to) const {
     const Member* member = nodes_[index_.at(from)].members->view().Find(to);
     return member != nullptr && member->record.peer_address ==
                                     nodes_[index_.at(to)].record.peer_address;
   }
 
-  // How many running nodes other than `index` see it in `state`.
+  // Returns how many running nodes other than `index` see it in `state`.
   std::size_t Seeing(std::size_t index, MemberState state) const {
     std::size_t count = 0;
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
@@ -146,8 +147,8 @@
     return count;
   }
 
-  // Whether every running node sees exactly the running nodes as not dead, and
-  // each as it last announced itself.
+  // Returns true if every running node sees exactly the running nodes as
+  // owners, each with the version that it last announced.
   bool Agrees() const {
     std::size_t running = 0;
     for (const Node& node : nodes_) {
@@ -177,17 +178,17 @@
   FakeStoreLink& link() { return link_; }
   FakeNetwork<MembershipMessage>& network() { return network_; }
   const Random& random() const { return random_; }
-  // By all nodes so far.
+  // Bytes sent by all nodes so far.
   std::int64_t sent_bytes() const { return sent_bytes_; }
-  // Changes of state that nodes saw so far.
+  // Number of changes to this state that nodes saw so far.
   std::int64_t changes(MemberState state) { return changes_[state]; }
-  // Nodes that any node suspected so far.
+  // Nodes that any node has suspected so far.
   const std::set<NodeId>& suspected() const { return suspected_; }
 
  private:
   void RunNode(std::size_t index) {
     Node& node = nodes_[index];
-    // A process that wakes may see its timers before its messages.
+    // A process that resumes may handle its timers before its messages.
     Act(index, node.members->Tick(now_));
     for (const auto& delivery : std::exchange(node.store_inbox, {})) {
       if (delivery.caller == CallerOf(index)) {
--- a/tests/support/process_fleet.h
+++ b/tests/support/process_fleet.h
@@ -31,14 +31,14 @@
 
 namespace gcw {
 
-// A folder of its own below the system's temporary one, removed at the end.
+// A new folder below the system's temporary folder, removed at the end.
 class TemporaryFolder {
  public:
   TemporaryFolder() {
     std::string pattern =
         (std::filesystem::temp_directory_path() / "gcw-test-XXXXXX").string();
     if (mkdtemp(pattern.data()) == nullptr) {
-      throw std::runtime_error("no temporary folder can be made");
+      throw std::runtime_error("cannot create a temporary folder");
     }
     path_ = pattern;
   }
@@ -64,17 +64,17 @@
   std::filesystem::path path_;
 };
 
-// One program of ours, running. It is killed by its id and waited for at the
-// end, also where it is stopped.
+// A running program of this project. The destructor kills it by its process id
+// and waits for it, even if it is stopped.
 class ChildProcess {
  public:
-  // Its standard error goes to the file `log`.
+  // Redirects the program's standard error to the file `log`.
   ChildProcess(const std::string& program,
                const std::vector<std::string>& arguments,
                const std::filesystem::path& log) {
     int ends[2];
     if (pipe2(ends, O_CLOEXEC) != 0) {
-      throw std::runtime_error("no pipe can be made");
+      throw std::runtime_error("cannot create a pipe");
     }
     output_ = ends[0];
     const int failure = Spawn(program, arguments, log.string(), ends[1]);
@@ -92,10 +92,11 @@
   ChildProcess(const ChildProcess&) = delete;
   ChildProcess& operator=(const ChildProcess&) = delete;
 
-  // The id stays this child's until the destructor has waited for it.
+  // Signals the child. Its id is not reused before the destructor has waited
+  // for it.
   void Signal(int signal) const { kill(pid_, signal); }
 
-  // Leaves the child to be waited for by the destructor.
+  // Returns true if the child has ended; the destructor still waits for it.
   bool HasEnded() const {
     siginfo_t info{};
     return waitid(P_PID, static_cast<id_t>(pid_), &info,
@@ -103,8 +104,8 @@
            info.si_pid == pid_;
   }
 
-  // The object on the first line of standard output, which tells where the
-  // program listens; empty where none came in time.
+  // Reads the object on the first line of standard output, which tells where
+  // the program listens. Returns an empty one if no line arrives in time.
   boost::json::object ReadAnnouncement(std::chrono::milliseconds patience) {
     std::string line;
     char character = 0;
@@ -119,7 +120,8 @@
                                        : std::move(value.as_object());
   }
 
-  // What it has written to standard output since the last call.
+  // Returns what the program has written to standard output since the last
+  // call.
   std::string TakeOutput() const {
     std::string taken;
     char bytes[4096];
@@ -159,7 +161,7 @@
   int output_ = -1;
 };
 
-// Stand-ins and nodes as processes on loopback, on ports that the kernel
+// Runs stand-ins and nodes as processes on loopback, on ports that the kernel
 // chooses. A failed test prints the end of their logs.
 class ProcessFleet {
  public:
@@ -179,7 +181,8 @@
 
   const TemporaryFolder& folder() const { return folder_; }
 
-  // Starts `gcw-standin`, whose first argument is the part that it plays.
+  // Starts `gcw-standin`, whose first argument selects the part that it
+  // simulates.
   Address StartStandin(const std::string& name,
                        const std::vector<std::string>& arguments) {
     return AddressIn(Start(name, "gcw-standin", arguments), "address");
@@ -190,7 +193,7 @@
     Address operators;
   };
 
-  // Starts `gcw-node`; `settings` follow those that every node needs.
+  // Starts `gcw-node`; `settings` are added to those that every node needs.
   NodeAddresses StartNode(const std::string& id, const std::string& settings) {
     folder_.Write(id + ".toml", "[node]\nid = \"" + id + "\"\n" + settings +
                                     "[operators]\n"
@@ -208,7 +211,8 @@
     Address metrics;
   };
 
-  // Starts `gcw-gateway` before the platform whose store is at that address.
+  // Starts `gcw-gateway` for the platform whose store is at the address
+  // `store`.
   GatewayAddresses StartGateway(const std::string& id, const Address& store) {
     folder_.Write(id + ".toml",
                   "[node]\nid = \"" + id +
@@ -226,12 +230,12 @@
             AddressIn(fields, "readiness"), AddressIn(fields, "metrics")};
   }
 
-  // Whether the program has ended.
   bool HasEnded(const std::string& name) const {
     return children_.at(name)->HasEnded();
   }
 
-  // What the program has written to standard output since the last call.
+  // Returns what the program has written to standard output since the last
+  // call.
   std::string TakeOutput(const std::string& name) const {
     return children_.at(name)->TakeOutput();
   }
@@ -240,9 +244,9 @@
     children_.at(name)->Signal(signal);
   }
 
-  // Looks again and again until the condition holds; false where it did not in
-  // time. All waits of a test end before CTest's own time-out, which would
-  // leave the processes behind.
+  // Polls until the condition holds; returns false if it does not hold in time.
+  // All waits of a test end before CTest's own timeout, which would leave the
+  // processes running.
   bool Until(const std::function<bool()>& condition) const {
     const auto end = std::min(Now() + kLongestWait, started_ + kLongestTest);
     while (!condition()) {
--- a/tests/support/text_codecs.h
+++ b/tests/support/text_codecs.h
@@ -11,7 +11,8 @@
 
 namespace gcw {
 
-// Codecs for tests of the layers below the real ones: fields joined by bars.
+// Codecs for tests below the layer with the real codecs: fields separated by
+// bars.
 inline std::vector<std::string> SplitFields(std::string_view text) {
   std::vector<std::string> fields;
   std::istringstream in{std::string(text)};
