--- a/coordination/membership/delta_filter.h
+++ b/coordination/membership/delta_filter.h
@@ -14,7 +14,7 @@
   // Records the delta and returns true if it is new. A delta that arrives
   // `kWindow` or more sequence numbers late counts as a repetition: losing a
   // delta of soft state is acceptable, but applying an old one as new is not.
-  bool FirstTime(const DeltaRumor& rumor);
+  bool RecordIfNew(const DeltaRumor& rumor);
   void Forget(const NodeId& origin) { origins_.erase(origin); }
 
  private:
@@ -24,7 +24,7 @@
     Incarnation incarnation;
     std::int64_t highest = 0;
     // Bit n is set if sequence number `highest` - n was received.
-    std::uint64_t heard = 0;
+    std::uint64_t received = 0;
   };
 
   std::map<NodeId, Origin> origins_;
--- a/coordination/membership/member.cc
+++ b/coordination/membership/member.cc
@@ -43,7 +43,7 @@
   return it == members_.end() ? nullptr : &it->second;
 }
 
-bool View::IsIn(const NodeId& node, MemberState state) const {
+bool View::HasState(const NodeId& node, MemberState state) const {
   const Member* member = Find(node);
   return member != nullptr && member->state == state;
 }
--- a/coordination/membership/member.h
+++ b/coordination/membership/member.h
@@ -57,7 +57,7 @@
   const Members& members() const { return members_; }
   // Returns null if the node is not known.
   const Member* Find(const NodeId& node) const;
-  bool IsIn(const NodeId& node, MemberState state) const;
+  bool HasState(const NodeId& node, MemberState state) const;
 
   // Returns the nodes that may own work, in order of their ids: alive ones, and
   // suspect ones until they count as dead, so that a lost probe does not move
--- a/coordination/membership/membership.cc
+++ b/coordination/membership/membership.cc
@@ -7,9 +7,9 @@
 namespace gcw {
 namespace {
 
-Duration RandomPart(const Random& random, Duration of) {
+Duration RandomDurationBelow(const Random& random, Duration limit) {
   return Duration::Millis(static_cast<std::int64_t>(
-      DrawBelow(random, static_cast<std::uint64_t>(of.millis()))));
+      DrawBelow(random, static_cast<std::uint64_t>(limit.millis()))));
 }
 
 }  // namespace
@@ -40,7 +40,7 @@
   if (!last_tick_) {
     Start(now);
   }
-  NoticePause(now);
+  AdjustForPause(now);
   last_tick_ = now;
   CheckProbe(now);
   if (now >= next_period_) {
@@ -55,16 +55,17 @@
 void Membership::Start(Time now) {
   OwnMember().since = now;
   // Random phases prevent nodes that started together from acting in step.
-  next_period_ = now + RandomPart(random_, settings_.period);
-  next_reconnect_ = now + RandomPart(random_, settings_.reconnect_interval);
+  next_period_ = now + RandomDurationBelow(random_, settings_.period);
+  next_reconnect_ =
+      now + RandomDurationBelow(random_, settings_.reconnect_interval);
   for (const NodeRecord& seed : seeds_) {
     if (seed.id != self_) {
-      HearAlive(now,
-                {.node = seed.id,
-                 .version = {},
-                 .state = MemberState::kAlive,
-                 .record = seed},
-                /*pass_on=*/false);
+      ApplyAliveRumor(now,
+                      {.node = seed.id,
+                       .version = {},
+                       .state = MemberState::kAlive,
+                       .record = seed},
+                      /*forward=*/false);
     }
   }
   UpdateScale();
@@ -74,7 +75,7 @@
 // A node that was paused finds its probe unanswered and the time of its
 // suspects expired, although the others did answer. Without this adjustment it
 // would report healthy members as dead to the whole fleet.
-void Membership::NoticePause(Time now) {
+void Membership::AdjustForPause(Time now) {
   if (!last_tick_ || now - *last_tick_ <= settings_.pause_threshold) {
     return;
   }
@@ -82,7 +83,7 @@
   last_tick_ = now;
   probe_.reset();
   relays_.clear();
-  for (auto& [node, deadline] : suspects_) {
+  for (auto& [node, deadline] : suspicion_deadlines_) {
     deadline = deadline + gap;
   }
 }
@@ -94,19 +95,19 @@
     // answered before the next one.
     next_period_ = now + settings_.period;
   }
-  urgent_left_ = settings_.urgent_per_period;
+  urgent_budget_ = settings_.max_urgent_per_period;
   if (probe_) {
     const Member* target = view_.Find(probe_->target);
     if (target != nullptr) {
-      HearFailing(now, {.node = probe_->target,
-                        .version = target->version,
-                        .state = MemberState::kSuspect,
-                        .record = {}});
-      accused_.insert(probe_->target);
+      ApplyFailureRumor(now, {.node = probe_->target,
+                              .version = target->version,
+                              .state = MemberState::kSuspect,
+                              .record = {}});
+      own_suspects_.insert(probe_->target);
     }
     probe_.reset();
   }
-  PingAccused();
+  PingOwnSuspects();
   UpdateScale();
   ForgetDead(now);
   ExpireRelays(now);
@@ -116,11 +117,11 @@
 // Pings the members that this node suspects until they answer. A member can
 // refute a suspicion only after it has received it, and rumors alone may reach
 // it too late.
-void Membership::PingAccused() {
-  std::erase_if(accused_, [&](const NodeId& node) {
-    return !view_.IsIn(node, MemberState::kSuspect);
+void Membership::PingOwnSuspects() {
+  std::erase_if(own_suspects_, [&](const NodeId& node) {
+    return !view_.HasState(node, MemberState::kSuspect);
   });
-  for (const NodeId& node : accused_) {
+  for (const NodeId& node : own_suspects_) {
     SendPing(node);
   }
 }
@@ -139,17 +140,17 @@
 // random choices would not ensure.
 std::optional<NodeId> Membership::NextTarget() {
   for (int attempt = 0; attempt < 2; ++attempt) {
-    while (!round_.empty()) {
-      const NodeId target = round_.back();
-      round_.pop_back();
+    while (!probe_round_.empty()) {
+      const NodeId target = probe_round_.back();
+      probe_round_.pop_back();
       const Member* member = view_.Find(target);
       if (member != nullptr && member->state != MemberState::kDead) {
         return target;
       }
     }
-    round_ = view_.Reachable();
-    std::erase(round_, self_);
-    Shuffle(round_);
+    probe_round_ = view_.Reachable();
+    std::erase(probe_round_, self_);
+    Shuffle(probe_round_);
   }
   return std::nullopt;
 }
@@ -176,19 +177,19 @@
 
 void Membership::ExpireSuspects(Time now) {
   std::vector<NodeId> expired;
-  for (const auto& [node, deadline] : suspects_) {
+  for (const auto& [node, deadline] : suspicion_deadlines_) {
     if (now >= deadline) {
       expired.push_back(node);
     }
   }
   for (const NodeId& node : expired) {
-    suspects_.erase(node);
+    suspicion_deadlines_.erase(node);
     const Member* member = view_.Find(node);
     if (member != nullptr && member->state == MemberState::kSuspect) {
-      HearFailing(now, {.node = node,
-                        .version = member->version,
-                        .state = MemberState::kDead,
-                        .record = {}});
+      ApplyFailureRumor(now, {.node = node,
+                              .version = member->version,
+                              .state = MemberState::kDead,
+                              .record = {}});
     }
   }
 }
@@ -208,7 +209,7 @@
   next_reconnect_ = now + settings_.reconnect_interval;
   // In rounds, so that each dead member is tried within a bounded time.
   while (!reconnect_round_.empty() &&
-         !view_.IsIn(reconnect_round_.back(), MemberState::kDead)) {
+         !view_.HasState(reconnect_round_.back(), MemberState::kDead)) {
     reconnect_round_.pop_back();
   }
   if (reconnect_round_.empty()) {
@@ -224,7 +225,7 @@
     reconnect_round_.pop_back();
     SendPing(target);
   }
-  if (!listed_) {
+  if (!has_full_list_) {
     for (const NodeId& peer : RandomPeers(1, self_)) {
       Send(peer, MemberListRequest{self().version});
     }
@@ -235,8 +236,8 @@
   std::vector<NodeId> forgotten;
   for (const auto& [node, member] : view_.members()) {
     if (member.state == MemberState::kDead &&
-        now - member.since >= settings_.dead_memory &&
-        !in_store_.contains(node)) {
+        now - member.since >= settings_.dead_retention &&
+        !stored_nodes_.contains(node)) {
       forgotten.push_back(node);
     }
   }
@@ -248,15 +249,15 @@
 }
 
 void Membership::UpdateScale() {
-  live_ = view_.Reachable().size();
-  const double doublings = std::log2(static_cast<double>(live_) + 1);
+  live_count_ = view_.Reachable().size();
+  const double doublings = std::log2(static_cast<double>(live_count_) + 1);
   rumors_.SetTransmissions(
       static_cast<int>(std::ceil(settings_.transmission_factor * doublings)));
 }
 
-Duration Membership::Suspicion() const {
-  const double periods =
-      settings_.suspicion_factor * std::log2(static_cast<double>(live_) + 1);
+Duration Membership::SuspicionTimeout() const {
+  const double periods = settings_.suspicion_factor *
+                         std::log2(static_cast<double>(live_count_) + 1);
   const auto millis = static_cast<std::int64_t>(
       periods * static_cast<double>(settings_.period.millis()));
   return std::max(settings_.min_suspicion, Duration::Millis(millis));
@@ -280,17 +281,17 @@
   ++own.version.refutation;
   SetState(now, own, MemberState::kLeaving);
   AnnounceSelf();
-  urgent_left_ = std::max(urgent_left_, settings_.urgent_fanout);
-  SendUrgent(RumorOn(own));
+  urgent_budget_ = std::max(urgent_budget_, settings_.urgent_fanout);
+  SendUrgent(MakeRumor(own));
   return TakeActions();
 }
 
-void Membership::Spread(const Delta& delta) {
+void Membership::Broadcast(const Delta& delta) {
   const DeltaRumor rumor{.origin = self_,
                          .origin_version = self().version,
                          .sequence = ++last_sequence_,
                          .delta = delta};
-  deltas_.FirstTime(rumor);
+  deltas_.RecordIfNew(rumor);
   rumors_.Add(rumor);
   if (IsUrgent(delta)) {
     SendUrgent(rumor);
--- a/coordination/membership/membership.h
+++ b/coordination/membership/membership.h
@@ -38,13 +38,13 @@
   // starts it, and by each node that receives it.
   std::size_t urgent_fanout = 3;
   // Maximum number of urgent messages that a node sends in a period.
-  std::size_t urgent_per_period = 9;
+  std::size_t max_urgent_per_period = 9;
   // Interval between probes of dead members or seeds, by which the halves of a
   // healed partition find each other.
   Duration reconnect_interval = Duration::Seconds(5);
   // A dead member is forgotten after this time, unless the key-value service
   // lists it.
-  Duration dead_memory = Duration::Seconds(14400);
+  Duration dead_retention = Duration::Seconds(14400);
   // Each node reads the list of nodes at intervals of this duration times the
   // number of nodes, so that the total rate of reads does not grow with the
   // fleet.
@@ -64,7 +64,7 @@
 };
 
 // A delta of another node arrived for the first time.
-struct DeltaHeard {
+struct DeltaReceived {
   NodeId origin;
   Delta delta;
 };
@@ -72,7 +72,7 @@
 using MembershipAction = std::variant<StoreRequest,
                                       PeerSend<MembershipMessage>,
                                       MemberChanged,
-                                      DeltaHeard>;
+                                      DeltaReceived>;
 
 // Tracks which nodes exist and which of them respond, with the SWIM protocol:
 // in each period one random member is probed, directly and then through other
@@ -98,7 +98,7 @@
   std::vector<MembershipAction> Leave(Time now);
   // Sends a delta to all nodes, piggybacked on probes. An urgent delta is sent
   // with the next tick.
-  void Spread(const Delta& delta);
+  void Broadcast(const Delta& delta);
 
   const View& view() const { return view_; }
   const Member& self() const;
@@ -129,10 +129,10 @@
 
   // Periodic work.
   void Start(Time now);
-  void NoticePause(Time now);
+  void AdjustForPause(Time now);
   void BeginPeriod(Time now);
   void CheckProbe(Time now);
-  void PingAccused();
+  void PingOwnSuspects();
   void StartProbe(Time now);
   std::optional<NodeId> NextTarget();
   void Shuffle(std::vector<NodeId>& nodes);
@@ -141,7 +141,7 @@
   void Reconnect(Time now);
   void ForgetDead(Time now);
   void UpdateScale();
-  Duration Suspicion() const;
+  Duration SuspicionTimeout() const;
 
   // The list of nodes in the key-value service.
   void ReadNodes(Time now);
@@ -164,15 +164,17 @@
   std::vector<NodeId> RandomPeers(std::size_t count, const NodeId& except);
 
   // Rumors.
-  void HearAll(Time now, const NodeId& from, const std::vector<Rumor>& rumors);
-  void Hear(Time now, const NodeId& from, const MemberRumor& rumor);
-  void Hear(Time now, const NodeId& from, const DeltaRumor& rumor);
-  void HearOfSelf(const NodeId& from, const MemberRumor& rumor);
-  void HearAlive(Time now, const MemberRumor& rumor, bool pass_on);
-  void HearFailing(Time now, const MemberRumor& rumor);
+  void ApplyRumors(Time now,
+                   const NodeId& from,
+                   const std::vector<Rumor>& rumors);
+  void ApplyRumor(Time now, const NodeId& from, const MemberRumor& rumor);
+  void ApplyRumor(Time now, const NodeId& from, const DeltaRumor& rumor);
+  void ApplySelfRumor(const NodeId& from, const MemberRumor& rumor);
+  void ApplyAliveRumor(Time now, const MemberRumor& rumor, bool forward);
+  void ApplyFailureRumor(Time now, const MemberRumor& rumor);
   void SetState(Time now, Member& member, MemberState state);
   Member& OwnMember() { return view_.Upsert(self_); }
-  MemberRumor RumorOn(const Member& member) const;
+  MemberRumor MakeRumor(const Member& member) const;
   void AnnounceSelf();
 
   std::vector<MembershipAction> TakeActions();
@@ -195,29 +197,29 @@
   Time next_period_;
   std::optional<Probe> probe_;
   // Members that are still to be probed in this round, in random order.
-  std::vector<NodeId> round_;
+  std::vector<NodeId> probe_round_;
   ProbeId last_probe_;
   std::map<ProbeId, Relay> relays_;
   // Time until which each suspect may refute the suspicion.
-  std::map<NodeId, Time> suspects_;
+  std::map<NodeId, Time> suspicion_deadlines_;
   // Members that are suspect because this node's own probe failed.
-  std::set<NodeId> accused_;
+  std::set<NodeId> own_suspects_;
   Time next_reconnect_;
   // Dead members that are still to be probed in this round.
   std::vector<NodeId> reconnect_round_;
   // Number of members that are not dead, as of the last period.
-  std::size_t live_ = 1;
-  std::size_t urgent_left_ = 0;
+  std::size_t live_count_ = 1;
+  std::size_t urgent_budget_ = 0;
   // Whether the full list of members was received from a peer or from the
   // key-value service. A list from the service counts only if it includes this
   // run of the node.
-  bool listed_ = false;
-  std::set<NodeId> in_store_;
+  bool has_full_list_ = false;
+  std::set<NodeId> stored_nodes_;
 
   Backoff backoff_;
-  StoreCallId last_id_;
-  std::optional<StoreCallId> call_;
-  Time call_sent_;
+  StoreCallId last_call_id_;
+  std::optional<StoreCallId> pending_read_;
+  Time read_sent_;
   Time next_read_;
 };
 
--- a/coordination/membership/membership_messages.cc
+++ b/coordination/membership/membership_messages.cc
@@ -4,33 +4,33 @@
 namespace {
 
 // Message type, lengths and numbers around the variable parts.
-constexpr std::size_t kFraming = 16;
-constexpr std::size_t kNumber = 8;
+constexpr std::size_t kFramingSize = 16;
+constexpr std::size_t kNumberSize = 8;
 
 std::size_t SizeOf(const NodeRecord& record) {
   // Length of each text, weight and flags.
-  constexpr std::size_t kAround = 10;
-  return kAround + record.id.value().size() + record.zone.value().size() +
+  constexpr std::size_t kFixedSize = 10;
+  return kFixedSize + record.id.value().size() + record.zone.value().size() +
          record.region.value().size() + record.peer_address.value().size() +
          record.caller_address.value().size() +
          record.operator_address.value().size();
 }
 
 std::size_t SizeOf(const MemberRumor& rumor) {
-  return 2 * kNumber + 2 + rumor.node.value().size() +
+  return 2 * kNumberSize + 2 + rumor.node.value().size() +
          (rumor.record ? SizeOf(*rumor.record) : 0);
 }
 
 std::size_t SizeOf(const FingerprintDelta&) {
-  return 3 * kNumber;
+  return 3 * kNumberSize;
 }
 
 std::size_t SizeOf(const RoleHolderDelta& delta) {
-  return kNumber + 1 + delta.role.value().size();
+  return kNumberSize + 1 + delta.role.value().size();
 }
 
 std::size_t SizeOf(const DeltaRumor& rumor) {
-  return 2 * kNumber + 2 + rumor.origin.value().size() +
+  return 2 * kNumberSize + 2 + rumor.origin.value().size() +
          std::visit([](const auto& d) { return SizeOf(d); }, rumor.delta);
 }
 
@@ -84,7 +84,7 @@
 
 std::size_t EstimatedSize(const MembershipMessage& message) {
   // Each message carries a probe id and the sender's version.
-  return kFraming + 3 * kNumber +
+  return kFramingSize + 3 * kNumberSize +
          std::visit([](const auto& m) { return SizeOf(m); }, message);
 }
 
--- a/coordination/membership/membership_peers.cc
+++ b/coordination/membership/membership_peers.cc
@@ -13,13 +13,13 @@
     const MembershipMessage& message) {
   // After a pause, messages that arrived meanwhile are handled before the next
   // tick.
-  NoticePause(now);
+  AdjustForPause(now);
   std::visit([&](const auto& typed) { OnMessage(now, from, typed); }, message);
   return TakeActions();
 }
 
 void Membership::OnMessage(Time now, const NodeId& from, const Ping& ping) {
-  HearAll(now, from, ping.rumors);
+  ApplyRumors(now, from, ping.rumors);
   Send(from, PingAck{ping.probe, self_, self().version,
                      RumorsFor(from, ping.version)});
   if (view_.Find(from) == nullptr) {
@@ -31,7 +31,7 @@
 void Membership::OnMessage(Time now,
                            const NodeId& from,
                            const PingRequest& request) {
-  HearAll(now, from, request.rumors);
+  ApplyRumors(now, from, request.rumors);
   if (request.target == self_) {
     Send(from, PingAck{request.probe, self_, self().version,
                        RumorsFor(from, request.version)});
@@ -42,7 +42,7 @@
 }
 
 void Membership::OnMessage(Time now, const NodeId& from, const PingAck& ack) {
-  HearAll(now, from, ack.rumors);
+  ApplyRumors(now, from, ack.rumors);
   if (probe_ && probe_->id == ack.probe && probe_->target == ack.target) {
     probe_.reset();
     return;
@@ -59,14 +59,14 @@
 void Membership::OnMessage(Time now,
                            const NodeId& from,
                            const UrgentRumors& urgent) {
-  HearAll(now, from, urgent.rumors);
+  ApplyRumors(now, from, urgent.rumors);
 }
 
 void Membership::OnMessage(Time, const NodeId& from, const MemberListRequest&) {
   MemberList list{self().version, {}};
   for (const auto& [node, member] : view_.members()) {
     if (member.state != MemberState::kDead) {
-      list.members.push_back(RumorOn(member));
+      list.members.push_back(MakeRumor(member));
     }
   }
   Send(from, std::move(list));
@@ -75,12 +75,12 @@
 void Membership::OnMessage(Time now,
                            const NodeId& from,
                            const MemberList& list) {
-  listed_ = true;
+  has_full_list_ = true;
   for (const MemberRumor& rumor : list.members) {
     if (rumor.node == self_) {
-      HearOfSelf(from, rumor);
+      ApplySelfRumor(from, rumor);
     } else if (rumor.state == MemberState::kAlive) {
-      HearAlive(now, rumor, /*pass_on=*/false);
+      ApplyAliveRumor(now, rumor, /*forward=*/false);
     }
   }
 }
@@ -98,9 +98,9 @@
 void Membership::SendUrgent(const Rumor& rumor) {
   // Bounded, so that many nodes leaving at once do not cause a message storm.
   // The rumor is still piggybacked on probes.
-  const std::size_t count = std::min(settings_.urgent_fanout, urgent_left_);
+  const std::size_t count = std::min(settings_.urgent_fanout, urgent_budget_);
   for (const NodeId& peer : RandomPeers(count, self_)) {
-    --urgent_left_;
+    --urgent_budget_;
     Send(peer, UrgentRumors{self().version, {rumor}});
   }
 }
@@ -120,7 +120,7 @@
                        version != member->version;
   if (member != nullptr && (differs || member->state == MemberState::kSuspect ||
                             member->state == MemberState::kDead)) {
-    rumors.emplace_back(RumorOn(*member));
+    rumors.emplace_back(MakeRumor(*member));
     bytes -= std::min(bytes, EstimatedSize(rumors.back()));
   }
   for (Rumor& rumor : rumors_.Take(bytes)) {
--- a/coordination/membership/membership_rumors.cc
+++ b/coordination/membership/membership_rumors.cc
@@ -8,7 +8,7 @@
 namespace gcw {
 namespace {
 
-std::optional<EventKind> EventOf(MemberState state) {
+std::optional<EventKind> EventKindFor(MemberState state) {
   switch (state) {
     case MemberState::kAlive:
       return EventKind::kPeerAlive;
@@ -28,41 +28,43 @@
 
 }  // namespace
 
-void Membership::HearAll(Time now,
-                         const NodeId& from,
-                         const std::vector<Rumor>& rumors) {
+void Membership::ApplyRumors(Time now,
+                             const NodeId& from,
+                             const std::vector<Rumor>& rumors) {
   for (const Rumor& rumor : rumors) {
-    std::visit([&](const auto& typed) { Hear(now, from, typed); }, rumor);
+    std::visit([&](const auto& typed) { ApplyRumor(now, from, typed); }, rumor);
   }
 }
 
-void Membership::Hear(Time now, const NodeId& from, const MemberRumor& rumor) {
+void Membership::ApplyRumor(Time now,
+                            const NodeId& from,
+                            const MemberRumor& rumor) {
   if (rumor.node == self_) {
-    HearOfSelf(from, rumor);
+    ApplySelfRumor(from, rumor);
   } else if (rumor.state == MemberState::kAlive) {
-    HearAlive(now, rumor, /*pass_on=*/true);
+    ApplyAliveRumor(now, rumor, /*forward=*/true);
   } else {
-    HearFailing(now, rumor);
+    ApplyFailureRumor(now, rumor);
   }
 }
 
-void Membership::Hear(Time, const NodeId&, const DeltaRumor& rumor) {
-  if (rumor.origin == self_ || !deltas_.FirstTime(rumor)) {
+void Membership::ApplyRumor(Time, const NodeId&, const DeltaRumor& rumor) {
+  if (rumor.origin == self_ || !deltas_.RecordIfNew(rumor)) {
     return;
   }
   rumors_.Add(rumor);
   if (IsUrgent(rumor.delta)) {
     SendUrgent(rumor);
   }
-  actions_.emplace_back(DeltaHeard{rumor.origin, rumor.delta});
+  actions_.emplace_back(DeltaReceived{rumor.origin, rumor.delta});
 }
 
-void Membership::HearOfSelf(const NodeId& from, const MemberRumor& rumor) {
+void Membership::ApplySelfRumor(const NodeId& from, const MemberRumor& rumor) {
   Member& own = OwnMember();
-  const bool same = rumor.version == own.version &&
-                    rumor.state == MemberState::kAlive &&
-                    rumor.record == own.record;
-  if (same) {
+  const bool is_current = rumor.version == own.version &&
+                          rumor.state == MemberState::kAlive &&
+                          rumor.record == own.record;
+  if (is_current) {
     return;
   }
   if (rumor.version >= own.version) {
@@ -73,13 +75,15 @@
   // The sender of the outdated rumor gets the refutation at once, even if it
   // was given before, and spreads it among the nodes that it reaches, which may
   // be a part of the fleet that does not probe this node.
-  if (urgent_left_ > 0) {
-    --urgent_left_;
-    Send(from, UrgentRumors{own.version, {RumorOn(own)}});
+  if (urgent_budget_ > 0) {
+    --urgent_budget_;
+    Send(from, UrgentRumors{own.version, {MakeRumor(own)}});
   }
 }
 
-void Membership::HearAlive(Time now, const MemberRumor& rumor, bool pass_on) {
+void Membership::ApplyAliveRumor(Time now,
+                                 const MemberRumor& rumor,
+                                 bool forward) {
   if (!rumor.record) {
     return;
   }
@@ -94,12 +98,12 @@
   member.record = *rumor.record;
   member.version = rumor.version;
   ++view_version_;
-  suspects_.erase(rumor.node);
+  suspicion_deadlines_.erase(rumor.node);
   const MemberState state = HealthyState(member.record);
   if (is_new || member.state != state) {
     SetState(now, member, state);
   }
-  if (pass_on) {
+  if (forward) {
     rumors_.Add(rumor);
   }
   if (starts_leaving) {
@@ -107,7 +111,7 @@
   }
 }
 
-void Membership::HearFailing(Time now, const MemberRumor& rumor) {
+void Membership::ApplyFailureRumor(Time now, const MemberRumor& rumor) {
   const Member* known = view_.Find(rumor.node);
   if (known == nullptr || rumor.version < known->version ||
       known->state == MemberState::kDead) {
@@ -121,9 +125,9 @@
   Member& member = view_.Upsert(rumor.node);
   member.version = rumor.version;
   if (rumor.state == MemberState::kSuspect) {
-    suspects_[rumor.node] = now + Suspicion();
+    suspicion_deadlines_[rumor.node] = now + SuspicionTimeout();
   } else {
-    suspects_.erase(rumor.node);
+    suspicion_deadlines_.erase(rumor.node);
   }
   if (member.state != rumor.state) {
     SetState(now, member, rumor.state);
@@ -136,7 +140,7 @@
   member.since = now;
   ++view_version_;
   actions_.emplace_back(MemberChanged{member.record.id, state});
-  if (const auto kind = EventOf(state)) {
+  if (const auto kind = EventKindFor(state)) {
     sink_({.kind = *kind,
            .subject = member.record.id.value(),
            .cause = {},
@@ -145,7 +149,7 @@
   }
 }
 
-MemberRumor Membership::RumorOn(const Member& member) const {
+MemberRumor Membership::MakeRumor(const Member& member) const {
   const bool failing = member.state == MemberState::kSuspect ||
                        member.state == MemberState::kDead;
   return {.node = member.record.id,
@@ -157,53 +161,53 @@
 
 void Membership::AnnounceSelf() {
   ++view_version_;
-  rumors_.Add(RumorOn(self()));
+  rumors_.Add(MakeRumor(self()));
 }
 
 std::vector<MembershipAction>
 Membership::OnStoreReply(Time now, StoreCallId id, const StoreReply& reply) {
-  if (call_ != id) {
+  if (pending_read_ != id) {
     return {};
   }
-  call_.reset();
+  pending_read_.reset();
   if (const auto* range = std::get_if<StoreRangeReply>(&reply)) {
     OnNodeList(now, *range);
-  } else if (!listed_) {
+  } else if (!has_full_list_) {
     next_read_ = now + backoff_.Next(random_);
   }
   return TakeActions();
 }
 
 void Membership::ReadNodes(Time now) {
-  if (call_ && now - call_sent_ >= settings_.call_timeout) {
-    call_.reset();
-    if (!listed_) {
+  if (pending_read_ && now - read_sent_ >= settings_.call_timeout) {
+    pending_read_.reset();
+    if (!has_full_list_) {
       next_read_ = now + backoff_.Next(random_);
     }
   }
-  if (call_ || now < next_read_) {
+  if (pending_read_ || now < next_read_) {
     return;
   }
   const Duration interval = std::max(
-      settings_.min_read_interval,
-      settings_.read_interval_per_node * static_cast<std::int64_t>(live_));
+      settings_.min_read_interval, settings_.read_interval_per_node *
+                                       static_cast<std::int64_t>(live_count_));
   next_read_ = now + interval / 2 +
                Duration::Millis(static_cast<std::int64_t>(DrawBelow(
                    random_, static_cast<std::uint64_t>(interval.millis()))));
-  call_ = ++last_id_;
-  call_sent_ = now;
-  actions_.emplace_back(StoreRequest{last_id_, StoreRange{"node/"}});
+  pending_read_ = ++last_call_id_;
+  read_sent_ = now;
+  actions_.emplace_back(StoreRequest{last_call_id_, StoreRange{"node/"}});
 }
 
 void Membership::OnNodeList(Time now, const StoreRangeReply& reply) {
   bool is_own_run_listed = false;
-  in_store_.clear();
+  stored_nodes_.clear();
   for (const StoreEntry& entry : reply.entries) {
     const std::optional<NodeRecord> record = decode_(entry.value);
     if (!record) {
       continue;
     }
-    in_store_.insert(record->id);
+    stored_nodes_.insert(record->id);
     if (record->id == self_) {
       is_own_run_listed = IsOwnRun(*record);
       continue;
@@ -213,12 +217,12 @@
     const Incarnation incarnation = record->incarnation == Incarnation()
                                         ? Incarnation(entry.revision.value())
                                         : record->incarnation;
-    HearAlive(now,
-              {.node = record->id,
-               .version = {incarnation, 0},
-               .state = MemberState::kAlive,
-               .record = record},
-              /*pass_on=*/false);
+    ApplyAliveRumor(now,
+                    {.node = record->id,
+                     .version = {incarnation, 0},
+                     .state = MemberState::kAlive,
+                     .record = record},
+                    /*forward=*/false);
   }
   if (!is_own_run_listed) {
     // Nodes that start together could each read the list before any of them is
@@ -228,7 +232,7 @@
     next_read_ = std::min(next_read_, now + backoff_.Next(random_));
     return;
   }
-  listed_ = true;
+  has_full_list_ = true;
   backoff_.Reset();
 }
 
--- a/coordination/membership/peer_presence.cc
+++ b/coordination/membership/peer_presence.cc
@@ -11,7 +11,7 @@
     return false;
   }
   if (report.sender > sender_) {
-    StartOver(report.sender);
+    Reset(report.sender);
   }
   if (report.stamp <= newest_stamp_) {
     return false;
@@ -51,7 +51,7 @@
   report.acknowledged = version_;
 }
 
-void PeerPresence::StartOver(Incarnation sender) {
+void PeerPresence::Reset(Incarnation sender) {
   sender_ = sender;
   newest_stamp_ = Time();
   evidence_time_.reset();
--- a/coordination/membership/peer_presence.h
+++ b/coordination/membership/peer_presence.h
@@ -37,7 +37,7 @@
   std::int64_t acknowledged() const { return acknowledged_; }
 
  private:
-  void StartOver(Incarnation sender);
+  void Reset(Incarnation sender);
 
   Incarnation self_;
   Incarnation sender_;
--- a/coordination/membership/presence_log.h
+++ b/coordination/membership/presence_log.h
@@ -28,13 +28,13 @@
   std::int64_t version() const { return version_; }
 
  private:
-  struct Said {
+  struct LoggedEntry {
     PresenceEntry entry;
-    std::int64_t changed = 0;
+    std::int64_t changed_version = 0;
   };
 
   std::int64_t version_ = 0;
-  std::map<EndpointId, Said> said_;
+  std::map<EndpointId, LoggedEntry> entries_;
 };
 
 }  // namespace gcw
--- a/coordination/membership/presence_prober.cc
+++ b/coordination/membership/presence_prober.cc
@@ -8,7 +8,7 @@
 
 void PresenceProber::SetTargets(Time now,
                                 const std::vector<ProbeTarget>& targets) {
-  const std::map<EndpointId, ProbeTarget> before = std::move(targets_);
+  const std::map<EndpointId, ProbeTarget> previous = std::move(targets_);
   targets_.clear();
   std::map<VmId, VmView> known = std::move(vms_);
   vms_.clear();
@@ -27,8 +27,8 @@
     }
   }
   for (const auto& [endpoint, target] : targets_) {
-    const auto it = before.find(endpoint);
-    if (it == before.end() || it->second != target) {
+    const auto it = previous.find(endpoint);
+    if (it == previous.end() || it->second != target) {
       ProbeAllNow(now, target);
     }
   }
@@ -53,7 +53,7 @@
   VmView view;
   view.address = member.address;
   view.purpose = target.purpose;
-  const bool is_first = rank == 0 || !settings_.engines_vouch;
+  const bool is_first = rank == 0 || !settings_.trust_members_seen;
   view.interval = is_first ? settings_.interval : settings_.member_interval;
   view.next_probe = now;
   vms_[member.vm] = view;
@@ -68,7 +68,7 @@
     }
     view.next_probe = now + view.interval;
     ++last_id_;
-    sent_[last_id_] = Sent{vm, now};
+    pending_probes_[last_id_] = PendingProbe{vm, now};
     probes.push_back(
         ProbeVm{last_id_, vm, view.purpose, view.address, settings_.timeout});
   }
@@ -76,51 +76,51 @@
 }
 
 void PresenceProber::ExpireProbes(Time now) {
-  std::erase_if(sent_, [&](const auto& item) {
-    const Sent& sent = item.second;
-    if (now - sent.at <= settings_.timeout * 2) {
+  std::erase_if(pending_probes_, [&](const auto& item) {
+    const PendingProbe& pending = item.second;
+    if (now - pending.sent_at <= settings_.timeout * 2) {
       return false;
     }
-    const auto it = vms_.find(sent.vm);
+    const auto it = vms_.find(pending.vm);
     if (it != vms_.end()) {
-      OnFailure(now, sent, it->second, /*refused=*/false);
+      OnFailure(now, pending, it->second, /*refused=*/false);
     }
     return true;
   });
 }
 
 void PresenceProber::OnReply(Time now, ProbeId id, const ProbeReply& reply) {
-  const auto sent_it = sent_.find(id);
-  if (sent_it == sent_.end()) {
+  const auto pending_it = pending_probes_.find(id);
+  if (pending_it == pending_probes_.end()) {
     return;
   }
-  const Sent sent = sent_it->second;
-  sent_.erase(sent_it);
-  const auto it = vms_.find(sent.vm);
+  const PendingProbe pending = pending_it->second;
+  pending_probes_.erase(pending_it);
+  const auto it = vms_.find(pending.vm);
   if (it == vms_.end()) {
     return;
   }
   VmView& view = it->second;
   if (const auto* failed = std::get_if<ProbeFailed>(&reply)) {
-    OnFailure(now, sent, view, failed->failure != ProbeFailure::kTimeout);
+    OnFailure(now, pending, view, failed->failure != ProbeFailure::kTimeout);
     return;
   }
-  if (view.answered && sent.at < *view.answered) {
+  if (view.answered_probe_time && pending.sent_at < *view.answered_probe_time) {
     return;
   }
   const auto* status = std::get_if<EngineStatus>(&reply);
   const bool is_expected = status != nullptr
-                               ? status->vm == sent.vm
+                               ? status->vm == pending.vm
                                : view.purpose == VmPurpose::kPlainService;
   if (!is_expected) {
     // The address now belongs to another VM.
-    OnFailure(now, sent, view, /*refused=*/true);
+    OnFailure(now, pending, view, /*refused=*/true);
     return;
   }
-  view.answered = sent.at;
-  view.answers = true;
+  view.answered_probe_time = pending.sent_at;
+  view.is_answering = true;
   view.refused = false;
-  view.concluded = true;
+  view.has_outcome = true;
   if (status == nullptr) {
     return;
   }
@@ -131,14 +131,14 @@
 }
 
 void PresenceProber::OnFailure(Time now,
-                               const Sent& sent,
+                               const PendingProbe& pending,
                                VmView& view,
                                bool refused) {
-  if (view.answered && sent.at < *view.answered) {
+  if (view.answered_probe_time && pending.sent_at < *view.answered_probe_time) {
     return;
   }
-  view.concluded = true;
-  view.answers = false;
+  view.has_outcome = true;
+  view.is_answering = false;
   view.refused = refused;
   view.next_probe = std::min(view.next_probe, now + settings_.interval);
 }
@@ -180,45 +180,46 @@
     return {.known = true, .evidence = std::nullopt};
   }
   const VmView& view = it->second;
-  if (!view.concluded) {
+  if (!view.has_outcome) {
     return {};
   }
   MemberFinding finding{.known = true, .evidence = std::nullopt};
-  if (view.refused || !view.answered || !IsInPlace(target, view)) {
+  if (view.refused || !view.answered_probe_time || !IsServing(target, view)) {
     return finding;
   }
-  if (now - *view.answered > view.interval + settings_.fresh) {
+  if (now - *view.answered_probe_time >
+      view.interval + settings_.max_evidence_age) {
     return finding;
   }
-  Time evidence = *view.answered;
-  if (rank != 0 && settings_.engines_vouch) {
-    const std::optional<Time> vouched = VouchedAt(target, vm);
-    if (!vouched) {
+  Time evidence = *view.answered_probe_time;
+  if (rank != 0 && settings_.trust_members_seen) {
+    const std::optional<Time> reported = MembersSeenTime(target, vm);
+    if (!reported) {
       return finding;
     }
-    evidence = std::max(evidence, *vouched);
+    evidence = std::max(evidence, *reported);
   }
-  if (now - evidence <= settings_.fresh) {
+  if (now - evidence <= settings_.max_evidence_age) {
     finding.evidence = evidence;
   }
   return finding;
 }
 
-std::optional<Time> PresenceProber::VouchedAt(const ProbeTarget& target,
-                                              const VmId& member) const {
+std::optional<Time> PresenceProber::MembersSeenTime(const ProbeTarget& target,
+                                                    const VmId& member) const {
   const auto it = vms_.find(target.members.front().vm);
-  if (it == vms_.end() || !it->second.answered ||
-      !IsInPlace(target, it->second)) {
+  if (it == vms_.end() || !it->second.answered_probe_time ||
+      !IsServing(target, it->second)) {
     return std::nullopt;
   }
   const std::vector<VmId>& seen = it->second.status.members_seen;
   if (std::find(seen.begin(), seen.end(), member) == seen.end()) {
     return std::nullopt;
   }
-  return *it->second.answered - settings_.vouch_lag;
+  return *it->second.answered_probe_time - settings_.members_seen_lag;
 }
 
-bool PresenceProber::IsInPlace(const ProbeTarget& target, const VmView& view) {
+bool PresenceProber::IsServing(const ProbeTarget& target, const VmView& view) {
   if (view.purpose == VmPurpose::kPlainService) {
     return true;
   }
@@ -232,18 +233,18 @@
 // first one expires.
 bool PresenceProber::SeemsCutOff() const {
   // A single VM that does not answer is no evidence about this node.
-  constexpr std::size_t kFewestVms = 2;
-  std::size_t all = 0;
-  std::size_t silent = 0;
+  constexpr std::size_t kMinVms = 2;
+  std::size_t total = 0;
+  std::size_t unanswered = 0;
   for (const auto& [endpoint, target] : targets_) {
     const auto it = vms_.find(target.members.front().vm);
-    if (it == vms_.end() || !it->second.concluded) {
+    if (it == vms_.end() || !it->second.has_outcome) {
       continue;
     }
-    ++all;
-    silent += !it->second.answers && !it->second.refused ? 1 : 0;
+    ++total;
+    unanswered += !it->second.is_answering && !it->second.refused ? 1 : 0;
   }
-  return all >= kFewestVms && silent * 2 >= all;
+  return total >= kMinVms && unanswered * 2 >= total;
 }
 
 }  // namespace gcw
--- a/coordination/membership/presence_prober.h
+++ b/coordination/membership/presence_prober.h
@@ -16,18 +16,18 @@
 struct ProberSettings {
   // Interval between probes of a group's first VM, or of a plain service.
   Duration interval = Duration::Millis(1000);
-  // Interval between probes of each other VM of a group. If `engines_vouch` is
-  // false, `interval` applies to all VMs.
+  // Interval between probes of each other VM of a group. If
+  // `trust_members_seen` is false, `interval` applies to all VMs.
   Duration member_interval = Duration::Seconds(10);
   Duration timeout = Duration::Millis(500);
   // A VM counts as present for this time after the sending of a probe that it
   // answered.
-  Duration fresh = Duration::Millis(2500);
+  Duration max_evidence_age = Duration::Millis(2500);
   // Whether `members_seen` of the VM with rank 0 is evidence of the other
   // members' presence.
-  bool engines_vouch = true;
+  bool trust_members_seen = true;
   // Maximum time after which a lost member disappears from `members_seen`.
-  Duration vouch_lag = Duration::Millis(500);
+  Duration members_seen_lag = Duration::Millis(500);
 };
 
 // The VMs to probe for one endpoint.
@@ -84,19 +84,19 @@
     Time next_probe;
     // Time at which the newest answered probe was sent. Absent until a probe is
     // answered.
-    std::optional<Time> answered;
+    std::optional<Time> answered_probe_time;
     // Whether the newest probe whose outcome is known was answered.
-    bool answers = false;
+    bool is_answering = false;
     // Whether the newest outcome proves that the expected VM is not at this
     // address.
     bool refused = false;
     // Whether the outcome of at least one probe is known.
-    bool concluded = false;
+    bool has_outcome = false;
     EngineStatus status;
   };
-  struct Sent {
+  struct PendingProbe {
     VmId vm;
-    Time at;
+    Time sent_at;
   };
 
   // What is known of one member. `known` is false before the first probe's
@@ -109,18 +109,21 @@
   void AddVm(Time now, const ProbeTarget& target, std::size_t rank);
   void ProbeAllNow(Time now, const ProbeTarget& target);
   void ExpireProbes(Time now);
-  void OnFailure(Time now, const Sent& sent, VmView& view, bool refused);
+  void OnFailure(Time now,
+                 const PendingProbe& pending,
+                 VmView& view,
+                 bool refused);
   MemberFinding FindMember(Time now,
                            const ProbeTarget& target,
                            std::size_t rank) const;
-  std::optional<Time> VouchedAt(const ProbeTarget& target,
-                                const VmId& member) const;
-  static bool IsInPlace(const ProbeTarget& target, const VmView& view);
+  std::optional<Time> MembersSeenTime(const ProbeTarget& target,
+                                      const VmId& member) const;
+  static bool IsServing(const ProbeTarget& target, const VmView& view);
 
   ProberSettings settings_;
   std::map<EndpointId, ProbeTarget> targets_;
   std::map<VmId, VmView> vms_;
-  std::map<ProbeId, Sent> sent_;
+  std::map<ProbeId, PendingProbe> pending_probes_;
   ProbeId last_id_;
 };
 
--- a/coordination/membership/rumor_queue.cc
+++ b/coordination/membership/rumor_queue.cc
@@ -6,47 +6,47 @@
 namespace gcw {
 namespace {
 
-std::string SubjectOf(const FingerprintDelta& delta) {
+std::string SubjectKey(const FingerprintDelta& delta) {
   return "f/" + std::to_string(delta.fingerprint.value());
 }
 
-std::string SubjectOf(const RoleHolderDelta& delta) {
+std::string SubjectKey(const RoleHolderDelta& delta) {
   return "r/" + delta.role.value();
 }
 
-std::string SubjectOf(const MemberRumor& rumor) {
+std::string SubjectKey(const MemberRumor& rumor) {
   return "m/" + rumor.node.value();
 }
 
-std::string SubjectOf(const DeltaRumor& rumor) {
+std::string SubjectKey(const DeltaRumor& rumor) {
   return "d/" + rumor.origin.value() + "/" +
-         std::visit([](const auto& d) { return SubjectOf(d); }, rumor.delta);
+         std::visit([](const auto& d) { return SubjectKey(d); }, rumor.delta);
 }
 
 }  // namespace
 
 void RumorQueue::Add(const Rumor& rumor) {
   std::string subject =
-      std::visit([](const auto& r) { return SubjectOf(r); }, rumor);
-  const auto earlier = by_subject_.find(subject);
-  if (earlier != by_subject_.end()) {
-    waiting_.erase(earlier->second);
-    by_subject_.erase(earlier);
+      std::visit([](const auto& r) { return SubjectKey(r); }, rumor);
+  const auto existing = by_subject_.find(subject);
+  if (existing != by_subject_.end()) {
+    queue_.erase(existing->second);
+    by_subject_.erase(existing);
   }
   const auto it =
-      waiting_.emplace(0, Waiting{subject, rumor, EstimatedSize(rumor)});
+      queue_.emplace(0, QueuedRumor{subject, rumor, EstimatedSize(rumor)});
   by_subject_.emplace(std::move(subject), it);
-  if (waiting_.size() > kMaxWaiting) {
-    Erase(std::prev(waiting_.end()));
+  if (queue_.size() > kMaxQueued) {
+    Erase(std::prev(queue_.end()));
   }
 }
 
 std::vector<Rumor> RumorQueue::Take(std::size_t max_bytes) {
   std::vector<Rumor> taken;
-  std::vector<Queue::node_type> again;
+  std::vector<Queue::node_type> requeued;
   std::size_t bytes = 0;
-  while (!waiting_.empty()) {
-    const auto first = waiting_.begin();
+  while (!queue_.empty()) {
+    const auto first = queue_.begin();
     bytes += first->second.bytes;
     if (bytes > max_bytes && !taken.empty()) {
       break;
@@ -56,12 +56,12 @@
       Erase(first);
       continue;
     }
-    Queue::node_type node = waiting_.extract(first);
+    Queue::node_type node = queue_.extract(first);
     ++node.key();
-    again.push_back(std::move(node));
+    requeued.push_back(std::move(node));
   }
-  for (Queue::node_type& node : again) {
-    const auto it = waiting_.insert(std::move(node));
+  for (Queue::node_type& node : requeued) {
+    const auto it = queue_.insert(std::move(node));
     by_subject_[it->second.subject] = it;
   }
   return taken;
@@ -69,7 +69,7 @@
 
 void RumorQueue::Erase(Queue::iterator it) {
   by_subject_.erase(it->second.subject);
-  waiting_.erase(it);
+  queue_.erase(it);
 }
 
 }  // namespace gcw
--- a/coordination/membership/rumor_queue.h
+++ b/coordination/membership/rumor_queue.h
@@ -30,24 +30,24 @@
   void Add(const Rumor& rumor);
   // Returns the next rumors to send, of about `max_bytes` in total.
   std::vector<Rumor> Take(std::size_t max_bytes);
-  std::size_t size() const { return waiting_.size(); }
+  std::size_t size() const { return queue_.size(); }
 
  private:
-  struct Waiting {
+  struct QueuedRumor {
     std::string subject;
     Rumor rumor;
     std::size_t bytes;
   };
   // Ordered by the number of times that each rumor was sent.
-  using Queue = std::multimap<int, Waiting>;
+  using Queue = std::multimap<int, QueuedRumor>;
 
   // If there are more rumors, the ones that were sent most often are dropped.
-  static constexpr std::size_t kMaxWaiting = 2048;
+  static constexpr std::size_t kMaxQueued = 2048;
 
   void Erase(Queue::iterator it);
 
   int transmissions_ = 1;
-  Queue waiting_;
+  Queue queue_;
   std::map<std::string, Queue::iterator> by_subject_;
 };
 
--- a/coordination/membership/suspect_table.cc
+++ b/coordination/membership/suspect_table.cc
@@ -31,9 +31,9 @@
     Clear(now, delta.fingerprint);
     return;
   }
-  const std::int64_t least = delta.blocked ? settings_.most_endpoints : 1;
+  const std::int64_t min_losses = delta.blocked ? settings_.block_threshold : 1;
   const std::int64_t losses =
-      std::max({least, delta.losses, Losses(now, delta.fingerprint)});
+      std::max({min_losses, delta.losses, Losses(now, delta.fingerprint)});
   Set(delta.fingerprint, losses, now + delta.time_to_live);
 }
 
@@ -42,7 +42,7 @@
     return SuspectLevel::kNone;
   }
   const std::int64_t losses = Losses(now, fingerprint);
-  if (losses >= settings_.most_endpoints) {
+  if (losses >= settings_.block_threshold) {
     return SuspectLevel::kBlocked;
   }
   return losses > 0 ? SuspectLevel::kSuspect : SuspectLevel::kNone;
@@ -52,7 +52,7 @@
   FingerprintDelta delta;
   delta.fingerprint = fingerprint;
   delta.losses = Losses(now, fingerprint);
-  delta.blocked = delta.losses >= settings_.most_endpoints;
+  delta.blocked = delta.losses >= settings_.block_threshold;
   const auto found = suspects_.find(fingerprint);
   if (found != suspects_.end()) {
     delta.time_to_live = found->second.expires - now;
@@ -80,7 +80,7 @@
 void SuspectTable::Set(Fingerprint fingerprint,
                        std::int64_t losses,
                        Time expires) {
-  if (suspects_.size() >= settings_.most_suspects &&
+  if (suspects_.size() >= settings_.max_suspects &&
       !suspects_.contains(fingerprint)) {
     return;
   }
--- a/coordination/membership/suspect_table.h
+++ b/coordination/membership/suspect_table.h
@@ -15,11 +15,11 @@
   // Number of lost endpoints at which a fingerprint is blocked; at least 2. All
   // losses that a fingerprint shares with other requests together count as one,
   // because any of those requests may have caused them.
-  std::int64_t most_endpoints = 2;
+  std::int64_t block_threshold = 2;
   // Evidence older than this is forgotten.
   Duration expiry = Duration::Seconds(1800);
   // Bounds the memory; if the table is full, new suspects are ignored.
-  std::size_t most_suspects = 20000;
+  std::size_t max_suspects = 20000;
 };
 
 // The suspected fingerprints that one node knows of.
--- a/coordination/node/entry_directory.cc
+++ b/coordination/node/entry_directory.cc
@@ -9,7 +9,7 @@
                                Random random)
     : settings_(settings), self_(std::move(self)), random_(std::move(random)) {}
 
-EntryAnswer EntryDirectory::Answer(const View& view) const {
+EntryAnswer EntryDirectory::SelectEntries(const View& view) const {
   std::vector<const NodeRecord*> usable;
   for (const auto& [node, member] : view.members()) {
     if (member.state == MemberState::kAlive) {
@@ -25,8 +25,8 @@
   return answer;
 }
 
-Time EntryDirectory::ServeUntil(Time since) const {
-  return since + settings_.spread_time + settings_.keep;
+Time EntryDirectory::ServeUntil(Time leaving_since) const {
+  return leaving_since + settings_.spread_time + settings_.keep;
 }
 
 }  // namespace gcw
--- a/coordination/node/entry_directory.h
+++ b/coordination/node/entry_directory.h
@@ -40,10 +40,10 @@
  public:
   EntryDirectory(EntryDirectorySettings settings, NodeId self, Random random);
 
-  EntryAnswer Answer(const View& view) const;
-  // Returns until when a node that began to leave at `since` must go on serving
-  // callers: until then some of them may still have its address cached.
-  Time ServeUntil(Time since) const;
+  EntryAnswer SelectEntries(const View& view) const;
+  // Returns until when a node that began to leave at `leaving_since` must go on
+  // serving callers: until then some of them may still have its address cached.
+  Time ServeUntil(Time leaving_since) const;
 
  private:
   EntryDirectorySettings settings_;
--- a/coordination/node/node_core.cc
+++ b/coordination/node/node_core.cc
@@ -5,12 +5,12 @@
 namespace gcw {
 namespace {
 
-constexpr std::string_view kKeeperRole = "keeper/";
+constexpr std::string_view kKeeperRolePrefix = "keeper/";
 
 // Domain records are replicated like configuration, by the same watches and the
 // same exchange between nodes, because a node without them could open no group
 // while the key-value service is unreachable.
-ConfigSyncSettings SpreadDomains(ConfigSyncSettings settings) {
+ConfigSyncSettings WithDomainPrefix(ConfigSyncSettings settings) {
   settings.prefixes.emplace_back(kDomainPrefix);
   return settings;
 }
@@ -63,7 +63,7 @@
                       .SetEventSink(events_)
                       .Build()),
       configuration_(ConfigSync::Builder()
-                         .SetSettings(SpreadDomains(settings_.configuration))
+                         .SetSettings(WithDomainPrefix(settings_.configuration))
                          .SetSelf(settings_.self.id, settings_.self.zone)
                          .SetCodec(codecs_.config_record)
                          .SetRandom(random)
@@ -140,10 +140,10 @@
 }
 
 NodeActions NodeCore::Handle(Time now, const NodeEvent& event) {
-  std::visit([this, now](const auto& happened) { On(now, happened); }, event);
-  while (!to_self_.empty()) {
-    const PeerMessage message = std::move(to_self_.front());
-    to_self_.pop_front();
+  std::visit([this, now](const auto& typed) { OnEvent(now, typed); }, event);
+  while (!self_messages_.empty()) {
+    const PeerMessage message = std::move(self_messages_.front());
+    self_messages_.pop_front();
     std::visit(
         [this, now](const auto& body) { OnPeer(now, settings_.self.id, body); },
         message);
@@ -152,7 +152,7 @@
 }
 
 EntryAnswer NodeCore::Entries() const {
-  return entries_.Answer(membership_.view());
+  return entries_.SelectEntries(membership_.view());
 }
 
 IdempotencyKey NodeCore::IssueKey(Time now, const KeyDigest& key) {
@@ -181,17 +181,17 @@
   return records;
 }
 
-void NodeCore::On(Time now, const TimePassed&) {
+void NodeCore::OnEvent(Time now, const TimePassed&) {
   CallStoreFor(NodeModule::kNodeLease, lease_.Tick(now));
   Apply(now, membership_.Tick(now));
-  if (membership_.view_version() != seen_view_) {
-    seen_view_ = membership_.view_version();
+  if (membership_.view_version() != handled_view_version_) {
+    handled_view_version_ = membership_.view_version();
     OnViewChanged(now);
   }
   Apply(now, configuration_->Tick(now));
   UpdateRoles(now);
   CallStoreFor(NodeModule::kRoleLeases, roles_.Tick(now));
-  TellRoles(now);
+  PropagateHeldRoles(now);
   Apply(now, limits_.Tick(now));
   Apply(now, once_owner_->Tick(now));
   once_owner_->OnRevisionSeen(configuration_->highest_revision());
@@ -204,26 +204,26 @@
   retries_.Tick(now);
   Apply(now, requests_.Tick(now));
   UpdateRefusal(now);
-  AdvanceStop(now);
+  AdvancePlannedStop(now);
 }
 
-void NodeCore::On(Time now, const CallerArrived& event) {
+void NodeCore::OnEvent(Time now, const CallerArrived& event) {
   Apply(now, requests_.OnArrived(now, event));
 }
 
-void NodeCore::On(Time now, const CallerGone& event) {
+void NodeCore::OnEvent(Time now, const CallerGone& event) {
   Apply(now, requests_.OnCallerGone(now, event.request));
 }
 
-void NodeCore::On(Time now, const AttemptFirstByte& event) {
+void NodeCore::OnEvent(Time now, const AttemptFirstByte& event) {
   Apply(now, requests_.OnFirstByte(now, event));
 }
 
-void NodeCore::On(Time now, const AttemptEnded& event) {
+void NodeCore::OnEvent(Time now, const AttemptEnded& event) {
   Apply(now, requests_.OnEnded(now, event));
 }
 
-void NodeCore::On(Time now, const StoreAnswered& event) {
+void NodeCore::OnEvent(Time now, const StoreAnswered& event) {
   switch (event.module) {
     case NodeModule::kNodeLease:
       CallStoreFor(NodeModule::kNodeLease,
@@ -251,17 +251,17 @@
   }
 }
 
-void NodeCore::On(Time now, const PeerReceived& event) {
+void NodeCore::OnEvent(Time now, const PeerReceived& event) {
   std::visit(
       [this, now, &event](const auto& body) { OnPeer(now, event.from, body); },
       event.message);
 }
 
-void NodeCore::On(Time now, const VmListRead& event) {
+void NodeCore::OnEvent(Time now, const VmListRead& event) {
   Apply(now, endpoints_.OnVmList(now, event.snapshot));
 }
 
-void NodeCore::On(Time now, const ProbeAnswered& event) {
+void NodeCore::OnEvent(Time now, const ProbeAnswered& event) {
   if (event.module == NodeModule::kRequests) {
     Apply(now, requests_.OnChecked(now, event.id, event.reply));
     return;
@@ -269,36 +269,36 @@
   Apply(now, endpoints_.OnProbe(now, event.module, event.id, event.reply));
 }
 
-void NodeCore::On(Time now, const OrderAnswered& event) {
+void NodeCore::OnEvent(Time now, const OrderAnswered& event) {
   Apply(now, endpoints_.OnOrder(now, event.id, event.reply));
 }
 
-void NodeCore::On(Time now, const LoadReportRead& event) {
+void NodeCore::OnEvent(Time now, const LoadReportRead& event) {
   Apply(now, endpoints_.OnLoad(now, event.report));
 }
 
-void NodeCore::On(Time now, const CacheEventsRead& event) {
+void NodeCore::OnEvent(Time now, const CacheEventsRead& event) {
   Apply(now, endpoints_.OnCacheEvents(now, event.endpoint, event.batch));
 }
 
-void NodeCore::On(Time, const WeightStoreRead& event) {
+void NodeCore::OnEvent(Time, const WeightStoreRead& event) {
   keeper_.OnWeightStoreWait(event.wait);
 }
 
-void NodeCore::On(Time now, const OperatorChange& event) {
+void NodeCore::OnEvent(Time now, const OperatorChange& event) {
   operator_calls_[event.change.change].push_back(event.call);
   Apply(now, configuration_->Propose(now, event.change));
 }
 
-void NodeCore::On(Time, const OperatorDrainGroup& event) {
+void NodeCore::OnEvent(Time, const OperatorDrainGroup& event) {
   keeper_.OnDrainAsked(event.group);
 }
 
-void NodeCore::On(Time now, const OperatorAskRevision& event) {
+void NodeCore::OnEvent(Time now, const OperatorAskRevision& event) {
   Apply(now, configuration_->AskFloors(event.revision));
 }
 
-void NodeCore::On(Time now, const StopAsked&) {
+void NodeCore::OnEvent(Time now, const StopAsked&) {
   if (leaving_since_) {
     return;
   }
@@ -313,7 +313,7 @@
 
 // Advances a planned stop. Callers that have this node's address cached are
 // served until their copies have expired, and no request is cut off.
-void NodeCore::AdvanceStop(Time now) {
+void NodeCore::AdvancePlannedStop(Time now) {
   if (!leaving_since_ || stopped_ ||
       now < entries_.ServeUntil(*leaving_since_) ||
       requests_.open_requests() > 0) {
@@ -364,7 +364,7 @@
 void NodeCore::UpdateRoles(Time now) {
   std::set<RoleName> keepers;
   for (const FabricDomainId& domain : endpoints_.domains()) {
-    keepers.insert(RoleName(std::string(kKeeperRole) + domain.value()));
+    keepers.insert(RoleName(std::string(kKeeperRolePrefix) + domain.value()));
   }
   std::set<RoleName> shards;
   for (std::int64_t shard = 0; shard < settings_.limits.shards; ++shard) {
@@ -380,7 +380,7 @@
         RolesOf(settings_.self.id, keepers, view.OwnersIn(settings_.self.zone));
     desired.merge(RolesOf(settings_.self.id, shards, view.Owners()));
   }
-  KeepWhileReleasing(now, desired);
+  RetainReleasingRoles(now, desired);
   CallStoreFor(NodeModule::kRoleLeases,
                roles_.SetDesired(now, std::move(desired)));
 }
@@ -390,16 +390,16 @@
 // order, so that a view that changes back and forth would leave a domain
 // without repair. A limit role is released when no grant made under it is in
 // force any more.
-void NodeCore::KeepWhileReleasing(Time now, std::set<RoleName>& desired) {
+void NodeCore::RetainReleasingRoles(Time now, std::set<RoleName>& desired) {
   for (const RoleName& role : roles_.HeldRoles(now)) {
     if (desired.contains(role)) {
       releasing_.erase(role);
       continue;
     }
-    const auto [release, fresh] =
-        releasing_.try_emplace(role, now + settings_.role_hold);
+    const auto [release, is_new] =
+        releasing_.try_emplace(role, now + settings_.role_release_delay);
     const std::optional<LimitShard> shard = LimitShardOf(role);
-    if (fresh && shard) {
+    if (is_new && shard) {
       release->second = limits_.PrepareRelease(now, *shard);
     }
     if (now < release->second) {
@@ -408,15 +408,15 @@
   }
 }
 
-void NodeCore::TellRoles(Time now) {
+void NodeCore::PropagateHeldRoles(Time now) {
   std::map<RoleName, Time> held;
   for (const RoleName& role : roles_.HeldRoles(now)) {
     const HeldRole lease = *roles_.Held(role, now);
-    const auto before = announced_roles_.find(role);
+    const auto previous = announced_roles_.find(role);
     Time announced = now;
-    if (before != announced_roles_.end() &&
-        now - before->second < settings_.role_announcement) {
-      announced = before->second;
+    if (previous != announced_roles_.end() &&
+        now - previous->second < settings_.role_announcement_interval) {
+      announced = previous->second;
     } else {
       AnnounceRole(role, lease.fence);
     }
@@ -426,9 +426,9 @@
         limits_.OnRoleHeld(*shard, lease.fence, lease.valid_until);
       }
       limits_.OnOwner(*shard, settings_.self.id, lease.fence);
-    } else if (role.value().starts_with(kKeeperRole)) {
+    } else if (role.value().starts_with(kKeeperRolePrefix)) {
       keeper_.OnRoleHeld(
-          now, FabricDomainId(role.value().substr(kKeeperRole.size())),
+          now, FabricDomainId(role.value().substr(kKeeperRolePrefix.size())),
           lease.fence, lease.valid_until);
     }
   }
@@ -439,9 +439,9 @@
     releasing_.erase(role);
     if (const std::optional<LimitShard> shard = LimitShardOf(role)) {
       limits_.OnRoleLost(*shard);
-    } else if (role.value().starts_with(kKeeperRole)) {
+    } else if (role.value().starts_with(kKeeperRolePrefix)) {
       keeper_.OnRoleLost(
-          FabricDomainId(role.value().substr(kKeeperRole.size())));
+          FabricDomainId(role.value().substr(kKeeperRolePrefix.size())));
     }
   }
   announced_roles_ = std::move(held);
@@ -449,7 +449,7 @@
 
 void NodeCore::AnnounceRole(const RoleName& role, FencingToken fence) {
   if (LimitShardOf(role)) {
-    membership_.Spread(RoleHolderDelta{role, fence});
+    membership_.Broadcast(RoleHolderDelta{role, fence});
   }
 }
 
--- a/coordination/node/node_core.h
+++ b/coordination/node/node_core.h
@@ -65,10 +65,10 @@
   EndpointDeskSettings endpoints;
   RequestDeskSettings requests;
   // How long this node keeps a keeper role that is assigned to another node.
-  Duration role_hold = Duration::Seconds(10);
+  Duration role_release_delay = Duration::Seconds(10);
   // Interval between announcements of a held role, for nodes that joined after
   // the previous one.
-  Duration role_announcement = Duration::Seconds(20);
+  Duration role_announcement_interval = Duration::Seconds(20);
 };
 
 // Makes the decisions of one node: takes an event and the time and returns the
@@ -120,23 +120,23 @@
            Time started);
 
   // Events.
-  void On(Time now, const TimePassed& event);
-  void On(Time now, const CallerArrived& event);
-  void On(Time now, const CallerGone& event);
-  void On(Time now, const AttemptFirstByte& event);
-  void On(Time now, const AttemptEnded& event);
-  void On(Time now, const StoreAnswered& event);
-  void On(Time now, const PeerReceived& event);
-  void On(Time now, const VmListRead& event);
-  void On(Time now, const ProbeAnswered& event);
-  void On(Time now, const OrderAnswered& event);
-  void On(Time now, const LoadReportRead& event);
-  void On(Time now, const CacheEventsRead& event);
-  void On(Time now, const WeightStoreRead& event);
-  void On(Time now, const OperatorChange& event);
-  void On(Time now, const OperatorDrainGroup& event);
-  void On(Time now, const OperatorAskRevision& event);
-  void On(Time now, const StopAsked& event);
+  void OnEvent(Time now, const TimePassed& event);
+  void OnEvent(Time now, const CallerArrived& event);
+  void OnEvent(Time now, const CallerGone& event);
+  void OnEvent(Time now, const AttemptFirstByte& event);
+  void OnEvent(Time now, const AttemptEnded& event);
+  void OnEvent(Time now, const StoreAnswered& event);
+  void OnEvent(Time now, const PeerReceived& event);
+  void OnEvent(Time now, const VmListRead& event);
+  void OnEvent(Time now, const ProbeAnswered& event);
+  void OnEvent(Time now, const OrderAnswered& event);
+  void OnEvent(Time now, const LoadReportRead& event);
+  void OnEvent(Time now, const CacheEventsRead& event);
+  void OnEvent(Time now, const WeightStoreRead& event);
+  void OnEvent(Time now, const OperatorChange& event);
+  void OnEvent(Time now, const OperatorDrainGroup& event);
+  void OnEvent(Time now, const OperatorAskRevision& event);
+  void OnEvent(Time now, const StopAsked& event);
 
   // Messages from other nodes.
   void OnPeer(Time now, const NodeId& from, const MembershipMessage& message);
@@ -157,18 +157,18 @@
   void Apply(Time now, EndpointDeskActions actions);
   void Apply(Time now, RequestDeskActions actions);
 
-  void OnDelta(Time now, const DeltaHeard& heard);
+  void OnDelta(Time now, const DeltaReceived& received);
   void OnConfigApplied(Time now, const ConfigEntry& entry);
   void OnContractEntry(Time now, const ConfigEntry& entry);
   void OnModelEntry(const ConfigEntry& entry);
   void OnProposalFinished(const ProposalFinished& finished);
   void OnViewChanged(Time now);
   void UpdateRoles(Time now);
-  void KeepWhileReleasing(Time now, std::set<RoleName>& desired);
-  void TellRoles(Time now);
+  void RetainReleasingRoles(Time now, std::set<RoleName>& desired);
+  void PropagateHeldRoles(Time now);
   void AnnounceRole(const RoleName& role, FencingToken fence);
   void UpdateRefusal(Time now);
-  void AdvanceStop(Time now);
+  void AdvancePlannedStop(Time now);
   void CallStoreFor(NodeModule module, StoreRequest request);
   // Messages to this node itself are queued and handled after the current
   // event.
@@ -196,18 +196,18 @@
   EndpointDesk endpoints_;
   RequestDesk requests_;
 
-  std::uint64_t seen_view_ = 0;
+  std::uint64_t handled_view_version_ = 0;
   // Roles that were held at the last tick, with the time of their last
   // announcement.
   std::map<RoleName, Time> announced_roles_;
   // Held roles that are assigned to another node, with the time at which each
   // may be released.
   std::map<RoleName, Time> releasing_;
-  std::map<std::string, WantedModel> wanted_;
+  std::map<std::string, WantedModel> models_;
   std::map<ChangeId, std::vector<OperatorCallId>> operator_calls_;
   std::optional<Time> leaving_since_;
   bool stopped_ = false;
-  std::deque<PeerMessage> to_self_;
+  std::deque<PeerMessage> self_messages_;
   NodeActions actions_;
 };
 
--- a/coordination/node/node_core_actions.cc
+++ b/coordination/node/node_core_actions.cc
@@ -8,7 +8,7 @@
 
 void NodeCore::Send(const NodeId& to, PeerMessage message) {
   if (to == settings_.self.id) {
-    to_self_.push_back(std::move(message));
+    self_messages_.push_back(std::move(message));
     return;
   }
   const Member* member = membership_.view().Find(to);
@@ -91,16 +91,17 @@
 void NodeCore::Apply(Time now, std::vector<MembershipAction> actions) {
   for (MembershipAction& action : actions) {
     std::visit(
-        Overloaded{[this](StoreRequest& request) {
-                     CallStoreFor(NodeModule::kMembership, std::move(request));
-                   },
-                   [this](PeerSend<MembershipMessage>& send) {
-                     Send(send.to, std::move(send.message));
-                   },
-                   // Not needed: a change of the view's version is noticed at
-                   // each tick.
-                   [](MemberChanged&) {},
-                   [this, now](DeltaHeard& heard) { OnDelta(now, heard); }},
+        Overloaded{
+            [this](StoreRequest& request) {
+              CallStoreFor(NodeModule::kMembership, std::move(request));
+            },
+            [this](PeerSend<MembershipMessage>& send) {
+              Send(send.to, std::move(send.message));
+            },
+            // Not needed: a change of the view's version is noticed at
+            // each tick.
+            [](MemberChanged&) {},
+            [this, now](DeltaReceived& received) { OnDelta(now, received); }},
         action);
   }
 }
@@ -188,7 +189,7 @@
                      Send(send.to, std::move(send.message));
                    },
                    [this, now](GuardSpread& spread) {
-                     membership_.Spread(spread.delta);
+                     membership_.Broadcast(spread.delta);
                    },
                    [this](GuardPeerSend& send) {
                      Send(send.to, std::move(send.message));
@@ -197,17 +198,17 @@
   }
 }
 
-void NodeCore::OnDelta(Time now, const DeltaHeard& heard) {
-  std::visit(Overloaded{[&](const FingerprintDelta& delta) {
-                          guard_->OnDelta(now, delta);
-                        },
-                        [&](const RoleHolderDelta& holder) {
-                          if (const std::optional<LimitShard> shard =
-                                  LimitShardOf(holder.role)) {
-                            limits_.OnOwner(*shard, heard.origin, holder.fence);
-                          }
-                        }},
-             heard.delta);
+void NodeCore::OnDelta(Time now, const DeltaReceived& received) {
+  std::visit(
+      Overloaded{
+          [&](const FingerprintDelta& delta) { guard_->OnDelta(now, delta); },
+          [&](const RoleHolderDelta& holder) {
+            if (const std::optional<LimitShard> shard =
+                    LimitShardOf(holder.role)) {
+              limits_.OnOwner(*shard, received.origin, holder.fence);
+            }
+          }},
+      received.delta);
 }
 
 void NodeCore::OnConfigApplied(Time now, const ConfigEntry& entry) {
@@ -235,15 +236,15 @@
 }
 
 void NodeCore::OnModelEntry(const ConfigEntry& entry) {
-  wanted_.erase(entry.key);
+  models_.erase(entry.key);
   if (entry.record.value) {
     if (std::optional<WantedModel> model =
             codecs_.decode_model(*entry.record.value)) {
-      wanted_.emplace(entry.key, std::move(*model));
+      models_.emplace(entry.key, std::move(*model));
     }
   }
   std::vector<WantedModel> models;
-  for (const auto& [key, model] : wanted_) {
+  for (const auto& [key, model] : models_) {
     models.push_back(model);
   }
   keeper_.OnWantedModels(std::move(models));
--- a/tests/coordination/membership/membership_test.cc
+++ b/tests/coordination/membership/membership_test.cc
@@ -9,7 +9,7 @@
 namespace {
 
 // Lets messages pass only among the nodes of `side` and among the others.
-void Split(MemberCluster& cluster, const std::set<NodeId>& side) {
+void SetPartition(MemberCluster& cluster, const std::set<NodeId>& side) {
   cluster.network().SetConnected([side](const NodeId& a, const NodeId& b) {
     return side.contains(a) == side.contains(b);
   });
@@ -55,7 +55,7 @@
 // earlier runs, with addresses at which nothing listens, are still in the
 // service. A node must not take the key of its earlier run for that of the
 // current one.
-TEST(MembershipTest, NodesThatStartAnewTogetherFindEachOther) {
+TEST(MembershipTest, NodesThatRestartTogetherFindEachOther) {
   constexpr std::size_t kNodes = 4;
   MemberCluster cluster(kNodes, 10);
   for (std::size_t i = 0; i < kNodes; ++i) {
@@ -93,7 +93,7 @@
 
 // Guards against nodes that repeatedly drop out and return while a tenth of all
 // messages is lost, because they get no time to refute a suspicion.
-TEST(MembershipTest, LossyNetworkKillsNobody) {
+TEST(MembershipTest, LossyNetworkMarksNoNodeDead) {
   MemberCluster cluster(20, 4);
   cluster.Run(Duration::Seconds(5));
   cluster.network().faults().lost = 0.1;
@@ -105,7 +105,7 @@
 // Guards against a node that reports healthy nodes as dead when it resumes
 // after a pause that began while its probes and suspicions were pending: it
 // takes the silence during its own pause for that of the others.
-TEST(MembershipTest, PausedNodeAccusesNobody) {
+TEST(MembershipTest, PausedNodeSuspectsNobody) {
   MemberCluster cluster(10, 5);
   cluster.Run(Duration::Seconds(10));
   for (int round = 0; round < 20; ++round) {
@@ -123,7 +123,7 @@
 
 // Guards against a node that stays dead in the others' views after a long
 // pause, because its refutation does not reach the nodes that believe it dead.
-TEST(MembershipTest, LongPausedNodeComesBack) {
+TEST(MembershipTest, LongPausedNodeRejoins) {
   MemberCluster cluster(10, 6);
   cluster.Run(Duration::Seconds(10));
   cluster.nodes()[3].paused = true;
@@ -144,10 +144,10 @@
   for (int i = 0; i < 10; ++i) {
     half.insert(NodeId("n" + std::to_string(i)));
   }
-  Split(cluster, half);
+  SetPartition(cluster, half);
   cluster.Run(Duration::Seconds(3600));
   EXPECT_EQ(cluster.Seeing(0, MemberState::kDead), 10U);
-  Split(cluster, {});
+  SetPartition(cluster, {});
   cluster.Run(Duration::Seconds(60));
   EXPECT_TRUE(cluster.Agrees());
 }
@@ -186,7 +186,7 @@
   EXPECT_EQ(cluster.Seeing(5, MemberState::kLeaving), 59U);
   for (int i = 0; i < 20; ++i) {
     const View& view = cluster.nodes()[0].members->view();
-    for (const EntryAddress& entry : directory.Answer(view).entries) {
+    for (const EntryAddress& entry : directory.SelectEntries(view).entries) {
       EXPECT_NE(entry.address, cluster.nodes()[5].record.caller_address);
     }
   }
@@ -204,10 +204,10 @@
                                .blocked = true,
                                .losses = 2,
                                .time_to_live = Duration::Seconds(600)};
-  cluster.nodes()[0].members->Spread(block);
+  cluster.nodes()[0].members->Broadcast(block);
   cluster.Run(Duration::Seconds(20));
   for (std::size_t i = 1; i < 40; ++i) {
-    EXPECT_EQ(cluster.nodes()[i].heard, std::vector<Delta>{block});
+    EXPECT_EQ(cluster.nodes()[i].received_deltas, std::vector<Delta>{block});
   }
 }
 
@@ -260,14 +260,14 @@
                                  !cluster.link().faults().outage);
         break;
       default:
-        Split(cluster, {node.record.id, NodeId("n3"), NodeId("n6")});
+        SetPartition(cluster, {node.record.id, NodeId("n3"), NodeId("n6")});
     }
     cluster.Run(
         Duration::Millis(static_cast<std::int64_t>(DrawBelow(random, 5000))));
   }
   cluster.link().SetOutage(cluster.now(), false);
   cluster.network().faults() = FakeNetworkFaults();
-  Split(cluster, {});
+  SetPartition(cluster, {});
   for (MemberCluster::Node& node : cluster.nodes()) {
     node.paused = false;
     if (node.up && node.members->self().version.incarnation == Incarnation()) {
--- a/tests/coordination/node/node_core_test.cc
+++ b/tests/coordination/node/node_core_test.cc
@@ -28,7 +28,7 @@
 // Three nodes and five VMs in one fabric domain, with groups of two VMs.
 class NodeCoreTest : public testing::Test {
  protected:
-  void Start() {
+  void StartFleet() {
     for (const char* id : {"n1", "n2", "n3"}) {
       fleet_.AddNode(id, "z1");
     }
@@ -42,13 +42,13 @@
     model.model = ModelId("notes");
     model.vms_per_group = 2;
     model.targets[ZoneId("z1")] = GroupTarget{2, 2};
-    fleet_.WantModel(NodeId("n1"), model);
+    fleet_.SetModel(NodeId("n1"), model);
     fleet_.RunFor(Duration::Seconds(60));
   }
 
-  RequestId Ask(const std::string& node,
-                RequestTarget target,
-                const std::string& key = "") {
+  RequestId SendRequest(const std::string& node,
+                        RequestTarget target,
+                        const std::string& key = "") {
     CallerArrived arrived;
     arrived.key = kKey;
     arrived.profile.id = RequestId("r" + std::to_string(++last_request_));
@@ -80,23 +80,24 @@
 // and answers each call with 404. 404 was read as an expired lease, even in
 // reply to a lease grant, and an expired lease is requested again at once: 90
 // calls a second per node.
-TEST_F(NodeCoreTest, AServiceThatKnowsNoLeaseIsNotFlooded) {
+TEST_F(NodeCoreTest, AServiceWithoutLeasesIsNotFlooded) {
   for (const char* id : {"n1", "n2", "n3"}) {
     fleet_.AddNode(id, "z1");
   }
-  fleet_.store().faults().knows_no_lease = true;
+  fleet_.store().faults().lease_unknown = true;
   fleet_.RunFor(Duration::Seconds(10));
   const std::int64_t before = fleet_.store().calls();
   fleet_.RunFor(Duration::Seconds(30));
   EXPECT_LE(fleet_.store().calls() - before, 3 * 30 * 2);
 }
 
-TEST_F(NodeCoreTest, GroupsComeToBeAndServeThroughEveryNode) {
-  Start();
+TEST_F(NodeCoreTest, GroupsFormAndServeThroughEveryNode) {
+  StartFleet();
   for (const char* node : {"n1", "n2", "n3"}) {
     EXPECT_TRUE(fleet_.core(node).ready());
     EXPECT_EQ(fleet_.core(node).Endpoints(fleet_.now()).size(), 3U) << node;
-    const RequestId request = Ask(node, ModelTarget{ModelId("notes"), {}});
+    const RequestId request =
+        SendRequest(node, ModelTarget{ModelId("notes"), {}});
     fleet_.RunFor(Duration::Seconds(1));
     EXPECT_TRUE(fleet_.answered.contains(request)) << node;
   }
@@ -106,7 +107,7 @@
 // groups of two data centres were written. The keeper planned over records of
 // domains in which its own zone has no VM, and the planner looked up the VMs of
 // such a domain.
-TEST_F(NodeCoreTest, KeepersOfTwoZonesHearOfEachOthersRecords) {
+TEST_F(NodeCoreTest, KeepersOfTwoZonesHandleEachOthersRecords) {
   fleet_.AddNode("n1", "z1");
   fleet_.AddNode("n2", "z2");
   for (const char* zone : {"1", "2"}) {
@@ -121,7 +122,7 @@
   model.vms_per_group = 2;
   model.targets[ZoneId("z1")] = GroupTarget{1, 1};
   model.targets[ZoneId("z2")] = GroupTarget{1, 1};
-  fleet_.WantModel(NodeId("n1"), model);
+  fleet_.SetModel(NodeId("n1"), model);
   fleet_.RunFor(Duration::Seconds(60));
   EXPECT_EQ(fleet_.core("n1").Endpoints(fleet_.now()).size(), 2U);
   EXPECT_EQ(fleet_.core("n2").Endpoints(fleet_.now()).size(), 2U);
@@ -131,7 +132,7 @@
 // than the first died. The first VM still answers, so that only evidence of
 // each VM shows the loss.
 TEST_F(NodeCoreTest, AGroupThatLostAVmClosesAndIsRepairedWithTheSpare) {
-  Start();
+  StartFleet();
   FleetEngine* victim = nullptr;
   for (auto& [id, engine] : fleet_.engines()) {
     if (engine.loaded.members.size() == 2 &&
@@ -153,41 +154,46 @@
 }
 
 TEST_F(NodeCoreTest, ASecondSendWithTheSameKeyIsReplayedThroughAnyNode) {
-  Start();
+  StartFleet();
   const RequestTarget desk = ServiceTarget{ServiceId("desk")};
-  const RequestId first = Ask("n1", desk, "reservation-1");
+  const RequestId first = SendRequest("n1", desk, "reservation-1");
   fleet_.RunFor(Duration::Seconds(3));
   ASSERT_TRUE(fleet_.answered.contains(first));
   const std::size_t before = executions();
   for (const char* node : {"n1", "n2", "n3"}) {
-    const RequestId again = Ask(node, desk, "reservation-1");
+    const RequestId again = SendRequest(node, desk, "reservation-1");
     fleet_.RunFor(Duration::Seconds(3));
-    ASSERT_TRUE(fleet_.told.contains(again)) << node;
-    EXPECT_TRUE(std::holds_alternative<TellReplay>(fleet_.told.at(again)));
+    ASSERT_TRUE(fleet_.final_actions.contains(again)) << node;
+    EXPECT_TRUE(
+        std::holds_alternative<TellReplay>(fleet_.final_actions.at(again)));
   }
   EXPECT_EQ(executions(), before);
 }
 
 TEST_F(NodeCoreTest, AWithdrawnContractIsRefusedAtEveryNode) {
-  Start();
+  StartFleet();
   const ConfigEntry* entry =
       fleet_.core("n2").configuration().store().Find("contract/branch");
   ASSERT_NE(entry, nullptr);
-  fleet_.Change(NodeId("n2"), "contract/branch", std::nullopt, entry->revision);
+  fleet_.ChangeConfig(NodeId("n2"), "contract/branch", std::nullopt,
+                      entry->revision);
   fleet_.RunFor(Duration::Seconds(5));
   for (const char* node : {"n1", "n2", "n3"}) {
-    const RequestId request = Ask(node, ModelTarget{ModelId("notes"), {}});
+    const RequestId request =
+        SendRequest(node, ModelTarget{ModelId("notes"), {}});
     fleet_.RunFor(Duration::Millis(200));
-    ASSERT_TRUE(fleet_.told.contains(request));
-    const auto* told = std::get_if<TellRefused>(&fleet_.told.at(request));
-    ASSERT_NE(told, nullptr);
-    EXPECT_EQ(told->refusal.kind, RefusalKind::kUnknownKey);
+    ASSERT_TRUE(fleet_.final_actions.contains(request));
+    const auto* refused =
+        std::get_if<TellRefused>(&fleet_.final_actions.at(request));
+    ASSERT_NE(refused, nullptr);
+    EXPECT_EQ(refused->refusal.kind, RefusalKind::kUnknownKey);
   }
 }
 
-TEST_F(NodeCoreTest, APlannedStopCutsNoRequestAndEnds) {
-  Start();
-  const RequestId request = Ask("n3", ModelTarget{ModelId("notes"), {}});
+TEST_F(NodeCoreTest, APlannedStopCompletesWithoutFailingRequests) {
+  StartFleet();
+  const RequestId request =
+      SendRequest("n3", ModelTarget{ModelId("notes"), {}});
   fleet_.Deliver(NodeId("n3"), StopAsked{});
   fleet_.RunFor(Duration::Seconds(1));
   EXPECT_TRUE(fleet_.answered.contains(request));
@@ -196,7 +202,7 @@
   }
   // Callers that have the address cached are still served until the cached copy
   // expires.
-  const RequestId late = Ask("n3", ModelTarget{ModelId("notes"), {}});
+  const RequestId late = SendRequest("n3", ModelTarget{ModelId("notes"), {}});
   fleet_.RunFor(Duration::Seconds(1));
   EXPECT_TRUE(fleet_.answered.contains(late));
   fleet_.RunFor(Duration::Seconds(120));
--- a/tests/support/core_fleet.h
+++ b/tests/support/core_fleet.h
@@ -51,7 +51,7 @@
   EngineOrder loaded;
   EngineState state = EngineState::kIdle;
   Time ready_at;
-  FencingToken seen;
+  FencingToken highest_fence;
   // Attempts that this engine began to run.
   std::vector<AttemptId> executed;
 };
@@ -60,7 +60,7 @@
 // engines, in virtual time.
 class CoreFleet {
  public:
-  struct Told {
+  struct FinalAction {
     NodeAction answer;
   };
   struct Node {
@@ -68,7 +68,7 @@
     std::unique_ptr<NodeCore> core;
     // A paused node does not tick; its events are queued.
     bool paused = false;
-    std::vector<NodeEvent> held;
+    std::vector<NodeEvent> queued_events;
   };
 
   explicit CoreFleet(std::uint64_t seed)
@@ -104,8 +104,8 @@
         settings.seeds.push_back(peer.record);
       }
     }
-    if (tune) {
-      tune(settings);
+    if (adjust_settings) {
+      adjust_settings(settings);
     }
     node.core = NodeCore::Builder()
                     .SetSettings(std::move(settings))
@@ -143,10 +143,10 @@
   }
 
   // Makes an operator's change through this node.
-  void Change(const NodeId& node,
-              const std::string& key,
-              std::optional<std::string> value,
-              Revision expected) {
+  void ChangeConfig(const NodeId& node,
+                    const std::string& key,
+                    std::optional<std::string> value,
+                    Revision expected) {
     Deliver(node,
             OperatorChange{
                 OperatorCallId(++last_call_),
@@ -154,12 +154,12 @@
                              ChangeId("c" + std::to_string(last_call_))}});
   }
   void AddContract(const NodeId& node, const Contract& contract) {
-    Change(node, "contract/" + contract.id.value(), contracts_.Encode(contract),
-           Revision());
+    ChangeConfig(node, "contract/" + contract.id.value(),
+                 contracts_.Encode(contract), Revision());
   }
-  void WantModel(const NodeId& node, const WantedModel& model) {
-    Change(node, "setting/model/" + model.model.value(), models_.Encode(model),
-           Revision());
+  void SetModel(const NodeId& node, const WantedModel& model) {
+    ChangeConfig(node, "setting/model/" + model.model.value(),
+                 models_.Encode(model), Revision());
   }
 
   // Runs until `until` in steps of 10 ms and calls `each` after each step.
@@ -182,17 +182,17 @@
       return;
     }
     if (node.paused) {
-      node.held.push_back(event);
+      node.queued_events.push_back(event);
       return;
     }
     for (NodeAction& action : node.core->Handle(now_, event)) {
-      Carry(id, std::move(action));
+      Perform(id, std::move(action));
     }
   }
   void Resume(const NodeId& id) {
     Node& node = nodes_.at(id);
     node.paused = false;
-    for (const NodeEvent& event : std::exchange(node.held, {})) {
+    for (const NodeEvent& event : std::exchange(node.queued_events, {})) {
       Deliver(id, event);
     }
   }
@@ -206,14 +206,14 @@
   FakeNetwork<PeerMessage>& network() { return network_; }
   // The final action for each request that ended without an `AttemptAnswered`;
   // see `answered` for the others.
-  std::map<RequestId, NodeAction> told;
+  std::map<RequestId, NodeAction> final_actions;
   std::set<RequestId> answered;
   std::vector<EventDraft> events;
   // Called for each dispatch.
   std::function<void(const NodeId&, const DispatchAttempt&)> on_dispatch;
-  std::function<void(NodeCoreSettings&)> tune;
+  std::function<void(NodeCoreSettings&)> adjust_settings;
   // Returns true if a node can reach a VM.
-  std::function<bool(const NodeId&, const VmId&)> reaches =
+  std::function<bool(const NodeId&, const VmId&)> can_reach =
       [](const NodeId&, const VmId&) { return true; };
   bool stopped(const NodeId& id) const { return stopped_.contains(id); }
 
@@ -250,9 +250,9 @@
   }
 
   void Step() {
-    while (!later_.empty() && later_.begin()->first <= now_) {
-      const std::function<void()> task = std::move(later_.begin()->second);
-      later_.erase(later_.begin());
+    while (!scheduled_.empty() && scheduled_.begin()->first <= now_) {
+      const std::function<void()> task = std::move(scheduled_.begin()->second);
+      scheduled_.erase(scheduled_.begin());
       task();
     }
     for (auto& delivery : network_.Deliver(now_)) {
@@ -274,17 +274,18 @@
     }
   }
 
-  void Later(Duration after, std::function<void()> task) {
-    later_.emplace(now_ + after, std::move(task));
+  void Schedule(Duration after, std::function<void()> task) {
+    scheduled_.emplace(now_ + after, std::move(task));
   }
   void Reply(const NodeId& to, Duration after, NodeEvent event) {
-    Later(after, [this, to, event = std::move(event)] { Deliver(to, event); });
+    Schedule(after,
+             [this, to, event = std::move(event)] { Deliver(to, event); });
   }
 
-  void Carry(const NodeId& from, NodeAction action) {
+  void Perform(const NodeId& from, NodeAction action) {
     std::visit(
         Overloaded{
-            [&](DispatchAttempt& dispatch) { Run(from, dispatch); },
+            [&](DispatchAttempt& dispatch) { RunAttempt(from, dispatch); },
             [&](CallStore& call) {
               store_.Send(now_,
                           from.value() + "|" +
@@ -294,8 +295,8 @@
             [&](SendToPeer& send) {
               network_.Send(now_, from, send.to, std::move(send.message));
             },
-            [&](SendProbe& probe) { Probe(from, probe); },
-            [&](SendOrder& order) { Order(from, order); },
+            [&](SendProbe& probe) { AnswerProbe(from, probe); },
+            [&](SendOrder& order) { AnswerOrder(from, order); },
             [&](ReadVmList&) {
               VmListSnapshot list;
               list.as_of = now_;
@@ -315,7 +316,7 @@
             },
             [&](StopNow&) {
               stopped_.insert(from);
-              Later(Duration::Millis(10), [this, from] { KillNode(from); });
+              Schedule(Duration::Millis(10), [this, from] { KillNode(from); });
             },
             [&](CancelAttempt& cancel) {
               Reply(from, Duration::Millis(10),
@@ -324,25 +325,25 @@
                                               AttemptProgress::kMaybeSent,
                                               TokenCount()}});
             },
-            [&](auto& other) { NoteAnswer(std::move(other)); }},
+            [&](auto& other) { RecordFinalAction(std::move(other)); }},
         action);
   }
 
   template <typename Action>
-  void NoteAnswer(Action action) {
+  void RecordFinalAction(Action action) {
     if constexpr (requires { action.request; }) {
       const RequestId request = action.request;
-      told.insert_or_assign(request, NodeAction(std::move(action)));
+      final_actions.insert_or_assign(request, NodeAction(std::move(action)));
     }
   }
 
-  FleetEngine* At(const Address& address) {
+  FleetEngine* FindEngine(const Address& address) {
     const auto found = engines_.find(VmId(address.value()));
     return found == engines_.end() ? nullptr : &found->second;
   }
 
   // Returns true if all members of the engine's group run its generation.
-  bool IsWhole(const FleetEngine& first) {
+  bool HasAllMembers(const FleetEngine& first) {
     for (const GroupMember& member : first.loaded.members) {
       const FleetEngine& engine = engines_.at(member.vm);
       if (!engine.alive || engine.state != EngineState::kReady ||
@@ -354,27 +355,28 @@
     return true;
   }
 
-  void Run(const NodeId& from, const DispatchAttempt& dispatch) {
+  void RunAttempt(const NodeId& from, const DispatchAttempt& dispatch) {
     if (on_dispatch) {
       on_dispatch(from, dispatch);
     }
-    const auto broke = [&](AttemptBreakKind kind, AttemptProgress progress) {
+    const auto fail = [&](AttemptBreakKind kind, AttemptProgress progress) {
       Reply(from, Duration::Millis(10),
             AttemptEnded{dispatch.request, dispatch.attempt,
                          AttemptBroke{kind, progress, TokenCount()}});
     };
-    FleetEngine* engine = At(dispatch.endpoint.address);
-    if (engine == nullptr || !engine->alive || !reaches(from, engine->vm.id)) {
-      broke(AttemptBreakKind::kConnectRefused, AttemptProgress::kNothingSent);
+    FleetEngine* engine = FindEngine(dispatch.endpoint.address);
+    if (engine == nullptr || !engine->alive ||
+        !can_reach(from, engine->vm.id)) {
+      fail(AttemptBreakKind::kConnectRefused, AttemptProgress::kNothingSent);
       return;
     }
     if (now_ >= dispatch.send_before) {
-      broke(AttemptBreakKind::kWithheld, AttemptProgress::kNothingSent);
+      fail(AttemptBreakKind::kWithheld, AttemptProgress::kNothingSent);
       return;
     }
     const bool is_model = dispatch.endpoint.service.empty();
     if (is_model &&
-        (engine->state != EngineState::kReady || !IsWhole(*engine) ||
+        (engine->state != EngineState::kReady || !HasAllMembers(*engine) ||
          engine->loaded.generation != dispatch.endpoint.generation)) {
       Reply(from, Duration::Millis(10),
             AttemptEnded{dispatch.request, dispatch.attempt, AttemptRefused{}});
@@ -383,12 +385,13 @@
     engine->executed.push_back(dispatch.attempt);
     Reply(from, kFirstByte,
           AttemptFirstByte{dispatch.request, dispatch.attempt});
-    Later(kAnswer, [this, from, dispatch, engine] {
-      const bool whole = engine->alive && (!dispatch.endpoint.service.empty() ||
-                                           IsWhole(*engine));
+    Schedule(kAnswer, [this, from, dispatch, engine] {
+      const bool is_complete =
+          engine->alive &&
+          (!dispatch.endpoint.service.empty() || HasAllMembers(*engine));
       AttemptEnd end = AttemptBroke{AttemptBreakKind::kReset,
                                     AttemptProgress::kMaybeSent, TokenCount()};
-      if (whole) {
+      if (is_complete) {
         AttemptAnswered done;
         done.generated = TokenCount(8);
         if (dispatch.keep_answer) {
@@ -401,10 +404,10 @@
     });
   }
 
-  void Probe(const NodeId& from, const SendProbe& send) {
-    FleetEngine* engine = At(send.probe.address);
+  void AnswerProbe(const NodeId& from, const SendProbe& send) {
+    FleetEngine* engine = FindEngine(send.probe.address);
     const bool up =
-        engine != nullptr && engine->alive && reaches(from, engine->vm.id);
+        engine != nullptr && engine->alive && can_reach(from, engine->vm.id);
     if (!up) {
       Reply(from, send.probe.timeout,
             ProbeAnswered{send.module, send.probe.id,
@@ -423,7 +426,7 @@
     status.model = engine->loaded.model;
     status.generation = engine->loaded.generation;
     status.state = engine->state;
-    status.fence = engine->seen;
+    status.fence = engine->highest_fence;
     for (std::size_t rank = 0; rank < engine->loaded.members.size(); ++rank) {
       const VmId& member = engine->loaded.members[rank].vm;
       if (member == engine->vm.id) {
@@ -439,26 +442,27 @@
           ProbeAnswered{send.module, send.probe.id, status});
   }
 
-  void Order(const NodeId& from, const SendOrder& send) {
-    FleetEngine* engine = At(send.address);
+  void AnswerOrder(const NodeId& from, const SendOrder& send) {
+    FleetEngine* engine = FindEngine(send.address);
     if (now_ >= send.send_before) {
       Reply(from, Duration::Millis(10),
             OrderAnswered{send.id, OrderWithheld{}});
       return;
     }
-    if (engine == nullptr || !engine->alive || !reaches(from, engine->vm.id)) {
+    if (engine == nullptr || !engine->alive ||
+        !can_reach(from, engine->vm.id)) {
       Reply(from, send.timeout, OrderAnswered{send.id, OrderNoAnswer{}});
       return;
     }
     Reply(from, Duration::Millis(10),
-          OrderAnswered{send.id, Obey(*engine, send.order)});
+          OrderAnswered{send.id, Execute(*engine, send.order)});
   }
 
-  OrderReply Obey(FleetEngine& engine, const EngineOrder& order) {
-    if (!engine.ignores_fences && order.fence < engine.seen) {
-      return EngineOrderStale{engine.seen};
+  OrderReply Execute(FleetEngine& engine, const EngineOrder& order) {
+    if (!engine.ignores_fences && order.fence < engine.highest_fence) {
+      return EngineOrderStale{engine.highest_fence};
     }
-    engine.seen = std::max(engine.seen, order.fence);
+    engine.highest_fence = std::max(engine.highest_fence, order.fence);
     if (order.kind == EngineOrderKind::kLeave) {
       engine.loaded = EngineOrder();
       engine.state = EngineState::kIdle;
@@ -475,7 +479,7 @@
     engine.state = EngineState::kLoading;
     const VmId id = engine.vm.id;
     const Generation generation = order.generation;
-    Later(kLoadTime, [this, id, generation] {
+    Schedule(kLoadTime, [this, id, generation] {
       FleetEngine& loading = engines_.at(id);
       if (loading.alive && loading.state == EngineState::kLoading &&
           loading.loaded.generation == generation) {
@@ -491,7 +495,7 @@
   FakeStoreLink store_;
   std::map<NodeId, Node> nodes_;
   std::map<VmId, FleetEngine> engines_;
-  std::multimap<Time, std::function<void()>> later_;
+  std::multimap<Time, std::function<void()>> scheduled_;
   std::set<NodeId> stopped_;
   NumberedCodec<NodeRecord> records_;
   NumberedCodec<ConfigRecord> configs_;
--- a/tests/support/fake_engines.h
+++ b/tests/support/fake_engines.h
@@ -24,10 +24,10 @@
   Time ready_at;
   // Time at which the engine last stopped or left a group.
   Time lost_at;
-  FencingToken seen;
+  FencingToken highest_fence;
   std::int64_t active = 0;
   // Orders that the kernel received while the engine was paused.
-  std::vector<EngineOrder> unread;
+  std::vector<EngineOrder> queued_orders;
 
   const GroupId& group() const { return order.group; }
 };
@@ -58,9 +58,9 @@
 
   void Kill(Time now, const VmId& vm) {
     FakeEngine& engine = at(vm);
-    Forget(now, engine);
+    ResetGroup(now, engine);
     engine.is_up = false;
-    engine.unread.clear();
+    engine.queued_orders.clear();
   }
 
   void Restart(Time now, const VmId& vm) {
@@ -71,7 +71,7 @@
   }
 
   void Pause(Time now, const VmId& vm) {
-    NoteLoss(now, at(vm));
+    RecordLoss(now, at(vm));
     at(vm).is_paused = true;
   }
 
@@ -80,7 +80,7 @@
   void Resume(Time now, const VmId& vm) {
     FakeEngine& engine = at(vm);
     engine.is_paused = false;
-    for (const EngineOrder& order : std::exchange(engine.unread, {})) {
+    for (const EngineOrder& order : std::exchange(engine.queued_orders, {})) {
       Execute(now, vm, order);
     }
   }
@@ -91,15 +91,15 @@
                                     const EngineOrder& order) {
     FakeEngine& engine = at(vm);
     if (engine.is_up && engine.is_paused) {
-      engine.unread.push_back(order);
+      engine.queued_orders.push_back(order);
     }
     if (!engine.is_up || engine.is_paused) {
       return std::nullopt;
     }
-    if (engine.checks_fences && order.fence < engine.seen) {
-      return EngineOrderStale{engine.seen};
+    if (engine.checks_fences && order.fence < engine.highest_fence) {
+      return EngineOrderStale{engine.highest_fence};
     }
-    engine.seen = std::max(engine.seen, order.fence);
+    engine.highest_fence = std::max(engine.highest_fence, order.fence);
     const bool is_elsewhere =
         !engine.group().empty() && engine.group() != order.group;
     if (order.kind == EngineOrderKind::kLoad) {
@@ -110,7 +110,7 @@
       engine.state = EngineState::kLoading;
       engine.ready_at = now + load_time_;
     } else if (!is_elsewhere && order.kind == EngineOrderKind::kLeave) {
-      Forget(now, engine);
+      ResetGroup(now, engine);
     } else if (!is_elsewhere && engine.state == EngineState::kReady) {
       engine.state = EngineState::kDraining;
     }
@@ -130,11 +130,11 @@
     status.model = engine.order.model;
     status.generation = engine.order.generation;
     status.state = engine.state;
-    status.fence = engine.seen;
+    status.fence = engine.highest_fence;
     status.active = engine.active;
     if (IsFirst(engine)) {
       for (const GroupMember& member : engine.order.members) {
-        if (Sees(now, engine, member.vm)) {
+        if (ReportsMember(now, engine, member.vm)) {
           status.members_seen.push_back(member.vm);
         }
       }
@@ -159,23 +159,23 @@
   }
 
   // The first VM notices the loss of a member only after a delay.
-  bool Sees(Time now, const FakeEngine& first, const VmId& vm) {
-    const Duration lag = Duration::Millis(400);
+  bool ReportsMember(Time now, const FakeEngine& first, const VmId& vm) {
+    const Duration detection_delay = Duration::Millis(400);
     const FakeEngine& engine = at(vm);
     return IsPresent(vm, first.group(), first.order.generation) ||
-           (engine.lost_at != Time() && now - engine.lost_at < lag);
+           (engine.lost_at != Time() && now - engine.lost_at < detection_delay);
   }
 
   // Records when the engine was lost. The first VM still reports it for a
   // while, but not again when a VM that is already down is killed once more.
-  static void NoteLoss(Time now, FakeEngine& engine) {
+  static void RecordLoss(Time now, FakeEngine& engine) {
     if (engine.is_up && !engine.is_paused && !engine.group().empty()) {
       engine.lost_at = now;
     }
   }
 
-  static void Forget(Time now, FakeEngine& engine) {
-    NoteLoss(now, engine);
+  static void ResetGroup(Time now, FakeEngine& engine) {
+    RecordLoss(now, engine);
     engine.order = EngineOrder();
     engine.state = EngineState::kIdle;
     engine.active = 0;
--- a/tests/support/fake_network.h
+++ b/tests/support/fake_network.h
@@ -45,10 +45,10 @@
     if (!connected_(from, to)) {
       return;
     }
-    if (Draws(faults_.doubled)) {
+    if (Chance(faults_.doubled)) {
       Enqueue(now, from, to, message);
     }
-    if (!Draws(faults_.lost)) {
+    if (!Chance(faults_.lost)) {
       Enqueue(now, from, to, std::move(message));
     }
   }
@@ -56,9 +56,9 @@
   // Returns the messages that have arrived by `now`, in order of arrival.
   std::vector<Delivery> Deliver(Time now) {
     std::vector<Delivery> due;
-    while (!under_way_.empty() && under_way_.begin()->first <= now) {
-      Delivery delivery = std::move(under_way_.begin()->second);
-      under_way_.erase(under_way_.begin());
+    while (!in_flight_.empty() && in_flight_.begin()->first <= now) {
+      Delivery delivery = std::move(in_flight_.begin()->second);
+      in_flight_.erase(in_flight_.begin());
       if (connected_(delivery.from, delivery.to)) {
         due.push_back(std::move(delivery));
       }
@@ -69,25 +69,28 @@
   std::int64_t sent() const { return sent_; }
 
  private:
-  bool Draws(double share) { return share > 0 && DrawUnit(random_) < share; }
+  bool Chance(double probability) {
+    return probability > 0 && DrawUnit(random_) < probability;
+  }
 
   void Enqueue(Time now,
                const NodeId& from,
                const NodeId& to,
                Message message) {
-    const auto spread = faults_.max_delay.millis() - faults_.min_delay.millis();
+    const auto delay_range =
+        faults_.max_delay.millis() - faults_.min_delay.millis();
     const Duration delay =
         faults_.min_delay +
         Duration::Millis(static_cast<std::int64_t>(
-            DrawBelow(random_, static_cast<std::uint64_t>(spread) + 1)));
-    under_way_.emplace(now + delay, Delivery{from, to, std::move(message)});
+            DrawBelow(random_, static_cast<std::uint64_t>(delay_range) + 1)));
+    in_flight_.emplace(now + delay, Delivery{from, to, std::move(message)});
   }
 
   Random random_;
   FakeNetworkFaults faults_;
   std::function<bool(const NodeId&, const NodeId&)> connected_ =
       [](const NodeId&, const NodeId&) { return true; };
-  std::multimap<Time, Delivery> under_way_;
+  std::multimap<Time, Delivery> in_flight_;
   std::int64_t sent_ = 0;
 };
 
--- a/tests/support/fake_store_link.h
+++ b/tests/support/fake_store_link.h
@@ -24,7 +24,7 @@
   double busy = 0;
   // Each call is answered as if its lease had expired, without reaching the
   // store.
-  bool knows_no_lease = false;
+  bool lease_unknown = false;
   // Fraction of reads that are answered from the last snapshot.
   double stale_read = 0;
 };
@@ -62,19 +62,20 @@
 
   void Send(Time now, std::string caller, StoreCallId id, StoreCall call) {
     ++calls_;
-    if (faults_.outage || !reaches_(caller) || Draws(faults_.request_lost)) {
+    if (faults_.outage || !reaches_(caller) || Chance(faults_.request_lost)) {
       return;
     }
-    if (faults_.knows_no_lease) {
+    if (faults_.lease_unknown) {
       replies_.push_back(
           {now + Delay(), {std::move(caller), id, StoreLeaseUnknown{}}});
       return;
     }
-    Waiting waiting{now + Delay(), {}, std::move(caller), id, std::move(call)};
-    if (const auto* watch = std::get_if<StoreWatch>(&waiting.call)) {
-      waiting.watch_ends = waiting.at + watch->wait;
+    PendingCall pending{
+        now + Delay(), {}, std::move(caller), id, std::move(call)};
+    if (const auto* watch = std::get_if<StoreWatch>(&pending.call)) {
+      pending.watch_ends = pending.due_time + watch->wait;
     }
-    waiting_.push_back(std::move(waiting));
+    pending_calls_.push_back(std::move(pending));
   }
 
   // Executes the calls that have arrived by `now` and returns the replies that
@@ -86,7 +87,7 @@
     }
     std::vector<Delivery> due;
     std::erase_if(replies_, [&](Reply& reply) {
-      if (reply.at > now) {
+      if (reply.due_time > now) {
         return false;
       }
       due.push_back(std::move(reply.delivery));
@@ -99,67 +100,70 @@
   std::int64_t calls() const { return calls_; }
   std::size_t waiting_watches() const {
     std::size_t count = 0;
-    for (const Waiting& waiting : waiting_) {
-      count += std::holds_alternative<StoreWatch>(waiting.call) ? 1 : 0;
+    for (const PendingCall& pending : pending_calls_) {
+      count += std::holds_alternative<StoreWatch>(pending.call) ? 1 : 0;
     }
     return count;
   }
 
  private:
-  struct Waiting {
-    Time at;
+  struct PendingCall {
+    Time due_time;
     Time watch_ends;
     std::string caller;
     StoreCallId id;
     StoreCall call;
   };
   struct Reply {
-    Time at;
+    Time due_time;
     Delivery delivery;
   };
 
-  bool Draws(double share) { return share > 0 && DrawUnit(random_) < share; }
+  bool Chance(double probability) {
+    return probability > 0 && DrawUnit(random_) < probability;
+  }
 
   Duration Delay() {
-    const auto spread = faults_.max_delay.millis() - faults_.min_delay.millis();
+    const auto delay_range =
+        faults_.max_delay.millis() - faults_.min_delay.millis();
     return faults_.min_delay +
-           Duration::Millis(static_cast<std::int64_t>(
-               DrawBelow(random_, static_cast<std::uint64_t>(spread) + 1)));
+           Duration::Millis(static_cast<std::int64_t>(DrawBelow(
+               random_, static_cast<std::uint64_t>(delay_range) + 1)));
   }
 
   void RunArrived(Time now) {
-    std::vector<Waiting> waiting = std::move(waiting_);
-    waiting_.clear();
-    for (Waiting& call : waiting) {
-      if (call.at > now || !Run(now, call)) {
-        waiting_.push_back(std::move(call));
+    std::vector<PendingCall> pending = std::move(pending_calls_);
+    pending_calls_.clear();
+    for (PendingCall& call : pending) {
+      if (call.due_time > now || !Run(now, call)) {
+        pending_calls_.push_back(std::move(call));
       }
     }
   }
 
   // Returns false if a watch is still waiting.
-  bool Run(Time now, const Waiting& waiting) {
-    std::optional<StoreReply> reply = Answer(now, waiting);
+  bool Run(Time now, const PendingCall& pending) {
+    std::optional<StoreReply> reply = Answer(now, pending);
     if (!reply) {
       return false;
     }
-    if (!Draws(faults_.reply_lost) && reaches_(waiting.caller)) {
+    if (!Chance(faults_.reply_lost) && reaches_(pending.caller)) {
       replies_.push_back(
-          {now + Delay(), {waiting.caller, waiting.id, *std::move(reply)}});
+          {now + Delay(), {pending.caller, pending.id, *std::move(reply)}});
     }
     return true;
   }
 
-  std::optional<StoreReply> Answer(Time now, const Waiting& waiting) {
-    if (Draws(faults_.busy)) {
+  std::optional<StoreReply> Answer(Time now, const PendingCall& pending) {
+    if (Chance(faults_.busy)) {
       return StoreBusy{Duration::Millis(200)};
     }
-    if (const auto* range = std::get_if<StoreRange>(&waiting.call);
-        range != nullptr && Draws(faults_.stale_read)) {
+    if (const auto* range = std::get_if<StoreRange>(&pending.call);
+        range != nullptr && Chance(faults_.stale_read)) {
       return snapshot_.Read(*range);
     }
-    auto reply = store_.Execute(now, waiting.call);
-    if (!reply && waiting.watch_ends <= now) {
+    auto reply = store_.Execute(now, pending.call);
+    if (!reply && pending.watch_ends <= now) {
       return StoreWatchReply{store_.revision(), {}, {}, false};
     }
     return reply;
@@ -172,7 +176,7 @@
   std::function<bool(const std::string&)> reaches_ = [](const std::string&) {
     return true;
   };
-  std::vector<Waiting> waiting_;
+  std::vector<PendingCall> pending_calls_;
   std::vector<Reply> replies_;
   std::int64_t calls_ = 0;
 };
--- a/tests/support/gateway_path.h
+++ b/tests/support/gateway_path.h
@@ -20,7 +20,7 @@
 // Real gateways connected to the stand-in of the users' platform.
 class GatewayPathTest : public testing::Test {
  protected:
-  static constexpr Duration kCallLimit = Duration::Seconds(10);
+  static constexpr Duration kCallTimeout = Duration::Seconds(10);
 
   GatewayPathTest() : client_(context_), thread_([this] { context_.run(); }) {
     store_ = fleet_.StartStandin("platform", {"platform", "--domains", "1"});
@@ -36,8 +36,8 @@
   Result<HttpResponse, HttpFailure> Call(const Address& address,
                                          HttpRequest request) {
     HttpCallOptions options;
-    options.deadline = kCallLimit;
-    options.progress_timeout = kCallLimit;
+    options.deadline = kCallTimeout;
+    options.progress_timeout = kCallTimeout;
     std::promise<Result<HttpResponse, HttpFailure>> answered;
     client_.Fetch(address, std::move(request), options,
                   [&](Result<HttpResponse, HttpFailure> answer) {
--- a/tests/support/member_cluster.h
+++ b/tests/support/member_cluster.h
@@ -26,9 +26,9 @@
     NodeRecord record;
     bool up = true;
     bool paused = false;
-    std::int64_t process = 0;
+    std::int64_t process_number = 0;
     std::unique_ptr<Membership> members;
-    std::vector<Delta> heard;
+    std::vector<Delta> received_deltas;
     std::vector<FakeStoreLink::Delivery> store_inbox;
     std::vector<FakeNetwork<MembershipMessage>::Delivery> peer_inbox;
   };
@@ -65,7 +65,7 @@
   void RestartUnregistered(std::size_t index,
                            std::vector<NodeRecord> seeds = {}) {
     Node& node = nodes_[index];
-    ++node.process;
+    ++node.process_number;
     node.up = true;
     node.paused = false;
     node.store_inbox.clear();
@@ -101,7 +101,7 @@
   }
 
   void Leave(std::size_t index) {
-    Act(index, nodes_[index].members->Leave(now_));
+    Perform(index, nodes_[index].members->Leave(now_));
   }
 
   void Step() {
@@ -141,8 +141,9 @@
   std::size_t Seeing(std::size_t index, MemberState state) const {
     std::size_t count = 0;
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
-      count += i != index && nodes_[i].up &&
-               nodes_[i].members->view().IsIn(nodes_[index].record.id, state);
+      count +=
+          i != index && nodes_[i].up &&
+          nodes_[i].members->view().HasState(nodes_[index].record.id, state);
     }
     return count;
   }
@@ -189,27 +190,29 @@
   void RunNode(std::size_t index) {
     Node& node = nodes_[index];
     // A process that resumes may handle its timers before its messages.
-    Act(index, node.members->Tick(now_));
+    Perform(index, node.members->Tick(now_));
     for (const auto& delivery : std::exchange(node.store_inbox, {})) {
-      if (delivery.caller == CallerOf(index)) {
-        Act(index,
-            node.members->OnStoreReply(now_, delivery.id, delivery.reply));
+      if (delivery.caller == StoreCaller(index)) {
+        Perform(index,
+                node.members->OnStoreReply(now_, delivery.id, delivery.reply));
       }
     }
     for (const auto& delivery : std::exchange(node.peer_inbox, {})) {
-      Act(index, node.members->OnPeer(now_, delivery.from, delivery.message));
+      Perform(index,
+              node.members->OnPeer(now_, delivery.from, delivery.message));
     }
   }
 
-  std::string CallerOf(std::size_t index) const {
-    return std::to_string(index) + "/" + std::to_string(nodes_[index].process);
+  std::string StoreCaller(std::size_t index) const {
+    return std::to_string(index) + "/" +
+           std::to_string(nodes_[index].process_number);
   }
 
-  void Act(std::size_t index, std::vector<MembershipAction> actions) {
+  void Perform(std::size_t index, std::vector<MembershipAction> actions) {
     for (MembershipAction& action : actions) {
       std::visit(Overloaded{
                      [&](StoreRequest& request) {
-                       link_.Send(now_, CallerOf(index), request.id,
+                       link_.Send(now_, StoreCaller(index), request.id,
                                   std::move(request.call));
                      },
                      [&](PeerSend<MembershipMessage>& send) {
@@ -224,8 +227,8 @@
                          suspected_.insert(changed.node);
                        }
                      },
-                     [&](const DeltaHeard& heard) {
-                       nodes_[index].heard.push_back(heard.delta);
+                     [&](const DeltaReceived& received) {
+                       nodes_[index].received_deltas.push_back(received.delta);
                      },
                  },
                  action);
--- a/tests/support/process_fleet.h
+++ b/tests/support/process_fleet.h
@@ -72,13 +72,13 @@
   ChildProcess(const std::string& program,
                const std::vector<std::string>& arguments,
                const std::filesystem::path& log) {
-    int ends[2];
-    if (pipe2(ends, O_CLOEXEC) != 0) {
+    int pipe_ends[2];
+    if (pipe2(pipe_ends, O_CLOEXEC) != 0) {
       throw std::runtime_error("cannot create a pipe");
     }
-    output_ = ends[0];
-    const int failure = Spawn(program, arguments, log.string(), ends[1]);
-    close(ends[1]);
+    output_ = pipe_ends[0];
+    const int failure = Spawn(program, arguments, log.string(), pipe_ends[1]);
+    close(pipe_ends[1]);
     if (failure != 0) {
       close(output_);
       throw std::runtime_error(program + " cannot be started");
@@ -106,11 +106,11 @@
 
   // Reads the object on the first line of standard output, which tells where
   // the program listens. Returns an empty one if no line arrives in time.
-  boost::json::object ReadAnnouncement(std::chrono::milliseconds patience) {
+  boost::json::object ReadAnnouncement(std::chrono::milliseconds timeout) {
     std::string line;
     char character = 0;
-    pollfd waited{output_, POLLIN, 0};
-    while (poll(&waited, 1, static_cast<int>(patience.count())) > 0 &&
+    pollfd descriptor{output_, POLLIN, 0};
+    while (poll(&descriptor, 1, static_cast<int>(timeout.count())) > 0 &&
            read(output_, &character, 1) == 1 && character != '\n') {
       line.push_back(character);
     }
@@ -123,17 +123,17 @@
   // Returns what the program has written to standard output since the last
   // call.
   std::string TakeOutput() const {
-    std::string taken;
+    std::string output;
     char bytes[4096];
-    pollfd waited{output_, POLLIN, 0};
-    while (poll(&waited, 1, 0) > 0) {
+    pollfd descriptor{output_, POLLIN, 0};
+    while (poll(&descriptor, 1, 0) > 0) {
       const ssize_t size = read(output_, bytes, sizeof(bytes));
       if (size <= 0) {
         break;
       }
-      taken.append(bytes, static_cast<std::size_t>(size));
+      output.append(bytes, static_cast<std::size_t>(size));
     }
-    return taken;
+    return output;
   }
 
  private:
@@ -141,18 +141,18 @@
             const std::vector<std::string>& arguments,
             const std::string& log,
             int output) {
-    std::vector<char*> words{const_cast<char*>(program.c_str())};
+    std::vector<char*> argv{const_cast<char*>(program.c_str())};
     for (const std::string& argument : arguments) {
-      words.push_back(const_cast<char*>(argument.c_str()));
+      argv.push_back(const_cast<char*>(argument.c_str()));
     }
-    words.push_back(nullptr);
+    argv.push_back(nullptr);
     posix_spawn_file_actions_t actions;
     posix_spawn_file_actions_init(&actions);
     posix_spawn_file_actions_adddup2(&actions, output, STDOUT_FILENO);
     posix_spawn_file_actions_addopen(&actions, STDERR_FILENO, log.c_str(),
                                      O_WRONLY | O_CREAT | O_TRUNC, 0600);
     const int failure = posix_spawn(&pid_, program.c_str(), &actions, nullptr,
-                                    words.data(), environ);
+                                    argv.data(), environ);
     posix_spawn_file_actions_destroy(&actions);
     return failure;
   }
@@ -248,7 +248,7 @@
   // All waits of a test end before CTest's own timeout, which would leave the
   // processes running.
   bool Until(const std::function<bool()>& condition) const {
-    const auto end = std::min(Now() + kLongestWait, started_ + kLongestTest);
+    const auto end = std::min(Now() + kMaxWait, started_ + kMaxTestTime);
     while (!condition()) {
       if (Now() > end) {
         return false;
@@ -259,8 +259,8 @@
   }
 
  private:
-  static constexpr std::chrono::seconds kLongestWait{60};
-  static constexpr std::chrono::seconds kLongestTest{100};
+  static constexpr std::chrono::seconds kMaxWait{60};
+  static constexpr std::chrono::seconds kMaxTestTime{100};
   static constexpr std::size_t kLogBytesShown = 4000;
 
   static std::chrono::steady_clock::time_point Now() {
@@ -278,7 +278,7 @@
     auto child =
         std::make_unique<ChildProcess>(GCW_BINARY_FOLDER "/" + program,
                                        arguments, folder_.File(name + ".log"));
-    boost::json::object announced = child->ReadAnnouncement(kLongestWait);
+    boost::json::object announced = child->ReadAnnouncement(kMaxWait);
     if (announced.empty()) {
       throw std::runtime_error(
           name + " did not start: " + folder_.Read(name + ".log"));
