--- a/coordination/membership/member.cc
+++ b/coordination/membership/member.cc
@@ -5,7 +5,7 @@
 namespace gcw {
 namespace {
 
-// The ids of the members for which `holds` is true.
+// Returns the ids of the members for which `holds` is true.
 template <typename Predicate>
 std::vector<NodeId> Select(const View::Members& members, Predicate holds) {
   std::vector<NodeId> nodes;
@@ -43,7 +43,7 @@
   return it == members_.end() ? nullptr : &it->second;
 }
 
-bool View::IsIn(const NodeId& node, MemberState state) const {
+bool View::HasState(const NodeId& node, MemberState state) const {
   const Member* member = Find(node);
   return member != nullptr && member->state == state;
 }
--- a/coordination/membership/membership_peers.cc
+++ b/coordination/membership/membership_peers.cc
@@ -1,4 +1,4 @@
-// How members talk: probes, acknowledgements, urgent rumors and lists.
+// Messages between members: probes, acknowledgements, urgent rumors and lists.
 
 #include <algorithm>
 #include <utility>
@@ -11,18 +11,19 @@
     Time now,
     const NodeId& from,
     const MembershipMessage& message) {
-  // Messages that waited through a pause come before the next tick.
-  NoticePause(now);
+  // After a pause, messages that arrived meanwhile are handled before the next
+  // tick.
+  AdjustForPause(now);
   std::visit([&](const auto& typed) { OnMessage(now, from, typed); }, message);
   return TakeActions();
 }
 
 void Membership::OnMessage(Time now, const NodeId& from, const Ping& ping) {
-  HearAll(now, from, ping.rumors);
+  ApplyRumors(now, from, ping.rumors);
   Send(from, PingAck{ping.probe, self_, self().version,
                      RumorsFor(from, ping.version)});
   if (view_.Find(from) == nullptr) {
-    // Its announcement was lost on the way here.
+    // The sender's announcement was lost.
     Send(from, MemberListRequest{self().version});
   }
 }
@@ -30,7 +31,7 @@
 void Membership::OnMessage(Time now,
                            const NodeId& from,
                            const PingRequest& request) {
-  HearAll(now, from, request.rumors);
+  ApplyRumors(now, from, request.rumors);
   if (request.target == self_) {
     Send(from, PingAck{request.probe, self_, self().version,
                        RumorsFor(from, request.version)});
@@ -41,7 +42,7 @@
 }
 
 void Membership::OnMessage(Time now, const NodeId& from, const PingAck& ack) {
-  HearAll(now, from, ack.rumors);
+  ApplyRumors(now, from, ack.rumors);
   if (probe_ && probe_->id == ack.probe && probe_->target == ack.target) {
     probe_.reset();
     return;
@@ -58,14 +59,14 @@
 void Membership::OnMessage(Time now,
                            const NodeId& from,
                            const UrgentRumors& urgent) {
-  HearAll(now, from, urgent.rumors);
+  ApplyRumors(now, from, urgent.rumors);
 }
 
 void Membership::OnMessage(Time, const NodeId& from, const MemberListRequest&) {
   MemberList list{self().version, {}};
   for (const auto& [node, member] : view_.members()) {
     if (member.state != MemberState::kDead) {
-      list.members.push_back(RumorOn(member));
+      list.members.push_back(MakeRumor(member));
     }
   }
   Send(from, std::move(list));
@@ -74,12 +75,12 @@
 void Membership::OnMessage(Time now,
                            const NodeId& from,
                            const MemberList& list) {
-  listed_ = true;
+  has_full_list_ = true;
   for (const MemberRumor& rumor : list.members) {
     if (rumor.node == self_) {
-      HearOfSelf(from, rumor);
+      ApplySelfRumor(from, rumor);
     } else if (rumor.state == MemberState::kAlive) {
-      HearAlive(now, rumor, /*pass_on=*/false);
+      ApplyAliveRumor(now, rumor, /*forward=*/false);
     }
   }
 }
@@ -95,19 +96,20 @@
 }
 
 void Membership::SendUrgent(const Rumor& rumor) {
-  // Bounded, so that many nodes leaving at once do not become a storm; the
-  // rumor still rides along on probes.
-  const std::size_t count = std::min(settings_.urgent_fanout, urgent_left_);
+  // Bounded, so that many nodes leaving at once do not cause a message storm.
+  // The rumor is still piggybacked on probes.
+  const std::size_t count = std::min(settings_.urgent_fanout, urgent_budget_);
   for (const NodeId& peer : RandomPeers(count, self_)) {
-    --urgent_left_;
+    --urgent_budget_;
     Send(peer, UrgentRumors{self().version, {rumor}});
   }
 }
 
-// What the receiver must hear of itself, then what is due to ride along. A
-// member that is wrongly believed failed, that started anew without knowing its
-// incarnation, or whose last announcement did not arrive here, can only answer
-// what it hears.
+// Returns the rumors to send to a node: first the rumor about that node, if it
+// must react to it, then the ones that are due. A member that is wrongly
+// believed to have failed, that restarted without knowing its incarnation, or
+// whose last announcement did not arrive here can correct only what it
+// receives.
 std::vector<Rumor> Membership::RumorsFor(const NodeId& to,
                                          const MemberVersion& version) {
   std::vector<Rumor> rumors;
@@ -118,7 +120,7 @@
                        version != member->version;
   if (member != nullptr && (differs || member->state == MemberState::kSuspect ||
                             member->state == MemberState::kDead)) {
-    rumors.emplace_back(RumorOn(*member));
+    rumors.emplace_back(MakeRumor(*member));
     bytes -= std::min(bytes, EstimatedSize(rumors.back()));
   }
   for (Rumor& rumor : rumors_.Take(bytes)) {
--- a/coordination/membership/peer_presence.cc
+++ b/coordination/membership/peer_presence.cc
@@ -11,15 +11,15 @@
     return false;
   }
   if (report.sender > sender_) {
-    StartOver(report.sender);
+    Reset(report.sender);
   }
   if (report.stamp <= newest_stamp_) {
     return false;
   }
   newest_stamp_ = report.stamp;
   last_heard_ = now;
-  // What it echoes or acknowledges of an earlier run of this node means nothing
-  // now.
+  // An echo or acknowledgement that refers to an earlier run of this node is
+  // void.
   const bool knows_this_run = report.receiver == self_;
   acknowledged_ = knows_this_run ? report.acknowledged : 0;
   if (report.base > version_) {
@@ -51,7 +51,7 @@
   report.acknowledged = version_;
 }
 
-void PeerPresence::StartOver(Incarnation sender) {
+void PeerPresence::Reset(Incarnation sender) {
   sender_ = sender;
   newest_stamp_ = Time();
   evidence_time_.reset();
--- a/tests/support/fake_engines.h
+++ b/tests/support/fake_engines.h
@@ -17,22 +17,22 @@
   Incarnation incarnation{1};
   bool is_up = true;
   bool is_paused = false;
-  // Whether it refuses orders with an old fencing number.
+  // Whether the engine refuses orders with an outdated fencing token.
   bool checks_fences = true;
   EngineOrder order;
   EngineState state = EngineState::kIdle;
   Time ready_at;
-  // When it last stopped or left a group.
+  // Time at which the engine last stopped or left a group.
   Time lost_at;
-  FencingToken seen;
+  FencingToken highest_fence;
   std::int64_t active = 0;
-  // Orders that its kernel took while it was paused.
-  std::vector<EngineOrder> unread;
+  // Orders that the kernel received while the engine was paused.
+  std::vector<EngineOrder> queued_orders;
 
   const GroupId& group() const { return order.group; }
 };
 
-// The model engines of a fleet, obeying docs/PLATFORM.md.
+// The model engines of a fleet, which behave as described in docs/PLATFORM.md.
 class FakeEngines {
  public:
   explicit FakeEngines(Duration load_time) : load_time_(load_time) {}
@@ -58,9 +58,9 @@
 
   void Kill(Time now, const VmId& vm) {
     FakeEngine& engine = at(vm);
-    Forget(now, engine);
+    ResetGroup(now, engine);
     engine.is_up = false;
-    engine.unread.clear();
+    engine.queued_orders.clear();
   }
 
   void Restart(Time now, const VmId& vm) {
@@ -71,34 +71,35 @@
   }
 
   void Pause(Time now, const VmId& vm) {
-    NoteLoss(now, at(vm));
+    RecordLoss(now, at(vm));
     at(vm).is_paused = true;
   }
 
-  // A paused engine executes on waking what its kernel took meanwhile.
+  // When it resumes, a paused engine executes the orders that the kernel
+  // received meanwhile.
   void Resume(Time now, const VmId& vm) {
     FakeEngine& engine = at(vm);
     engine.is_paused = false;
-    for (const EngineOrder& order : std::exchange(engine.unread, {})) {
+    for (const EngineOrder& order : std::exchange(engine.queued_orders, {})) {
       Execute(now, vm, order);
     }
   }
 
-  // Nothing where the engine is down or paused.
+  // Returns nothing if the engine is down or paused.
   std::optional<OrderReply> Execute(Time now,
                                     const VmId& vm,
                                     const EngineOrder& order) {
     FakeEngine& engine = at(vm);
     if (engine.is_up && engine.is_paused) {
-      engine.unread.push_back(order);
+      engine.queued_orders.push_back(order);
     }
     if (!engine.is_up || engine.is_paused) {
       return std::nullopt;
     }
-    if (engine.checks_fences && order.fence < engine.seen) {
-      return EngineOrderStale{engine.seen};
+    if (engine.checks_fences && order.fence < engine.highest_fence) {
+      return EngineOrderStale{engine.highest_fence};
     }
-    engine.seen = std::max(engine.seen, order.fence);
+    engine.highest_fence = std::max(engine.highest_fence, order.fence);
     const bool is_elsewhere =
         !engine.group().empty() && engine.group() != order.group;
     if (order.kind == EngineOrderKind::kLoad) {
@@ -109,14 +110,14 @@
       engine.state = EngineState::kLoading;
       engine.ready_at = now + load_time_;
     } else if (!is_elsewhere && order.kind == EngineOrderKind::kLeave) {
-      Forget(now, engine);
+      ResetGroup(now, engine);
     } else if (!is_elsewhere && engine.state == EngineState::kReady) {
       engine.state = EngineState::kDraining;
     }
     return EngineOrderAccepted{};
   }
 
-  // Nothing where the engine is down or paused.
+  // Returns nothing if the engine is down or paused.
   std::optional<EngineStatus> Status(Time now, const VmId& vm) {
     const FakeEngine& engine = at(vm);
     if (!engine.is_up || engine.is_paused) {
@@ -129,11 +130,11 @@
     status.model = engine.order.model;
     status.generation = engine.order.generation;
     status.state = engine.state;
-    status.fence = engine.seen;
+    status.fence = engine.highest_fence;
     status.active = engine.active;
     if (IsFirst(engine)) {
       for (const GroupMember& member : engine.order.members) {
-        if (Sees(now, engine, member.vm)) {
+        if (ReportsMember(now, engine, member.vm)) {
           status.members_seen.push_back(member.vm);
         }
       }
@@ -143,7 +144,7 @@
     return status;
   }
 
-  // Whether the VM's engine is at work in this generation.
+  // Returns true if the VM's engine serves in this generation.
   bool IsPresent(const VmId& vm, const GroupId& group, Generation generation) {
     const FakeEngine& engine = at(vm);
     return engine.is_up && !engine.is_paused && engine.group() == group &&
@@ -157,24 +158,24 @@
            engine.order.members.front().vm == engine.entry.id;
   }
 
-  // The first VM notices a lost member only after a while.
-  bool Sees(Time now, const FakeEngine& first, const VmId& vm) {
-    const Duration lag = Duration::Millis(400);
+  // The first VM notices the loss of a member only after a delay.
+  bool ReportsMember(Time now, const FakeEngine& first, const VmId& vm) {
+    const Duration detection_delay = Duration::Millis(400);
     const FakeEngine& engine = at(vm);
     return IsPresent(vm, first.group(), first.order.generation) ||
-           (engine.lost_at != Time() && now - engine.lost_at < lag);
+           (engine.lost_at != Time() && now - engine.lost_at < detection_delay);
   }
 
-  // The first VM sees a lost member for a while after the loss, and not again
-  // when the VM is killed once more.
-  static void NoteLoss(Time now, FakeEngine& engine) {
+  // Records when the engine was lost. The first VM still reports it for a
+  // while, but not again when a VM that is already down is killed once more.
+  static void RecordLoss(Time now, FakeEngine& engine) {
     if (engine.is_up && !engine.is_paused && !engine.group().empty()) {
       engine.lost_at = now;
     }
   }
 
-  static void Forget(Time now, FakeEngine& engine) {
-    NoteLoss(now, engine);
+  static void ResetGroup(Time now, FakeEngine& engine) {
+    RecordLoss(now, engine);
     engine.order = EngineOrder();
     engine.state = EngineState::kIdle;
     engine.active = 0;
--- a/tests/support/fake_store_link.h
+++ b/tests/support/fake_store_link.h
@@ -10,25 +10,27 @@
 
 namespace gcw {
 
-// What may go wrong between callers and the key-value service. Shares are of
-// all calls, from 0 to 1.
+// Faults between callers and the key-value service. Rates are fractions of all
+// calls, from 0 to 1.
 struct FakeStoreFaults {
   Duration min_delay = Duration::Millis(1);
-  // Each way; delays differ, so that calls overtake each other.
+  // Applies to each direction. Delays vary, so that calls can overtake each
+  // other.
   Duration max_delay = Duration::Millis(5);
-  // No call arrives and no reply leaves.
+  // While set, calls do not arrive and replies are not sent.
   bool outage = false;
   double request_lost = 0;
   double reply_lost = 0;
   double busy = 0;
-  // Each call is answered at once, as if its lease had lapsed.
-  bool knows_no_lease = false;
-  // Reads are answered from the last snapshot.
+  // Each call is answered as if its lease had expired, without reaching the
+  // store.
+  bool lease_unknown = false;
+  // Fraction of reads that are answered from the last snapshot.
   double stale_read = 0;
 };
 
-// Carries calls to a `FakeStore` and replies back in virtual time. Calls that
-// are lost get no reply at all, as after a silent connection.
+// Delivers calls to a `FakeStore` and replies back in virtual time. Lost calls
+// get no reply at all, as on a stalled connection.
 class FakeStoreLink {
  public:
   struct Delivery {
@@ -42,7 +44,7 @@
   FakeStore& store() { return store_; }
   const FakeStore& store() const { return store_; }
   FakeStoreFaults& faults() { return faults_; }
-  // Callers for which this holds reach the service; all do at first.
+  // Sets the predicate for callers that reach the service; initially all do.
   void SetReaches(std::function<bool(const std::string& caller)> reaches) {
     reaches_ = std::move(reaches);
   }
@@ -53,29 +55,31 @@
     }
     faults_.outage = outage;
   }
-  // Keeps the present state for `Restore` and for stale reads.
+  // Saves the current state for `Restore` and for stale reads.
   void Snapshot() { snapshot_ = store_; }
-  // Sets the service back to the last snapshot, as a restored backup.
+  // Returns the service to the last snapshot, as after the restore of a backup.
   void Restore() { store_ = snapshot_; }
 
   void Send(Time now, std::string caller, StoreCallId id, StoreCall call) {
     ++calls_;
-    if (faults_.outage || !reaches_(caller) || Draws(faults_.request_lost)) {
+    if (faults_.outage || !reaches_(caller) || Chance(faults_.request_lost)) {
       return;
     }
-    if (faults_.knows_no_lease) {
+    if (faults_.lease_unknown) {
       replies_.push_back(
           {now + Delay(), {std::move(caller), id, StoreLeaseUnknown{}}});
       return;
     }
-    Waiting waiting{now + Delay(), {}, std::move(caller), id, std::move(call)};
-    if (const auto* watch = std::get_if<StoreWatch>(&waiting.call)) {
-      waiting.watch_ends = waiting.at + watch->wait;
+    PendingCall pending{
+        now + Delay(), {}, std::move(caller), id, std::move(call)};
+    if (const auto* watch = std::get_if<StoreWatch>(&pending.call)) {
+      pending.watch_ends = pending.due_time + watch->wait;
     }
-    waiting_.push_back(std::move(waiting));
+    pending_calls_.push_back(std::move(pending));
   }
 
-  // Runs what has arrived by `now` and returns the replies that are back.
+  // Executes the calls that have arrived by `now` and returns the replies that
+  // have come back.
   std::vector<Delivery> Deliver(Time now) {
     if (!faults_.outage) {
       store_.DropLapsed(now);
@@ -83,7 +87,7 @@
     }
     std::vector<Delivery> due;
     std::erase_if(replies_, [&](Reply& reply) {
-      if (reply.at > now) {
+      if (reply.due_time > now) {
         return false;
       }
       due.push_back(std::move(reply.delivery));
@@ -92,71 +96,74 @@
     return due;
   }
 
-  // All calls so far, and the watches that wait now.
+  // Counters of all calls so far and of the watches that are waiting.
   std::int64_t calls() const { return calls_; }
   std::size_t waiting_watches() const {
     std::size_t count = 0;
-    for (const Waiting& waiting : waiting_) {
-      count += std::holds_alternative<StoreWatch>(waiting.call) ? 1 : 0;
+    for (const PendingCall& pending : pending_calls_) {
+      count += std::holds_alternative<StoreWatch>(pending.call) ? 1 : 0;
     }
     return count;
   }
 
  private:
-  struct Waiting {
-    Time at;
+  struct PendingCall {
+    Time due_time;
     Time watch_ends;
     std::string caller;
     StoreCallId id;
     StoreCall call;
   };
   struct Reply {
-    Time at;
+    Time due_time;
     Delivery delivery;
   };
 
-  bool Draws(double share) { return share > 0 && DrawUnit(random_) < share; }
+  bool Chance(double probability) {
+    return probability > 0 && DrawUnit(random_) < probability;
+  }
 
   Duration Delay() {
-    const auto spread = faults_.max_delay.millis() - faults_.min_delay.millis();
+    const auto delay_range =
+        faults_.max_delay.millis() - faults_.min_delay.millis();
     return faults_.min_delay +
-           Duration::Millis(static_cast<std::int64_t>(
-               DrawBelow(random_, static_cast<std::uint64_t>(spread) + 1)));
+           Duration::Millis(static_cast<std::int64_t>(DrawBelow(
+               random_, static_cast<std::uint64_t>(delay_range) + 1)));
   }
 
   void RunArrived(Time now) {
-    std::vector<Waiting> waiting = std::move(waiting_);
-    waiting_.clear();
-    for (Waiting& call : waiting) {
-      if (call.at > now || !Run(now, call)) {
-        waiting_.push_back(std::move(call));
+    std::vector<PendingCall> pending = std::move(pending_calls_);
+    pending_calls_.clear();
+    for (PendingCall& call : pending) {
+      if (call.due_time > now || !Run(now, call)) {
+        pending_calls_.push_back(std::move(call));
       }
     }
   }
 
-  // False where a watch goes on waiting.
-  bool Run(Time now, const Waiting& waiting) {
-    std::optional<StoreReply> reply = Answer(now, waiting);
+  // Returns false if a watch is still waiting.
+  bool Run(Time now, const PendingCall& pending) {
+    std::optional<StoreReply> reply = Answer(now, pending);
     if (!reply) {
       return false;
     }
-    if (!Draws(faults_.reply_lost) && reaches_(waiting.caller)) {
+    if (!Chance(faults_.reply_lost) && reaches_(pending.caller)) {
       replies_.push_back(
-          {now + Delay(), {waiting.caller, waiting.id, *std::move(reply)}});
+          {now + Delay(), {pending.caller, pending.id, *std::move(reply)}});
     }
     return true;
   }
 
-  std::optional<StoreReply> Answer(Time now, const Waiting& waiting) {
-    if (Draws(faults_.busy)) {
+  std::optional<StoreReply> Answer(Time now, const PendingCall& pending) {
+    if (Chance(faults_.busy)) {
       return StoreBusy{Duration::Millis(200)};
     }
-    if (const auto* range = std::get_if<StoreRange>(&waiting.call);
-        range != nullptr && Draws(faults_.stale_read)) {
+    if (const auto* range = std::get_if<StoreRange>(&pending.call);
+        range != nullptr && Chance(faults_.stale_read)) {
       return snapshot_.Read(*range);
     }
-    auto reply = store_.Execute(now, waiting.call);
-    if (!reply && waiting.watch_ends <= now) {
+    auto reply = store_.Execute(now, pending.call);
+    if (!reply && pending.watch_ends <= now) {
       return StoreWatchReply{store_.revision(), {}, {}, false};
     }
     return reply;
@@ -169,7 +176,7 @@
   std::function<bool(const std::string&)> reaches_ = [](const std::string&) {
     return true;
   };
-  std::vector<Waiting> waiting_;
+  std::vector<PendingCall> pending_calls_;
   std::vector<Reply> replies_;
   std::int64_t calls_ = 0;
 };
--- a/tests/support/process_fleet.h
+++ b/tests/support/process_fleet.h
@@ -31,14 +31,14 @@
 
 namespace gcw {
 
-// A folder of its own below the system's temporary one, removed at the end.
+// A new folder below the system's temporary folder, removed at the end.
 class TemporaryFolder {
  public:
   TemporaryFolder() {
     std::string pattern =
         (std::filesystem::temp_directory_path() / "gcw-test-XXXXXX").string();
     if (mkdtemp(pattern.data()) == nullptr) {
-      throw std::runtime_error("no temporary folder can be made");
+      throw std::runtime_error("cannot create a temporary folder");
     }
     path_ = pattern;
   }
@@ -64,21 +64,21 @@
   std::filesystem::path path_;
 };
 
-// One program of ours, running. It is killed by its id and waited for at the
-// end, also where it is stopped.
+// A running program of this project. The destructor kills it by its process id
+// and waits for it, even if it is stopped.
 class ChildProcess {
  public:
-  // Its standard error goes to the file `log`.
+  // Redirects the program's standard error to the file `log`.
   ChildProcess(const std::string& program,
                const std::vector<std::string>& arguments,
                const std::filesystem::path& log) {
-    int ends[2];
-    if (pipe2(ends, O_CLOEXEC) != 0) {
-      throw std::runtime_error("no pipe can be made");
+    int pipe_ends[2];
+    if (pipe2(pipe_ends, O_CLOEXEC) != 0) {
+      throw std::runtime_error("cannot create a pipe");
     }
-    output_ = ends[0];
-    const int failure = Spawn(program, arguments, log.string(), ends[1]);
-    close(ends[1]);
+    output_ = pipe_ends[0];
+    const int failure = Spawn(program, arguments, log.string(), pipe_ends[1]);
+    close(pipe_ends[1]);
     if (failure != 0) {
       close(output_);
       throw std::runtime_error(program + " cannot be started");
@@ -92,10 +92,11 @@
   ChildProcess(const ChildProcess&) = delete;
   ChildProcess& operator=(const ChildProcess&) = delete;
 
-  // The id stays this child's until the destructor has waited for it.
+  // Signals the child. Its id is not reused before the destructor has waited
+  // for it.
   void Signal(int signal) const { kill(pid_, signal); }
 
-  // Leaves the child to be waited for by the destructor.
+  // Returns true if the child has ended; the destructor still waits for it.
   bool HasEnded() const {
     siginfo_t info{};
     return waitid(P_PID, static_cast<id_t>(pid_), &info,
@@ -103,13 +104,13 @@
            info.si_pid == pid_;
   }
 
-  // The object on the first line of standard output, which tells where the
-  // program listens; empty where none came in time.
-  boost::json::object ReadAnnouncement(std::chrono::milliseconds patience) {
+  // Reads the object on the first line of standard output, which tells where
+  // the program listens. Returns an empty one if no line arrives in time.
+  boost::json::object ReadAnnouncement(std::chrono::milliseconds timeout) {
     std::string line;
     char character = 0;
-    pollfd waited{output_, POLLIN, 0};
-    while (poll(&waited, 1, static_cast<int>(patience.count())) > 0 &&
+    pollfd descriptor{output_, POLLIN, 0};
+    while (poll(&descriptor, 1, static_cast<int>(timeout.count())) > 0 &&
            read(output_, &character, 1) == 1 && character != '\n') {
       line.push_back(character);
     }
@@ -119,19 +120,20 @@
                                        : std::move(value.as_object());
   }
 
-  // What it has written to standard output since the last call.
+  // Returns what the program has written to standard output since the last
+  // call.
   std::string TakeOutput() const {
-    std::string taken;
+    std::string output;
     char bytes[4096];
-    pollfd waited{output_, POLLIN, 0};
-    while (poll(&waited, 1, 0) > 0) {
+    pollfd descriptor{output_, POLLIN, 0};
+    while (poll(&descriptor, 1, 0) > 0) {
       const ssize_t size = read(output_, bytes, sizeof(bytes));
       if (size <= 0) {
         break;
       }
-      taken.append(bytes, static_cast<std::size_t>(size));
+      output.append(bytes, static_cast<std::size_t>(size));
     }
-    return taken;
+    return output;
   }
 
  private:
@@ -139,18 +141,18 @@
             const std::vector<std::string>& arguments,
             const std::string& log,
             int output) {
-    std::vector<char*> words{const_cast<char*>(program.c_str())};
+    std::vector<char*> argv{const_cast<char*>(program.c_str())};
     for (const std::string& argument : arguments) {
-      words.push_back(const_cast<char*>(argument.c_str()));
+      argv.push_back(const_cast<char*>(argument.c_str()));
     }
-    words.push_back(nullptr);
+    argv.push_back(nullptr);
     posix_spawn_file_actions_t actions;
     posix_spawn_file_actions_init(&actions);
     posix_spawn_file_actions_adddup2(&actions, output, STDOUT_FILENO);
     posix_spawn_file_actions_addopen(&actions, STDERR_FILENO, log.c_str(),
                                      O_WRONLY | O_CREAT | O_TRUNC, 0600);
     const int failure = posix_spawn(&pid_, program.c_str(), &actions, nullptr,
-                                    words.data(), environ);
+                                    argv.data(), environ);
     posix_spawn_file_actions_destroy(&actions);
     return failure;
   }
@@ -159,7 +161,7 @@
   int output_ = -1;
 };
 
-// Stand-ins and nodes as processes on loopback, on ports that the kernel
+// Runs stand-ins and nodes as processes on loopback, on ports that the kernel
 // chooses. A failed test prints the end of their logs.
 class ProcessFleet {
  public:
@@ -179,7 +181,8 @@
 
   const TemporaryFolder& folder() const { return folder_; }
 
-  // Starts `gcw-standin`, whose first argument is the part that it plays.
+  // Starts `gcw-standin`, whose first argument selects the part that it
+  // simulates.
   Address StartStandin(const std::string& name,
                        const std::vector<std::string>& arguments) {
     return AddressIn(Start(name, "gcw-standin", arguments), "address");
@@ -190,7 +193,7 @@
     Address operators;
   };
 
-  // Starts `gcw-node`; `settings` follow those that every node needs.
+  // Starts `gcw-node`; `settings` are added to those that every node needs.
   NodeAddresses StartNode(const std::string& id, const std::string& settings) {
     folder_.Write(id + ".toml", "[node]\nid = \"" + id + "\"\n" + settings +
                                     "[operators]\n"
@@ -208,7 +211,8 @@
     Address metrics;
   };
 
-  // Starts `gcw-gateway` before the platform whose store is at that address.
+  // Starts `gcw-gateway` for the platform whose store is at the address
+  // `store`.
   GatewayAddresses StartGateway(const std::string& id, const Address& store) {
     folder_.Write(id + ".toml",
                   "[node]\nid = \"" + id +
@@ -226,12 +230,12 @@
             AddressIn(fields, "readiness"), AddressIn(fields, "metrics")};
   }
 
-  // Whether the program has ended.
   bool HasEnded(const std::string& name) const {
     return children_.at(name)->HasEnded();
   }
 
-  // What the program has written to standard output since the last call.
+  // Returns what the program has written to standard output since the last
+  // call.
   std::string TakeOutput(const std::string& name) const {
     return children_.at(name)->TakeOutput();
   }
@@ -240,11 +244,11 @@
     children_.at(name)->Signal(signal);
   }
 
-  // Looks again and again until the condition holds; false where it did not in
-  // time. All waits of a test end before CTest's own time-out, which would
-  // leave the processes behind.
+  // Polls until the condition holds; returns false if it does not hold in time.
+  // All waits of a test end before CTest's own timeout, which would leave the
+  // processes running.
   bool Until(const std::function<bool()>& condition) const {
-    const auto end = std::min(Now() + kLongestWait, started_ + kLongestTest);
+    const auto end = std::min(Now() + kMaxWait, started_ + kMaxTestTime);
     while (!condition()) {
       if (Now() > end) {
         return false;
@@ -255,8 +259,8 @@
   }
 
  private:
-  static constexpr std::chrono::seconds kLongestWait{60};
-  static constexpr std::chrono::seconds kLongestTest{100};
+  static constexpr std::chrono::seconds kMaxWait{60};
+  static constexpr std::chrono::seconds kMaxTestTime{100};
   static constexpr std::size_t kLogBytesShown = 4000;
 
   static std::chrono::steady_clock::time_point Now() {
@@ -274,7 +278,7 @@
     auto child =
         std::make_unique<ChildProcess>(GCW_BINARY_FOLDER "/" + program,
                                        arguments, folder_.File(name + ".log"));
-    boost::json::object announced = child->ReadAnnouncement(kLongestWait);
+    boost::json::object announced = child->ReadAnnouncement(kMaxWait);
     if (announced.empty()) {
       throw std::runtime_error(
           name + " did not start: " + folder_.Read(name + ".log"));
