--- a/transport/action_executor.cc
+++ b/transport/action_executor.cc
@@ -17,7 +17,7 @@
       failure->kind == HttpFailureKind::kMalformedAnswer) {
     return ProbeFailed{ProbeFailure::kMalformed};
   }
-  // A reset means that the process closed the connection: it has gone, or is
+  // A reset means that the process closed the connection: it has exited or is
   // about to.
   if (failure->kind == HttpFailureKind::kConnectRefused ||
       failure->kind == HttpFailureKind::kConnectionReset) {
@@ -34,7 +34,7 @@
   return OrderNoAnswer{};
 }
 
-// How long a load queued now waits.
+// Estimates how long a load that is queued now waits.
 Duration WaitOf(const WeightStoreStatus& status) {
   if (status.bytes_per_second <= 0) {
     return Duration();
@@ -147,7 +147,7 @@
         if (!IsOk(report)) {
           return;
         }
-        // The engine names itself by its VM; nodes name the endpoint.
+        // The engine reports itself by its VM; nodes use the endpoint's id.
         LoadReport& loaded = ValueOf(report);
         loaded.endpoint = endpoint;
         post_(LoadReportRead{loaded});
--- a/transport/action_executor.h
+++ b/transport/action_executor.h
@@ -13,29 +13,31 @@
 
 namespace gcw {
 
-// Carries out the core's actions towards the platform, endpoints and other
-// nodes, and hands the answers back as events.
+// Executes the core's actions against the platform, endpoints and other nodes,
+// and posts the responses back as events.
 class ActionExecutor {
  public:
   struct Clients {
     StoreClient* store = nullptr;
     VmListClient* vm_list = nullptr;
     EngineClient* engines = nullptr;
-    // Towards endpoints; its pooled connections may be found dead.
+    // The client that sends requests to endpoints. `DropConnections` closes its
+    // pooled connections, which may be dead.
     HttpClient* endpoints = nullptr;
     std::function<void(SendToPeer)> send_to_peer;
   };
 
-  // The clients outlive the executor.
+  // The clients must outlive the executor.
   ActionExecutor(boost::asio::io_context& context,
                  Clients clients,
                  Address weights,
                  Clock clock);
 
-  // Where events go; callable from any thread.
+  // Sets the function that receives events. It must be callable from any
+  // thread.
   void SetPost(std::function<void(NodeEvent)> post) { post_ = std::move(post); }
 
-  // All on the control thread.
+  // All overloads are called on the control thread.
   void Execute(const CallStore& action);
   void Execute(SendToPeer action);
   void Execute(const SendProbe& action);
@@ -45,7 +47,7 @@
   void Execute(const ReadLoad& action);
   void Execute(const ReadCacheEvents& action);
   void Execute(const DropConnections& action);
-  // The core spreads records itself.
+  // Nothing to do: the core distributes records itself.
   void Execute(const PublishRecord&) {}
 
  private:
--- a/transport/address.h
+++ b/transport/address.h
@@ -9,7 +9,8 @@
 
 namespace gcw {
 
-// Reads "127.0.0.1:8080" or "[::1]:8080"; names are not looked up.
+// Parses an IP address with a port, such as "127.0.0.1:8080" or "[::1]:8080".
+// Host names are not resolved.
 std::optional<boost::asio::ip::tcp::endpoint> ParseAddress(
     const Address& address);
 
--- a/transport/answer_receiver.h
+++ b/transport/answer_receiver.h
@@ -9,24 +9,25 @@
 
 namespace gcw {
 
-// Turns the answers of a request's attempts into the caller's answer. It checks
-// every piece against the attempt it must belong to, so that nothing of another
-// request, of an earlier attempt or out of order reaches the caller. All calls
-// come in order; one attempt runs at a time.
+// Turns the responses of a request's attempts into the response to the caller.
+// It checks every piece against its attempt, so that nothing from another
+// request, from an earlier attempt or out of order reaches the caller. Calls
+// arrive in order, and one attempt runs at a time.
 class AnswerReceiver {
  public:
   virtual ~AnswerReceiver() = default;
 
-  // A new attempt starts; the request to send.
+  // Starts a new attempt. Returns the request to send.
   virtual HttpRequest Start(const DispatchAttempt& dispatch) = 0;
   virtual void OnHead(const HttpResponse& head) = 0;
-  // False where the answer broke the protocol: the attempt is to be stopped.
+  // Returns false if the response violates the protocol; the attempt must then
+  // be stopped.
   virtual bool OnBody(std::string_view chunk) = 0;
-  // The answer ended properly as HTTP; what it was.
+  // The response ended properly as HTTP. Returns the outcome of the attempt.
   virtual AttemptEnd OnEnd() = 0;
-  // Tokens that the caller has, or that are kept for it.
+  // Number of tokens that were delivered to the caller or are kept for it.
   virtual TokenCount delivered() const = 0;
-  // Whether a part of the answer was given to the caller's connection.
+  // True if a part of the response has been passed to the caller's connection.
   virtual bool begun() const = 0;
 };
 
--- a/transport/appending_body.h
+++ b/transport/appending_body.h
@@ -11,13 +11,13 @@
 
 namespace gcw {
 
-// Beast body that collects what arrived since it was last emptied. Unlike
+// Beast body that holds the bytes received since it was last emptied. Unlike
 // Beast's string body it does not reserve the announced length: many senders
-// that announce a long body and send none would hold that memory.
+// that announce a long body and send none would occupy that memory.
 struct AppendingBody {
   using value_type = std::string;
 
-  // Named by Beast's concept of a body.
+  // Beast's Body concept requires this name.
   class reader {  // NOLINT(readability-identifier-naming)
    public:
     template <bool is_request, class Fields>
--- a/transport/call_error.h
+++ b/transport/call_error.h
@@ -10,20 +10,20 @@
 
 namespace gcw {
 
-// The service answered with a status that says nothing more.
+// The service returned a status other than 200; its body is not read.
 struct UnexpectedStatus {
   int status = 0;
 };
 
-// Why a call to a service brought no usable answer: none came, its status is
-// not the expected one, or its body cannot be read.
+// Why a call to a service failed: no response arrived, its status was
+// unexpected, or its body could not be decoded.
 using CallError = std::variant<HttpFailure, UnexpectedStatus, CodecError>;
 
-// Runs on a thread of the client's context.
+// Receives the result of a call, on a thread of the client's context.
 template <typename Value>
 using CallDone = std::function<void(Result<Value, CallError>)>;
 
-// Makes a call and reads a 200's body by `decode`.
+// Makes a call and decodes the body of a 200 response with `decode`.
 template <typename Value>
 std::shared_ptr<HttpCall> FetchDecoded(
     HttpClient& client,
@@ -53,7 +53,7 @@
       });
 }
 
-// The options of a small call that must end within `timeout`.
+// Returns the options of a small call that must finish within `timeout`.
 inline HttpCallOptions OptionsWithin(Duration timeout) {
   HttpCallOptions options;
   options.progress_timeout = timeout;
--- a/transport/caller_exchange.cc
+++ b/transport/caller_exchange.cc
@@ -109,8 +109,8 @@
                        options, MakeHandlers(dispatch));
 }
 
-// The client's handlers run on its own executor; each is passed on to the
-// exchange's strand in the order in which they come.
+// The HTTP client calls its handlers on its own executor. Each call is posted
+// to the exchange's strand, which keeps their order.
 HttpCallHandlers CallerExchange::MakeHandlers(const DispatchAttempt& dispatch) {
   const auto self = shared_from_this();
   const AttemptId attempt = dispatch.attempt;
@@ -168,7 +168,8 @@
     return;
   }
   if (over_) {
-    // The caller left or was told; the answer is kept for its next send.
+    // The caller has left or has its final response. The attempt's result is
+    // still reported, because it may be kept for a repeated send.
     EndAttempt(attempt, receiver_->OnEnd());
     return;
   }
@@ -273,9 +274,9 @@
   responder_->Respond(std::move(response));
 }
 
-// Ends an answer that cannot become whole. A stream that has begun gets an
+// Ends a response that cannot be completed. A stream that has begun gets an
 // explicit error event and no end marker, and its connection is closed without
-// the last chunk, so that no client takes it for whole.
+// the last chunk, so that no client mistakes it for complete.
 void CallerExchange::Break(std::string_view type,
                            std::string_view message,
                            Duration retry_after) {
--- a/transport/caller_exchange.h
+++ b/transport/caller_exchange.h
@@ -14,7 +14,7 @@
 
 namespace gcw {
 
-// The final answers that the core can tell a caller.
+// The final responses that the core can give to a caller.
 using FinalAnswer = std::variant<TellRefused,
                                  TellUnknown,
                                  TellStreamBroken,
@@ -22,14 +22,14 @@
                                  TellReplay,
                                  TellEarlierSend>;
 
-// One request of a caller on the traffic threads: carries out the attempts that
-// the core decides on and sees to it that the caller gets exactly one answer.
+// One caller's request on the traffic threads: runs the attempts that the core
+// decides on and ensures that the caller gets exactly one response.
 class CallerExchange : public std::enable_shared_from_this<CallerExchange> {
  public:
   struct Hooks {
-    // Hands an event to the core; callable from any thread.
+    // Passes an event to the core; callable from any thread.
     std::function<void(NodeEvent)> post;
-    // Counts time suspended.
+    // Includes the time for which the machine is suspended.
     Clock clock;
   };
 
@@ -41,15 +41,15 @@
                  HttpCallOptions options,
                  Hooks hooks);
 
-  // All callable from any thread.
+  // All of these methods are callable from any thread.
   void Dispatch(DispatchAttempt dispatch);
   void Cancel(AttemptId attempt);
   void Tell(FinalAnswer answer);
   void OnCallerGone();
 
  private:
-  // The caller is too slow to take its stream; its part that waits here would
-  // fill the memory.
+  // A stream with more unsent bytes than this is aborted. Without a limit, a
+  // caller that reads too slowly would fill the memory.
   static constexpr std::size_t kMaxUnsentBytes = 4UL * 1024 * 1024;
 
   void StartAttempt(const DispatchAttempt& dispatch);
@@ -75,7 +75,7 @@
   AttemptId attempt_;
   std::shared_ptr<HttpCall> call_;
   bool first_byte_ = false;
-  // The answer broke the protocol; the call is being stopped.
+  // The response violated the protocol, and the call is being cancelled.
   bool malformed_ = false;
   bool over_ = false;
 };
--- a/transport/caller_service.cc
+++ b/transport/caller_service.cc
@@ -40,7 +40,8 @@
               WriteError(type, message, RequestId(), Duration()));
 }
 
-// The digest of the caller's key; empty where there is none.
+// Returns the digest of the caller's key, or an empty digest if the request has
+// none.
 KeyDigest ReadKey(const HttpRequest& request) {
   const std::string& authorization = request.Header("Authorization");
   if (!authorization.starts_with(kBearer)) {
@@ -49,7 +50,7 @@
   return DigestOfKey(std::string_view(authorization).substr(kBearer.size()));
 }
 
-// Absent where the header is no positive number.
+// Returns nullopt if the header is not a positive number.
 std::optional<Duration> ReadTimeout(const HttpRequest& request,
                                     Duration default_timeout) {
   const std::string& text = request.Header(kTimeoutHeader);
@@ -65,7 +66,8 @@
   return Duration::Millis(millis);
 }
 
-// Methods that a service may run twice without harm (RFC 9110, section 9.2.1).
+// Returns whether a service may run the method twice without harm (RFC 9110,
+// section 9.2.1).
 bool IsSafeMethod(const std::string& method) {
   return method == "GET" || method == "HEAD" || method == "OPTIONS";
 }
@@ -74,8 +76,8 @@
   std::string text(first);
   text.push_back('\n');
   text.append(second);
-  // The sign bit is dropped, since codecs carry no negative numbers beyond 53
-  // bits either.
+  // Keeps the value positive and within the 53 bits that the codecs can
+  // represent.
   constexpr std::uint64_t kMask = (std::uint64_t{1} << 52) - 1;
   return Fingerprint(static_cast<std::int64_t>(HashOf(text) & kMask));
 }
@@ -267,8 +269,8 @@
   auto exchange = std::make_shared<CallerExchange>(
       traffic_, client_, arrived.profile.id, responder, std::move(receiver),
       options, std::move(hooks));
-  // The responder must not keep the exchange alive, nor the other way about for
-  // longer than the request.
+  // A weak pointer, because the responder must not keep the exchange alive. The
+  // exchange owns the responder for as long as the request lasts.
   responder->OnCallerGone([weak = std::weak_ptr<CallerExchange>(exchange)] {
     if (const std::shared_ptr<CallerExchange> gone = weak.lock()) {
       gone->OnCallerGone();
--- a/transport/caller_service.h
+++ b/transport/caller_service.h
@@ -16,23 +16,23 @@
 namespace gcw {
 
 struct CallerServiceSettings {
-  // Makes request ids unique over nodes and their runs.
+  // Makes request ids unique across nodes and their restarts.
   std::string id_prefix;
   Duration connect_timeout = Duration::Millis(500);
-  // A stream without a token for this long has gone silent.
+  // A stream without a token for this long counts as stalled.
   Duration model_progress_timeout = Duration::Seconds(10);
   Duration service_progress_timeout = Duration::Seconds(10);
-  // For callers that name none by `X-Gcw-Timeout-Ms`.
+  // The default timeouts apply if a caller sends no `X-Gcw-Timeout-Ms` header.
   Duration default_model_timeout = Duration::Seconds(120);
   Duration default_service_timeout = Duration::Seconds(30);
   Duration longest_timeout = Duration::Seconds(600);
 };
 
-// What callers can ask a node for; see docs/API.md. Reads each request, checks
-// it, and hands it to the core.
+// Serves the API that a node offers to callers; see docs/API.md. Parses and
+// validates each request and passes it to the core.
 class CallerService {
  public:
-  // All arguments outlive the service.
+  // All references must outlive the service.
   CallerService(CallerServiceSettings settings,
                 boost::asio::io_context& traffic,
                 HttpClient& client,
@@ -40,7 +40,7 @@
                 NodeMetrics& metrics,
                 Clock clock);
 
-  // To be used as the handler of an `HttpServer`.
+  // Handler for an `HttpServer`.
   void Handle(HttpRequest request,
               const std::shared_ptr<HttpResponder>& responder);
 
@@ -51,8 +51,8 @@
   void HandleService(HttpRequest request, const Responder& responder);
   void HandleEntries(const Responder& responder);
   void HandleIssueKey(const HttpRequest& request, const Responder& responder);
-  // Fills what all kinds of request share; false where the caller was answered
-  // with an error.
+  // Fills in the fields common to all kinds of request. Returns false if the
+  // caller was sent an error.
   bool ReadCommon(const HttpRequest& request,
                   Duration default_timeout,
                   const Responder& responder,
--- a/transport/chat_receiver.cc
+++ b/transport/chat_receiver.cc
@@ -130,8 +130,8 @@
   }
   if (status_ == kStatusOk) {
     if (!done_) {
-      // The engine closed its stream without the last event: the answer was
-      // cut, although HTTP ended properly.
+      // The engine ended its stream without the last event: the answer is
+      // truncated although the HTTP response ended properly.
       return AttemptBroke{AttemptBreakKind::kTruncated,
                           AttemptProgress::kAnswerBegun, delivered()};
     }
--- a/transport/chat_receiver.h
+++ b/transport/chat_receiver.h
@@ -10,21 +10,21 @@
 
 namespace gcw {
 
-// Receives a model engine's stream and gives it to the caller, as a stream or
-// whole. A stream goes on over attempts: each continues after the tokens that
-// came before.
+// Receives a model engine's stream and passes it to the caller as a stream or
+// as a single response. A stream may span several attempts: each continues
+// after the tokens received before.
 class ChatReceiver : public AnswerReceiver {
  public:
   struct Request {
     RequestId id;
     ModelTarget target;
-    // As the caller sent it; known to be a chat request.
+    // The body that the caller sent, already validated as a chat request.
     std::string body;
     TokenCount prompt_tokens;
     bool stream = false;
   };
 
-  // `on_token` is called for each token, before it goes out.
+  // `on_token` is called for each token before the token is sent.
   ChatReceiver(Request request,
                std::shared_ptr<HttpResponder> responder,
                std::function<void()> on_token);
@@ -47,17 +47,18 @@
   std::function<void()> on_token_;
   bool begun_ = false;
   std::int64_t next_index_ = 0;
-  // The answer so far, where the caller did not ask for a stream.
+  // The text received so far. It is collected only if the caller did not ask
+  // for a stream or if the answer is kept for a repeated send.
   std::string text_;
   std::string finish_reason_;
 
-  // Of the attempt that runs.
+  // State of the current attempt.
   AttemptId attempt_;
   bool keep_answer_ = false;
   int status_ = 0;
   bool echoed_ = false;
   SseParser parser_;
-  // Of an answer that is no stream.
+  // Body of a response with a status other than 200.
   std::string other_body_;
   bool done_ = false;
   bool failed_ = false;
--- a/transport/engine_client.h
+++ b/transport/engine_client.h
@@ -12,16 +12,16 @@
 
 namespace gcw {
 
-// What nodes ask model engines and plain services beside requests. All answers
-// come on a thread of the context.
+// Makes the calls to model engines and plain services other than callers'
+// requests. All callbacks run on a thread of the context.
 class EngineClient {
  public:
   explicit EngineClient(boost::asio::io_context& context);
 
-  // An order leaves only if `may_send` says so right before its first byte is
-  // given to the kernel, and on a new connection: one that waited in a pool may
-  // hold it up and deliver it when its sender is no longer the keeper. Where
-  // the error's progress is not `kNothingSent`, the engine may act on it.
+  // Sends an order only if `may_send` returns true right before the first byte
+  // is passed to the kernel. The order uses a new connection: a pooled one may
+  // delay it and deliver it when its sender is no longer the keeper. If the
+  // error's progress is not `kNothingSent`, the engine may act on the order.
   void SendOrder(const Address& engine,
                  const EngineOrder& order,
                  Duration timeout,
@@ -33,18 +33,18 @@
   void ReadLoad(const Address& endpoint,
                 Duration timeout,
                 CallDone<LoadReport> done);
-  // Events after the sequence number `after`.
+  // Reads the events with a sequence number greater than `after`.
   void ReadCacheEvents(const Address& engine,
                        std::int64_t after,
                        Duration timeout,
                        CallDone<CacheEventBatch> done);
-  // The answer tells whether the engine held the attempt.
+  // The result is true if the engine held the attempt.
   void CancelAttempt(const Address& engine,
                      const AttemptId& attempt,
                      Duration timeout,
                      CallDone<bool> done);
 
-  // Drops pooled connections, for example when one went silent.
+  // Closes pooled connections to the engine, for example after one stalled.
   void ForgetConnections(const Address& engine);
 
  private:
--- a/transport/http_client.h
+++ b/transport/http_client.h
@@ -11,27 +11,28 @@
 
 namespace gcw {
 
-// One running exchange.
+// One HTTP exchange in progress.
 class HttpCall {
  public:
   virtual ~HttpCall() = default;
-  // Ends the exchange and closes its connection; `on_failure` follows with
-  // kCancelled unless the call has ended.
+  // Ends the exchange and closes its connection. `on_failure` follows with
+  // kCancelled unless the call has already ended.
   virtual void Cancel() = 0;
-  // Stops and resumes reading, so that a slow caller holds back the endpoint
-  // instead of filling this process. While paused only the deadline counts.
+  // Pauses and resumes reading, so that a slow caller applies back-pressure to
+  // the endpoint instead of filling this process's memory. While paused, only
+  // the deadline applies.
   virtual void Pause() {}
   virtual void Resume() {}
 };
 
 // Makes HTTP/1.1 calls to endpoints. A connection carries one request at a time
-// and returns to the pool only after an answer that ended properly, so that no
-// caller can receive a piece of another's answer. May be used from any thread;
-// calls that run when the client is destroyed go on to their end.
+// and returns to the pool only after a response that ended properly, so that no
+// caller can receive a part of another's response. Callable from any thread.
+// Calls that are in progress when the client is destroyed run to their end.
 class HttpClient {
  public:
-  // The context must outlive the client. Where one thread runs it, all handlers
-  // run on that thread.
+  // The context must outlive the client. If a single thread runs the context,
+  // all handlers run on that thread.
   explicit HttpClient(boost::asio::io_context& context);
   ~HttpClient();
   HttpClient(const HttpClient&) = delete;
@@ -42,14 +43,15 @@
                                  HttpCallOptions options,
                                  HttpCallHandlers handlers);
 
-  // Collects the whole answer. `done` gets either the response or the failure.
+  // Collects the whole response. `done` gets either the response or the
+  // failure.
   using FetchDone = std::function<void(Result<HttpResponse, HttpFailure>)>;
   std::shared_ptr<HttpCall> Fetch(const Address& address,
                                   HttpRequest request,
                                   HttpCallOptions options,
                                   FetchDone done);
 
-  // Drops pooled connections to the address, for example when one went silent.
+  // Closes pooled connections to the address, for example after one stalled.
   void ForgetConnections(const Address& address);
 
  private:
--- a/transport/http_client_call.cc
+++ b/transport/http_client_call.cc
@@ -29,15 +29,17 @@
 }
 
 HttpFailureKind ReadFailure(const error_code& error) {
-  // The kernel's own report of a silent peer, by TCP_USER_TIMEOUT.
+  // The kernel reports a peer that acknowledges nothing with this error
+  // (TCP_USER_TIMEOUT).
   return error == boost::asio::error::timed_out
              ? HttpFailureKind::kSilent
              : HttpFailureKind::kConnectionReset;
 }
 
-// How long the server keeps the idle connection, by its `Keep-Alive` header. A
-// request on a connection that the server closes at that moment is lost, with
-// its outcome unknown, so a part of the time is left unused.
+// Returns how long the connection may stay idle, based on the server's
+// `Keep-Alive` header. Only a part of the announced time is used: a request
+// sent just as the server closes the connection is lost, and its outcome is
+// unknown.
 Duration KeepAliveLimit(const http::fields& head) {
   constexpr std::string_view kName = "timeout=";
   constexpr std::int64_t kMillisUsedPerSecond = 600;
@@ -152,8 +154,9 @@
 }
 
 void HttpClientCall::BeginExchange() {
-  // Bytes that are there before the request was sent belong to no answer of
-  // ours, and an end means that the server has closed an idle connection.
+  // Input that arrived before the request was sent cannot belong to its
+  // response, and an end of file means that the server has closed the idle
+  // connection.
   if (pooled_ && HasUnreadInput(connection_->socket)) {
     pooled_ = false;
     connection_->socket = StrandSocket(strand_);
@@ -186,7 +189,7 @@
 }
 
 void HttpClientCall::OnTimeout() {
-  // The timer counts whole milliseconds.
+  // The timer has millisecond resolution, so it may fire up to 1 ms early.
   const auto almost_now = SteadyClock::now() + std::chrono::milliseconds(1);
   Fail(almost_now >= deadline_ ? HttpFailureKind::kDeadline : timeout_kind_);
 }
@@ -207,7 +210,8 @@
       return;
     }
     if (error) {
-      // The server may have answered before it closed: the reader decides.
+      // The server may have responded before it closed the connection; the read
+      // decides the outcome.
       write_failed_ = true;
       return;
     }
@@ -317,7 +321,7 @@
     return false;
   }
   if (status < 200) {
-    // An interim answer; the real one follows.
+    // This is an interim response; the final one follows.
     StartParser();
     return true;
   }
--- a/transport/http_client_call.h
+++ b/transport/http_client_call.h
@@ -17,15 +17,15 @@
 
 namespace gcw {
 
-// One exchange on one connection: connects unless the connection came from the
-// pool, writes the request and reads the answer at the same time. Writes go
-// straight to the kernel, so that the call knows at each moment whether a byte
-// has left. All members are used on the connection's strand.
+// One exchange on one connection: connects unless the connection is pooled,
+// then writes the request and reads the response at the same time. Writes go
+// straight to the kernel, so that the call knows at any time whether a byte may
+// have been sent. All members are used on the connection's strand.
 class HttpClientCall final
     : public HttpCall,
       public std::enable_shared_from_this<HttpClientCall> {
  public:
-  // `connection` is new and not yet open, or `pooled`.
+  // `connection` is not yet open, unless `pooled` is true.
   HttpClientCall(std::unique_ptr<HttpConnection> connection,
                  bool pooled,
                  std::shared_ptr<HttpConnectionPool> pool,
@@ -47,7 +47,7 @@
   void Connect();
   void OnConnected(const boost::system::error_code& error);
   void BeginExchange();
-  // Moves the time-out of the current step, within the call's deadline.
+  // Sets the timeout of the current step, capped by the call's deadline.
   void ExpectWithin(Duration limit, HttpFailureKind timeout_kind);
   void ExpectProgress();
   void OnTimeout();
@@ -60,7 +60,7 @@
   void OnEof();
   void ParseBuffered();
   void StartParser();
-  // Called when the head is whole. Returns whether the call goes on.
+  // Called when the head is complete. Returns whether the call continues.
   bool AcceptHead();
   void DeliverBody();
   void End();
@@ -74,7 +74,8 @@
   HttpCallHandlers handlers_;
   std::unique_ptr<HttpConnection> connection_;
   bool pooled_;
-  // Outlives the connection, which returns to the pool.
+  // A copy, because the connection may return to the pool before the call is
+  // destroyed.
   const Strand strand_;
   LazyTimer timer_;
   const SteadyClock::time_point deadline_;
--- a/transport/http_connection.h
+++ b/transport/http_connection.h
@@ -7,16 +7,16 @@
 
 namespace gcw {
 
-// A client's connection with the strand that its calls run on.
+// A client connection and the strand on which its calls run.
 struct HttpConnection {
   explicit HttpConnection(boost::asio::io_context& context)
       : strand(boost::asio::make_strand(context)), socket(strand) {}
 
   Strand strand;
   StrandSocket socket;
-  // How long it may be idle before it is used no more.
+  // The connection is not reused after it has been idle for this time.
   Duration idle_limit = Duration::Seconds(30);
-  // When it returned to the pool.
+  // When the connection returned to the pool.
   std::chrono::steady_clock::time_point idle_since;
 };
 
--- a/transport/http_connection_pool.h
+++ b/transport/http_connection_pool.h
@@ -15,9 +15,9 @@
 
 namespace gcw {
 
-// Idle connections by address, the most recently used first. Safe for use from
-// any thread. A connection may go silent while it is idle, with nothing to
-// show for it: so it lives here for `kMaxIdle` at most.
+// Idle connections by address; the most recently used one is reused first. Safe
+// for use from any thread. An idle connection may die without notice, so it is
+// kept for at most `kMaxIdle`.
 class HttpConnectionPool
     : public std::enable_shared_from_this<HttpConnectionPool> {
  public:
@@ -27,12 +27,13 @@
 
   explicit HttpConnectionPool(boost::asio::io_context& context);
 
-  // An idle connection from which there is nothing to read, or null.
+  // Returns an idle connection that has no unread input, or null.
   std::unique_ptr<HttpConnection> Take(const Address& address);
-  // Closes the connection instead where the pool is full or closed.
+  // Adds an idle connection. It is closed instead if the pool is full or
+  // closed.
   void Put(const Address& address, std::unique_ptr<HttpConnection> connection);
   void Forget(const Address& address);
-  // Closes all connections and takes no more.
+  // Closes all connections and accepts no more.
   void Close();
   std::size_t size() const;
 
--- a/transport/http_error.h
+++ b/transport/http_error.h
@@ -7,23 +7,24 @@
 
 namespace gcw {
 
-// What the server itself refuses, before any handler sees it.
+// Errors that the server itself sends.
 enum class HttpErrorKind {
   kMalformedRequest,
-  // The sender closed its side before the request was whole.
+  // The caller closed its sending side before the request was complete.
   kIncompleteRequest,
   kRequestTimeout,
   kBodyTooLarge,
   kHeadersTooLarge,
   kTooManyConnections,
-  // The handler let go of the request without an answer.
+  // The handler released the request without a response.
   kNoAnswer,
 };
 
 int HttpErrorStatus(HttpErrorKind kind);
 std::string_view HttpErrorType(HttpErrorKind kind);
 
-// `{"error":{"type":...,"message":...}}` with any status and type.
+// Builds the body `{"error":{"type":...,"message":...}}` with any status and
+// type.
 HttpResponse MakeErrorResponse(int status,
                                std::string_view type,
                                std::string_view message);
--- a/transport/http_framing.h
+++ b/transport/http_framing.h
@@ -12,32 +12,33 @@
 
 namespace gcw {
 
-// How the bytes of one answer are laid out on its connection.
+// How a response is framed on its connection.
 struct AnswerFraming {
-  // 10 or 11.
+  // HTTP version: 10 for 1.0, 11 for 1.1.
   unsigned version = 11;
   bool keep_alive = true;
-  // Answers to HEAD carry no body.
+  // Responses to HEAD carry no body.
   bool head_only = false;
 };
 
-// The functions below set the headers that frame a message themselves and pass
-// over those (Content-Length, Transfer-Encoding, Connection, ...) and malformed
-// ones in the given lists, so that what one side says of its connection never
-// leaks into another.
+// The functions below set the framing headers (Content-Length,
+// Transfer-Encoding, Connection, ...) themselves. They skip such headers and
+// malformed ones in the given lists, so that headers about one connection never
+// leak to another.
 
 std::string EncodeWhole(const HttpResponse& response,
                         const AnswerFraming& framing);
-// Status line and headers of an answer whose body follows in chunks.
+// Encodes the status line and headers of a response whose body follows in
+// chunks.
 std::string EncodeStreamHead(int status,
                              const std::vector<HttpHeader>& headers,
                              const AnswerFraming& framing);
-// One chunk; a chunk of no bytes is left out, as it would end the body.
+// Encodes one chunk. An empty chunk is omitted, because it would end the body.
 std::string EncodeChunk(std::string_view chunk, const AnswerFraming& framing);
 std::string EncodeLastChunk(const AnswerFraming& framing);
 
-// No value where method or target could not be sent without changing what
-// follows, such as with a line break.
+// Returns nullopt if the method or the target contains characters, such as a
+// line break, that would change the meaning of what follows.
 std::optional<std::string> EncodeRequest(const HttpRequest& request,
                                          const std::string& host);
 
--- a/transport/http_outbox.cc
+++ b/transport/http_outbox.cc
@@ -125,7 +125,7 @@
 
 void HttpOutbox::LetGo(std::uint64_t answer) {
   Respond(answer, MakeErrorResponse(HttpErrorKind::kNoAnswer));
-  // Still open only if it was a stream.
+  // The response is still open only if it is a stream.
   Abort(answer);
 }
 
--- a/transport/http_outbox.h
+++ b/transport/http_outbox.h
@@ -14,30 +14,33 @@
 
 namespace gcw {
 
-// How the answer in an outbox ends.
+// How the current response has ended, if it has.
 enum class HttpAnswerEnd { kOpen, kWhole, kAborted };
 
-// Carries one connection's answers from any thread to its strand. Bytes written
-// between two flushes go out together.
+// Passes the responses of one connection from any thread to the connection's
+// strand. Bytes written between two flushes are sent together.
 class HttpOutbox {
  public:
-  // `wake` makes the strand call `Take` soon; called from any thread.
+  // `wake` makes the strand call `Take` soon; it may be called from any thread.
   explicit HttpOutbox(std::function<void()> wake);
 
-  // The strand's side. `Begin` starts the answer to the next request and
-  // returns its number, without which later calls have no effect.
+  // The methods from here to `CallerGone` are called on the strand. `Begin`
+  // starts the response to the next request and returns its number. Later calls
+  // with another number have no effect.
   std::uint64_t Begin(const AnswerFraming& framing);
-  // Moves what is to be written into `bytes`, which must be empty.
+  // Moves the bytes to write into `bytes`, which must be empty.
   HttpAnswerEnd Take(std::string& bytes);
   void OnSent(std::size_t bytes);
-  // Whether the current answer has been given whole, sent or not.
+  // True if the current response has ended, sent or not.
   bool answer_ended() const;
-  // Bytes that belong to no answer, such as an interim one.
+  // Appends bytes that belong to no final response, such as an interim one.
   void AppendRaw(std::string_view bytes);
-  // No more of this answer can be sent. Returns the hook to call, if any.
+  // Discards the rest of the current response, since it can no longer be sent.
+  // Returns the hook to call, if any.
   std::function<void()> CallerGone();
 
-  // The responder's side. Calls out of order are ignored.
+  // The methods below are called by the responder. Calls out of order are
+  // ignored.
   void Respond(std::uint64_t answer, const HttpResponse& response);
   void StartStream(std::uint64_t answer,
                    int status,
@@ -45,10 +48,12 @@
   void Write(std::uint64_t answer, std::string_view chunk);
   void Finish(std::uint64_t answer);
   void Abort(std::uint64_t answer);
-  // Whoever should have answered let go: ends the answer as an error.
+  // Called if the responder is released: a response that has not ended then
+  // ends as an error.
   void LetGo(std::uint64_t answer);
   std::size_t unsent_bytes(std::uint64_t answer) const;
-  // Returns the hook for the caller to call now if the caller is gone already.
+  // Sets the hook to call when the caller goes away. If the caller has already
+  // gone, the hook is returned, to be called at once.
   std::function<void()> SetHook(std::uint64_t answer,
                                 std::function<void()> hook);
 
@@ -56,11 +61,11 @@
   enum class Stage { kNone, kWaiting, kStreaming, kEnded, kGone };
 
   bool IsAt(std::uint64_t answer, Stage stage) const;
-  // Returns whether the strand has to be woken.
+  // Returns whether the strand must be woken.
   bool Append(std::string_view bytes);
-  // Returns the hook that is no longer needed. It is destroyed after the lock
-  // is released, since it may hold the last reference to the responder, whose
-  // destructor comes back here.
+  // Returns the hook, which is no longer needed. It must be destroyed after the
+  // lock is released: it may hold the last reference to the responder, whose
+  // destructor calls this object.
   [[nodiscard]] std::function<void()> End(HttpAnswerEnd end);
   void WakeIf(bool needed);
 
--- a/transport/http_server.cc
+++ b/transport/http_server.cc
@@ -17,7 +17,7 @@
 
 namespace {
 
-// When no descriptor is free, the next accept fails as well until one closes.
+// If no file descriptor is free, accepting fails until one is closed.
 constexpr Duration kAcceptRetryDelay = Duration::Millis(50);
 
 ListenErrorKind KindOf(const error_code& error) {
--- a/transport/http_server.h
+++ b/transport/http_server.h
@@ -19,11 +19,12 @@
 };
 
 // Serves HTTP/1.1 on one address. Malformed, oversized, slow and half-closed
-// requests get a typed JSON error or a close, and never reach the handler.
+// requests are answered with a typed JSON error or a close, and never reach the
+// handler.
 class HttpServer {
  public:
-  // Port 0 lets the kernel choose. The handler runs on `context`'s threads. The
-  // context must outlive the server.
+  // Port 0 lets the kernel choose a port. The handler runs on the threads of
+  // `context`, which must outlive the server.
   static Result<std::unique_ptr<HttpServer>, ListenError> Listen(
       boost::asio::io_context& context,
       const std::string& ip,
@@ -36,14 +37,15 @@
   HttpServer& operator=(const HttpServer&) = delete;
 
   std::uint16_t port() const;
-  // Holds for requests that begin from now on, and for connections that become
+  // Applies to requests that begin from now on and to connections that become
   // idle. Safe from any thread.
   void SetRequestLimits(const HttpRequestLimits& limits);
-  // Every further answer says that its connection closes. New connections are
-  // still taken: callers go on coming until they have asked for addresses anew.
+  // Makes every further response announce that its connection closes. New
+  // connections are still accepted, because callers keep using this address
+  // until they ask for addresses again.
   void AnnounceStop();
-  // Takes no new connections. Open ones end after the request they run, or
-  // shortly after an answer that had promised to keep the connection.
+  // Accepts no new connections. Open ones close after their current request, or
+  // shortly after a response that promised to keep the connection open.
   void StopAccepting();
   std::size_t open_connections() const;
 
--- a/transport/http_server_session.cc
+++ b/transport/http_server_session.cc
@@ -17,8 +17,9 @@
 namespace {
 
 constexpr std::size_t kReadBytes = 8UL * 1024;
-// What a caller may send ahead of its turn before its connection is no longer
-// read. Beyond this a caller that leaves is noticed by writes only.
+// While a response is pending, the connection is no longer read if this many
+// bytes have been received ahead. From then on, only a failed write shows that
+// a caller has left.
 constexpr std::size_t kMaxAheadBytes = 16UL * 1024;
 constexpr std::size_t kMaxLingerBytes = 1024UL * 1024;
 
@@ -87,7 +88,8 @@
     return;
   }
   read_waiting_ = true;
-  // Waits without a buffer: most connections are idle most of the time.
+  // Waits without a read buffer, because most connections are idle most of the
+  // time.
   socket_.async_wait(StrandSocket::wait_read,
                      [self = shared_from_this()](const error_code& error) {
                        self->read_waiting_ = false;
@@ -184,8 +186,9 @@
 void HttpServerSession::Dispatch() {
   auto message = parser_->release();
   parser_.reset();
-  // A coding that is not chunked leaves the body's end unknown; taking the body
-  // for the next request would let one caller slip in requests of another.
+  // A transfer coding other than chunked leaves the end of the body unknown.
+  // Parsing the body as the next request would allow request smuggling, where
+  // one caller sends requests as another.
   if (message.count(http::field::transfer_encoding) > 0 && !message.chunked()) {
     RespondError(HttpErrorKind::kMalformedRequest);
     return;
@@ -283,15 +286,16 @@
 
 void HttpServerSession::OnAnswerSent(HttpAnswerEnd end) {
   if (end == HttpAnswerEnd::kAborted) {
-    // Without chunks, an orderly close would look like the answer's end.
+    // Before HTTP/1.1 there are no chunks, and a normal close would look like
+    // the end of the response.
     if (framing_.version < 11) {
       ResetOnClose(socket_);
     }
     CloseNow();
     return;
   }
-  // An answer that promised to keep the connection keeps it, also when the
-  // server stops meanwhile: the next request may be on its way.
+  // A response that promised to keep the connection open is honoured even if
+  // the server has begun to stop, because the next request may be on its way.
   if (!framing_.keep_alive || eof_seen_) {
     Linger();
     return;
@@ -338,8 +342,9 @@
       RespondError(HttpErrorKind::kIncompleteRequest);
       return;
     case Phase::kAnswering:
-      // A caller that closes its sending side after the whole answer was given
-      // still takes it; before that, nobody can tell whether it is gone.
+      // A caller that closes its sending side after the response has ended can
+      // still receive the rest. Before that, a half-close cannot be told from a
+      // caller that is gone.
       if (outbox_.answer_ended()) {
         return;
       }
--- a/transport/http_server_session.h
+++ b/transport/http_server_session.h
@@ -18,18 +18,19 @@
 
 namespace gcw {
 
-// One connection of a caller. Reads one request after another and, while an
-// answer is pending, goes on watching the socket, since a caller that left is
-// seen only by a read. All members but the outbox are used on the strand.
+// One connection of a caller. It reads one request after another and keeps
+// watching the socket while a response is pending, because only a read shows
+// that a caller has left. All members but the outbox are used on the strand.
 class HttpServerSession
     : public std::enable_shared_from_this<HttpServerSession> {
  public:
   HttpServerSession(StrandSocket socket,
                     std::shared_ptr<HttpServerState> server);
 
-  // Called once, from any thread, as are the two below.
+  // Called once, from any thread. The same applies to `Drain` and `Close`.
   void Start();
-  // The server stops: ends after the request that runs, or soon if idle.
+  // Called when the server stops. Closes the connection after the current
+  // request, or soon if it is idle.
   void Drain();
   void Close();
 
--- a/transport/http_server_state.h
+++ b/transport/http_server_state.h
@@ -15,12 +15,13 @@
 
 class HttpServerSession;
 
-// What the connections of one server share. Safe for use from any thread.
+// State shared by the connections of one server. Safe for use from any thread.
 class HttpServerState {
  public:
   HttpServerState(HttpServerLimits limits, HttpHandler handler);
 
-  // Those of the start; what may change meanwhile is below.
+  // The limits given at the start. Those that may change have accessors of
+  // their own below.
   const HttpServerLimits& limits() const { return limits_; }
   std::size_t max_header_bytes() const { return max_header_bytes_; }
   std::size_t max_body_bytes() const { return max_body_bytes_; }
@@ -28,24 +29,26 @@
     return Duration::Millis(header_timeout_ms_);
   }
   Duration idle_timeout() const { return Duration::Millis(idle_timeout_ms_); }
-  // Holds for requests that begin from now on.
+  // Applies to requests that begin from now on.
   void SetRequestLimits(const HttpRequestLimits& limits);
   const HttpHandler& handler() const { return handler_; }
   bool stopping() const { return stopping_; }
   void set_stopping() { stopping_ = true; }
-  // The server is gone: no handler is called any more.
+  // True once the server is destroyed; no handler is called from then on.
   bool closed() const { return closed_; }
   void set_closed() { closed_ = true; }
 
   enum class Admission { kServe, kRefuse, kDrop };
-  // Adds a connection. Beyond the limit some are told so, and the rest dropped.
+  // Adds a connection. Some connections beyond the limit are sent an error, and
+  // the rest are dropped.
   Admission Add(const std::shared_ptr<HttpServerSession>& session);
   void Remove(const HttpServerSession* session);
   std::size_t open_connections() const;
   std::vector<std::shared_ptr<HttpServerSession>> Sessions() const;
 
  private:
-  // Connections beyond the limit that are being told so at a time.
+  // Maximum number of connections beyond the limit that are sent an error at a
+  // time.
   static constexpr std::size_t kMaxRefused = 256;
 
   const HttpServerLimits limits_;
--- a/transport/http_session_responder.h
+++ b/transport/http_session_responder.h
@@ -13,8 +13,8 @@
 
 class HttpServerSession;
 
-// Answers one request of a session. Has no effect once that answer has ended,
-// so that it can't write into the answer to a later request.
+// Responds to one request of a session. Calls have no effect once that response
+// has ended, so that they cannot write into the response to a later request.
 class HttpSessionResponder final : public HttpResponder {
  public:
   HttpSessionResponder(std::shared_ptr<HttpServerSession> session,
--- a/transport/http_types.h
+++ b/transport/http_types.h
@@ -24,7 +24,7 @@
   std::vector<HttpHeader> headers;
   std::string body;
 
-  // The first header of that name in any case, or an empty string.
+  // Returns the first header of that name, ignoring case, or an empty string.
   const std::string& Header(std::string_view name) const;
 };
 
@@ -36,9 +36,9 @@
   const std::string& Header(std::string_view name) const;
 };
 
-// Answers one request of a caller. All methods may be called from any thread.
-// Either `Respond` is called once, or `StartStream`, any number of `Write`, and
-// then `Finish` or `Abort`.
+// Responds to one request of a caller. All methods may be called from any
+// thread. Either `Respond` is called once, or `StartStream`, any number of
+// `Write`, and then `Finish` or `Abort`.
 class HttpResponder {
  public:
   virtual ~HttpResponder() = default;
@@ -50,43 +50,46 @@
   // Ends the stream properly.
   virtual void Finish() = 0;
   // Closes the connection without the last chunk, so that the caller cannot
-  // take the answer for whole.
+  // mistake the response for complete.
   virtual void Abort() = 0;
-  // Bytes given to `Write` that the caller has not taken yet.
+  // Number of bytes given to `Write` that have not been sent to the caller yet.
   virtual std::size_t unsent_bytes() const = 0;
-  // Called once, on a thread of the server's context, when the caller goes away
-  // before the answer ended. A caller that closes only its sending side counts
-  // as gone too, since both look alike.
+  // Sets a hook that is called once, on a thread of the server's context, if
+  // the caller goes away before the response has ended. A caller that closes
+  // only its sending side also counts as gone, because the two cannot be told
+  // apart.
   virtual void OnCallerGone(std::function<void()> hook) = 0;
 };
 
-// Runs on a thread of the server's context, for each connection on its strand,
-// so it must not block. A handler that lets go of the responder without an
-// answer gives the caller a 500.
+// Handles a request. It runs on a thread of the server's context, on the
+// connection's strand, so it must not block. If it releases the responder
+// without a response, the caller gets a 500.
 using HttpHandler =
     std::function<void(HttpRequest, std::shared_ptr<HttpResponder>)>;
 
-// Bounds that hold for each connection of a server.
+// Limits of a server. All but `max_connections` apply to each connection.
 struct HttpServerLimits {
   std::size_t max_header_bytes = 16UL * 1024;
   std::size_t max_body_bytes = 4UL * 1024 * 1024;
   std::size_t max_connections = 20000;
-  // A request's header must arrive whole within this time of its first byte.
+  // Maximum time from a request's first byte to the end of its header.
   Duration header_timeout = Duration::Seconds(20);
-  // The same for the whole request.
+  // Maximum time from the end of a request's header to the end of its body.
   Duration request_timeout = Duration::Seconds(20);
-  // A connection without a request is closed after this time.
+  // Maximum time for which a connection stays open without a request.
   Duration idle_timeout = Duration::Seconds(75);
-  // The same once the server stops. Not zero: a request may be on its way.
+  // The idle timeout while the server stops. It is not zero because a request
+  // may be on its way.
   Duration stopping_idle_timeout = Duration::Seconds(2);
-  // A caller that takes no byte of its answer for this time counts as gone.
+  // A caller that accepts no byte of its response for this time counts as gone.
   Duration write_timeout = Duration::Seconds(30);
-  // How long a refused caller may go on sending before the close. Closing at
-  // once would reset the connection and the refusal would be lost.
+  // How long a caller may keep sending after the last response on its
+  // connection. An immediate close would reset the connection, and a refusal
+  // would be lost.
   Duration linger_timeout = Duration::Seconds(2);
 };
 
-// What operators set of these while a server runs.
+// The limits that operators can change while a server runs.
 struct HttpRequestLimits {
   std::size_t max_header_bytes = 0;
   std::size_t max_body_bytes = 0;
@@ -96,11 +99,11 @@
 
 // How far a request got, which decides whether it may have run.
 enum class HttpProgress {
-  // No byte of the request was given to the kernel: it was not run.
+  // No byte of the request was passed to the kernel, so it was not run.
   kNothingSent,
-  // Some byte may have left: it may have run.
+  // Some bytes may have been sent, so the request may have run.
   kMaybeSent,
-  // The answer's head arrived, then the connection broke.
+  // The head of the response arrived before the connection broke.
   kAnswerBegun,
 };
 
@@ -108,13 +111,14 @@
   kConnectRefused,
   kConnectTimeout,
   kConnectionReset,
-  // Nothing arrived for the progress timeout.
+  // No progress was made for the progress timeout.
   kSilent,
   kDeadline,
-  // The answer broke the protocol or a bound, or names no length: such an
-  // answer ends with its connection and a cut one would look whole.
+  // The response violates the protocol or a limit, or announces no length: it
+  // would end when its connection closes, and a truncated one would look
+  // complete.
   kMalformedAnswer,
-  // The answer ended before its length or its last chunk.
+  // The response ended before its announced length or its last chunk.
   kTruncated,
   kCancelled,
 };
@@ -128,30 +132,30 @@
 
 struct HttpCallOptions {
   Duration connect_timeout = Duration::Millis(500);
-  // Longest time without a byte of progress after the request was sent.
+  // Maximum time without a byte sent or received once the connection is open.
   Duration progress_timeout = Duration::Seconds(10);
-  // Longest time for the whole exchange.
+  // Maximum time for the whole exchange.
   Duration deadline = Duration::Seconds(60);
   std::size_t max_answer_bytes = 64UL * 1024 * 1024;
-  // Uses a pooled connection where one is free. Requests that may not be
-  // repeated use a new one, since a pooled connection may have died unseen.
+  // Uses a pooled connection if one is free. Requests that must not be repeated
+  // use a new one, because a pooled connection may have died unnoticed.
   bool reuse_connection = true;
-  // Takes an answer without a length, which ends with its connection. One that
-  // is reset is still an error; whether an orderly close is the answer's end is
-  // for the caller of the client to know.
+  // Accepts a response without a length, which ends when its connection closes.
+  // A reset is still an error. The user of the client must decide whether a
+  // normal close is the end of the response.
   bool accept_unframed = false;
 };
 
-// Receives one exchange. All calls come on threads of the client's context, on
-// the connection's strand, in order, never from within `Send`, and end with
-// exactly one of `on_end` or `on_failure`.
+// Callbacks of one exchange. All calls are made on threads of the client's
+// context, on the connection's strand, in order and never from within `Send`.
+// The last call is exactly one of `on_end` and `on_failure`.
 struct HttpCallHandlers {
-  // Right before the first byte of the request is given to the kernel. Returns
-  // whether to go on; `false` ends the call as kCancelled, kNothingSent.
+  // Called right before the first byte of the request is passed to the kernel.
+  // Returning false ends the call with kCancelled and kNothingSent.
   std::function<bool()> before_send;
   std::function<void(const HttpResponse& head)> on_head;
   std::function<void(std::string_view chunk)> on_body;
-  // The answer ended properly.
+  // The response ended properly.
   std::function<void()> on_end;
   std::function<void(HttpFailure)> on_failure;
 };
--- a/transport/key_digest.cc
+++ b/transport/key_digest.cc
@@ -14,8 +14,8 @@
   unsigned int size = 0;
   const int done = EVP_Digest(key.data(), key.size(), digest.data(), &size,
                               EVP_sha256(), nullptr);
-  // Fails only where memory or the algorithm is missing. An empty digest would
-  // match other keys' empty digests, so there is no going on.
+  // This fails only if memory or the algorithm is unavailable. The process must
+  // not continue: an empty digest would match other keys' empty digests.
   CHECK_EQ(done, 1) << "SHA-256 is not available";
   constexpr std::string_view digits = "0123456789abcdef";
   std::string text;
--- a/transport/key_digest.h
+++ b/transport/key_digest.h
@@ -7,11 +7,11 @@
 
 namespace gcw {
 
-// The digest under which contracts keep a caller's bearer key.
+// Returns the digest by which contracts identify a caller's bearer key.
 KeyDigest DigestOfKey(std::string_view key);
 
-// Takes as long for digests that differ late as for ones that differ early, so
-// that a guesser learns nothing from the time. Lengths are no secret.
+// Takes the same time wherever the digests differ, so that the time reveals
+// nothing about them. Their lengths are not secret.
 bool EqualInConstantTime(const KeyDigest& a, const KeyDigest& b);
 
 }  // namespace gcw
--- a/transport/lazy_timer.cc
+++ b/transport/lazy_timer.cc
@@ -37,7 +37,7 @@
   timer_.async_wait(
       [this, owner = owner_, arm](const boost::system::error_code&) {
         const auto keep = owner.lock();
-        // Checked in this order: without its owner the timer is gone too.
+        // The owner is checked first: if it is gone, this timer is gone too.
         if (!keep || arm != arm_count_) {
           return;
         }
--- a/transport/lazy_timer.h
+++ b/transport/lazy_timer.h
@@ -12,19 +12,19 @@
 
 namespace gcw {
 
-// One deadline that moves often, such as the silence limit of a stream that
-// starts anew with each byte. Moving it later costs no timer operation: the
-// running timer looks at the deadline when it fires and sleeps on. Used on the
-// owner's strand only.
+// A deadline that moves often, such as a stream's progress timeout, which
+// restarts with each byte. Moving it later costs no timer operation: when the
+// running timer fires, it checks the deadline and waits again if needed. Used
+// only on the owner's strand.
 class LazyTimer {
  public:
   explicit LazyTimer(const Strand& strand);
 
-  // `on_expiry` runs on the strand while `owner` lives; it may refer to it.
+  // `on_expiry` runs on the strand while `owner` is alive, and may refer to it.
   void Start(std::weak_ptr<void> owner, std::function<void()> on_expiry);
   void Set(Duration after);
   void Clear();
-  // Ends all waiting; the timer is not used again.
+  // Cancels all waits. The timer must not be used afterwards.
   void Stop();
 
  private:
@@ -41,9 +41,9 @@
   std::weak_ptr<void> owner_;
   std::function<void()> on_expiry_;
   std::optional<SteadyClock::time_point> deadline_;
-  // When the running wait ends; absent where none runs.
+  // When the current wait ends; nullopt if there is none.
   std::optional<SteadyClock::time_point> armed_;
-  // Tells a wait that was replaced from the current one.
+  // Identifies the current wait, so that replaced ones are ignored.
   int arm_count_ = 0;
 };
 
--- a/transport/line_writer.cc
+++ b/transport/line_writer.cc
@@ -41,7 +41,7 @@
     return false;
   }
   const ssize_t written = write(descriptor_, line.data(), line.size());
-  // A descriptor that is closed or broken takes nothing, now or later.
+  // A closed or broken descriptor never accepts a line, so the line is dropped.
   return written >= 0 || (errno != EAGAIN && errno != EINTR);
 }
 
--- a/transport/line_writer.h
+++ b/transport/line_writer.h
@@ -9,21 +9,21 @@
 
 namespace gcw {
 
-// Writes lines to a descriptor without ever waiting for whoever reads it. A log
-// reader that stops would otherwise stop every request of the process: what
-// does not fit is held up to a bound, and what is beyond it is dropped and
+// Writes lines to a descriptor without blocking on its reader. Otherwise a log
+// reader that stops would block every request of the process. Lines that cannot
+// be written yet are buffered up to a limit; further ones are dropped and
 // counted.
 class LineWriter {
  public:
-  // Up to this size a write to a pipe that polls as writable never waits.
+  // A write of at most this size never blocks on a pipe that polls as writable.
   static constexpr std::size_t kMaxLineBytes = 4096;
 
   LineWriter(int descriptor, std::size_t max_held_bytes)
       : descriptor_(descriptor), max_held_bytes_(max_held_bytes) {}
 
-  // A longer line than `kMaxLineBytes` loses its end.
+  // A line longer than `kMaxLineBytes` is truncated.
   void Write(std::string_view line);
-  // Writes what is held as far as it goes.
+  // Writes as many buffered lines as possible without blocking.
   void Flush();
 
   std::int64_t dropped() const { return dropped_; }
@@ -31,7 +31,8 @@
 
  private:
   bool IsWritable() const;
-  // Whether the line is gone; false where it would wait.
+  // Returns false if writing would block, and true if the line was written or
+  // can never be written.
   bool WriteNow(std::string_view line) const;
 
   const int descriptor_;
--- a/transport/net_types.h
+++ b/transport/net_types.h
@@ -11,8 +11,8 @@
 
 namespace gcw {
 
-// Serializes everything that happens on one connection, whichever of the
-// context's threads runs it.
+// Serializes all work on one connection, whichever thread of the context runs
+// it.
 using Strand = boost::asio::strand<boost::asio::io_context::executor_type>;
 using StrandSocket =
     boost::asio::basic_stream_socket<boost::asio::ip::tcp, Strand>;
--- a/transport/node_runtime.cc
+++ b/transport/node_runtime.cc
@@ -9,7 +9,7 @@
 namespace gcw {
 namespace {
 
-// The request that an event may end.
+// Returns the request that an event may end.
 std::optional<RequestId> RequestOf(const NodeEvent& event) {
   if (const auto* ended = std::get_if<AttemptEnded>(&event)) {
     return ended->request;
--- a/transport/node_runtime.h
+++ b/transport/node_runtime.h
@@ -16,19 +16,20 @@
 
 namespace gcw {
 
-// Runs a node's core on the one thread that holds control state. Everything
-// else, on whatever thread, talks to the core by `Post` and `Run`.
+// Runs a node's core on the only thread that holds control state. All other
+// code, on any thread, reaches the core through `Post`, `Run`, `Arrive` and
+// `Change`.
 class NodeRuntime {
  public:
   struct Hooks {
     Clock clock;
-    // On the control thread, once the planned stop is complete.
+    // Called on the control thread once the planned stop is complete.
     std::function<void()> on_stopped;
   };
 
-  // `control` is run by the runtime's one thread and nobody else. `core` and
-  // `log` are used on that thread only, from `Start` on. All arguments outlive
-  // the runtime.
+  // Only the runtime's own thread runs `control`. `core` and `log` are used
+  // only on that thread once `Start` is called. All arguments must outlive the
+  // runtime.
   NodeRuntime(boost::asio::io_context& control,
               NodeCore& core,
               EventLog& log,
@@ -40,19 +41,21 @@
   NodeRuntime& operator=(const NodeRuntime&) = delete;
 
   void Start();
-  // Ends the control thread; what was posted and not handled is dropped.
+  // Ends the control thread. Posted events that have not been handled are
+  // dropped.
   void Stop();
 
-  // Callable from any thread.
+  // Callable from any thread, as are `Run`, `Arrive` and `Change`.
   void Post(NodeEvent event);
-  // On the control thread only.
+  // Called on the control thread only.
   void Handle(const NodeEvent& event);
   // Runs `task` on the control thread.
   void Run(std::function<void(NodeCore&, EventLog&, Time)> task);
-  // A request that has arrived; its exchange carries out what the core decides.
+  // Passes a new request to the core. `exchange` carries out what the core
+  // decides.
   void Arrive(CallerArrived arrived, std::shared_ptr<CallerExchange> exchange);
-  // Commits an operator's change; `done` gets the outcome on the control
-  // thread.
+  // Commits an operator's change of the configuration. `done` gets the outcome
+  // on the control thread.
   void Change(ConfigChange change,
               std::function<void(const ChangeOutcome&)> done);
 
@@ -61,7 +64,8 @@
 
   void ScheduleTick();
   void Execute(NodeAction action);
-  // Gives a request's final answer to its exchange and forgets it.
+  // Passes a request's final response to its exchange and releases the
+  // exchange.
   template <typename Told>
   void Tell(const Told& told);
 
--- a/transport/operator_pages.h
+++ b/transport/operator_pages.h
@@ -7,18 +7,20 @@
 
 namespace gcw {
 
-// What operators see of a node's core, as JSON; see docs/API.md for the fields.
-// All run on the control thread.
+// JSON pages that show operators the state of a node's core; see docs/API.md
+// for the fields. All functions are called on the control thread.
 
 boost::json::object StatusPage(const NodeCore& core, Time now);
 boost::json::object NodesPage(const NodeCore& core);
 boost::json::object GroupsPage(const NodeCore& core, Time now);
 boost::json::object LimitsPage(const NodeCore& core, Time now);
-// All entries below a prefix of the configuration; `name` of the list.
+// Lists all entries of the configuration below `prefix`, as a list called
+// `name`.
 boost::json::object ConfigPage(const NodeCore& core,
                                std::string_view prefix,
                                std::string_view name);
-// `{"key","revision","change","value"}`; value null where withdrawn.
+// Returns `{"key","revision","change","value"}`; the value is null if the entry
+// was withdrawn.
 boost::json::object ConfigEntryPage(const ConfigEntry& entry);
 boost::json::object ConfirmationPage(const ConfigConfirmation& confirmation);
 
--- a/transport/operator_service.h
+++ b/transport/operator_service.h
@@ -14,14 +14,14 @@
 
 namespace gcw {
 
-// What operators can ask a node for, on its own port and with its own
-// credential; see docs/API.md.
+// Serves the API that a node offers to operators, on a port of its own and with
+// a separate credential; see docs/API.md.
 class OperatorService {
  public:
-  // All references outlive the service.
+  // All references must outlive the service.
   OperatorService(Secret credential, NodeRuntime& runtime, Metrics& metrics);
 
-  // To be used as the handler of an `HttpServer`.
+  // Handler for an `HttpServer`.
   void Handle(const HttpRequest& request,
               const std::shared_ptr<HttpResponder>& responder);
 
@@ -29,11 +29,11 @@
   using Responder = std::shared_ptr<HttpResponder>;
   // A family of configuration keys that operators write.
   struct Family {
-    // In paths and as the name of the list.
+    // Used in paths and as the name of the list.
     std::string_view name;
     std::string_view prefix;
-    // The text that stands in the store for what the operator sent; on an
-    // error, the reason as `field: kind`.
+    // Validates what the operator sent and returns the text to store. An error
+    // response gives the reason as `field: kind`.
     std::function<Result<std::string, HttpResponse>(const std::string& id,
                                                     std::string_view text)>
         normalize;
--- a/transport/peer_channel.cc
+++ b/transport/peer_channel.cc
@@ -11,8 +11,8 @@
 
 namespace {
 
-// What a frame's fields take at most beside its bodies, and a body beside its
-// own bytes.
+// Maximum size of a frame's fields other than its bodies, and of a body's
+// encoding beyond its own bytes.
 constexpr std::size_t kFrameOverhead = 1024;
 constexpr std::size_t kBodyOverhead = 8;
 
@@ -22,7 +22,8 @@
 
 grpc::ChannelArguments ArgumentsFor(const PeerClientSettings& settings) {
   grpc::ChannelArguments arguments;
-  // Otherwise a new channel would share the silent connection of the old one.
+  // Without this, a new channel would share the broken connection of the old
+  // one.
   arguments.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);
   arguments.SetInt(GRPC_ARG_ENABLE_HTTP_PROXY, 0);
   arguments.SetInt(GRPC_ARG_KEEPALIVE_TIME_MS,
@@ -32,9 +33,10 @@
   arguments.SetInt(GRPC_ARG_KEEPALIVE_PERMIT_WITHOUT_CALLS, 1);
   arguments.SetInt(GRPC_ARG_HTTP2_MAX_PINGS_WITHOUT_DATA, 0);
   arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, 100);
-  // What an attempt to connect may take at least. Ended before a frame is late,
-  // it would take the frames under way with it, and a node on a busy machine,
-  // slow to answer, would not be reached. A refused attempt ends at once.
+  // The minimum time that an attempt to connect may take. An attempt that ended
+  // before the frames' timeout would fail the pending frames too, and a node on
+  // a busy machine, which is slow to respond, would not be reached. A refused
+  // attempt ends at once.
   arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS,
                    Millis(settings.call_timeout));
   arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, 1000);
@@ -42,7 +44,7 @@
   return arguments;
 }
 
-// A refusal comes over a connection that works.
+// A refusal is not a loss, because it arrives over a working connection.
 bool IsLoss(const grpc::Status& status) {
   return status.error_code() == grpc::StatusCode::DEADLINE_EXCEEDED ||
          status.error_code() == grpc::StatusCode::UNAVAILABLE;
--- a/transport/peer_channel.h
+++ b/transport/peer_channel.h
@@ -17,7 +17,7 @@
 
 namespace gcw {
 
-// What the channels of one client share.
+// State shared by the channels of one client.
 struct PeerChannelContext {
   PeerChannelContext(boost::asio::io_context& control,
                      PeerClientSettings settings,
@@ -31,15 +31,16 @@
   const PeerClient::Stamp stamp;
   PeerClientStats stats;
 
-  // Calls whose end gRPC has not reported yet. The client waits for them before
-  // it goes: their ends are posted to `control`, which may go next.
+  // Number of calls whose end gRPC has not reported yet. The client's
+  // destructor waits for them, because their ends are posted to `control`,
+  // which may be destroyed next.
   std::mutex mutex;
   std::condition_variable all_ended;
   int open_calls = 0;
 };
 
-// The connection to one node with what waits for it. Used on the control
-// thread; only the end of a call comes on a thread of gRPC's.
+// The connection to one node and the queue of messages for it. Used on the
+// control thread; only the end of a call is reported on a thread of gRPC.
 class PeerChannel : public std::enable_shared_from_this<PeerChannel> {
  public:
   PeerChannel(std::shared_ptr<PeerChannelContext> context,
@@ -48,10 +49,10 @@
 
   const Address& address() const { return address_; }
   void Add(wire::PeerBody body);
-  // Sends a frame if there is something to send and a call to spare. Returns
-  // whether something is left.
+  // Sends frames while messages are queued and a call is free. Returns whether
+  // messages remain.
   bool Flush();
-  // Gives up what waits and what is under way.
+  // Drops the queued messages and cancels the calls in progress.
   void Close();
 
  private:
@@ -70,7 +71,8 @@
   std::size_t waiting_bytes_ = 0;
   std::set<std::shared_ptr<Call>> calls_;
   int losses_ = 0;
-  // Grows with each connection: losses on an earlier one do not count.
+  // Incremented with each new connection, so that losses on an earlier one do
+  // not count.
   int connection_ = 0;
   bool closed_ = false;
 };
--- a/transport/peer_metadata.h
+++ b/transport/peer_metadata.h
@@ -3,8 +3,8 @@
 
 namespace gcw {
 
-// The call metadata in which nodes send the secret that they share. It goes
-// over the network as it is: peers' traffic is meant for a closed network.
+// Key of the call metadata in which nodes send their shared secret. The secret
+// is sent in plain text, because peer traffic is meant for a closed network.
 inline constexpr char kPeerSecretMetadata[] = "gcw-peer-secret";
 
 }  // namespace gcw
--- a/transport/peer_server.cc
+++ b/transport/peer_server.cc
@@ -14,11 +14,11 @@
 
 namespace {
 
-// Nodes probe silent connections often; gRPC takes that for abuse by default.
+// Nodes often ping idle connections, which gRPC treats as abuse by default.
 constexpr int kMinPingIntervalMs = 500;
 constexpr std::chrono::milliseconds kShutdownTimeout(500);
-// All frames under way together. A frame may be of a sender that does not know
-// the secret.
+// Limit of all frames that are being received together. It also bounds frames
+// from senders that do not know the secret.
 constexpr std::size_t kMaxBufferedBytes = 64UL * 1024 * 1024;
 
 }  // namespace
@@ -48,7 +48,8 @@
   void Close() { shared_->closed = true; }
 
  private:
-  // Lives on in what waits for the control thread.
+  // Shared with the tasks posted to the control thread, which may outlive the
+  // service.
   struct Shared {
     explicit Shared(Handler handler) : handler(std::move(handler)) {}
     const Handler handler;
@@ -62,7 +63,8 @@
       ++unauthenticated_;
       return {grpc::StatusCode::UNAUTHENTICATED, "wrong or no peer secret"};
     }
-    // An address that was another node's before: its frames are not ours.
+    // The address may have belonged to another node before, whose frames must
+    // not be handled here.
     if (frame.receiver() != settings_.self.value()) {
       ++wrong_receiver_;
       return {grpc::StatusCode::FAILED_PRECONDITION,
--- a/transport/peer_server.h
+++ b/transport/peer_server.h
@@ -16,13 +16,13 @@
 struct PeerServerSettings {
   NodeId self;
   std::string ip;
-  // Zero lets the kernel choose.
+  // Zero lets the kernel choose a port.
   std::uint16_t port = 0;
   // Shared by all nodes. Frames without it are refused.
   Secret secret;
-  // Frames that wait for the control thread at most. Beyond it frames are
-  // refused, as if lost, so that memory stays bounded while that thread is
-  // held up.
+  // Maximum number of frames that wait for the control thread. Further frames
+  // are refused, as if lost, so that memory stays bounded while that thread is
+  // blocked.
   std::int64_t max_waiting_frames = 4096;
 };
 
@@ -38,20 +38,21 @@
 
 enum class PeerListenError { kCannotListen };
 
-// Takes frames of other nodes.
+// Receives frames from other nodes.
 class PeerServer {
  public:
-  // Runs on a thread of `control`, which is the node's one control thread.
+  // Runs on the node's control thread, which is the only thread that runs
+  // `control`.
   using Handler = std::function<void(PeerEnvelope)>;
 
-  // `control` must outlive the server. The handler is not called any more once
-  // the server is destroyed on the control thread.
+  // `control` must outlive the server. The handler is no longer called once the
+  // server is destroyed on the control thread.
   static Result<std::unique_ptr<PeerServer>, PeerListenError> Listen(
       boost::asio::io_context& control,
       PeerServerSettings settings,
       Handler handler);
 
-  // Waits for the frames that are being taken.
+  // Waits for the frames that are being received.
   ~PeerServer();
   PeerServer(const PeerServer&) = delete;
   PeerServer& operator=(const PeerServer&) = delete;
--- a/transport/query_string.cc
+++ b/transport/query_string.cc
@@ -8,7 +8,8 @@
 constexpr int kHexadecimal = 16;
 constexpr std::size_t kEscapeLength = 3;
 
-// Decodes `%41` to `A`; a malformed escape stays as it is.
+// Decodes percent-encoding, such as `%41` to `A`. A malformed escape stays as
+// it is.
 std::string Unescape(std::string_view text) {
   std::string plain;
   while (!text.empty()) {
--- a/transport/query_string.h
+++ b/transport/query_string.h
@@ -6,10 +6,11 @@
 
 namespace gcw {
 
-// The part of a request target before its query.
+// Returns the path of a request target, without the query.
 std::string PathOf(std::string_view target);
 
-// The decoded value of a query's parameter; empty where it is not given.
+// Returns the decoded value of a query parameter, or an empty string if it is
+// missing.
 std::string QueryValue(std::string_view target, std::string_view name);
 
 }  // namespace gcw
--- a/transport/refusal_http.h
+++ b/transport/refusal_http.h
@@ -8,13 +8,13 @@
 
 namespace gcw {
 
-// How a refusal stands in HTTP.
+// Returns the HTTP status for a refusal.
 int RefusalStatus(RefusalKind kind);
 
-// One sentence for people: what happened and what to do.
+// Returns a message for people: what happened and what to do.
 std::string_view RefusalMessage(RefusalKind kind);
 
-// Adds `Retry-After`, in whole seconds rounded up, where it is not zero.
+// Adds `Retry-After`, in whole seconds rounded up, unless it is zero.
 void AddRetryAfter(Duration retry_after, HttpResponse& response);
 
 }  // namespace gcw
--- a/transport/secret.cc
+++ b/transport/secret.cc
@@ -9,7 +9,7 @@
 Secret::Secret(std::string value) : value_(std::move(value)) {}
 
 Secret::~Secret() {
-  // Keeps the key out of a core dump taken later.
+  // Keeps the key out of later core dumps.
   OPENSSL_cleanse(value_.data(), value_.size());
 }
 
--- a/transport/secret.h
+++ b/transport/secret.h
@@ -7,9 +7,9 @@
 
 namespace gcw {
 
-// A key that must not reach a log, an error or a metric. It converts to nothing
-// and does not compile in a stream or as a log field; only `Reveal` gives it,
-// at the one place that sends or hashes it.
+// A key that must not reach a log, an error or a metric. It has no conversions,
+// and code that streams it or logs it as a field does not compile. Only
+// `Reveal` returns it, for the code that sends or hashes it.
 class Secret {
  public:
   Secret() = default;
@@ -22,9 +22,8 @@
 
   bool empty() const { return value_.empty(); }
   const std::string& Reveal() const { return value_; }
-  // Takes as long for a guess that is nearly right as for one that is wrong, so
-  // that the time of a refusal tells nothing about the key. Never true for an
-  // empty secret.
+  // Takes the same time wherever the guess is wrong, so that the time of a
+  // refusal reveals nothing about the key. Never true for an empty secret.
   bool Matches(std::string_view guess) const;
 
   friend std::ostream& operator<<(std::ostream& out, const Secret&) = delete;
--- a/transport/service_receiver.cc
+++ b/transport/service_receiver.cc
@@ -13,8 +13,8 @@
 
 constexpr int kStatusUnavailable = 503;
 
-// Hop-by-hop headers (RFC 9110, section 7.6.1), and those that the node writes
-// itself. A caller's key goes no further than the node.
+// Hop-by-hop headers (RFC 9110, section 7.6.1) and headers that the node sets
+// itself. A caller's key must not be passed beyond the node.
 constexpr std::array<std::string_view, 14> kOwnHeaders = {
     "connection",
     "keep-alive",
--- a/transport/service_receiver.h
+++ b/transport/service_receiver.h
@@ -8,14 +8,15 @@
 
 namespace gcw {
 
-// Receives a plain service's answer and gives it to the caller once it is
-// whole: a cut answer never reaches the caller.
+// Receives a plain service's response and passes it to the caller once it is
+// complete, so that a truncated response never reaches the caller.
 class ServiceReceiver : public AnswerReceiver {
  public:
-  // Largest answer that is kept for a second send of the same request.
+  // Maximum size of a response that is kept for a repeated send of the same
+  // request.
   static constexpr std::size_t kMaxKeptBytes = 64UL * 1024;
 
-  // `request` is as it goes to the service, without the attempt's headers.
+  // `request` is the request to the service, without the attempt's headers.
   ServiceReceiver(RequestId id,
                   HttpRequest request,
                   std::shared_ptr<HttpResponder> responder);
@@ -37,7 +38,8 @@
   bool echoed_ = false;
 };
 
-// Whether a header concerns one connection only, or is the node's own to set.
+// Returns false for headers that concern one connection only or that the node
+// sets itself.
 bool IsForwardedHeader(std::string_view name);
 
 }  // namespace gcw
--- a/transport/setting_error.h
+++ b/transport/setting_error.h
@@ -14,10 +14,10 @@
   kMissing,
   kWrongType,
   kOutOfRange,
-  // The file that a `*_file` key names cannot be read, or its content is too
+  // The file named by a `*_file` key cannot be read, or its content is too
   // short or too long.
   kSecretUnreadable,
-  // The program declared the key wrongly: twice, or without its unit.
+  // The program declared the key incorrectly: twice, or without its unit.
   kBadDeclaration,
 };
 
@@ -26,17 +26,18 @@
 struct SettingError {
   SettingErrorKind kind;
   std::string file;
-  // Starts at 1; 0 where no line is to blame, as for a missing key.
+  // Line number, starting at 1, or 0 if the error concerns no line, as for a
+  // missing key.
   int line = 0;
   // The path of the key, such as "limits.queue_wait_ms".
   std::string key;
-  // As written in the file; withheld where it may be a secret.
+  // The value as written in the file; withheld if it may be a secret.
   std::string value;
-  // What would have been accepted, or what the parser said.
+  // What would have been accepted, or the parser's message.
   std::string allowed;
 };
 
-// One line for people: `file:line: key = value: kind, allowed ...`.
+// Writes one line: `file:line: key = value: kind; allowed`.
 std::ostream& operator<<(std::ostream& out, const SettingError& error);
 
 }  // namespace gcw
--- a/transport/socket_options.h
+++ b/transport/socket_options.h
@@ -5,17 +5,17 @@
 
 namespace gcw {
 
-// Sends small writes at once, and ends a connection whose peer acknowledges
-// nothing for `unacknowledged`. Without the latter, a connection that something
-// on the way lost track of takes writes for a quarter of an hour before the
-// kernel reports it.
+// Disables Nagle's algorithm and ends a connection whose peer acknowledges
+// nothing for `unacknowledged`. Without that timeout, the kernel accepts writes
+// for a quarter of an hour before it reports a connection that a device on the
+// path has lost.
 void SetConnectionOptions(StrandSocket& socket, Duration unacknowledged);
 
 // Makes the next close reset the connection.
 void ResetOnClose(StrandSocket& socket);
 
-// Whether the peer has sent something, or closed, that nobody has read. `true`
-// also where the socket is broken.
+// Returns whether the peer has sent data or closed the connection without this
+// being read. Also true if the socket is broken.
 bool HasUnreadInput(StrandSocket& socket);
 
 }  // namespace gcw
--- a/transport/store_belief.h
+++ b/transport/store_belief.h
@@ -9,24 +9,25 @@
 
 namespace gcw {
 
-// What a node believes of the key-value service, by its answers.
+// State of the key-value service, as its replies show it.
 enum class StoreBelief {
   kAnswers,
-  // It refuses calls since its rate is used up, or for this node only.
+  // The service refuses calls because their rate is used up, or refuses this
+  // node only.
   kRefuses,
-  // It is another kind of service, or another version of it.
+  // The service is of another kind or version.
   kKnowsNoCall,
-  // Nothing comes back, or nothing that can be read.
+  // No reply arrives, or none that can be decoded.
   kSilent,
 };
 
 std::string_view StoreBeliefName(StoreBelief belief);
 
-// A line of the log.
+// Writes a log line.
 void LogStoreBelief(StoreBelief belief);
 
-// Tells when the belief changes, rather than of each call: an outage is one
-// line, not one for each call that meets it. Safe for use from any thread.
+// Reports changes of the state instead of each reply, so that an outage is one
+// log line, not one for each failed call. Safe for use from any thread.
 class StoreBeliefObserver {
  public:
   using OnChange = std::function<void(StoreBelief)>;
@@ -36,8 +37,8 @@
   void Observe(const StoreReply& reply);
 
  private:
-  // Answers of one kind in a row that change the belief: a service that refuses
-  // some of the calls would change it with each.
+  // Number of replies of one kind in a row that change the state. Without this,
+  // a service that refuses some of the calls would change it with each call.
   static constexpr int kInARow = 3;
 
   const OnChange on_change_;
--- a/transport/store_client.h
+++ b/transport/store_client.h
@@ -14,17 +14,18 @@
 
 struct StoreClientSettings {
   Address address;
-  // From sending a call to giving up on its answer. A watch may take as long as
-  // it waits in addition.
+  // Time allowed from sending a call to its reply. A watch may take the time
+  // that it waits in addition.
   Duration call_timeout = Duration::Seconds(2);
 };
 
-// Executes calls to the key-value service. Whatever is not a clear answer is
-// `StoreNoAnswer`, after which a write may have taken effect. Watches, which
-// wait for long, have connections of their own.
+// Executes calls to the key-value service. A reply that is missing or cannot be
+// decoded becomes `StoreNoAnswer`, after which a write may have taken effect.
+// Watches, which wait for a long time, use connections of their own.
 class StoreClient {
  public:
-  // Runs on a thread of `context`, once for each call, never within `Call`.
+  // Runs on a thread of `context`, once for each call, never from within
+  // `Call`.
   using Done = std::function<void(StoreReply)>;
 
   StoreClient(boost::asio::io_context& context, StoreClientSettings settings);
@@ -33,7 +34,8 @@
 
  private:
   const StoreClientSettings settings_;
-  // Shared with calls under way, which may end after this.
+  // Shared with calls in progress, which may end after this client is
+  // destroyed.
   std::shared_ptr<StoreBeliefObserver> belief_;
   HttpClient calls_;
   HttpClient watches_;
--- a/transport/transport.h
+++ b/transport/transport.h
@@ -1,8 +1,8 @@
 #ifndef TRANSPORT_TRANSPORT_H_
 #define TRANSPORT_TRANSPORT_H_
 
-// Public header of the transport library: everything that meets the network,
-// files and system clocks.
+// Public header of the transport library, which contains the code that uses the
+// network, files and system clocks.
 
 #include "transport/action_executor.h"
 #include "transport/address.h"
