--- a/transport/action_executor.cc
+++ b/transport/action_executor.cc
@@ -11,7 +11,7 @@
 constexpr Duration kReadTimeout = Duration::Millis(1000);
 constexpr std::int64_t kMillisPerSecond = 1000;
 
-ProbeReply FailedProbe(const CallError& error) {
+ProbeReply ToFailedProbe(const CallError& error) {
   const auto* failure = std::get_if<HttpFailure>(&error);
   if (failure == nullptr ||
       failure->kind == HttpFailureKind::kMalformedAnswer) {
@@ -26,7 +26,7 @@
   return ProbeFailed{ProbeFailure::kTimeout};
 }
 
-OrderReply FailedOrder(const CallError& error) {
+OrderReply ToFailedOrder(const CallError& error) {
   const auto* failure = std::get_if<HttpFailure>(&error);
   if (failure != nullptr && failure->progress == HttpProgress::kNothingSent) {
     return OrderWithheld{};
@@ -35,7 +35,7 @@
 }
 
 // Estimates how long a load that is queued now waits.
-Duration WaitOf(const WeightStoreStatus& status) {
+Duration EstimateQueueWait(const WeightStoreStatus& status) {
   if (status.bytes_per_second <= 0) {
     return Duration();
   }
@@ -47,18 +47,18 @@
 
 ActionExecutor::ActionExecutor(boost::asio::io_context& context,
                                Clients clients,
-                               Address weights,
+                               Address weight_store,
                                Clock clock)
     : platform_(context),
       clients_(std::move(clients)),
-      weights_(std::move(weights)),
+      weight_store_(std::move(weight_store)),
       clock_(std::move(clock)) {}
 
 void ActionExecutor::Execute(const CallStore& action) {
   const NodeModule module = action.module;
   const StoreCallId id = action.id;
   clients_.store->Call(action.call, [this, module, id](StoreReply reply) {
-    post_(StoreAnswered{module, id, std::move(reply)});
+    event_sink_(StoreAnswered{module, id, std::move(reply)});
   });
 }
 
@@ -80,9 +80,10 @@
   clients_.engines->ReadStatus(
       action.probe.address, action.probe.timeout,
       [this, module, id](Result<EngineStatus, CallError> status) {
-        post_(ProbeAnswered{module, id,
-                            IsOk(status) ? ProbeReply(ValueOf(status))
-                                         : FailedProbe(ErrorOf(status))});
+        event_sink_(ProbeAnswered{module, id,
+                                  IsOk(status)
+                                      ? ProbeReply(ValueOf(status))
+                                      : ToFailedProbe(ErrorOf(status))});
       });
 }
 
@@ -92,9 +93,10 @@
   clients_.engines->ReadLoad(
       action.probe.address, action.probe.timeout,
       [this, module, id](const Result<LoadReport, CallError>& report) {
-        post_(ProbeAnswered{module, id,
-                            IsOk(report) ? ProbeReply(ServiceAlive{})
-                                         : FailedProbe(ErrorOf(report))});
+        event_sink_(ProbeAnswered{module, id,
+                                  IsOk(report)
+                                      ? ProbeReply(ServiceAlive{})
+                                      : ToFailedProbe(ErrorOf(report))});
       });
 }
 
@@ -108,19 +110,19 @@
       [this, id](const Result<EngineOrderReply, CallError>& answer) {
         OrderReply reply = OrderNoAnswer{};
         if (IsOk(answer)) {
-          std::visit([&reply](const auto& told) { reply = told; },
+          std::visit([&reply](const auto& value) { reply = value; },
                      ValueOf(answer));
         } else {
-          reply = FailedOrder(ErrorOf(answer));
+          reply = ToFailedOrder(ErrorOf(answer));
         }
-        post_(OrderAnswered{id, std::move(reply)});
+        event_sink_(OrderAnswered{id, std::move(reply)});
       });
 }
 
 void ActionExecutor::Execute(const ReadVmList&) {
   clients_.vm_list->Read([this](Result<VmListSnapshot, CallError> snapshot) {
     if (IsOk(snapshot)) {
-      post_(VmListRead{std::move(ValueOf(snapshot))});
+      event_sink_(VmListRead{std::move(ValueOf(snapshot))});
     }
   });
 }
@@ -130,11 +132,11 @@
   request.method = "GET";
   request.target = "/weights";
   FetchDecoded<WeightStoreStatus>(
-      platform_, weights_, request, OptionsWithin(kReadTimeout),
+      platform_, weight_store_, request, OptionsWithTimeout(kReadTimeout),
       DecodeWeightStoreStatus,
       [this](const Result<WeightStoreStatus, CallError>& status) {
         if (IsOk(status)) {
-          post_(WeightStoreRead{WaitOf(ValueOf(status))});
+          event_sink_(WeightStoreRead{EstimateQueueWait(ValueOf(status))});
         }
       });
 }
@@ -148,9 +150,9 @@
           return;
         }
         // The engine reports itself by its VM; nodes use the endpoint's id.
-        LoadReport& loaded = ValueOf(report);
-        loaded.endpoint = endpoint;
-        post_(LoadReportRead{loaded});
+        LoadReport& load = ValueOf(report);
+        load.endpoint = endpoint;
+        event_sink_(LoadReportRead{load});
       });
 }
 
@@ -162,7 +164,7 @@
         if (!IsOk(batch)) {
           return;
         }
-        post_(CacheEventsRead{id, std::move(ValueOf(batch))});
+        event_sink_(CacheEventsRead{id, std::move(ValueOf(batch))});
       });
 }
 
--- a/transport/action_executor.h
+++ b/transport/action_executor.h
@@ -30,12 +30,14 @@
   // The clients must outlive the executor.
   ActionExecutor(boost::asio::io_context& context,
                  Clients clients,
-                 Address weights,
+                 Address weight_store,
                  Clock clock);
 
   // Sets the function that receives events. It must be callable from any
   // thread.
-  void SetPost(std::function<void(NodeEvent)> post) { post_ = std::move(post); }
+  void SetEventSink(std::function<void(NodeEvent)> event_sink) {
+    event_sink_ = std::move(event_sink);
+  }
 
   // All overloads are called on the control thread.
   void Execute(const CallStore& action);
@@ -56,9 +58,9 @@
 
   HttpClient platform_;
   Clients clients_;
-  Address weights_;
+  Address weight_store_;
   Clock clock_;
-  std::function<void(NodeEvent)> post_;
+  std::function<void(NodeEvent)> event_sink_;
 };
 
 }  // namespace gcw
--- a/transport/call_error.h
+++ b/transport/call_error.h
@@ -10,7 +10,7 @@
 
 namespace gcw {
 
-// The service returned a status other than 200; its body is not read.
+// The service returned an unexpected status; its body is not read.
 struct UnexpectedStatus {
   int status = 0;
 };
@@ -54,7 +54,7 @@
 }
 
 // Returns the options of a small call that must finish within `timeout`.
-inline HttpCallOptions OptionsWithin(Duration timeout) {
+inline HttpCallOptions OptionsWithTimeout(Duration timeout) {
   HttpCallOptions options;
   options.progress_timeout = timeout;
   options.deadline = timeout;
--- a/transport/caller_exchange.cc
+++ b/transport/caller_exchange.cc
@@ -13,7 +13,7 @@
 
 constexpr int kStatusBadGateway = 502;
 
-AttemptBreakKind BreakKindOf(HttpFailureKind kind) {
+AttemptBreakKind ToBreakKind(HttpFailureKind kind) {
   switch (kind) {
     case HttpFailureKind::kConnectRefused:
       return AttemptBreakKind::kConnectRefused;
@@ -35,7 +35,7 @@
   return AttemptBreakKind::kReset;
 }
 
-AttemptProgress ProgressOf(HttpProgress progress) {
+AttemptProgress ToAttemptProgress(HttpProgress progress) {
   switch (progress) {
     case HttpProgress::kNothingSent:
       return AttemptProgress::kNothingSent;
@@ -80,26 +80,26 @@
                     });
 }
 
-void CallerExchange::Tell(FinalAnswer answer) {
+void CallerExchange::SendFinalResponse(FinalResponse answer) {
   boost::asio::post(strand_,
                     [self = shared_from_this(), answer = std::move(answer)] {
-                      self->TellNow(answer);
+                      self->SendFinalResponseOnStrand(answer);
                     });
 }
 
 void CallerExchange::OnCallerGone() {
   boost::asio::post(strand_, [self = shared_from_this()] {
-    if (self->over_) {
+    if (self->finished_) {
       return;
     }
     self->hooks_.post(CallerGone{self->id_});
-    self->over_ = true;
+    self->finished_ = true;
   });
 }
 
 void CallerExchange::StartAttempt(const DispatchAttempt& dispatch) {
   attempt_ = dispatch.attempt;
-  first_byte_ = false;
+  first_byte_reported_ = false;
   malformed_ = false;
   HttpCallOptions options = options_;
   options.deadline =
@@ -144,7 +144,7 @@
 }
 
 void CallerExchange::OnBody(const AttemptId& attempt, std::string_view chunk) {
-  if (attempt_ != attempt || malformed_ || over_) {
+  if (attempt_ != attempt || malformed_ || finished_) {
     return;
   }
   if (!receiver_->OnBody(chunk)) {
@@ -152,14 +152,14 @@
     call_->Cancel();
     return;
   }
-  if (!first_byte_) {
-    first_byte_ = true;
+  if (!first_byte_reported_) {
+    first_byte_reported_ = true;
     hooks_.post(AttemptFirstByte{id_, attempt});
   }
   if (responder_->unsent_bytes() > kMaxUnsentBytes) {
     responder_->Abort();
     hooks_.post(CallerGone{id_});
-    over_ = true;
+    finished_ = true;
   }
 }
 
@@ -167,7 +167,7 @@
   if (attempt_ != attempt) {
     return;
   }
-  if (over_) {
+  if (finished_) {
     // The caller has left or has its final response. The attempt's result is
     // still reported, because it may be kept for a repeated send.
     EndAttempt(attempt, receiver_->OnEnd());
@@ -181,7 +181,7 @@
   const bool answered = std::holds_alternative<AttemptAnswered>(end);
   EndAttempt(attempt, std::move(end));
   if (answered) {
-    over_ = true;
+    finished_ = true;
   }
 }
 
@@ -192,8 +192,8 @@
   }
   AttemptBroke broke;
   broke.kind =
-      malformed_ ? AttemptBreakKind::kMalformed : BreakKindOf(failure.kind);
-  broke.progress = ProgressOf(failure.progress);
+      malformed_ ? AttemptBreakKind::kMalformed : ToBreakKind(failure.kind);
+  broke.progress = ToAttemptProgress(failure.progress);
   broke.delivered = receiver_->delivered();
   EndAttempt(attempt, broke);
 }
@@ -204,44 +204,46 @@
   hooks_.post(AttemptEnded{id_, attempt, std::move(end)});
 }
 
-void CallerExchange::TellNow(const FinalAnswer& answer) {
-  if (over_) {
+void CallerExchange::SendFinalResponseOnStrand(const FinalResponse& answer) {
+  if (finished_) {
     return;
   }
   std::visit(
       Overloaded{
-          [this](const TellRefused& told) {
+          [this](const TellRefused& outcome) {
             if (receiver_->begun()) {
-              Break(RefusalKindName(told.refusal.kind),
-                    RefusalMessage(told.refusal.kind),
-                    told.refusal.retry_after);
+              FailResponse(RefusalKindName(outcome.refusal.kind),
+                           RefusalMessage(outcome.refusal.kind),
+                           outcome.refusal.retry_after);
               return;
             }
-            Respond(RefusalStatus(told.refusal.kind),
-                    WriteError(RefusalKindName(told.refusal.kind),
-                               RefusalMessage(told.refusal.kind), id_,
-                               told.refusal.retry_after),
-                    told.refusal.retry_after);
+            Respond(RefusalStatus(outcome.refusal.kind),
+                    WriteError(RefusalKindName(outcome.refusal.kind),
+                               RefusalMessage(outcome.refusal.kind), id_,
+                               outcome.refusal.retry_after),
+                    outcome.refusal.retry_after);
           },
           [this](const TellUnknown&) {
-            Break("outcome_unknown",
-                  "The request may have run; its answer was lost.", Duration());
+            FailResponse("outcome_unknown",
+                         "The request may have run; its answer was lost.",
+                         Duration());
           },
           [this](const TellStreamBroken&) {
-            Break("answer_broken",
-                  "The answer broke off and could not be continued.",
-                  Duration());
+            FailResponse("answer_broken",
+                         "The answer broke off and could not be continued.",
+                         Duration());
           },
-          [this](const TellPreempted& told) {
-            Break("trial_preempted",
-                  "Trial work was stopped to make room; come back later.",
-                  told.retry_after);
+          [this](const TellPreempted& outcome) {
+            FailResponse(
+                "trial_preempted",
+                "Trial work was stopped to make room; come back later.",
+                outcome.retry_after);
           },
-          [this](const TellReplay& told) {
+          [this](const TellReplay& outcome) {
             HttpResponse response;
-            response.status = told.answer.status;
-            response.body = told.answer.body;
-            for (const OnceHeader& header : told.answer.headers) {
+            response.status = outcome.answer.status;
+            response.body = outcome.answer.body;
+            for (const OnceHeader& header : outcome.answer.headers) {
               response.headers.push_back(HttpHeader{header.name, header.value});
             }
             response.headers.push_back(HttpHeader{"X-Gcw-Replayed", "1"});
@@ -249,17 +251,18 @@
                 HttpHeader{"X-Gcw-Request", id_.value()});
             responder_->Respond(std::move(response));
           },
-          [this](const TellEarlierSend& told) {
-            Break(told.certain ? "ran_earlier" : "outcome_unknown",
-                  told.certain
-                      ? "An earlier send with this key ran; its answer is no "
-                        "longer held. This send was not run."
-                      : "An earlier send with this key may have run. This send "
-                        "was not run.",
-                  Duration());
+          [this](const TellEarlierSend& outcome) {
+            FailResponse(
+                outcome.certain ? "ran_earlier" : "outcome_unknown",
+                outcome.certain
+                    ? "An earlier send with this key ran; its answer is no "
+                      "longer held. This send was not run."
+                    : "An earlier send with this key may have run. This send "
+                      "was not run.",
+                Duration());
           }},
       answer);
-  over_ = true;
+  finished_ = true;
 }
 
 void CallerExchange::Respond(int status,
@@ -277,9 +280,9 @@
 // Ends a response that cannot be completed. A stream that has begun gets an
 // explicit error event and no end marker, and its connection is closed without
 // the last chunk, so that no client mistakes it for complete.
-void CallerExchange::Break(std::string_view type,
-                           std::string_view message,
-                           Duration retry_after) {
+void CallerExchange::FailResponse(std::string_view type,
+                                  std::string_view message,
+                                  Duration retry_after) {
   std::string error = WriteError(type, message, id_, retry_after);
   if (!receiver_->begun()) {
     Respond(kStatusBadGateway, std::move(error), retry_after);
--- a/transport/caller_exchange.h
+++ b/transport/caller_exchange.h
@@ -15,12 +15,12 @@
 namespace gcw {
 
 // The final responses that the core can give to a caller.
-using FinalAnswer = std::variant<TellRefused,
-                                 TellUnknown,
-                                 TellStreamBroken,
-                                 TellPreempted,
-                                 TellReplay,
-                                 TellEarlierSend>;
+using FinalResponse = std::variant<TellRefused,
+                                   TellUnknown,
+                                   TellStreamBroken,
+                                   TellPreempted,
+                                   TellReplay,
+                                   TellEarlierSend>;
 
 // One caller's request on the traffic threads: runs the attempts that the core
 // decides on and ensures that the caller gets exactly one response.
@@ -44,7 +44,7 @@
   // All of these methods are callable from any thread.
   void Dispatch(DispatchAttempt dispatch);
   void Cancel(AttemptId attempt);
-  void Tell(FinalAnswer answer);
+  void SendFinalResponse(FinalResponse answer);
   void OnCallerGone();
 
  private:
@@ -58,11 +58,11 @@
   void OnEnd(const AttemptId& attempt);
   void OnFailure(const AttemptId& attempt, const HttpFailure& failure);
   void EndAttempt(const AttemptId& attempt, AttemptEnd end);
-  void TellNow(const FinalAnswer& answer);
+  void SendFinalResponseOnStrand(const FinalResponse& answer);
   void Respond(int status, std::string body, Duration retry_after);
-  void Break(std::string_view type,
-             std::string_view message,
-             Duration retry_after);
+  void FailResponse(std::string_view type,
+                    std::string_view message,
+                    Duration retry_after);
 
   boost::asio::strand<boost::asio::io_context::executor_type> strand_;
   HttpClient& client_;
@@ -74,10 +74,10 @@
 
   AttemptId attempt_;
   std::shared_ptr<HttpCall> call_;
-  bool first_byte_ = false;
+  bool first_byte_reported_ = false;
   // The response violated the protocol, and the call is being cancelled.
   bool malformed_ = false;
-  bool over_ = false;
+  bool finished_ = false;
 };
 
 }  // namespace gcw
--- a/transport/caller_service.cc
+++ b/transport/caller_service.cc
@@ -42,7 +42,7 @@
 
 // Returns the digest of the caller's key, or an empty digest if the request has
 // none.
-KeyDigest ReadKey(const HttpRequest& request) {
+KeyDigest ReadKeyDigest(const HttpRequest& request) {
   const std::string& authorization = request.Header("Authorization");
   if (!authorization.starts_with(kBearer)) {
     return KeyDigest();
@@ -72,7 +72,8 @@
   return method == "GET" || method == "HEAD" || method == "OPTIONS";
 }
 
-Fingerprint FingerprintOf(std::string_view first, std::string_view second) {
+Fingerprint ComputeFingerprint(std::string_view first,
+                               std::string_view second) {
   std::string text(first);
   text.push_back('\n');
   text.append(second);
@@ -85,13 +86,13 @@
 }  // namespace
 
 CallerService::CallerService(CallerServiceSettings settings,
-                             boost::asio::io_context& traffic,
+                             boost::asio::io_context& traffic_context,
                              HttpClient& client,
                              NodeRuntime& runtime,
                              NodeMetrics& metrics,
                              Clock clock)
     : settings_(std::move(settings)),
-      traffic_(traffic),
+      traffic_context_(traffic_context),
       client_(client),
       runtime_(runtime),
       metrics_(metrics),
@@ -130,8 +131,8 @@
   }
   const ChatRequest& chat = ValueOf(decoded);
   CallerArrived arrived;
-  if (!ReadCommon(request, settings_.default_model_timeout, responder,
-                  arrived)) {
+  if (!ReadCommonFields(request, settings_.default_model_timeout, responder,
+                        arrived)) {
     return;
   }
   const std::string prompt = PromptOf(chat);
@@ -141,7 +142,7 @@
   profile.prompt_tokens = PromptTokens(prompt);
   profile.max_generated_tokens = chat.max_tokens;
   profile.prefix_blocks = PrefixBlocks(prompt);
-  profile.fingerprint = FingerprintOf(chat.model.value(), prompt);
+  profile.fingerprint = ComputeFingerprint(chat.model.value(), prompt);
   profile.repeatable = profile.idempotency_key.empty();
   ChatReceiver::Request receiver_request{profile.id, target, request.body,
                                          profile.prompt_tokens, chat.stream};
@@ -156,34 +157,34 @@
         }
         last = now;
       });
-  Arrive(std::move(arrived), responder, std::move(receiver),
-         settings_.model_progress_timeout);
+  SubmitRequest(std::move(arrived), responder, std::move(receiver),
+                settings_.model_progress_timeout);
 }
 
 void CallerService::HandleService(HttpRequest request,
                                   const Responder& responder) {
   CallerArrived arrived;
-  if (!ReadCommon(request, settings_.default_service_timeout, responder,
-                  arrived)) {
+  if (!ReadCommonFields(request, settings_.default_service_timeout, responder,
+                        arrived)) {
     return;
   }
-  const std::string rest = request.target.substr(kServicePath.size());
-  const std::size_t slash = rest.find_first_of("/?");
-  const std::string name = rest.substr(0, slash);
+  const std::string path_tail = request.target.substr(kServicePath.size());
+  const std::size_t slash = path_tail.find_first_of("/?");
+  const std::string name = path_tail.substr(0, slash);
   if (name.empty()) {
     RespondError(responder, kStatusNotFound, "unknown_service",
                  "The path names no service.");
     return;
   }
   std::string target =
-      slash == std::string::npos ? std::string("/") : rest.substr(slash);
+      slash == std::string::npos ? std::string("/") : path_tail.substr(slash);
   if (target.front() == '?') {
     target.insert(target.begin(), '/');
   }
   RequestProfile& profile = arrived.profile;
   profile.target = ServiceTarget{ServiceId(name)};
   profile.fingerprint =
-      FingerprintOf(request.method + " " + request.target, request.body);
+      ComputeFingerprint(request.method + " " + request.target, request.body);
   profile.repeatable =
       IsSafeMethod(request.method) && profile.idempotency_key.empty();
   request.target = std::move(target);
@@ -192,12 +193,12 @@
   });
   auto receiver = std::make_unique<ServiceReceiver>(
       profile.id, std::move(request), responder);
-  Arrive(std::move(arrived), responder, std::move(receiver),
-         settings_.service_progress_timeout);
+  SubmitRequest(std::move(arrived), responder, std::move(receiver),
+                settings_.service_progress_timeout);
 }
 
 void CallerService::HandleEntries(const Responder& responder) {
-  runtime_.Run([responder](NodeCore& core, EventLog&, Time) {
+  runtime_.RunOnControlThread([responder](NodeCore& core, EventLog&, Time) {
     const EntryAnswer answer = core.Entries();
     boost::json::array entries;
     for (const EntryAddress& entry : answer.entries) {
@@ -215,8 +216,9 @@
 
 void CallerService::HandleIssueKey(const HttpRequest& request,
                                    const Responder& responder) {
-  const KeyDigest key = ReadKey(request);
-  runtime_.Run([responder, key](NodeCore& core, EventLog&, Time now) {
+  const KeyDigest key = ReadKeyDigest(request);
+  runtime_.RunOnControlThread([responder, key](NodeCore& core, EventLog&,
+                                               Time now) {
     const IdempotencyKey issued = core.IssueKey(now, key);
     if (issued.empty()) {
       RespondError(responder, kStatusUnauthorized,
@@ -230,11 +232,11 @@
   });
 }
 
-bool CallerService::ReadCommon(const HttpRequest& request,
-                               Duration default_timeout,
-                               const Responder& responder,
-                               CallerArrived& arrived) {
-  arrived.key = ReadKey(request);
+bool CallerService::ReadCommonFields(const HttpRequest& request,
+                                     Duration default_timeout,
+                                     const Responder& responder,
+                                     CallerArrived& arrived) {
+  arrived.key = ReadKeyDigest(request);
   if (arrived.key.empty()) {
     RespondError(responder, kStatusUnauthorized, "key_missing",
                  "Send the contract's key as `Authorization: Bearer KEY`.");
@@ -250,16 +252,16 @@
   profile.id = RequestId(settings_.id_prefix + std::to_string(++last_request_));
   profile.arrived = clock_();
   profile.deadline =
-      profile.arrived + std::min(*timeout, settings_.longest_timeout);
+      profile.arrived + std::min(*timeout, settings_.max_timeout);
   profile.idempotency_key =
       IdempotencyKey(request.Header(kIdempotencyKeyHeader));
   return true;
 }
 
-void CallerService::Arrive(CallerArrived arrived,
-                           const Responder& responder,
-                           std::unique_ptr<AnswerReceiver> receiver,
-                           Duration progress_timeout) {
+void CallerService::SubmitRequest(CallerArrived arrived,
+                                  const Responder& responder,
+                                  std::unique_ptr<AnswerReceiver> receiver,
+                                  Duration progress_timeout) {
   HttpCallOptions options;
   options.connect_timeout = settings_.connect_timeout;
   options.progress_timeout = progress_timeout;
@@ -267,16 +269,16 @@
   hooks.post = [this](NodeEvent event) { runtime_.Post(std::move(event)); };
   hooks.clock = clock_;
   auto exchange = std::make_shared<CallerExchange>(
-      traffic_, client_, arrived.profile.id, responder, std::move(receiver),
-      options, std::move(hooks));
+      traffic_context_, client_, arrived.profile.id, responder,
+      std::move(receiver), options, std::move(hooks));
   // A weak pointer, because the responder must not keep the exchange alive. The
   // exchange owns the responder for as long as the request lasts.
   responder->OnCallerGone([weak = std::weak_ptr<CallerExchange>(exchange)] {
-    if (const std::shared_ptr<CallerExchange> gone = weak.lock()) {
-      gone->OnCallerGone();
+    if (const std::shared_ptr<CallerExchange> live_exchange = weak.lock()) {
+      live_exchange->OnCallerGone();
     }
   });
-  runtime_.Arrive(std::move(arrived), std::move(exchange));
+  runtime_.StartRequest(std::move(arrived), std::move(exchange));
 }
 
 }  // namespace gcw
--- a/transport/caller_service.h
+++ b/transport/caller_service.h
@@ -25,7 +25,7 @@
   // The default timeouts apply if a caller sends no `X-Gcw-Timeout-Ms` header.
   Duration default_model_timeout = Duration::Seconds(120);
   Duration default_service_timeout = Duration::Seconds(30);
-  Duration longest_timeout = Duration::Seconds(600);
+  Duration max_timeout = Duration::Seconds(600);
 };
 
 // Serves the API that a node offers to callers; see docs/API.md. Parses and
@@ -34,7 +34,7 @@
  public:
   // All references must outlive the service.
   CallerService(CallerServiceSettings settings,
-                boost::asio::io_context& traffic,
+                boost::asio::io_context& traffic_context,
                 HttpClient& client,
                 NodeRuntime& runtime,
                 NodeMetrics& metrics,
@@ -53,17 +53,17 @@
   void HandleIssueKey(const HttpRequest& request, const Responder& responder);
   // Fills in the fields common to all kinds of request. Returns false if the
   // caller was sent an error.
-  bool ReadCommon(const HttpRequest& request,
-                  Duration default_timeout,
-                  const Responder& responder,
-                  CallerArrived& arrived);
-  void Arrive(CallerArrived arrived,
-              const Responder& responder,
-              std::unique_ptr<AnswerReceiver> receiver,
-              Duration progress_timeout);
+  bool ReadCommonFields(const HttpRequest& request,
+                        Duration default_timeout,
+                        const Responder& responder,
+                        CallerArrived& arrived);
+  void SubmitRequest(CallerArrived arrived,
+                     const Responder& responder,
+                     std::unique_ptr<AnswerReceiver> receiver,
+                     Duration progress_timeout);
 
   CallerServiceSettings settings_;
-  boost::asio::io_context& traffic_;
+  boost::asio::io_context& traffic_context_;
   HttpClient& client_;
   NodeRuntime& runtime_;
   NodeMetrics& metrics_;
--- a/transport/chat_receiver.cc
+++ b/transport/chat_receiver.cc
@@ -9,7 +9,7 @@
 constexpr int kStatusBadRequest = 400;
 constexpr int kStatusConflict = 409;
 constexpr int kStatusUnavailable = 503;
-constexpr std::size_t kMaxOtherBodyBytes = 64UL * 1024;
+constexpr std::size_t kMaxErrorBodyBytes = 64UL * 1024;
 constexpr std::string_view kEndOfStream = "[DONE]";
 
 AttemptBroke Malformed(TokenCount delivered) {
@@ -30,10 +30,10 @@
   attempt_ = dispatch.attempt;
   keep_answer_ = dispatch.keep_answer;
   status_ = 0;
-  echoed_ = false;
+  attempt_echoed_ = false;
   parser_ = SseParser();
-  other_body_.clear();
-  done_ = false;
+  error_body_.clear();
+  stream_ended_ = false;
   failed_ = false;
   HttpRequest request;
   request.method = "POST";
@@ -55,32 +55,32 @@
 
 void ChatReceiver::OnHead(const HttpResponse& head) {
   status_ = head.status;
-  echoed_ = head.Header(kAttemptHeader) == attempt_.value();
+  attempt_echoed_ = head.Header(kAttemptHeader) == attempt_.value();
 }
 
 bool ChatReceiver::OnBody(std::string_view chunk) {
-  if (!echoed_) {
+  if (!attempt_echoed_) {
     return false;
   }
   if (status_ != kStatusOk) {
-    other_body_.append(chunk);
-    return other_body_.size() <= kMaxOtherBodyBytes;
+    error_body_.append(chunk);
+    return error_body_.size() <= kMaxErrorBodyBytes;
   }
-  const bool sound = parser_.Feed(chunk, [this](std::string_view data) {
+  const bool well_formed = parser_.Feed(chunk, [this](std::string_view data) {
     if (!failed_ && !OnData(data)) {
       failed_ = true;
     }
   });
-  return sound && !failed_;
+  return well_formed && !failed_;
 }
 
 bool ChatReceiver::OnData(std::string_view data) {
   if (data == kEndOfStream) {
-    done_ = true;
+    stream_ended_ = true;
     return true;
   }
   Result<ChatEvent, ChatEventError> parsed = ParseChatEvent(data);
-  if (!IsOk(parsed) || done_) {
+  if (!IsOk(parsed) || stream_ended_) {
     return false;
   }
   ChatEvent& event = ValueOf(parsed);
@@ -125,11 +125,11 @@
 }
 
 AttemptEnd ChatReceiver::OnEnd() {
-  if (!echoed_ || failed_) {
+  if (!attempt_echoed_ || failed_) {
     return Malformed(delivered());
   }
   if (status_ == kStatusOk) {
-    if (!done_) {
+    if (!stream_ended_) {
       // The engine ended its stream without the last event: the answer is
       // truncated although the HTTP response ended properly.
       return AttemptBroke{AttemptBreakKind::kTruncated,
@@ -137,13 +137,13 @@
     }
     return FinishAnswer();
   }
-  return EndOfRefusal();
+  return EndWithErrorStatus();
 }
 
-AttemptEnd ChatReceiver::EndOfRefusal() const {
+AttemptEnd ChatReceiver::EndWithErrorStatus() const {
   const bool may_be_refusal =
       status_ == kStatusUnavailable || status_ == kStatusConflict;
-  if (may_be_refusal && IsNotRunError(other_body_)) {
+  if (may_be_refusal && IsNotRunError(error_body_)) {
     return AttemptRefused{};
   }
   if (status_ >= kStatusBadRequest && status_ < kStatusConflict &&
@@ -151,7 +151,7 @@
     responder_->Respond(HttpResponse{status_,
                                      {{"Content-Type", "application/json"},
                                       {"X-Gcw-Request", request_.id.value()}},
-                                     other_body_});
+                                     error_body_});
     return AttemptAnswered{};
   }
   return Malformed(delivered());
@@ -160,21 +160,22 @@
 AttemptAnswered ChatReceiver::FinishAnswer() {
   AttemptAnswered answered;
   answered.generated = delivered();
-  std::string whole;
+  std::string completion;
   if (!request_.stream || keep_answer_) {
-    whole = WriteWholeAnswer(request_.id, request_.target, text_,
-                             finish_reason_.empty() ? "stop" : finish_reason_,
-                             request_.prompt_tokens, answered.generated);
+    completion =
+        WriteWholeAnswer(request_.id, request_.target, text_,
+                         finish_reason_.empty() ? "stop" : finish_reason_,
+                         request_.prompt_tokens, answered.generated);
   }
   if (keep_answer_) {
-    answered.answer =
-        OnceAnswer{kStatusOk, {{"Content-Type", "application/json"}}, whole};
+    answered.answer = OnceAnswer{
+        kStatusOk, {{"Content-Type", "application/json"}}, completion};
   }
   if (!request_.stream) {
     responder_->Respond(HttpResponse{kStatusOk,
                                      {{"Content-Type", "application/json"},
                                       {"X-Gcw-Request", request_.id.value()}},
-                                     std::move(whole)});
+                                     std::move(completion)});
     return answered;
   }
   if (!begun_) {
--- a/transport/chat_receiver.h
+++ b/transport/chat_receiver.h
@@ -39,7 +39,7 @@
  private:
   bool OnData(std::string_view data);
   void Deliver(ChatEvent event);
-  AttemptEnd EndOfRefusal() const;
+  AttemptEnd EndWithErrorStatus() const;
   AttemptAnswered FinishAnswer();
 
   Request request_;
@@ -56,11 +56,11 @@
   AttemptId attempt_;
   bool keep_answer_ = false;
   int status_ = 0;
-  bool echoed_ = false;
+  bool attempt_echoed_ = false;
   SseParser parser_;
   // Body of a response with a status other than 200.
-  std::string other_body_;
-  bool done_ = false;
+  std::string error_body_;
+  bool stream_ended_ = false;
   bool failed_ = false;
 };
 
--- a/transport/engine_client.cc
+++ b/transport/engine_client.cc
@@ -41,7 +41,7 @@
                              Duration timeout,
                              std::function<bool()> may_send,
                              CallDone<EngineOrderReply> done) {
-  HttpCallOptions options = OptionsWithin(timeout);
+  HttpCallOptions options = OptionsWithTimeout(timeout);
   options.reuse_connection = false;
   auto answer = std::make_shared<HttpResponse>();
   HttpCallHandlers handlers;
@@ -62,7 +62,7 @@
                               Duration timeout,
                               CallDone<EngineStatus> done) {
   FetchDecoded<EngineStatus>(client_, engine, Get("/status"),
-                             OptionsWithin(timeout), DecodeEngineStatus,
+                             OptionsWithTimeout(timeout), DecodeEngineStatus,
                              std::move(done));
 }
 
@@ -70,7 +70,7 @@
                             Duration timeout,
                             CallDone<LoadReport> done) {
   FetchDecoded<LoadReport>(client_, endpoint, Get("/load"),
-                           OptionsWithin(timeout), DecodeLoadReport,
+                           OptionsWithTimeout(timeout), DecodeLoadReport,
                            std::move(done));
 }
 
@@ -80,7 +80,7 @@
                                    CallDone<CacheEventBatch> done) {
   FetchDecoded<CacheEventBatch>(
       client_, engine, Get("/cache_events?after=" + std::to_string(after)),
-      OptionsWithin(timeout), DecodeCacheEvents, std::move(done));
+      OptionsWithTimeout(timeout), DecodeCacheEvents, std::move(done));
 }
 
 void EngineClient::CancelAttempt(const Address& engine,
@@ -88,7 +88,7 @@
                                  Duration timeout,
                                  CallDone<bool> done) {
   FetchDecoded<bool>(client_, engine, Post("/cancel", EncodeCancel(attempt)),
-                     OptionsWithin(timeout), DecodeCancelReply,
+                     OptionsWithTimeout(timeout), DecodeCancelReply,
                      std::move(done));
 }
 
--- a/transport/http_client.cc
+++ b/transport/http_client.cc
@@ -59,7 +59,7 @@
 }
 
 void HttpClient::ForgetConnections(const Address& address) {
-  state_->pool->Forget(address);
+  state_->pool->CloseConnections(address);
 }
 
 }  // namespace gcw
--- a/transport/http_client_call.cc
+++ b/transport/http_client_call.cc
@@ -40,9 +40,9 @@
 // `Keep-Alive` header. Only a part of the announced time is used: a request
 // sent just as the server closes the connection is lost, and its outcome is
 // unknown.
-Duration KeepAliveLimit(const http::fields& head) {
+Duration KeepAliveTimeout(const http::fields& head) {
   constexpr std::string_view kName = "timeout=";
-  constexpr std::int64_t kMillisUsedPerSecond = 600;
+  constexpr std::int64_t kUsedMillisPerSecond = 600;
   const auto value = head["Keep-Alive"];
   const std::size_t at = value.find(kName);
   std::int64_t seconds = 0;
@@ -50,10 +50,10 @@
       std::from_chars(value.data() + at + kName.size(),
                       value.data() + value.size(), seconds)
               .ec != std::errc()) {
-    return HttpConnectionPool::kMaxIdle;
+    return HttpConnectionPool::kMaxIdleTime;
   }
-  return std::min(HttpConnectionPool::kMaxIdle,
-                  Duration::Millis(seconds * kMillisUsedPerSecond));
+  return std::min(HttpConnectionPool::kMaxIdleTime,
+                  Duration::Millis(seconds * kUsedMillisPerSecond));
 }
 
 }  // namespace
@@ -90,7 +90,7 @@
   boost::asio::post(strand_, [self = shared_from_this()] {
     self->paused_ = true;
     if (!self->done_) {
-      self->ExpectWithin(self->options_.deadline, HttpFailureKind::kDeadline);
+      self->SetStepTimeout(self->options_.deadline, HttpFailureKind::kDeadline);
     }
   });
 }
@@ -101,7 +101,7 @@
       return;
     }
     if (self->parser_) {
-      self->ExpectProgress();
+      self->ResetProgressTimeout();
       self->WaitReadable();
     }
   });
@@ -118,7 +118,7 @@
     Fail(HttpFailureKind::kCancelled);
     return;
   }
-  encoded_ = std::move(*encoded);
+  encoded_request_ = std::move(*encoded);
   request_.body = std::string();
   if (pooled_) {
     BeginExchange();
@@ -133,7 +133,7 @@
     Fail(HttpFailureKind::kConnectRefused);
     return;
   }
-  ExpectWithin(options_.connect_timeout, HttpFailureKind::kConnectTimeout);
+  SetStepTimeout(options_.connect_timeout, HttpFailureKind::kConnectTimeout);
   connection_->socket.async_connect(
       *endpoint, [self = shared_from_this()](const error_code& error) {
         self->OnConnected(error);
@@ -169,37 +169,38 @@
     Fail(HttpFailureKind::kCancelled);
     return;
   }
-  ExpectProgress();
+  ResetProgressTimeout();
   Write();
   WaitReadable();
 }
 
-void HttpClientCall::ExpectWithin(Duration limit,
-                                  HttpFailureKind timeout_kind) {
-  const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(
+void HttpClientCall::SetStepTimeout(Duration timeout,
+                                    HttpFailureKind timeout_kind) {
+  const auto remaining = std::chrono::duration_cast<std::chrono::milliseconds>(
       deadline_ - SteadyClock::now());
   timeout_kind_ = timeout_kind;
-  timer_.Set(std::clamp(Duration::Millis(left.count()), Duration(), limit));
+  timer_.Set(
+      std::clamp(Duration::Millis(remaining.count()), Duration(), timeout));
 }
 
-void HttpClientCall::ExpectProgress() {
+void HttpClientCall::ResetProgressTimeout() {
   if (!paused_) {
-    ExpectWithin(options_.progress_timeout, HttpFailureKind::kSilent);
+    SetStepTimeout(options_.progress_timeout, HttpFailureKind::kSilent);
   }
 }
 
 void HttpClientCall::OnTimeout() {
   // The timer has millisecond resolution, so it may fire up to 1 ms early.
-  const auto almost_now = SteadyClock::now() + std::chrono::milliseconds(1);
-  Fail(almost_now >= deadline_ ? HttpFailureKind::kDeadline : timeout_kind_);
+  const auto rounded_now = SteadyClock::now() + std::chrono::milliseconds(1);
+  Fail(rounded_now >= deadline_ ? HttpFailureKind::kDeadline : timeout_kind_);
 }
 
 void HttpClientCall::Write() {
   while (!done_ && !write_failed_ && !request_sent()) {
     error_code error;
     const std::size_t size = connection_->socket.write_some(
-        boost::asio::buffer(encoded_.data() + written_,
-                            encoded_.size() - written_),
+        boost::asio::buffer(encoded_request_.data() + written_bytes_,
+                            encoded_request_.size() - written_bytes_),
         error);
     if (error == boost::asio::error::would_block) {
       WaitWritable();
@@ -216,8 +217,8 @@
       return;
     }
     progress_ = std::max(progress_, HttpProgress::kMaybeSent);
-    written_ += size;
-    ExpectProgress();
+    written_bytes_ += size;
+    ResetProgressTimeout();
   }
 }
 
@@ -262,7 +263,7 @@
     return;
   }
   buffer_.commit(size);
-  ExpectProgress();
+  ResetProgressTimeout();
   ParseBuffered();
 }
 
@@ -275,9 +276,9 @@
       return;
     }
   }
-  const bool answer_began = parser_->got_some() || buffer_.size() > 0;
-  Fail(answer_began ? HttpFailureKind::kTruncated
-                    : HttpFailureKind::kConnectionReset);
+  const bool response_began = parser_->got_some() || buffer_.size() > 0;
+  Fail(response_began ? HttpFailureKind::kTruncated
+                      : HttpFailureKind::kConnectionReset);
 }
 
 void HttpClientCall::ParseBuffered() {
@@ -285,11 +286,11 @@
     error_code error;
     const std::size_t size = parser_->put(buffer_.data(), error);
     buffer_.consume(size);
-    const bool broken = error && error != http::error::need_more;
+    const bool parse_failed = error && error != http::error::need_more;
     if (parser_->is_header_done() && !head_delivered_ && !AcceptHead()) {
       return;
     }
-    if (broken) {
+    if (parse_failed) {
       Fail(HttpFailureKind::kMalformedAnswer);
       return;
     }
@@ -356,7 +357,7 @@
   done_ = true;
   timer_.Stop();
   if (reusable) {
-    connection_->idle_limit = KeepAliveLimit(parser_->get());
+    connection_->idle_timeout = KeepAliveTimeout(parser_->get());
     pool_->Put(address_, std::move(connection_));
   }
   connection_.reset();
--- a/transport/http_client_call.h
+++ b/transport/http_client_call.h
@@ -48,8 +48,8 @@
   void OnConnected(const boost::system::error_code& error);
   void BeginExchange();
   // Sets the timeout of the current step, capped by the call's deadline.
-  void ExpectWithin(Duration limit, HttpFailureKind timeout_kind);
-  void ExpectProgress();
+  void SetStepTimeout(Duration timeout, HttpFailureKind timeout_kind);
+  void ResetProgressTimeout();
   void OnTimeout();
 
   void Write();
@@ -65,7 +65,9 @@
   void DeliverBody();
   void End();
   void Fail(HttpFailureKind kind);
-  bool request_sent() const { return written_ == encoded_.size(); }
+  bool request_sent() const {
+    return written_bytes_ == encoded_request_.size();
+  }
 
   const std::shared_ptr<HttpConnectionPool> pool_;
   const Address address_;
@@ -81,8 +83,8 @@
   const SteadyClock::time_point deadline_;
   HttpFailureKind timeout_kind_ = HttpFailureKind::kConnectTimeout;
   HttpProgress progress_ = HttpProgress::kNothingSent;
-  std::string encoded_;
-  std::size_t written_ = 0;
+  std::string encoded_request_;
+  std::size_t written_bytes_ = 0;
   bool write_failed_ = false;
   boost::beast::flat_buffer buffer_;
   std::optional<Parser> parser_;
--- a/transport/http_connection.h
+++ b/transport/http_connection.h
@@ -15,7 +15,7 @@
   Strand strand;
   StrandSocket socket;
   // The connection is not reused after it has been idle for this time.
-  Duration idle_limit = Duration::Seconds(30);
+  Duration idle_timeout = Duration::Seconds(30);
   // When the connection returned to the pool.
   std::chrono::steady_clock::time_point idle_since;
 };
--- a/transport/http_connection_pool.cc
+++ b/transport/http_connection_pool.cc
@@ -23,7 +23,7 @@
     auto connection = std::move(connections.back());
     connections.pop_back();
     --size_;
-    if (connection->idle_since + ToChrono(connection->idle_limit) > now &&
+    if (connection->idle_since + ToChrono(connection->idle_timeout) > now &&
         !HasUnreadInput(connection->socket)) {
       usable = std::move(connection);
     }
@@ -50,7 +50,7 @@
   ArmSweep();
 }
 
-void HttpConnectionPool::Forget(const Address& address) {
+void HttpConnectionPool::CloseConnections(const Address& address) {
   const std::lock_guard lock(mutex_);
   const auto found = idle_.find(address);
   if (found == idle_.end()) {
@@ -77,7 +77,7 @@
   if (std::exchange(sweep_armed_, true)) {
     return;
   }
-  sweep_timer_.expires_after(ToChrono(kMaxIdle / 2));
+  sweep_timer_.expires_after(ToChrono(kMaxIdleTime / 2));
   sweep_timer_.async_wait(
       [weak = weak_from_this()](const boost::system::error_code& error) {
         const auto self = weak.lock();
@@ -96,7 +96,7 @@
   }
   for (auto it = idle_.begin(); it != idle_.end();) {
     size_ -= std::erase_if(it->second, [&](const auto& connection) {
-      return connection->idle_since + ToChrono(connection->idle_limit) <= now;
+      return connection->idle_since + ToChrono(connection->idle_timeout) <= now;
     });
     it = it->second.empty() ? idle_.erase(it) : std::next(it);
   }
--- a/transport/http_connection_pool.h
+++ b/transport/http_connection_pool.h
@@ -17,11 +17,11 @@
 
 // Idle connections by address; the most recently used one is reused first. Safe
 // for use from any thread. An idle connection may die without notice, so it is
-// kept for at most `kMaxIdle`.
+// kept for at most `kMaxIdleTime`.
 class HttpConnectionPool
     : public std::enable_shared_from_this<HttpConnectionPool> {
  public:
-  static constexpr Duration kMaxIdle = Duration::Seconds(30);
+  static constexpr Duration kMaxIdleTime = Duration::Seconds(30);
   static constexpr std::size_t kMaxPerAddress = 64;
   static constexpr std::size_t kMaxTotal = 2048;
 
@@ -32,7 +32,7 @@
   // Adds an idle connection. It is closed instead if the pool is full or
   // closed.
   void Put(const Address& address, std::unique_ptr<HttpConnection> connection);
-  void Forget(const Address& address);
+  void CloseConnections(const Address& address);
   // Closes all connections and accepts no more.
   void Close();
   std::size_t size() const;
--- a/transport/http_error.cc
+++ b/transport/http_error.cc
@@ -7,13 +7,13 @@
 
 namespace {
 
-struct ErrorRow {
+struct ErrorInfo {
   int status;
   std::string_view type;
   std::string_view message;
 };
 
-ErrorRow RowOf(HttpErrorKind kind) {
+ErrorInfo InfoFor(HttpErrorKind kind) {
   switch (kind) {
     case HttpErrorKind::kMalformedRequest:
       return {400, "malformed_request", "The request is not valid HTTP/1.1."};
@@ -39,11 +39,11 @@
 }  // namespace
 
 int HttpErrorStatus(HttpErrorKind kind) {
-  return RowOf(kind).status;
+  return InfoFor(kind).status;
 }
 
 std::string_view HttpErrorType(HttpErrorKind kind) {
-  return RowOf(kind).type;
+  return InfoFor(kind).type;
 }
 
 HttpResponse MakeErrorResponse(int status,
@@ -60,8 +60,8 @@
 }
 
 HttpResponse MakeErrorResponse(HttpErrorKind kind) {
-  const ErrorRow row = RowOf(kind);
-  return MakeErrorResponse(row.status, row.type, row.message);
+  const ErrorInfo info = InfoFor(kind);
+  return MakeErrorResponse(info.status, info.type, info.message);
 }
 
 }  // namespace gcw
--- a/transport/http_framing.cc
+++ b/transport/http_framing.cc
@@ -33,7 +33,7 @@
   });
 }
 
-bool MayPass(const HttpHeader& header) {
+bool IsForwardable(const HttpHeader& header) {
   return IsToken(header.name) &&
          std::ranges::none_of(header.value, IsControl) &&
          std::ranges::none_of(kFramingHeaders, [&](std::string_view name) {
@@ -41,9 +41,10 @@
          });
 }
 
-void Insert(const std::vector<HttpHeader>& headers, http::fields& fields) {
+void InsertHeaders(const std::vector<HttpHeader>& headers,
+                   http::fields& fields) {
   for (const HttpHeader& header : headers) {
-    if (MayPass(header)) {
+    if (IsForwardable(header)) {
       fields.insert(header.name, header.value);
     }
   }
@@ -64,11 +65,11 @@
 http::response<http::empty_body> MakeHead(
     int status,
     const std::vector<HttpHeader>& headers,
-    const AnswerFraming& framing) {
+    const ResponseFraming& framing) {
   http::response<http::empty_body> head;
   head.version(framing.version);
   head.result(static_cast<unsigned>(status));
-  Insert(headers, head);
+  InsertHeaders(headers, head);
   head.keep_alive(framing.keep_alive);
   return head;
 }
@@ -79,8 +80,8 @@
 
 }  // namespace
 
-std::string EncodeWhole(const HttpResponse& response,
-                        const AnswerFraming& framing) {
+std::string EncodeResponse(const HttpResponse& response,
+                           const ResponseFraming& framing) {
   http::response<http::empty_body> head =
       MakeHead(response.status, response.headers, framing);
   if (StatusHasNoBody(response.status)) {
@@ -96,7 +97,7 @@
 
 std::string EncodeStreamHead(int status,
                              const std::vector<HttpHeader>& headers,
-                             const AnswerFraming& framing) {
+                             const ResponseFraming& framing) {
   http::response<http::empty_body> head = MakeHead(status, headers, framing);
   if (framing.version >= 11) {
     head.chunked(true);
@@ -104,7 +105,8 @@
   return EncodeHead(head);
 }
 
-std::string EncodeChunk(std::string_view chunk, const AnswerFraming& framing) {
+std::string EncodeChunk(std::string_view chunk,
+                        const ResponseFraming& framing) {
   if (chunk.empty() || framing.head_only) {
     return {};
   }
@@ -115,7 +117,7 @@
       http::make_chunk(boost::asio::buffer(chunk.data(), chunk.size())));
 }
 
-std::string EncodeLastChunk(const AnswerFraming& framing) {
+std::string EncodeLastChunk(const ResponseFraming& framing) {
   if (framing.version < 11 || framing.head_only) {
     return {};
   }
@@ -134,7 +136,7 @@
   head.version(11);
   head.method_string(request.method);
   head.target(request.target);
-  Insert(request.headers, head);
+  InsertHeaders(request.headers, head);
   if (head.find(http::field::host) == head.end()) {
     head.set(http::field::host, host);
   }
--- a/transport/http_framing.h
+++ b/transport/http_framing.h
@@ -13,7 +13,7 @@
 namespace gcw {
 
 // How a response is framed on its connection.
-struct AnswerFraming {
+struct ResponseFraming {
   // HTTP version: 10 for 1.0, 11 for 1.1.
   unsigned version = 11;
   bool keep_alive = true;
@@ -26,16 +26,16 @@
 // malformed ones in the given lists, so that headers about one connection never
 // leak to another.
 
-std::string EncodeWhole(const HttpResponse& response,
-                        const AnswerFraming& framing);
+std::string EncodeResponse(const HttpResponse& response,
+                           const ResponseFraming& framing);
 // Encodes the status line and headers of a response whose body follows in
 // chunks.
 std::string EncodeStreamHead(int status,
                              const std::vector<HttpHeader>& headers,
-                             const AnswerFraming& framing);
+                             const ResponseFraming& framing);
 // Encodes one chunk. An empty chunk is omitted, because it would end the body.
-std::string EncodeChunk(std::string_view chunk, const AnswerFraming& framing);
-std::string EncodeLastChunk(const AnswerFraming& framing);
+std::string EncodeChunk(std::string_view chunk, const ResponseFraming& framing);
+std::string EncodeLastChunk(const ResponseFraming& framing);
 
 // Returns nullopt if the method or the target contains characters, such as a
 // line break, that would change the meaning of what follows.
--- a/transport/http_outbox.cc
+++ b/transport/http_outbox.cc
@@ -9,17 +9,17 @@
 
 HttpOutbox::HttpOutbox(std::function<void()> wake) : wake_(std::move(wake)) {}
 
-std::uint64_t HttpOutbox::Begin(const AnswerFraming& framing) {
+std::uint64_t HttpOutbox::Begin(const ResponseFraming& framing) {
   const std::lock_guard lock(mutex_);
   framing_ = framing;
   stage_ = Stage::kWaiting;
-  end_ = HttpAnswerEnd::kOpen;
-  return ++answer_;
+  end_ = HttpResponseEnd::kOpen;
+  return ++response_id_;
 }
 
-HttpAnswerEnd HttpOutbox::Take(std::string& bytes) {
+HttpResponseEnd HttpOutbox::Take(std::string& bytes) {
   const std::lock_guard lock(mutex_);
-  woken_ = false;
+  wake_pending_ = false;
   bytes.swap(pending_);
   return end_;
 }
@@ -29,7 +29,7 @@
   unsent_ -= std::min(bytes, unsent_);
 }
 
-bool HttpOutbox::answer_ended() const {
+bool HttpOutbox::response_ended() const {
   const std::lock_guard lock(mutex_);
   return stage_ == Stage::kEnded;
 }
@@ -43,38 +43,39 @@
   WakeIf(wake);
 }
 
-std::function<void()> HttpOutbox::CallerGone() {
+std::function<void()> HttpOutbox::MarkCallerGone() {
   const std::lock_guard lock(mutex_);
-  const bool answer_open =
+  const bool response_open =
       stage_ == Stage::kWaiting || stage_ == Stage::kStreaming;
   stage_ = Stage::kGone;
   pending_.clear();
   unsent_ = 0;
-  auto hook = std::exchange(hook_, nullptr);
-  return answer_open ? std::move(hook) : nullptr;
+  auto hook = std::exchange(caller_gone_hook_, nullptr);
+  return response_open ? std::move(hook) : nullptr;
 }
 
-void HttpOutbox::Respond(std::uint64_t answer, const HttpResponse& response) {
-  std::function<void()> unused_hook;
+void HttpOutbox::Respond(std::uint64_t response_id,
+                         const HttpResponse& response) {
+  std::function<void()> released_hook;
   bool wake = false;
   {
     const std::lock_guard lock(mutex_);
-    if (!IsAt(answer, Stage::kWaiting)) {
+    if (!IsAtStage(response_id, Stage::kWaiting)) {
       return;
     }
-    wake = Append(EncodeWhole(response, framing_));
-    unused_hook = End(HttpAnswerEnd::kWhole);
+    wake = Append(EncodeResponse(response, framing_));
+    released_hook = End(HttpResponseEnd::kComplete);
   }
   WakeIf(wake);
 }
 
-void HttpOutbox::StartStream(std::uint64_t answer,
+void HttpOutbox::StartStream(std::uint64_t response_id,
                              int status,
                              const std::vector<HttpHeader>& headers) {
   bool wake = false;
   {
     const std::lock_guard lock(mutex_);
-    if (!IsAt(answer, Stage::kWaiting)) {
+    if (!IsAtStage(response_id, Stage::kWaiting)) {
       return;
     }
     wake = Append(EncodeStreamHead(status, headers, framing_));
@@ -83,11 +84,11 @@
   WakeIf(wake);
 }
 
-void HttpOutbox::Write(std::uint64_t answer, std::string_view chunk) {
+void HttpOutbox::Write(std::uint64_t response_id, std::string_view chunk) {
   bool wake = false;
   {
     const std::lock_guard lock(mutex_);
-    if (!IsAt(answer, Stage::kStreaming)) {
+    if (!IsAtStage(response_id, Stage::kStreaming)) {
       return;
     }
     wake = Append(EncodeChunk(chunk, framing_));
@@ -95,71 +96,74 @@
   WakeIf(wake);
 }
 
-void HttpOutbox::Finish(std::uint64_t answer) {
-  std::function<void()> unused_hook;
+void HttpOutbox::Finish(std::uint64_t response_id) {
+  std::function<void()> released_hook;
   bool wake = false;
   {
     const std::lock_guard lock(mutex_);
-    if (!IsAt(answer, Stage::kStreaming)) {
+    if (!IsAtStage(response_id, Stage::kStreaming)) {
       return;
     }
     wake = Append(EncodeLastChunk(framing_));
-    unused_hook = End(HttpAnswerEnd::kWhole);
+    released_hook = End(HttpResponseEnd::kComplete);
   }
   WakeIf(wake);
 }
 
-void HttpOutbox::Abort(std::uint64_t answer) {
-  std::function<void()> unused_hook;
+void HttpOutbox::Abort(std::uint64_t response_id) {
+  std::function<void()> released_hook;
   bool wake = false;
   {
     const std::lock_guard lock(mutex_);
-    if (!IsAt(answer, Stage::kStreaming) && !IsAt(answer, Stage::kWaiting)) {
+    if (!IsAtStage(response_id, Stage::kStreaming) &&
+        !IsAtStage(response_id, Stage::kWaiting)) {
       return;
     }
     wake = Append({});
-    unused_hook = End(HttpAnswerEnd::kAborted);
+    released_hook = End(HttpResponseEnd::kAborted);
   }
   WakeIf(wake);
 }
 
-void HttpOutbox::LetGo(std::uint64_t answer) {
-  Respond(answer, MakeErrorResponse(HttpErrorKind::kNoAnswer));
+void HttpOutbox::OnResponderReleased(std::uint64_t response_id) {
+  Respond(response_id, MakeErrorResponse(HttpErrorKind::kNoAnswer));
   // The response is still open only if it is a stream.
-  Abort(answer);
+  Abort(response_id);
 }
 
-std::size_t HttpOutbox::unsent_bytes(std::uint64_t answer) const {
+std::size_t HttpOutbox::unsent_bytes(std::uint64_t response_id) const {
   const std::lock_guard lock(mutex_);
-  return answer == answer_ ? unsent_ : 0;
+  return response_id == response_id_ ? unsent_ : 0;
 }
 
-std::function<void()> HttpOutbox::SetHook(std::uint64_t answer,
-                                          std::function<void()> hook) {
+std::function<void()> HttpOutbox::SetCallerGoneHook(
+    std::uint64_t response_id,
+    std::function<void()> hook) {
   const std::lock_guard lock(mutex_);
-  if (IsAt(answer, Stage::kGone)) {
+  if (IsAtStage(response_id, Stage::kGone)) {
     return hook;
   }
-  if (IsAt(answer, Stage::kWaiting) || IsAt(answer, Stage::kStreaming)) {
-    hook_.swap(hook);
+  if (IsAtStage(response_id, Stage::kWaiting) ||
+      IsAtStage(response_id, Stage::kStreaming)) {
+    caller_gone_hook_.swap(hook);
   }
   return nullptr;
 }
 
-bool HttpOutbox::IsAt(std::uint64_t answer, Stage stage) const {
-  return answer == answer_ && stage == stage_;
+bool HttpOutbox::IsAtStage(std::uint64_t response_id, Stage stage) const {
+  return response_id == response_id_ && stage == stage_;
 }
 
 bool HttpOutbox::Append(std::string_view bytes) {
   pending_ += bytes;
   unsent_ += bytes.size();
-  return !std::exchange(woken_, true);
+  return !std::exchange(wake_pending_, true);
 }
 
-std::function<void()> HttpOutbox::End(HttpAnswerEnd end) {
+std::function<void()> HttpOutbox::End(HttpResponseEnd end) {
   stage_ = Stage::kEnded;
   end_ = end;
-  return std::exchange(hook_, nullptr);
+  return std::exchange(caller_gone_hook_, nullptr);
 }
 
 void HttpOutbox::WakeIf(bool needed) {
--- a/transport/http_server.cc
+++ b/transport/http_server.cc
@@ -20,7 +20,7 @@
 // If no file descriptor is free, accepting fails until one is closed.
 constexpr Duration kAcceptRetryDelay = Duration::Millis(50);
 
-ListenErrorKind KindOf(const error_code& error) {
+ListenErrorKind ToListenErrorKind(const error_code& error) {
   return error == boost::asio::error::address_in_use
              ? ListenErrorKind::kAddressInUse
              : ListenErrorKind::kRefused;
@@ -121,7 +121,7 @@
   auto state = std::make_shared<State>(context, limits, std::move(handler));
   error = state->Open(tcp::endpoint(address, port));
   if (error) {
-    return ListenError{KindOf(error)};
+    return ListenError{ToListenErrorKind(error)};
   }
   boost::asio::post(state->strand, [state] { state->Accept(); });
   return std::unique_ptr<HttpServer>(new HttpServer(std::move(state)));
--- a/transport/http_server_session.cc
+++ b/transport/http_server_session.cc
@@ -20,10 +20,10 @@
 // While a response is pending, the connection is no longer read if this many
 // bytes have been received ahead. From then on, only a failed write shows that
 // a caller has left.
-constexpr std::size_t kMaxAheadBytes = 16UL * 1024;
+constexpr std::size_t kMaxPipelinedBytes = 16UL * 1024;
 constexpr std::size_t kMaxLingerBytes = 1024UL * 1024;
 
-HttpErrorKind KindOf(const error_code& error) {
+HttpErrorKind ToHttpErrorKind(const error_code& error) {
   if (error == http::error::body_limit) {
     return HttpErrorKind::kBodyTooLarge;
   }
@@ -54,7 +54,7 @@
 void HttpServerSession::Drain() {
   boost::asio::post(socket_.get_executor(), [self = shared_from_this()] {
     if (self->phase_ == Phase::kIdle) {
-      self->EnterIdle();
+      self->SetIdleTimeout();
     }
   });
 }
@@ -71,7 +71,7 @@
   SetConnectionOptions(socket_, server_->limits().write_timeout);
   switch (server_->Add(shared_from_this())) {
     case HttpServerState::Admission::kServe:
-      EnterIdle();
+      SetIdleTimeout();
       WaitReadable();
       return;
     case HttpServerState::Admission::kRefuse:
@@ -116,17 +116,17 @@
     return;
   }
   buffer_.commit(size);
-  Process();
+  ProcessInput();
 }
 
-void HttpServerSession::Process() {
+void HttpServerSession::ProcessInput() {
   switch (phase_) {
     case Phase::kIdle:
     case Phase::kReading:
-      Feed();
+      ParseRequest();
       return;
-    case Phase::kAnswering:
-      if (buffer_.size() < kMaxAheadBytes) {
+    case Phase::kResponding:
+      if (buffer_.size() < kMaxPipelinedBytes) {
         WaitReadable();
       }
       return;
@@ -144,7 +144,7 @@
   }
 }
 
-void HttpServerSession::Feed() {
+void HttpServerSession::ParseRequest() {
   if (phase_ == Phase::kIdle) {
     phase_ = Phase::kReading;
     continue_sent_ = false;
@@ -159,7 +159,7 @@
   error_code error;
   buffer_.consume(parser_->put(buffer_.data(), error));
   if (error && error != http::error::need_more) {
-    RespondError(KindOf(error));
+    RespondError(ToHttpErrorKind(error));
     return;
   }
   if (parser_->is_done()) {
@@ -198,28 +198,28 @@
     return;
   }
   timer_.Clear();
-  phase_ = Phase::kAnswering;
+  phase_ = Phase::kResponding;
   framing_ = {
       message.version(),
       message.keep_alive() && message.version() >= 11 && !server_->stopping(),
       message.method() == http::verb::head};
   HttpRequest request{message.method_string(), message.target(),
                       ToHeaders(message), std::move(message.body())};
-  const std::uint64_t answer = outbox_.Begin(framing_);
-  if (buffer_.size() < kMaxAheadBytes) {
+  const std::uint64_t response_id = outbox_.Begin(framing_);
+  if (buffer_.size() < kMaxPipelinedBytes) {
     WaitReadable();
   }
   server_->handler()(std::move(request), std::make_shared<HttpSessionResponder>(
-                                             shared_from_this(), answer));
+                                             shared_from_this(), response_id));
 }
 
 void HttpServerSession::RespondError(HttpErrorKind kind) {
   timer_.Clear();
   parser_.reset();
-  phase_ = Phase::kAnswering;
+  phase_ = Phase::kResponding;
   framing_ = {11, false, false};
-  const std::uint64_t answer = outbox_.Begin(framing_);
-  outbox_.Respond(answer, MakeErrorResponse(kind));
+  const std::uint64_t response_id = outbox_.Begin(framing_);
+  outbox_.Respond(response_id, MakeErrorResponse(kind));
 }
 
 void HttpServerSession::Flush() {
@@ -227,27 +227,27 @@
       write_waiting_) {
     return;
   }
-  HttpAnswerEnd end = HttpAnswerEnd::kOpen;
+  HttpResponseEnd end = HttpResponseEnd::kOpen;
   do {
-    if (!WriteOut()) {
+    if (!WriteBuffered()) {
       return;
     }
-    writing_.clear();
-    written_ = 0;
-    end = outbox_.Take(writing_);
-  } while (!writing_.empty());
-  if (phase_ == Phase::kAnswering && end != HttpAnswerEnd::kOpen) {
-    OnAnswerSent(end);
+    write_buffer_.clear();
+    write_offset_ = 0;
+    end = outbox_.Take(write_buffer_);
+  } while (!write_buffer_.empty());
+  if (phase_ == Phase::kResponding && end != HttpResponseEnd::kOpen) {
+    OnResponseSent(end);
   }
 }
 
-bool HttpServerSession::WriteOut() {
-  while (written_ < writing_.size()) {
+bool HttpServerSession::WriteBuffered() {
+  while (write_offset_ < write_buffer_.size()) {
     error_code error;
-    const std::size_t size =
-        socket_.write_some(boost::asio::buffer(writing_.data() + written_,
-                                               writing_.size() - written_),
-                           error);
+    const std::size_t size = socket_.write_some(
+        boost::asio::buffer(write_buffer_.data() + write_offset_,
+                            write_buffer_.size() - write_offset_),
+        error);
     if (error == boost::asio::error::would_block) {
       WaitWritable();
       return false;
@@ -256,7 +256,7 @@
       CloseNow();
       return false;
     }
-    written_ += size;
+    write_offset_ += size;
     outbox_.OnSent(size);
   }
   return true;
@@ -264,7 +264,7 @@
 
 void HttpServerSession::WaitWritable() {
   write_waiting_ = true;
-  if (phase_ == Phase::kAnswering) {
+  if (phase_ == Phase::kResponding) {
     timer_.Set(server_->limits().write_timeout);
   }
   socket_.async_wait(StrandSocket::wait_write,
@@ -278,14 +278,14 @@
   if (error || phase_ == Phase::kClosed) {
     return;
   }
-  if (phase_ == Phase::kAnswering) {
+  if (phase_ == Phase::kResponding) {
     timer_.Clear();
   }
   Flush();
 }
 
-void HttpServerSession::OnAnswerSent(HttpAnswerEnd end) {
-  if (end == HttpAnswerEnd::kAborted) {
+void HttpServerSession::OnResponseSent(HttpResponseEnd end) {
+  if (end == HttpResponseEnd::kAborted) {
     // Before HTTP/1.1 there are no chunks, and a normal close would look like
     // the end of the response.
     if (framing_.version < 11) {
@@ -300,24 +300,24 @@
     Linger();
     return;
   }
-  NextRequest();
+  AwaitNextRequest();
 }
 
-void HttpServerSession::NextRequest() {
+void HttpServerSession::AwaitNextRequest() {
   phase_ = Phase::kIdle;
   if (buffer_.size() > 0) {
-    Feed();
+    ParseRequest();
     return;
   }
   if (!read_waiting_) {
     WaitReadable();
   }
   buffer_.shrink_to_fit();
-  writing_.shrink_to_fit();
-  EnterIdle();
+  write_buffer_.shrink_to_fit();
+  SetIdleTimeout();
 }
 
-void HttpServerSession::EnterIdle() {
+void HttpServerSession::SetIdleTimeout() {
   timer_.Set(server_->stopping() ? server_->limits().stopping_idle_timeout
                                  : server_->idle_timeout());
 }
@@ -341,11 +341,11 @@
     case Phase::kReading:
       RespondError(HttpErrorKind::kIncompleteRequest);
       return;
-    case Phase::kAnswering:
+    case Phase::kResponding:
       // A caller that closes its sending side after the response has ended can
       // still receive the rest. Before that, a half-close cannot be told from a
       // caller that is gone.
-      if (outbox_.answer_ended()) {
+      if (outbox_.response_ended()) {
         return;
       }
       CloseNow();
@@ -376,7 +376,7 @@
   error_code error;
   socket_.close(error);
   server_->Remove(this);
-  if (const auto hook = outbox_.CallerGone()) {
+  if (const auto hook = outbox_.MarkCallerGone()) {
     hook();
   }
 }
--- a/transport/http_server_session.h
+++ b/transport/http_server_session.h
@@ -37,24 +37,24 @@
   HttpOutbox& outbox() { return outbox_; }
 
  private:
-  enum class Phase { kIdle, kReading, kAnswering, kLingering, kClosed };
+  enum class Phase { kIdle, kReading, kResponding, kLingering, kClosed };
 
   void Begin();
   void WaitReadable();
   void ReadAvailable();
-  void Process();
-  void Feed();
+  void ProcessInput();
+  void ParseRequest();
   void SendContinueOnce();
   void Dispatch();
   void RespondError(HttpErrorKind kind);
   void Flush();
   // Returns whether everything taken from the outbox has been written.
-  bool WriteOut();
+  bool WriteBuffered();
   void WaitWritable();
   void OnWritable(const boost::system::error_code& error);
-  void OnAnswerSent(HttpAnswerEnd end);
-  void NextRequest();
-  void EnterIdle();
+  void OnResponseSent(HttpResponseEnd end);
+  void AwaitNextRequest();
+  void SetIdleTimeout();
   void Linger();
   void OnEof();
   void OnTimeout();
@@ -67,9 +67,9 @@
   Phase phase_ = Phase::kIdle;
   boost::beast::flat_buffer buffer_;
   std::optional<boost::beast::http::request_parser<AppendingBody>> parser_;
-  AnswerFraming framing_;
-  std::string writing_;
-  std::size_t written_ = 0;
+  ResponseFraming framing_;
+  std::string write_buffer_;
+  std::size_t write_offset_ = 0;
   std::size_t lingered_bytes_ = 0;
   bool read_waiting_ = false;
   bool write_waiting_ = false;
--- a/transport/http_session_responder.h
+++ b/transport/http_session_responder.h
@@ -18,7 +18,7 @@
 class HttpSessionResponder final : public HttpResponder {
  public:
   HttpSessionResponder(std::shared_ptr<HttpServerSession> session,
-                       std::uint64_t answer);
+                       std::uint64_t response_id);
   ~HttpSessionResponder() override;
 
   void Respond(HttpResponse response) override;
@@ -31,7 +31,7 @@
 
  private:
   const std::shared_ptr<HttpServerSession> session_;
-  const std::uint64_t answer_;
+  const std::uint64_t response_id_;
 };
 
 }  // namespace gcw
--- a/transport/key_digest.cc
+++ b/transport/key_digest.cc
@@ -12,11 +12,11 @@
 KeyDigest DigestOfKey(std::string_view key) {
   std::array<unsigned char, EVP_MAX_MD_SIZE> digest;
   unsigned int size = 0;
-  const int done = EVP_Digest(key.data(), key.size(), digest.data(), &size,
-                              EVP_sha256(), nullptr);
+  const int success = EVP_Digest(key.data(), key.size(), digest.data(), &size,
+                                 EVP_sha256(), nullptr);
   // This fails only if memory or the algorithm is unavailable. The process must
   // not continue: an empty digest would match other keys' empty digests.
-  CHECK_EQ(done, 1) << "SHA-256 is not available";
+  CHECK_EQ(success, 1) << "SHA-256 is not available";
   constexpr std::string_view digits = "0123456789abcdef";
   std::string text;
   text.reserve(2UL * size);
--- a/transport/lazy_timer.cc
+++ b/transport/lazy_timer.cc
@@ -12,9 +12,9 @@
   on_expiry_ = std::move(on_expiry);
 }
 
-void LazyTimer::Set(Duration after) {
-  deadline_ = SteadyClock::now() + ToChrono(after);
-  if (!armed_ || *armed_ > *deadline_) {
+void LazyTimer::Set(Duration timeout) {
+  deadline_ = SteadyClock::now() + ToChrono(timeout);
+  if (!armed_until_ || *armed_until_ > *deadline_) {
     Arm(*deadline_);
   }
 }
@@ -25,20 +25,20 @@
 
 void LazyTimer::Stop() {
   deadline_.reset();
-  armed_.reset();
-  ++arm_count_;
+  armed_until_.reset();
+  ++last_arm_id_;
   timer_.cancel();
 }
 
 void LazyTimer::Arm(SteadyClock::time_point when) {
-  armed_ = when;
-  const int arm = ++arm_count_;
+  armed_until_ = when;
+  const int arm_id = ++last_arm_id_;
   timer_.expires_at(when);
   timer_.async_wait(
-      [this, owner = owner_, arm](const boost::system::error_code&) {
-        const auto keep = owner.lock();
+      [this, owner = owner_, arm_id](const boost::system::error_code&) {
+        const auto locked_owner = owner.lock();
         // The owner is checked first: if it is gone, this timer is gone too.
-        if (!keep || arm != arm_count_) {
+        if (!locked_owner || arm_id != last_arm_id_) {
           return;
         }
         OnFired();
@@ -46,7 +46,7 @@
 }
 
 void LazyTimer::OnFired() {
-  armed_.reset();
+  armed_until_.reset();
   if (!deadline_) {
     return;
   }
--- a/transport/lazy_timer.h
+++ b/transport/lazy_timer.h
@@ -22,7 +22,7 @@
 
   // `on_expiry` runs on the strand while `owner` is alive, and may refer to it.
   void Start(std::weak_ptr<void> owner, std::function<void()> on_expiry);
-  void Set(Duration after);
+  void Set(Duration timeout);
   void Clear();
   // Cancels all waits. The timer must not be used afterwards.
   void Stop();
@@ -42,9 +42,9 @@
   std::function<void()> on_expiry_;
   std::optional<SteadyClock::time_point> deadline_;
   // When the current wait ends; nullopt if there is none.
-  std::optional<SteadyClock::time_point> armed_;
+  std::optional<SteadyClock::time_point> armed_until_;
   // Identifies the current wait, so that replaced ones are ignored.
-  int arm_count_ = 0;
+  int last_arm_id_ = 0;
 };
 
 }  // namespace gcw
--- a/transport/line_writer.cc
+++ b/transport/line_writer.cc
@@ -13,30 +13,30 @@
   if (text.size() < line.size()) {
     text.back() = '\n';
   }
-  if (held_.empty() && WriteNow(text)) {
+  if (buffered_lines_.empty() && TryWrite(text)) {
     return;
   }
-  if (held_bytes_ + text.size() > max_held_bytes_) {
+  if (buffered_bytes_ + text.size() > max_buffered_bytes_) {
     ++dropped_;
     return;
   }
-  held_bytes_ += text.size();
-  held_.push_back(std::move(text));
+  buffered_bytes_ += text.size();
+  buffered_lines_.push_back(std::move(text));
 }
 
 void LineWriter::Flush() {
-  while (!held_.empty() && WriteNow(held_.front())) {
-    held_bytes_ -= held_.front().size();
-    held_.pop_front();
+  while (!buffered_lines_.empty() && TryWrite(buffered_lines_.front())) {
+    buffered_bytes_ -= buffered_lines_.front().size();
+    buffered_lines_.pop_front();
   }
 }
 
 bool LineWriter::IsWritable() const {
-  pollfd waited{descriptor_, POLLOUT, 0};
-  return poll(&waited, 1, 0) > 0;
+  pollfd poll_request{descriptor_, POLLOUT, 0};
+  return poll(&poll_request, 1, 0) > 0;
 }
 
-bool LineWriter::WriteNow(std::string_view line) const {
+bool LineWriter::TryWrite(std::string_view line) const {
   if (!IsWritable()) {
     return false;
   }
--- a/transport/line_writer.h
+++ b/transport/line_writer.h
@@ -18,8 +18,8 @@
   // A write of at most this size never blocks on a pipe that polls as writable.
   static constexpr std::size_t kMaxLineBytes = 4096;
 
-  LineWriter(int descriptor, std::size_t max_held_bytes)
-      : descriptor_(descriptor), max_held_bytes_(max_held_bytes) {}
+  LineWriter(int descriptor, std::size_t max_buffered_bytes)
+      : descriptor_(descriptor), max_buffered_bytes_(max_buffered_bytes) {}
 
   // A line longer than `kMaxLineBytes` is truncated.
   void Write(std::string_view line);
@@ -27,18 +27,18 @@
   void Flush();
 
   std::int64_t dropped() const { return dropped_; }
-  std::size_t held_bytes() const { return held_bytes_; }
+  std::size_t held_bytes() const { return buffered_bytes_; }
 
  private:
   bool IsWritable() const;
   // Returns false if writing would block, and true if the line was written or
   // can never be written.
-  bool WriteNow(std::string_view line) const;
+  bool TryWrite(std::string_view line) const;
 
   const int descriptor_;
-  const std::size_t max_held_bytes_;
-  std::deque<std::string> held_;
-  std::size_t held_bytes_ = 0;
+  const std::size_t max_buffered_bytes_;
+  std::deque<std::string> buffered_lines_;
+  std::size_t buffered_bytes_ = 0;
   std::int64_t dropped_ = 0;
 };
 
--- a/transport/node_runtime.cc
+++ b/transport/node_runtime.cc
@@ -10,7 +10,7 @@
 namespace {
 
 // Returns the request that an event may end.
-std::optional<RequestId> RequestOf(const NodeEvent& event) {
+std::optional<RequestId> PossiblyEndedRequest(const NodeEvent& event) {
   if (const auto* ended = std::get_if<AttemptEnded>(&event)) {
     return ended->request;
   }
@@ -41,7 +41,7 @@
 }
 
 void NodeRuntime::Start() {
-  executor_.SetPost([this](NodeEvent event) { Post(std::move(event)); });
+  executor_.SetEventSink([this](NodeEvent event) { Post(std::move(event)); });
   ScheduleTick();
   thread_ = std::thread([this] { control_.run(); });
 }
@@ -58,14 +58,15 @@
                     [this, event = std::move(event)] { Handle(event); });
 }
 
-void NodeRuntime::Run(std::function<void(NodeCore&, EventLog&, Time)> task) {
+void NodeRuntime::RunOnControlThread(
+    std::function<void(NodeCore&, EventLog&, Time)> task) {
   boost::asio::post(control_, [this, task = std::move(task)] {
     task(core_, log_, hooks_.clock());
   });
 }
 
-void NodeRuntime::Arrive(CallerArrived arrived,
-                         std::shared_ptr<CallerExchange> exchange) {
+void NodeRuntime::StartRequest(CallerArrived arrived,
+                               std::shared_ptr<CallerExchange> exchange) {
   boost::asio::post(control_, [this, arrived = std::move(arrived),
                                exchange = std::move(exchange)] {
     exchanges_.emplace(arrived.profile.id, exchange);
@@ -73,11 +74,11 @@
   });
 }
 
-void NodeRuntime::Change(ConfigChange change,
-                         std::function<void(const ChangeOutcome&)> done) {
+void NodeRuntime::CommitChange(ConfigChange change,
+                               std::function<void(const ChangeOutcome&)> done) {
   boost::asio::post(control_,
                     [this, change = std::move(change), done = std::move(done)] {
-                      const OperatorCallId call = ++last_call_;
+                      const OperatorCallId call = ++last_operator_call_;
                       operator_calls_.emplace(call, done);
                       Handle(OperatorChange{call, change});
                     });
@@ -99,20 +100,20 @@
   for (NodeAction& action : core_.Handle(hooks_.clock(), event)) {
     Execute(std::move(action));
   }
-  const std::optional<RequestId> request = RequestOf(event);
+  const std::optional<RequestId> request = PossiblyEndedRequest(event);
   if (request && !core_.HasRequest(*request)) {
     exchanges_.erase(*request);
     metrics_.Forget(*request);
   }
 }
 
-template <typename Told>
-void NodeRuntime::Tell(const Told& told) {
-  const auto exchange = exchanges_.find(told.request);
+template <typename FinalResponseType>
+void NodeRuntime::SendFinalResponse(const FinalResponseType& response) {
+  const auto exchange = exchanges_.find(response.request);
   if (exchange == exchanges_.end()) {
     return;
   }
-  exchange->second->Tell(told);
+  exchange->second->SendFinalResponse(response);
   exchanges_.erase(exchange);
 }
 
@@ -132,12 +133,12 @@
               exchange->second->Cancel(cancel.attempt);
             }
           },
-          [this](TellRefused& told) { Tell(told); },
-          [this](TellUnknown& told) { Tell(told); },
-          [this](TellStreamBroken& told) { Tell(told); },
-          [this](TellPreempted& told) { Tell(told); },
-          [this](TellReplay& told) { Tell(told); },
-          [this](TellEarlierSend& told) { Tell(told); },
+          [this](TellRefused& response) { SendFinalResponse(response); },
+          [this](TellUnknown& response) { SendFinalResponse(response); },
+          [this](TellStreamBroken& response) { SendFinalResponse(response); },
+          [this](TellPreempted& response) { SendFinalResponse(response); },
+          [this](TellReplay& response) { SendFinalResponse(response); },
+          [this](TellEarlierSend& response) { SendFinalResponse(response); },
           [this](AnswerOperator& answer) {
             const auto call = operator_calls_.find(answer.call);
             if (call != operator_calls_.end()) {
@@ -146,7 +147,9 @@
             }
           },
           [this](StopNow&) { hooks_.on_stopped(); },
-          [this](auto& outward) { executor_.Execute(std::move(outward)); }},
+          [this](auto& external_action) {
+            executor_.Execute(std::move(external_action));
+          }},
       action);
 }
 
--- a/transport/node_runtime.h
+++ b/transport/node_runtime.h
@@ -17,8 +17,8 @@
 namespace gcw {
 
 // Runs a node's core on the only thread that holds control state. All other
-// code, on any thread, reaches the core through `Post`, `Run`, `Arrive` and
-// `Change`.
+// code, on any thread, reaches the core through `Post`, `RunOnControlThread`,
+// `StartRequest` and `CommitChange`.
 class NodeRuntime {
  public:
   struct Hooks {
@@ -45,19 +45,21 @@
   // dropped.
   void Stop();
 
-  // Callable from any thread, as are `Run`, `Arrive` and `Change`.
+  // Callable from any thread, as are `RunOnControlThread`, `StartRequest` and
+  // `CommitChange`.
   void Post(NodeEvent event);
   // Called on the control thread only.
   void Handle(const NodeEvent& event);
   // Runs `task` on the control thread.
-  void Run(std::function<void(NodeCore&, EventLog&, Time)> task);
+  void RunOnControlThread(std::function<void(NodeCore&, EventLog&, Time)> task);
   // Passes a new request to the core. `exchange` carries out what the core
   // decides.
-  void Arrive(CallerArrived arrived, std::shared_ptr<CallerExchange> exchange);
+  void StartRequest(CallerArrived arrived,
+                    std::shared_ptr<CallerExchange> exchange);
   // Commits an operator's change of the configuration. `done` gets the outcome
   // on the control thread.
-  void Change(ConfigChange change,
-              std::function<void(const ChangeOutcome&)> done);
+  void CommitChange(ConfigChange change,
+                    std::function<void(const ChangeOutcome&)> done);
 
  private:
   static constexpr Duration kTickInterval = Duration::Millis(50);
@@ -66,8 +68,8 @@
   void Execute(NodeAction action);
   // Passes a request's final response to its exchange and releases the
   // exchange.
-  template <typename Told>
-  void Tell(const Told& told);
+  template <typename FinalResponseType>
+  void SendFinalResponse(const FinalResponseType& response);
 
   boost::asio::io_context& control_;
   NodeCore& core_;
@@ -80,7 +82,7 @@
   std::unordered_map<RequestId, std::shared_ptr<CallerExchange>> exchanges_;
   std::unordered_map<OperatorCallId, std::function<void(const ChangeOutcome&)>>
       operator_calls_;
-  OperatorCallId last_call_;
+  OperatorCallId last_operator_call_;
 };
 
 }  // namespace gcw
--- a/transport/operator_pages.cc
+++ b/transport/operator_pages.cc
@@ -11,7 +11,7 @@
 namespace json = boost::json;
 
 template <typename Ids>
-json::array IdList(const Ids& ids) {
+json::array IdsToJson(const Ids& ids) {
   json::array list;
   for (const auto& id : ids) {
     list.emplace_back(id.value());
@@ -19,22 +19,22 @@
   return list;
 }
 
-json::object LimitsOf(const LimitVector& limits) {
+json::object LimitsToJson(const LimitVector& limits) {
   return json::object{{"requests_per_second", limits[LimitResource::kRequests]},
                       {"tokens_per_second", limits[LimitResource::kTokens]},
                       {"concurrency", limits[LimitResource::kConcurrency]}};
 }
 
-json::object GroupOf(const DomainRecord& domain, const GroupRecord& group) {
+json::object GroupToJson(const DomainRecord& domain, const GroupRecord& group) {
   return json::object{{"group", group.id.value()},
                       {"domain", domain.domain.value()},
                       {"model", group.model.value()},
                       {"generation", group.generation.value()},
                       {"state", GroupStateName(group.state)},
-                      {"members", IdList(group.members)}};
+                      {"members", IdsToJson(group.members)}};
 }
 
-json::object EndpointOf(const EndpointView& endpoint, Time now) {
+json::object EndpointToJson(const EndpointView& endpoint, Time now) {
   json::object page{{"endpoint", endpoint.id.value()},
                     {"generation", endpoint.generation.value()},
                     {"zone", endpoint.zone.value()},
@@ -70,7 +70,7 @@
       {"running", running},
       {"once_shards", core.once_owner().owned_shards()},
       {"once_rewound", core.once_owner().rewound()},
-      {"roles", IdList(core.Roles(now))}};
+      {"roles", IdsToJson(core.Roles(now))}};
 }
 
 json::object NodesPage(const NodeCore& core) {
@@ -94,12 +94,12 @@
   json::array groups;
   for (const DomainRecord& domain : core.Domains()) {
     for (const GroupRecord& group : domain.groups) {
-      groups.emplace_back(GroupOf(domain, group));
+      groups.emplace_back(GroupToJson(domain, group));
     }
   }
   json::array endpoints;
   for (const EndpointView& endpoint : core.Endpoints(now)) {
-    endpoints.emplace_back(EndpointOf(endpoint, now));
+    endpoints.emplace_back(EndpointToJson(endpoint, now));
   }
   return json::object{{"groups", groups}, {"open_endpoints", endpoints}};
 }
@@ -108,8 +108,8 @@
   json::array limits;
   for (const ShareView& share : core.Shares(now)) {
     limits.emplace_back(json::object{{"contract", share.contract.value()},
-                                     {"limit", LimitsOf(share.limit)},
-                                     {"share", LimitsOf(share.share)},
+                                     {"limit", LimitsToJson(share.limit)},
+                                     {"share", LimitsToJson(share.share)},
                                      {"is_floor", share.floor},
                                      {"running", share.running}});
   }
@@ -146,8 +146,8 @@
 json::object ConfirmationPage(const ConfigConfirmation& confirmation) {
   return json::object{{"revision", confirmation.revision.value()},
                       {"in_force_everywhere", confirmation.pending.empty()},
-                      {"confirmed", IdList(confirmation.confirmed)},
-                      {"pending", IdList(confirmation.pending)}};
+                      {"confirmed", IdsToJson(confirmation.confirmed)},
+                      {"pending", IdsToJson(confirmation.pending)}};
 }
 
 }  // namespace gcw
--- a/transport/operator_service.cc
+++ b/transport/operator_service.cc
@@ -18,7 +18,7 @@
 
 constexpr std::string_view kBearer = "Bearer ";
 constexpr std::size_t kDefaultEvents = 500;
-constexpr std::size_t kMostEvents = 5000;
+constexpr std::size_t kMaxEvents = 5000;
 
 constexpr int kStatusOk = 200;
 constexpr int kStatusAccepted = 202;
@@ -54,7 +54,7 @@
   return number;
 }
 
-std::string Describe(const CodecError& error) {
+std::string DescribeError(const CodecError& error) {
   std::string text(CodecErrorKindName(error.kind));
   return error.field.empty() ? text : error.field + ": " + text;
 }
@@ -64,7 +64,7 @@
   const Decoded<Contract> decoded = DecodeContract(text);
   if (!IsOk(decoded)) {
     return ErrorResponse(kStatusBadRequest, "invalid_contract",
-                         Describe(ErrorOf(decoded)));
+                         DescribeError(ErrorOf(decoded)));
   }
   const Contract& contract = ValueOf(decoded);
   if (const std::optional<ContractError> fault = FindFault(contract)) {
@@ -84,7 +84,7 @@
   const Decoded<WantedModel> decoded = DecodeWantedModel(text);
   if (!IsOk(decoded)) {
     return ErrorResponse(kStatusBadRequest, "invalid_model",
-                         Describe(ErrorOf(decoded)));
+                         DescribeError(ErrorOf(decoded)));
   }
   if (ValueOf(decoded).model.value() != id) {
     return ErrorResponse(kStatusBadRequest, "invalid_model",
@@ -145,8 +145,8 @@
   if (HandlePage(request, responder) || HandleAction(request, responder)) {
     return;
   }
-  for (const Family& family : families_) {
-    if (HandleFamily(family, request, responder)) {
+  for (const ConfigFamily& family : families_) {
+    if (HandleConfigFamily(family, request, responder)) {
       return;
     }
   }
@@ -170,9 +170,10 @@
     return false;
   }
   const auto show = [&](json::object (*page)(const NodeCore&, Time)) {
-    runtime_.Run([responder, page](NodeCore& core, EventLog&, Time now) {
-      responder->Respond(PageResponse(page(core, now)));
-    });
+    runtime_.RunOnControlThread(
+        [responder, page](NodeCore& core, EventLog&, Time now) {
+          responder->Respond(PageResponse(page(core, now)));
+        });
     return true;
   };
   if (path == "/v1/status") {
@@ -192,7 +193,7 @@
     return true;
   }
   if (path == "/v1/why") {
-    ShowWhy(request, responder);
+    ShowExplanation(request, responder);
     return true;
   }
   if (path == "/metrics") {
@@ -229,16 +230,17 @@
   return false;
 }
 
-bool OperatorService::HandleFamily(const Family& family,
-                                   const HttpRequest& request,
-                                   const Responder& responder) {
+bool OperatorService::HandleConfigFamily(const ConfigFamily& family,
+                                         const HttpRequest& request,
+                                         const Responder& responder) {
   const std::string path = PathOf(request.target);
   const std::string root = "/v1/" + std::string(family.name);
   if (path == root && request.method == "GET") {
-    runtime_.Run([responder, family](NodeCore& core, EventLog&, Time) {
-      responder->Respond(
-          PageResponse(ConfigPage(core, family.prefix, family.name)));
-    });
+    runtime_.RunOnControlThread(
+        [responder, family](NodeCore& core, EventLog&, Time) {
+          responder->Respond(
+              PageResponse(ConfigPage(core, family.prefix, family.name)));
+        });
     return true;
   }
   if (!path.starts_with(root + "/")) {
@@ -258,18 +260,19 @@
 
 void OperatorService::ShowEntry(const std::string& key,
                                 const Responder& responder) {
-  runtime_.Run([responder, key](NodeCore& core, EventLog&, Time) {
-    const ConfigEntry* entry = core.configuration().store().Find(key);
-    if (entry == nullptr || !entry->record.value) {
-      responder->Respond(ErrorResponse(kStatusNotFound, "not_found",
-                                       "There is no such entry."));
-      return;
-    }
-    responder->Respond(PageResponse(ConfigEntryPage(*entry)));
-  });
+  runtime_.RunOnControlThread(
+      [responder, key](NodeCore& core, EventLog&, Time) {
+        const ConfigEntry* entry = core.configuration().store().Find(key);
+        if (entry == nullptr || !entry->record.value) {
+          responder->Respond(ErrorResponse(kStatusNotFound, "not_found",
+                                           "There is no such entry."));
+          return;
+        }
+        responder->Respond(PageResponse(ConfigEntryPage(*entry)));
+      });
 }
 
-void OperatorService::WriteEntry(const Family& family,
+void OperatorService::WriteEntry(const ConfigFamily& family,
                                  const std::string& id,
                                  const HttpRequest& request,
                                  const Responder& responder) {
@@ -295,9 +298,10 @@
     }
     change.value = std::move(ValueOf(value));
   }
-  runtime_.Change(std::move(change), [responder](const ChangeOutcome& outcome) {
-    responder->Respond(OutcomeResponse(outcome));
-  });
+  runtime_.CommitChange(std::move(change),
+                        [responder](const ChangeOutcome& outcome) {
+                          responder->Respond(OutcomeResponse(outcome));
+                        });
 }
 
 void OperatorService::ShowTimeline(const HttpRequest& request,
@@ -306,10 +310,11 @@
   const std::size_t limit =
       static_cast<std::size_t>(ParseNumber(QueryValue(request.target, "limit"))
                                    .value_or(kDefaultEvents));
-  runtime_.Run([responder, after, limit](NodeCore&, EventLog& log, Time) {
-    const std::size_t most = std::min(limit, kMostEvents);
+  runtime_.RunOnControlThread([responder, after, limit](NodeCore&,
+                                                        EventLog& log, Time) {
+    const std::size_t count = std::min(limit, kMaxEvents);
     const Result<EventPage, EventReadError> page =
-        after.empty() ? log.ReadNewest(most) : log.ReadSince(after, most);
+        after.empty() ? log.ReadNewest(count) : log.ReadSince(after, count);
     if (!IsOk(page)) {
       responder->Respond(ErrorResponse(kStatusBadRequest, "invalid_event_id",
                                        "`after` is no event id of this node."));
@@ -319,24 +324,25 @@
   });
 }
 
-void OperatorService::ShowWhy(const HttpRequest& request,
-                              const Responder& responder) {
+void OperatorService::ShowExplanation(const HttpRequest& request,
+                                      const Responder& responder) {
   const std::string subject = QueryValue(request.target, "subject");
-  runtime_.Run([responder, subject](NodeCore&, EventLog& log, Time) {
-    const Explanation explanation = log.Why(subject);
-    json::array events;
-    for (const ExplainedEvent& explained : explanation.events) {
-      json::object event = EventToJson(explained.event);
-      event["relation"] = EventRelationName(explained.relation);
-      events.emplace_back(std::move(event));
-    }
-    json::array missing;
-    for (const EventId& id : explanation.missing_causes) {
-      missing.emplace_back(id.value());
-    }
-    responder->Respond(PageResponse(
-        json::object{{"events", events}, {"missing_causes", missing}}));
-  });
+  runtime_.RunOnControlThread(
+      [responder, subject](NodeCore&, EventLog& log, Time) {
+        const Explanation explanation = log.Why(subject);
+        json::array events;
+        for (const ExplainedEvent& explained : explanation.events) {
+          json::object event = EventToJson(explained.event);
+          event["relation"] = EventRelationName(explained.relation);
+          events.emplace_back(std::move(event));
+        }
+        json::array missing;
+        for (const EventId& id : explanation.missing_causes) {
+          missing.emplace_back(id.value());
+        }
+        responder->Respond(PageResponse(
+            json::object{{"events", events}, {"missing_causes", missing}}));
+      });
 }
 
 void OperatorService::ShowChange(const std::string& text,
@@ -348,10 +354,11 @@
     return;
   }
   runtime_.Post(OperatorAskRevision{Revision(*revision)});
-  runtime_.Run([responder, revision](NodeCore& core, EventLog&, Time) {
-    responder->Respond(PageResponse(ConfirmationPage(
-        core.configuration().Confirmation(Revision(*revision)))));
-  });
+  runtime_.RunOnControlThread(
+      [responder, revision](NodeCore& core, EventLog&, Time) {
+        responder->Respond(PageResponse(ConfirmationPage(
+            core.configuration().Confirmation(Revision(*revision)))));
+      });
 }
 
 void OperatorService::DrainGroup(const HttpRequest& request,
@@ -363,8 +370,8 @@
                                      "Give `domain` and `group`."));
     return;
   }
-  runtime_.Run([this, responder, domain, group](NodeCore& core, EventLog&,
-                                                Time now) {
+  runtime_.RunOnControlThread([this, responder, domain, group](
+                                  NodeCore& core, EventLog&, Time now) {
     const RoleName role("keeper/" + domain.value());
     const std::vector<RoleName> roles = core.Roles(now);
     if (std::find(roles.begin(), roles.end(), role) == roles.end()) {
--- a/transport/operator_service.h
+++ b/transport/operator_service.h
@@ -28,7 +28,7 @@
  private:
   using Responder = std::shared_ptr<HttpResponder>;
   // A family of configuration keys that operators write.
-  struct Family {
+  struct ConfigFamily {
     // Used in paths and as the name of the list.
     std::string_view name;
     std::string_view prefix;
@@ -42,23 +42,23 @@
   bool IsAuthorized(const HttpRequest& request) const;
   bool HandlePage(const HttpRequest& request, const Responder& responder);
   bool HandleAction(const HttpRequest& request, const Responder& responder);
-  bool HandleFamily(const Family& family,
-                    const HttpRequest& request,
-                    const Responder& responder);
+  bool HandleConfigFamily(const ConfigFamily& family,
+                          const HttpRequest& request,
+                          const Responder& responder);
   void ShowEntry(const std::string& key, const Responder& responder);
-  void WriteEntry(const Family& family,
+  void WriteEntry(const ConfigFamily& family,
                   const std::string& id,
                   const HttpRequest& request,
                   const Responder& responder);
   void ShowTimeline(const HttpRequest& request, const Responder& responder);
-  void ShowWhy(const HttpRequest& request, const Responder& responder);
+  void ShowExplanation(const HttpRequest& request, const Responder& responder);
   void ShowChange(const std::string& text, const Responder& responder);
   void DrainGroup(const HttpRequest& request, const Responder& responder);
 
   Secret credential_;
   NodeRuntime& runtime_;
   Metrics& metrics_;
-  std::vector<Family> families_;
+  std::vector<ConfigFamily> families_;
 };
 
 }  // namespace gcw
--- a/transport/peer_channel.cc
+++ b/transport/peer_channel.cc
@@ -16,20 +16,21 @@
 constexpr std::size_t kFrameOverhead = 1024;
 constexpr std::size_t kBodyOverhead = 8;
 
-int Millis(Duration duration) {
+int ToMillis(Duration duration) {
   return static_cast<int>(duration.millis());
 }
 
-grpc::ChannelArguments ArgumentsFor(const PeerClientSettings& settings) {
+grpc::ChannelArguments MakeChannelArguments(
+    const PeerClientSettings& settings) {
   grpc::ChannelArguments arguments;
   // Without this, a new channel would share the broken connection of the old
   // one.
   arguments.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);
   arguments.SetInt(GRPC_ARG_ENABLE_HTTP_PROXY, 0);
   arguments.SetInt(GRPC_ARG_KEEPALIVE_TIME_MS,
-                   Millis(settings.keepalive_interval));
+                   ToMillis(settings.keepalive_interval));
   arguments.SetInt(GRPC_ARG_KEEPALIVE_TIMEOUT_MS,
-                   Millis(settings.keepalive_timeout));
+                   ToMillis(settings.keepalive_timeout));
   arguments.SetInt(GRPC_ARG_KEEPALIVE_PERMIT_WITHOUT_CALLS, 1);
   arguments.SetInt(GRPC_ARG_HTTP2_MAX_PINGS_WITHOUT_DATA, 0);
   arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, 100);
@@ -38,7 +39,7 @@
   // a busy machine, which is slow to respond, would not be reached. A refused
   // attempt ends at once.
   arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS,
-                   Millis(settings.call_timeout));
+                   ToMillis(settings.call_timeout));
   arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, 1000);
   arguments.SetMaxSendMessageSize(static_cast<int>(kMaxPeerFrameBytes));
   return arguments;
@@ -56,7 +57,7 @@
   grpc::ClientContext context;
   wire::PeerFrame frame;
   wire::PeerAck ack;
-  int connection = 0;
+  int connection_number = 0;
   // The stub must outlive its calls.
   std::shared_ptr<wire::Peers::Stub> stub;
 };
@@ -70,36 +71,36 @@
   Connect();
 }
 
-void PeerChannel::Add(wire::PeerBody body) {
+void PeerChannel::Enqueue(wire::PeerBody body) {
   const PeerClientSettings& settings = context_->settings;
   const std::size_t size = body.ByteSizeLong() + kBodyOverhead;
   if (size + kFrameOverhead > kMaxPeerFrameBytes) {
     ++context_->stats.dropped_messages;
     return;
   }
-  waiting_.push_back(std::move(body));
-  waiting_bytes_ += size;
-  while (waiting_.size() > settings.max_waiting_messages ||
-         waiting_bytes_ > settings.max_waiting_bytes) {
-    waiting_bytes_ -= waiting_.front().ByteSizeLong() + kBodyOverhead;
-    waiting_.pop_front();
+  queue_.push_back(std::move(body));
+  queued_bytes_ += size;
+  while (queue_.size() > settings.max_waiting_messages ||
+         queued_bytes_ > settings.max_waiting_bytes) {
+    queued_bytes_ -= queue_.front().ByteSizeLong() + kBodyOverhead;
+    queue_.pop_front();
     ++context_->stats.dropped_messages;
   }
 }
 
 bool PeerChannel::Flush() {
-  while (!waiting_.empty() && calls_.size() < context_->settings.max_calls) {
+  while (!queue_.empty() && calls_.size() < context_->settings.max_calls) {
     auto call = std::make_shared<Call>();
     call->frame = TakeFrame();
     Start(std::move(call));
   }
-  return !waiting_.empty();
+  return !queue_.empty();
 }
 
 void PeerChannel::Close() {
   closed_ = true;
-  waiting_.clear();
-  waiting_bytes_ = 0;
+  queue_.clear();
+  queued_bytes_ = 0;
   for (const std::shared_ptr<Call>& call : calls_) {
     call->context.TryCancel();
   }
@@ -107,11 +108,11 @@
 }
 
 void PeerChannel::Connect() {
-  ++connection_;
-  losses_ = 0;
+  ++connection_number_;
+  consecutive_losses_ = 0;
   stub_ = wire::Peers::NewStub(grpc::CreateCustomChannel(
       address_.value(), grpc::InsecureChannelCredentials(),
-      ArgumentsFor(context_->settings)));
+      MakeChannelArguments(context_->settings)));
 }
 
 wire::PeerFrame PeerChannel::TakeFrame() {
@@ -119,19 +120,19 @@
   frame.set_sender(context_->settings.self.value());
   frame.set_incarnation(context_->settings.incarnation.value());
   frame.set_receiver(node_.value());
-  const HybridTime time = context_->stamp();
+  const HybridTime time = context_->timestamp_source();
   frame.mutable_time()->set_physical(time.physical.millis());
   frame.mutable_time()->set_logical(time.logical);
   std::size_t bytes = kFrameOverhead;
-  while (!waiting_.empty()) {
-    const std::size_t size = waiting_.front().ByteSizeLong() + kBodyOverhead;
+  while (!queue_.empty()) {
+    const std::size_t size = queue_.front().ByteSizeLong() + kBodyOverhead;
     if (bytes + size > kMaxPeerFrameBytes) {
       break;
     }
     bytes += size;
-    waiting_bytes_ -= size;
-    *frame.add_bodies() = std::move(waiting_.front());
-    waiting_.pop_front();
+    queued_bytes_ -= size;
+    *frame.add_bodies() = std::move(queue_.front());
+    queue_.pop_front();
   }
   return frame;
 }
@@ -140,7 +141,7 @@
   ++context_->stats.frames;
   context_->stats.bytes +=
       static_cast<std::int64_t>(call->frame.ByteSizeLong());
-  call->connection = connection_;
+  call->connection_number = connection_number_;
   call->stub = stub_;
   call->context.AddMetadata(kPeerSecretMetadata,
                             context_->settings.secret.Reveal());
@@ -153,8 +154,8 @@
     ++context_->open_calls;
   }
   wire::Peers::Stub* const stub = call->stub.get();
-  Call* const raw = call.get();
-  stub->async()->Deliver(&raw->context, &raw->frame, &raw->ack,
+  Call* const call_ptr = call.get();
+  stub->async()->Deliver(&call_ptr->context, &call_ptr->frame, &call_ptr->ack,
                          [weak = weak_from_this(), call = std::move(call),
                           context = context_](grpc::Status status) mutable {
                            boost::asio::post(
@@ -179,11 +180,11 @@
   if (!status.ok()) {
     ++context_->stats.lost_frames;
   }
-  if (call->connection != connection_) {
+  if (call->connection_number != connection_number_) {
     return;
   }
-  losses_ = IsLoss(status) ? losses_ + 1 : 0;
-  if (losses_ >= context_->settings.max_losses) {
+  consecutive_losses_ = IsLoss(status) ? consecutive_losses_ + 1 : 0;
+  if (consecutive_losses_ >= context_->settings.max_consecutive_losses) {
     ++context_->stats.replaced_connections;
     Connect();
   }
--- a/transport/peer_channel.h
+++ b/transport/peer_channel.h
@@ -21,14 +21,14 @@
 struct PeerChannelContext {
   PeerChannelContext(boost::asio::io_context& control,
                      PeerClientSettings settings,
-                     PeerClient::Stamp stamp)
+                     PeerClient::TimestampSource timestamp_source)
       : control(control),
         settings(std::move(settings)),
-        stamp(std::move(stamp)) {}
+        timestamp_source(std::move(timestamp_source)) {}
 
   boost::asio::io_context& control;
   const PeerClientSettings settings;
-  const PeerClient::Stamp stamp;
+  const PeerClient::TimestampSource timestamp_source;
   PeerClientStats stats;
 
   // Number of calls whose end gRPC has not reported yet. The client's
@@ -48,7 +48,7 @@
               Address address);
 
   const Address& address() const { return address_; }
-  void Add(wire::PeerBody body);
+  void Enqueue(wire::PeerBody body);
   // Sends frames while messages are queued and a call is free. Returns whether
   // messages remain.
   bool Flush();
@@ -67,13 +67,13 @@
   const NodeId node_;
   const Address address_;
   std::shared_ptr<wire::Peers::Stub> stub_;
-  std::deque<wire::PeerBody> waiting_;
-  std::size_t waiting_bytes_ = 0;
+  std::deque<wire::PeerBody> queue_;
+  std::size_t queued_bytes_ = 0;
   std::set<std::shared_ptr<Call>> calls_;
-  int losses_ = 0;
+  int consecutive_losses_ = 0;
   // Incremented with each new connection, so that losses on an earlier one do
   // not count.
-  int connection_ = 0;
+  int connection_number_ = 0;
   bool closed_ = false;
 };
 
--- a/transport/peer_client.cc
+++ b/transport/peer_client.cc
@@ -9,10 +9,11 @@
 
 PeerClient::PeerClient(boost::asio::io_context& control,
                        PeerClientSettings settings,
-                       Stamp stamp)
-    : context_(std::make_shared<PeerChannelContext>(control,
-                                                    std::move(settings),
-                                                    std::move(stamp))),
+                       TimestampSource timestamp_source)
+    : context_(
+          std::make_shared<PeerChannelContext>(control,
+                                               std::move(settings),
+                                               std::move(timestamp_source))),
       flush_timer_(control) {}
 
 PeerClient::~PeerClient() {
@@ -34,7 +35,7 @@
   channel = std::make_shared<PeerChannel>(context_, node, address);
 }
 
-void PeerClient::Forget(const NodeId& node) {
+void PeerClient::RemoveNode(const NodeId& node) {
   const auto found = channels_.find(node);
   if (found == channels_.end()) {
     return;
@@ -49,7 +50,7 @@
     ++context_->stats.dropped_messages;
     return;
   }
-  found->second->Add(EncodePeerBody(message));
+  found->second->Enqueue(EncodePeerBody(message));
   ArmFlush();
 }
 
@@ -62,9 +63,9 @@
     return;
   }
   flush_timer_.expires_after(ToChrono(context_->settings.batch_delay));
-  flush_timer_.async_wait([this, alive = std::weak_ptr<int>(alive_)](
+  flush_timer_.async_wait([this, token = std::weak_ptr<int>(alive_token_)](
                               const boost::system::error_code&) {
-    if (!alive.expired()) {
+    if (!token.expired()) {
       Flush();
     }
   });
@@ -72,11 +73,11 @@
 
 void PeerClient::Flush() {
   flush_armed_ = false;
-  bool something_left = false;
+  bool messages_remain = false;
   for (const auto& [node, channel] : channels_) {
-    something_left = channel->Flush() || something_left;
+    messages_remain = channel->Flush() || messages_remain;
   }
-  if (something_left) {
+  if (messages_remain) {
     ArmFlush();
   }
 }
--- a/transport/peer_client.h
+++ b/transport/peer_client.h
@@ -32,7 +32,7 @@
   // Maximum number of unacknowledged frames to one node.
   std::size_t max_calls = 4;
   // A connection is replaced after this many lost frames in a row.
-  int max_losses = 3;
+  int max_consecutive_losses = 3;
   // A connection without any response for the sum of these is closed.
   Duration keepalive_interval = Duration::Seconds(2);
   Duration keepalive_timeout = Duration::Seconds(2);
@@ -53,12 +53,12 @@
 // `control`.
 class PeerClient {
  public:
-  // Returns the time stamp of an outgoing frame.
-  using Stamp = std::function<HybridTime()>;
+  // Returns the timestamp of an outgoing frame.
+  using TimestampSource = std::function<HybridTime()>;
 
   PeerClient(boost::asio::io_context& control,
              PeerClientSettings settings,
-             Stamp stamp);
+             TimestampSource timestamp_source);
   // Cancels the calls in progress and waits for them to end.
   ~PeerClient();
   PeerClient(const PeerClient&) = delete;
@@ -68,7 +68,7 @@
   // are dropped.
   void SetAddress(const NodeId& node, const Address& address);
   // Removes the node and drops the messages queued for it.
-  void Forget(const NodeId& node);
+  void RemoveNode(const NodeId& node);
   void Send(const NodeId& to, const PeerMessage& message);
   const PeerClientStats& stats() const;
 
@@ -81,7 +81,7 @@
   bool flush_armed_ = false;
   // Tells a timer handler that is already queued whether the client still
   // exists.
-  std::shared_ptr<int> alive_ = std::make_shared<int>();
+  std::shared_ptr<int> alive_token_ = std::make_shared<int>();
   std::map<NodeId, std::shared_ptr<PeerChannel>> channels_;
 };
 
--- a/transport/peer_server.cc
+++ b/transport/peer_server.cc
@@ -30,13 +30,13 @@
           Handler handler)
       : control_(control),
         settings_(std::move(settings)),
-        shared_(std::make_shared<Shared>(std::move(handler))) {}
+        shared_state_(std::make_shared<SharedState>(std::move(handler))) {}
 
   grpc::ServerUnaryReactor* Deliver(grpc::CallbackServerContext* context,
                                     const wire::PeerFrame* frame,
                                     wire::PeerAck*) override {
     grpc::ServerUnaryReactor* const reactor = context->DefaultReactor();
-    reactor->Finish(Accept(*context, *frame));
+    reactor->Finish(ProcessFrame(*context, *frame));
     return reactor;
   }
 
@@ -45,20 +45,20 @@
             malformed_, overload_, unknown_messages_};
   }
 
-  void Close() { shared_->closed = true; }
+  void Close() { shared_state_->closed = true; }
 
  private:
   // Shared with the tasks posted to the control thread, which may outlive the
   // service.
-  struct Shared {
-    explicit Shared(Handler handler) : handler(std::move(handler)) {}
+  struct SharedState {
+    explicit SharedState(Handler handler) : handler(std::move(handler)) {}
     const Handler handler;
-    std::atomic<std::int64_t> waiting = 0;
+    std::atomic<std::int64_t> waiting_frames = 0;
     std::atomic<bool> closed = false;
   };
 
-  grpc::Status Accept(const grpc::CallbackServerContext& context,
-                      const wire::PeerFrame& frame) {
+  grpc::Status ProcessFrame(const grpc::CallbackServerContext& context,
+                            const wire::PeerFrame& frame) {
     if (!IsAuthenticated(context)) {
       ++unauthenticated_;
       return {grpc::StatusCode::UNAUTHENTICATED, "wrong or no peer secret"};
@@ -78,7 +78,7 @@
               std::string(PeerCodecErrorKindName(error.kind)) + " " +
                   std::string(error.field)};
     }
-    if (shared_->waiting >= settings_.max_waiting_frames) {
+    if (shared_state_->waiting_frames >= settings_.max_waiting_frames) {
       ++overload_;
       return {grpc::StatusCode::RESOURCE_EXHAUSTED, "too many frames wait"};
     }
@@ -99,19 +99,19 @@
   }
 
   void Post(PeerEnvelope envelope) {
-    ++shared_->waiting;
-    boost::asio::post(
-        control_, [shared = shared_, envelope = std::move(envelope)]() mutable {
-          --shared->waiting;
-          if (!shared->closed) {
-            shared->handler(std::move(envelope));
-          }
-        });
+    ++shared_state_->waiting_frames;
+    boost::asio::post(control_, [shared_state = shared_state_,
+                                 envelope = std::move(envelope)]() mutable {
+      --shared_state->waiting_frames;
+      if (!shared_state->closed) {
+        shared_state->handler(std::move(envelope));
+      }
+    });
   }
 
   boost::asio::io_context& control_;
   const PeerServerSettings settings_;
-  const std::shared_ptr<Shared> shared_;
+  const std::shared_ptr<SharedState> shared_state_;
   std::atomic<std::int64_t> frames_ = 0;
   std::atomic<std::int64_t> bytes_ = 0;
   std::atomic<std::int64_t> unauthenticated_ = 0;
--- a/transport/query_string.cc
+++ b/transport/query_string.cc
@@ -10,8 +10,8 @@
 
 // Decodes percent-encoding, such as `%41` to `A`. A malformed escape stays as
 // it is.
-std::string Unescape(std::string_view text) {
-  std::string plain;
+std::string PercentDecode(std::string_view text) {
+  std::string decoded;
   while (!text.empty()) {
     int code = 0;
     if (text.front() == '%' && text.size() >= kEscapeLength) {
@@ -19,15 +19,15 @@
       const auto result =
           std::from_chars(text.data() + 1, end, code, kHexadecimal);
       if (result.ec == std::errc() && result.ptr == end) {
-        plain.push_back(static_cast<char>(code));
+        decoded.push_back(static_cast<char>(code));
         text.remove_prefix(kEscapeLength);
         continue;
       }
     }
-    plain.push_back(text.front());
+    decoded.push_back(text.front());
     text.remove_prefix(1);
   }
-  return plain;
+  return decoded;
 }
 
 }  // namespace
@@ -47,7 +47,7 @@
     const std::string_view pair = query.substr(0, end);
     const std::size_t equals = pair.find('=');
     if (equals != std::string_view::npos && pair.substr(0, equals) == name) {
-      return Unescape(pair.substr(equals + 1));
+      return PercentDecode(pair.substr(equals + 1));
     }
     query.remove_prefix(end == std::string_view::npos ? query.size() : end + 1);
   }
--- a/transport/service_receiver.cc
+++ b/transport/service_receiver.cc
@@ -15,7 +15,7 @@
 
 // Hop-by-hop headers (RFC 9110, section 7.6.1) and headers that the node sets
 // itself. A caller's key must not be passed beyond the node.
-constexpr std::array<std::string_view, 14> kOwnHeaders = {
+constexpr std::array<std::string_view, 14> kUnforwardedHeaders = {
     "connection",
     "keep-alive",
     "proxy-authenticate",
@@ -35,12 +35,13 @@
 }  // namespace
 
 bool IsForwardedHeader(std::string_view name) {
-  return std::none_of(kOwnHeaders.begin(), kOwnHeaders.end(),
-                      [name](std::string_view own) {
-                        return boost::beast::iequals(
-                            boost::beast::string_view(name.data(), name.size()),
-                            boost::beast::string_view(own.data(), own.size()));
-                      });
+  return std::none_of(
+      kUnforwardedHeaders.begin(), kUnforwardedHeaders.end(),
+      [name](std::string_view unforwarded) {
+        return boost::beast::iequals(
+            boost::beast::string_view(name.data(), name.size()),
+            boost::beast::string_view(unforwarded.data(), unforwarded.size()));
+      });
 }
 
 ServiceReceiver::ServiceReceiver(RequestId id,
@@ -54,7 +55,7 @@
   attempt_ = dispatch.attempt;
   keep_answer_ = dispatch.keep_answer;
   answer_ = HttpResponse();
-  echoed_ = false;
+  attempt_echoed_ = false;
   HttpRequest request = request_;
   request.headers.push_back(
       HttpHeader{std::string(kAttemptHeader), attempt_.value()});
@@ -64,16 +65,16 @@
 void ServiceReceiver::OnHead(const HttpResponse& head) {
   answer_.status = head.status;
   answer_.headers = head.headers;
-  echoed_ = head.Header(kAttemptHeader) == attempt_.value();
+  attempt_echoed_ = head.Header(kAttemptHeader) == attempt_.value();
 }
 
 bool ServiceReceiver::OnBody(std::string_view chunk) {
   answer_.body.append(chunk);
-  return echoed_;
+  return attempt_echoed_;
 }
 
 AttemptEnd ServiceReceiver::OnEnd() {
-  if (!echoed_) {
+  if (!attempt_echoed_) {
     return AttemptBroke{AttemptBreakKind::kMalformed,
                         AttemptProgress::kAnswerBegun, TokenCount()};
   }
--- a/transport/service_receiver.h
+++ b/transport/service_receiver.h
@@ -35,7 +35,7 @@
   AttemptId attempt_;
   bool keep_answer_ = false;
   HttpResponse answer_;
-  bool echoed_ = false;
+  bool attempt_echoed_ = false;
 };
 
 // Returns false for headers that concern one connection only or that the node
--- a/transport/socket_options.cc
+++ b/transport/socket_options.cc
@@ -7,14 +7,13 @@
 
 using boost::system::error_code;
 
-void SetConnectionOptions(StrandSocket& socket, Duration unacknowledged) {
+void SetConnectionOptions(StrandSocket& socket, Duration ack_timeout) {
   using UserTimeout =
       boost::asio::detail::socket_option::integer<IPPROTO_TCP,
                                                   TCP_USER_TIMEOUT>;
   error_code error;
   socket.set_option(boost::asio::ip::tcp::no_delay(true), error);
-  socket.set_option(UserTimeout(static_cast<int>(unacknowledged.millis())),
-                    error);
+  socket.set_option(UserTimeout(static_cast<int>(ack_timeout.millis())), error);
 }
 
 void ResetOnClose(StrandSocket& socket) {
--- a/transport/socket_options.h
+++ b/transport/socket_options.h
@@ -6,10 +6,10 @@
 namespace gcw {
 
 // Disables Nagle's algorithm and ends a connection whose peer acknowledges
-// nothing for `unacknowledged`. Without that timeout, the kernel accepts writes
+// nothing for `ack_timeout`. Without that timeout, the kernel accepts writes
 // for a quarter of an hour before it reports a connection that a device on the
 // path has lost.
-void SetConnectionOptions(StrandSocket& socket, Duration unacknowledged);
+void SetConnectionOptions(StrandSocket& socket, Duration ack_timeout);
 
 // Makes the next close reset the connection.
 void ResetOnClose(StrandSocket& socket);
--- a/transport/store_belief.cc
+++ b/transport/store_belief.cc
@@ -8,7 +8,7 @@
 namespace gcw {
 namespace {
 
-StoreBelief BeliefOf(const StoreReply& reply) {
+StoreBelief ClassifyReply(const StoreReply& reply) {
   if (std::holds_alternative<StoreNoAnswer>(reply)) {
     return StoreBelief::kSilent;
   }
@@ -46,17 +46,19 @@
     : on_change_(std::move(on_change)) {}
 
 void StoreBeliefObserver::Observe(const StoreReply& reply) {
-  const StoreBelief seen = BeliefOf(reply);
+  const StoreBelief observed = ClassifyReply(reply);
   {
     const std::lock_guard lock(mutex_);
-    in_a_row_ = seen == last_ ? in_a_row_ + 1 : 1;
-    last_ = seen;
-    if (seen == believed_ || in_a_row_ < kInARow) {
+    consecutive_replies_ =
+        observed == last_observed_ ? consecutive_replies_ + 1 : 1;
+    last_observed_ = observed;
+    if (observed == reported_ ||
+        consecutive_replies_ < kMinConsecutiveReplies) {
       return;
     }
-    believed_ = seen;
+    reported_ = observed;
   }
-  on_change_(seen);
+  on_change_(observed);
 }
 
 }  // namespace gcw
--- a/transport/store_belief.h
+++ b/transport/store_belief.h
@@ -39,13 +39,13 @@
  private:
   // Number of replies of one kind in a row that change the state. Without this,
   // a service that refuses some of the calls would change it with each call.
-  static constexpr int kInARow = 3;
+  static constexpr int kMinConsecutiveReplies = 3;
 
   const OnChange on_change_;
   std::mutex mutex_;
-  StoreBelief believed_ = StoreBelief::kAnswers;
-  StoreBelief last_ = StoreBelief::kAnswers;
-  int in_a_row_ = 0;
+  StoreBelief reported_ = StoreBelief::kAnswers;
+  StoreBelief last_observed_ = StoreBelief::kAnswers;
+  int consecutive_replies_ = 0;
 };
 
 }  // namespace gcw
--- a/transport/store_client.cc
+++ b/transport/store_client.cc
@@ -28,7 +28,7 @@
 StoreClient::StoreClient(boost::asio::io_context& context,
                          StoreClientSettings settings)
     : settings_(std::move(settings)),
-      belief_(std::make_shared<StoreBeliefObserver>(LogStoreBelief)),
+      health_monitor_(std::make_shared<StoreBeliefObserver>(LogStoreBelief)),
       calls_(context),
       watches_(context) {}
 
@@ -44,11 +44,12 @@
                       {{"Content-Type", "application/json"}},
                       std::move(message.body)};
   HttpClient& client = watch != nullptr ? watches_ : calls_;
-  client.Fetch(settings_.address, std::move(request), OptionsWithin(timeout),
-               [belief = belief_, call, done = std::move(done)](
+  client.Fetch(settings_.address, std::move(request),
+               OptionsWithTimeout(timeout),
+               [monitor = health_monitor_, call, done = std::move(done)](
                    const Result<HttpResponse, HttpFailure>& answer) {
                  StoreReply reply = ToReply(call, answer);
-                 belief->Observe(reply);
+                 monitor->Observe(reply);
                  done(std::move(reply));
                });
 }
--- a/transport/store_client.h
+++ b/transport/store_client.h
@@ -36,7 +36,7 @@
   const StoreClientSettings settings_;
   // Shared with calls in progress, which may end after this client is
   // destroyed.
-  std::shared_ptr<StoreBeliefObserver> belief_;
+  std::shared_ptr<StoreBeliefObserver> health_monitor_;
   HttpClient calls_;
   HttpClient watches_;
 };
--- a/transport/vm_list_client.cc
+++ b/transport/vm_list_client.cc
@@ -11,7 +11,7 @@
 
 void VmListClient::Read(CallDone<VmListSnapshot> done) {
   FetchDecoded<VmListSnapshot>(client_, address_, {"GET", "/vms", {}, {}},
-                               OptionsWithin(timeout_), DecodeVmList,
+                               OptionsWithTimeout(timeout_), DecodeVmList,
                                std::move(done));
 }
 
