--- a/transport/http_client_call.cc
+++ b/transport/http_client_call.cc
@@ -29,18 +29,20 @@
 }
 
 HttpFailureKind ReadFailure(const error_code& error) {
-  // The kernel's own report of a silent peer, by TCP_USER_TIMEOUT.
+  // The kernel reports a peer that acknowledges nothing with this error
+  // (TCP_USER_TIMEOUT).
   return error == boost::asio::error::timed_out
              ? HttpFailureKind::kSilent
              : HttpFailureKind::kConnectionReset;
 }
 
-// How long the server keeps the idle connection, by its `Keep-Alive` header. A
-// request on a connection that the server closes at that moment is lost, with
-// its outcome unknown, so a part of the time is left unused.
-Duration KeepAliveLimit(const http::fields& head) {
+// Returns how long the connection may stay idle, based on the server's
+// `Keep-Alive` header. Only a part of the announced time is used: a request
+// sent just as the server closes the connection is lost, and its outcome is
+// unknown.
+Duration KeepAliveTimeout(const http::fields& head) {
   constexpr std::string_view kName = "timeout=";
-  constexpr std::int64_t kMillisUsedPerSecond = 600;
+  constexpr std::int64_t kUsedMillisPerSecond = 600;
   const auto value = head["Keep-Alive"];
   const std::size_t at = value.find(kName);
   std::int64_t seconds = 0;
@@ -48,10 +50,10 @@
       std::from_chars(value.data() + at + kName.size(),
                       value.data() + value.size(), seconds)
               .ec != std::errc()) {
-    return HttpConnectionPool::kMaxIdle;
+    return HttpConnectionPool::kMaxIdleTime;
   }
-  return std::min(HttpConnectionPool::kMaxIdle,
-                  Duration::Millis(seconds * kMillisUsedPerSecond));
+  return std::min(HttpConnectionPool::kMaxIdleTime,
+                  Duration::Millis(seconds * kUsedMillisPerSecond));
 }
 
 }  // namespace
@@ -88,7 +90,7 @@
   boost::asio::post(strand_, [self = shared_from_this()] {
     self->paused_ = true;
     if (!self->done_) {
-      self->ExpectWithin(self->options_.deadline, HttpFailureKind::kDeadline);
+      self->SetStepTimeout(self->options_.deadline, HttpFailureKind::kDeadline);
     }
   });
 }
@@ -99,7 +101,7 @@
       return;
     }
     if (self->parser_) {
-      self->ExpectProgress();
+      self->ResetProgressTimeout();
       self->WaitReadable();
     }
   });
@@ -116,7 +118,7 @@
     Fail(HttpFailureKind::kCancelled);
     return;
   }
-  encoded_ = std::move(*encoded);
+  encoded_request_ = std::move(*encoded);
   request_.body = std::string();
   if (pooled_) {
     BeginExchange();
@@ -131,7 +133,7 @@
     Fail(HttpFailureKind::kConnectRefused);
     return;
   }
-  ExpectWithin(options_.connect_timeout, HttpFailureKind::kConnectTimeout);
+  SetStepTimeout(options_.connect_timeout, HttpFailureKind::kConnectTimeout);
   connection_->socket.async_connect(
       *endpoint, [self = shared_from_this()](const error_code& error) {
         self->OnConnected(error);
@@ -152,8 +154,9 @@
 }
 
 void HttpClientCall::BeginExchange() {
-  // Bytes that are there before the request was sent belong to no answer of
-  // ours, and an end means that the server has closed an idle connection.
+  // Input that arrived before the request was sent cannot belong to its
+  // response, and an end of file means that the server has closed the idle
+  // connection.
   if (pooled_ && HasUnreadInput(connection_->socket)) {
     pooled_ = false;
     connection_->socket = StrandSocket(strand_);
@@ -166,37 +169,38 @@
     Fail(HttpFailureKind::kCancelled);
     return;
   }
-  ExpectProgress();
+  ResetProgressTimeout();
   Write();
   WaitReadable();
 }
 
-void HttpClientCall::ExpectWithin(Duration limit,
-                                  HttpFailureKind timeout_kind) {
-  const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(
+void HttpClientCall::SetStepTimeout(Duration timeout,
+                                    HttpFailureKind timeout_kind) {
+  const auto remaining = std::chrono::duration_cast<std::chrono::milliseconds>(
       deadline_ - SteadyClock::now());
   timeout_kind_ = timeout_kind;
-  timer_.Set(std::clamp(Duration::Millis(left.count()), Duration(), limit));
+  timer_.Set(
+      std::clamp(Duration::Millis(remaining.count()), Duration(), timeout));
 }
 
-void HttpClientCall::ExpectProgress() {
+void HttpClientCall::ResetProgressTimeout() {
   if (!paused_) {
-    ExpectWithin(options_.progress_timeout, HttpFailureKind::kSilent);
+    SetStepTimeout(options_.progress_timeout, HttpFailureKind::kSilent);
   }
 }
 
 void HttpClientCall::OnTimeout() {
-  // The timer counts whole milliseconds.
-  const auto almost_now = SteadyClock::now() + std::chrono::milliseconds(1);
-  Fail(almost_now >= deadline_ ? HttpFailureKind::kDeadline : timeout_kind_);
+  // The timer has millisecond resolution, so it may fire up to 1 ms early.
+  const auto rounded_now = SteadyClock::now() + std::chrono::milliseconds(1);
+  Fail(rounded_now >= deadline_ ? HttpFailureKind::kDeadline : timeout_kind_);
 }
 
 void HttpClientCall::Write() {
   while (!done_ && !write_failed_ && !request_sent()) {
     error_code error;
     const std::size_t size = connection_->socket.write_some(
-        boost::asio::buffer(encoded_.data() + written_,
-                            encoded_.size() - written_),
+        boost::asio::buffer(encoded_request_.data() + written_bytes_,
+                            encoded_request_.size() - written_bytes_),
         error);
     if (error == boost::asio::error::would_block) {
       WaitWritable();
@@ -207,13 +211,14 @@
       return;
     }
     if (error) {
-      // The server may have answered before it closed: the reader decides.
+      // The server may have responded before it closed the connection; the read
+      // decides the outcome.
       write_failed_ = true;
       return;
     }
     progress_ = std::max(progress_, HttpProgress::kMaybeSent);
-    written_ += size;
-    ExpectProgress();
+    written_bytes_ += size;
+    ResetProgressTimeout();
   }
 }
 
@@ -258,7 +263,7 @@
     return;
   }
   buffer_.commit(size);
-  ExpectProgress();
+  ResetProgressTimeout();
   ParseBuffered();
 }
 
@@ -271,9 +276,9 @@
       return;
     }
   }
-  const bool answer_began = parser_->got_some() || buffer_.size() > 0;
-  Fail(answer_began ? HttpFailureKind::kTruncated
-                    : HttpFailureKind::kConnectionReset);
+  const bool response_began = parser_->got_some() || buffer_.size() > 0;
+  Fail(response_began ? HttpFailureKind::kTruncated
+                      : HttpFailureKind::kConnectionReset);
 }
 
 void HttpClientCall::ParseBuffered() {
@@ -281,11 +286,11 @@
     error_code error;
     const std::size_t size = parser_->put(buffer_.data(), error);
     buffer_.consume(size);
-    const bool broken = error && error != http::error::need_more;
+    const bool parse_failed = error && error != http::error::need_more;
     if (parser_->is_header_done() && !head_delivered_ && !AcceptHead()) {
       return;
     }
-    if (broken) {
+    if (parse_failed) {
       Fail(HttpFailureKind::kMalformedAnswer);
       return;
     }
@@ -317,7 +322,7 @@
     return false;
   }
   if (status < 200) {
-    // An interim answer; the real one follows.
+    // This is an interim response; the final one follows.
     StartParser();
     return true;
   }
@@ -352,7 +357,7 @@
   done_ = true;
   timer_.Stop();
   if (reusable) {
-    connection_->idle_limit = KeepAliveLimit(parser_->get());
+    connection_->idle_timeout = KeepAliveTimeout(parser_->get());
     pool_->Put(address_, std::move(connection_));
   }
   connection_.reset();
--- a/transport/http_server_session.h
+++ b/transport/http_server_session.h
@@ -18,42 +18,43 @@
 
 namespace gcw {
 
-// One connection of a caller. Reads one request after another and, while an
-// answer is pending, goes on watching the socket, since a caller that left is
-// seen only by a read. All members but the outbox are used on the strand.
+// One connection of a caller. It reads one request after another and keeps
+// watching the socket while a response is pending, because only a read shows
+// that a caller has left. All members but the outbox are used on the strand.
 class HttpServerSession
     : public std::enable_shared_from_this<HttpServerSession> {
  public:
   HttpServerSession(StrandSocket socket,
                     std::shared_ptr<HttpServerState> server);
 
-  // Called once, from any thread, as are the two below.
+  // Called once, from any thread. The same applies to `Drain` and `Close`.
   void Start();
-  // The server stops: ends after the request that runs, or soon if idle.
+  // Called when the server stops. Closes the connection after the current
+  // request, or soon if it is idle.
   void Drain();
   void Close();
 
   HttpOutbox& outbox() { return outbox_; }
 
  private:
-  enum class Phase { kIdle, kReading, kAnswering, kLingering, kClosed };
+  enum class Phase { kIdle, kReading, kResponding, kLingering, kClosed };
 
   void Begin();
   void WaitReadable();
   void ReadAvailable();
-  void Process();
-  void Feed();
+  void ProcessInput();
+  void ParseRequest();
   void SendContinueOnce();
   void Dispatch();
   void RespondError(HttpErrorKind kind);
   void Flush();
   // Returns whether everything taken from the outbox has been written.
-  bool WriteOut();
+  bool WriteBuffered();
   void WaitWritable();
   void OnWritable(const boost::system::error_code& error);
-  void OnAnswerSent(HttpAnswerEnd end);
-  void NextRequest();
-  void EnterIdle();
+  void OnResponseSent(HttpResponseEnd end);
+  void AwaitNextRequest();
+  void SetIdleTimeout();
   void Linger();
   void OnEof();
   void OnTimeout();
@@ -66,9 +67,9 @@
   Phase phase_ = Phase::kIdle;
   boost::beast::flat_buffer buffer_;
   std::optional<boost::beast::http::request_parser<AppendingBody>> parser_;
-  AnswerFraming framing_;
-  std::string writing_;
-  std::size_t written_ = 0;
+  ResponseFraming framing_;
+  std::string write_buffer_;
+  std::size_t write_offset_ = 0;
   std::size_t lingered_bytes_ = 0;
   bool read_waiting_ = false;
   bool write_waiting_ = false;
--- a/transport/http_session_responder.h
+++ b/transport/http_session_responder.h
@@ -13,12 +13,12 @@
 
 class HttpServerSession;
 
-// Answers one request of a session. Has no effect once that answer has ended,
-// so that it can't write into the answer to a later request.
+// Responds to one request of a session. Calls have no effect once that response
+// has ended, so that they cannot write into the response to a later request.
 class HttpSessionResponder final : public HttpResponder {
  public:
   HttpSessionResponder(std::shared_ptr<HttpServerSession> session,
-                       std::uint64_t answer);
+                       std::uint64_t response_id);
   ~HttpSessionResponder() override;
 
   void Respond(HttpResponse response) override;
@@ -31,7 +31,7 @@
 
  private:
   const std::shared_ptr<HttpServerSession> session_;
-  const std::uint64_t answer_;
+  const std::uint64_t response_id_;
 };
 
 }  // namespace gcw
--- a/transport/node_runtime.h
+++ b/transport/node_runtime.h
@@ -16,19 +16,20 @@
 
 namespace gcw {
 
-// Runs a node's core on the one thread that holds control state. Everything
-// else, on whatever thread, talks to the core by `Post` and `Run`.
+// Runs a node's core on the only thread that holds control state. All other
+// code, on any thread, reaches the core through `Post`, `RunOnControlThread`,
+// `StartRequest` and `CommitChange`.
 class NodeRuntime {
  public:
   struct Hooks {
     Clock clock;
-    // On the control thread, once the planned stop is complete.
+    // Called on the control thread once the planned stop is complete.
     std::function<void()> on_stopped;
   };
 
-  // `control` is run by the runtime's one thread and nobody else. `core` and
-  // `log` are used on that thread only, from `Start` on. All arguments outlive
-  // the runtime.
+  // Only the runtime's own thread runs `control`. `core` and `log` are used
+  // only on that thread once `Start` is called. All arguments must outlive the
+  // runtime.
   NodeRuntime(boost::asio::io_context& control,
               NodeCore& core,
               EventLog& log,
@@ -40,30 +41,35 @@
   NodeRuntime& operator=(const NodeRuntime&) = delete;
 
   void Start();
-  // Ends the control thread; what was posted and not handled is dropped.
+  // Ends the control thread. Posted events that have not been handled are
+  // dropped.
   void Stop();
 
-  // Callable from any thread.
+  // Callable from any thread, as are `RunOnControlThread`, `StartRequest` and
+  // `CommitChange`.
   void Post(NodeEvent event);
-  // On the control thread only.
+  // Called on the control thread only.
   void Handle(const NodeEvent& event);
   // Runs `task` on the control thread.
-  void Run(std::function<void(NodeCore&, EventLog&, Time)> task);
-  // A request that has arrived; its exchange carries out what the core decides.
-  void Arrive(CallerArrived arrived, std::shared_ptr<CallerExchange> exchange);
-  // Commits an operator's change; `done` gets the outcome on the control
-  // thread.
-  void Change(ConfigChange change,
-              std::function<void(const ChangeOutcome&)> done);
+  void RunOnControlThread(std::function<void(NodeCore&, EventLog&, Time)> task);
+  // Passes a new request to the core. `exchange` carries out what the core
+  // decides.
+  void StartRequest(CallerArrived arrived,
+                    std::shared_ptr<CallerExchange> exchange);
+  // Commits an operator's change of the configuration. `done` gets the outcome
+  // on the control thread.
+  void CommitChange(ConfigChange change,
+                    std::function<void(const ChangeOutcome&)> done);
 
  private:
   static constexpr Duration kTickInterval = Duration::Millis(50);
 
   void ScheduleTick();
   void Execute(NodeAction action);
-  // Gives a request's final answer to its exchange and forgets it.
-  template <typename Told>
-  void Tell(const Told& told);
+  // Passes a request's final response to its exchange and releases the
+  // exchange.
+  template <typename FinalResponseType>
+  void SendFinalResponse(const FinalResponseType& response);
 
   boost::asio::io_context& control_;
   NodeCore& core_;
@@ -76,7 +82,7 @@
   std::unordered_map<RequestId, std::shared_ptr<CallerExchange>> exchanges_;
   std::unordered_map<OperatorCallId, std::function<void(const ChangeOutcome&)>>
       operator_calls_;
-  OperatorCallId last_call_;
+  OperatorCallId last_operator_call_;
 };
 
 }  // namespace gcw
--- a/transport/peer_channel.h
+++ b/transport/peer_channel.h
@@ -17,29 +17,30 @@
 
 namespace gcw {
 
-// What the channels of one client share.
+// State shared by the channels of one client.
 struct PeerChannelContext {
   PeerChannelContext(boost::asio::io_context& control,
                      PeerClientSettings settings,
-                     PeerClient::Stamp stamp)
+                     PeerClient::TimestampSource timestamp_source)
       : control(control),
         settings(std::move(settings)),
-        stamp(std::move(stamp)) {}
+        timestamp_source(std::move(timestamp_source)) {}
 
   boost::asio::io_context& control;
   const PeerClientSettings settings;
-  const PeerClient::Stamp stamp;
+  const PeerClient::TimestampSource timestamp_source;
   PeerClientStats stats;
 
-  // Calls whose end gRPC has not reported yet. The client waits for them before
-  // it goes: their ends are posted to `control`, which may go next.
+  // Number of calls whose end gRPC has not reported yet. The client's
+  // destructor waits for them, because their ends are posted to `control`,
+  // which may be destroyed next.
   std::mutex mutex;
   std::condition_variable all_ended;
   int open_calls = 0;
 };
 
-// The connection to one node with what waits for it. Used on the control
-// thread; only the end of a call comes on a thread of gRPC's.
+// The connection to one node and the queue of messages for it. Used on the
+// control thread; only the end of a call is reported on a thread of gRPC.
 class PeerChannel : public std::enable_shared_from_this<PeerChannel> {
  public:
   PeerChannel(std::shared_ptr<PeerChannelContext> context,
@@ -47,11 +48,11 @@
               Address address);
 
   const Address& address() const { return address_; }
-  void Add(wire::PeerBody body);
-  // Sends a frame if there is something to send and a call to spare. Returns
-  // whether something is left.
+  void Enqueue(wire::PeerBody body);
+  // Sends frames while messages are queued and a call is free. Returns whether
+  // messages remain.
   bool Flush();
-  // Gives up what waits and what is under way.
+  // Drops the queued messages and cancels the calls in progress.
   void Close();
 
  private:
@@ -66,12 +67,13 @@
   const NodeId node_;
   const Address address_;
   std::shared_ptr<wire::Peers::Stub> stub_;
-  std::deque<wire::PeerBody> waiting_;
-  std::size_t waiting_bytes_ = 0;
+  std::deque<wire::PeerBody> queue_;
+  std::size_t queued_bytes_ = 0;
   std::set<std::shared_ptr<Call>> calls_;
-  int losses_ = 0;
-  // Grows with each connection: losses on an earlier one do not count.
-  int connection_ = 0;
+  int consecutive_losses_ = 0;
+  // Incremented with each new connection, so that losses on an earlier one do
+  // not count.
+  int connection_number_ = 0;
   bool closed_ = false;
 };
 
--- a/transport/peer_server.cc
+++ b/transport/peer_server.cc
@@ -14,11 +14,11 @@
 
 namespace {
 
-// Nodes probe silent connections often; gRPC takes that for abuse by default.
+// Nodes often ping idle connections, which gRPC treats as abuse by default.
 constexpr int kMinPingIntervalMs = 500;
 constexpr std::chrono::milliseconds kShutdownTimeout(500);
-// All frames under way together. A frame may be of a sender that does not know
-// the secret.
+// Limit of all frames that are being received together. It also bounds frames
+// from senders that do not know the secret.
 constexpr std::size_t kMaxBufferedBytes = 64UL * 1024 * 1024;
 
 }  // namespace
@@ -30,13 +30,13 @@
           Handler handler)
       : control_(control),
         settings_(std::move(settings)),
-        shared_(std::make_shared<Shared>(std::move(handler))) {}
+        shared_state_(std::make_shared<SharedState>(std::move(handler))) {}
 
   grpc::ServerUnaryReactor* Deliver(grpc::CallbackServerContext* context,
                                     const wire::PeerFrame* frame,
                                     wire::PeerAck*) override {
     grpc::ServerUnaryReactor* const reactor = context->DefaultReactor();
-    reactor->Finish(Accept(*context, *frame));
+    reactor->Finish(ProcessFrame(*context, *frame));
     return reactor;
   }
 
@@ -45,24 +45,26 @@
             malformed_, overload_, unknown_messages_};
   }
 
-  void Close() { shared_->closed = true; }
+  void Close() { shared_state_->closed = true; }
 
  private:
-  // Lives on in what waits for the control thread.
-  struct Shared {
-    explicit Shared(Handler handler) : handler(std::move(handler)) {}
+  // Shared with the tasks posted to the control thread, which may outlive the
+  // service.
+  struct SharedState {
+    explicit SharedState(Handler handler) : handler(std::move(handler)) {}
     const Handler handler;
-    std::atomic<std::int64_t> waiting = 0;
+    std::atomic<std::int64_t> waiting_frames = 0;
     std::atomic<bool> closed = false;
   };
 
-  grpc::Status Accept(const grpc::CallbackServerContext& context,
-                      const wire::PeerFrame& frame) {
+  grpc::Status ProcessFrame(const grpc::CallbackServerContext& context,
+                            const wire::PeerFrame& frame) {
     if (!IsAuthenticated(context)) {
       ++unauthenticated_;
       return {grpc::StatusCode::UNAUTHENTICATED, "wrong or no peer secret"};
     }
-    // An address that was another node's before: its frames are not ours.
+    // The address may have belonged to another node before, whose frames must
+    // not be handled here.
     if (frame.receiver() != settings_.self.value()) {
       ++wrong_receiver_;
       return {grpc::StatusCode::FAILED_PRECONDITION,
@@ -76,7 +78,7 @@
               std::string(PeerCodecErrorKindName(error.kind)) + " " +
                   std::string(error.field)};
     }
-    if (shared_->waiting >= settings_.max_waiting_frames) {
+    if (shared_state_->waiting_frames >= settings_.max_waiting_frames) {
       ++overload_;
       return {grpc::StatusCode::RESOURCE_EXHAUSTED, "too many frames wait"};
     }
@@ -97,19 +99,19 @@
   }
 
   void Post(PeerEnvelope envelope) {
-    ++shared_->waiting;
-    boost::asio::post(
-        control_, [shared = shared_, envelope = std::move(envelope)]() mutable {
-          --shared->waiting;
-          if (!shared->closed) {
-            shared->handler(std::move(envelope));
-          }
-        });
+    ++shared_state_->waiting_frames;
+    boost::asio::post(control_, [shared_state = shared_state_,
+                                 envelope = std::move(envelope)]() mutable {
+      --shared_state->waiting_frames;
+      if (!shared_state->closed) {
+        shared_state->handler(std::move(envelope));
+      }
+    });
   }
 
   boost::asio::io_context& control_;
   const PeerServerSettings settings_;
-  const std::shared_ptr<Shared> shared_;
+  const std::shared_ptr<SharedState> shared_state_;
   std::atomic<std::int64_t> frames_ = 0;
   std::atomic<std::int64_t> bytes_ = 0;
   std::atomic<std::int64_t> unauthenticated_ = 0;
