--- a/programs/daemon/daemon_command_line.h
+++ b/programs/daemon/daemon_command_line.h
@@ -18,24 +18,25 @@
   kCannotListen = 4,
 };
 
-// What a daemon's program does of its own.
+// The parts of the command line that differ between daemons.
 struct DaemonProgram {
   std::string name;
-  // For its help, with what its signals do.
+  // Examples and a description of the signals, for --help.
   std::string_view examples;
-  // Runs with that settings file until its stop.
+  // Runs the daemon with the settings file until it stops.
   std::function<DaemonExit(const std::string& settings_file)> run;
-  // The faults of a settings file.
+  // Returns the errors of a settings file.
   std::function<std::vector<SettingError>(const std::string& settings_file)>
       check;
   std::function<void(std::ostream& out)> write_reference;
 };
 
-// Prints the faults, one a line.
+// Prints one error per line to standard error.
 void PrintSettingErrors(const std::vector<SettingError>& errors);
 
-// Follows the command line of a daemon: --settings FILE, --settings-from
-// VARIABLE, --check-settings FILE, --settings-reference or --help.
+// Parses and executes the command line of a daemon: --settings FILE,
+// --settings-from VARIABLE, --check-settings FILE, --settings-reference or
+// --help.
 DaemonExit RunDaemonProgram(const DaemonProgram& program,
                             int argc,
                             char** argv);
--- a/programs/daemon/setting_items.h
+++ b/programs/daemon/setting_items.h
@@ -8,7 +8,8 @@
 
 namespace gcw {
 
-// A value that reads well and says what cannot be.
+// Returns the error for a value that has the right type but is invalid;
+// `allowed` describes the valid values. The line is not known at this point.
 SettingError MakeItemError(const std::string& file,
                            std::string_view key,
                            const std::string& value,
--- a/programs/gcw_gateway/gateway_process.cc
+++ b/programs/gcw_gateway/gateway_process.cc
@@ -14,10 +14,10 @@
 namespace gcw {
 namespace {
 
-// One thread runs everything, which lets Asio do without locks.
+// The concurrency hint for Asio, which omits locks for a single thread.
 constexpr int kThreads = 1;
 
-// Log lines that are held while nobody reads them.
+// The limit of the buffer for log lines while nobody reads standard output.
 constexpr std::size_t kMaxHeldLogBytes = 256UL * 1024;
 
 std::string_view LogClassName(LogClass log_class) {
@@ -60,7 +60,7 @@
 
 }  // namespace
 
-// In the order in which they are built; destroyed the other way about.
+// Members are initialized in this order and destroyed in reverse order.
 struct GatewayProcess::Parts {
   explicit Parts(GatewayProcessSettings with_settings)
       : settings(std::move(with_settings)),
@@ -119,9 +119,9 @@
   });
 }
 
-// Settings of a running node are not changed: what may change while it runs
-// comes from the key-value service. A reload checks the file, so that a fault
-// in it is known before the next start.
+// Settings do not change while a node runs: everything that may change comes
+// from the key-value service. A reload only checks the file, so that errors in
+// it are known before the next start.
 void GatewayProcess::Parts::Reload(const std::string& settings_path) const {
   const auto read = ReadGatewaySettings(settings_path);
   const auto* errors = std::get_if<1>(&read);
--- a/programs/gcw_gateway/gateway_process.h
+++ b/programs/gcw_gateway/gateway_process.h
@@ -9,7 +9,7 @@
 
 namespace gcw {
 
-// A running gateway: builds the core and everything around it.
+// Owns a running gateway: its core, runtime, log and metrics.
 class GatewayProcess {
  public:
   static std::variant<std::unique_ptr<GatewayProcess>, GatewayListenError>
@@ -19,8 +19,8 @@
   GatewayProcess(const GatewayProcess&) = delete;
   GatewayProcess& operator=(const GatewayProcess&) = delete;
 
-  // Runs until a planned stop is over. SIGTERM and SIGINT begin one; SIGHUP
-  // reads the settings file again.
+  // Runs until a planned stop is complete. SIGTERM and SIGINT begin a planned
+  // stop; SIGHUP checks the settings file again without applying it.
   void Run(const std::string& settings_path);
 
  private:
--- a/programs/gcw_gateway/gateway_settings.cc
+++ b/programs/gcw_gateway/gateway_settings.cc
@@ -17,13 +17,14 @@
 constexpr TextRange kAddressText{3, 64};
 constexpr ListRange kAnyList{0, 64};
 constexpr DurationRange kShortSpan{Duration::Millis(10), Duration::Seconds(60)};
-// The platform sets these: a node must start with whatever it chooses.
+// The range of settings that the platform sets. A node must start with any
+// value that the platform chooses.
 constexpr DurationRange kPlatformBound{Duration(), Duration::Seconds(86400)};
 
-// Of a node that has a whole core, relative to one with the least share.
+// The weight of a node that has a whole processor core; the lowest weight is 1.
 constexpr double kWeightOfCore = 100;
 
-// Keys whose text needs a second look once it is read.
+// Values that are parsed or combined after the file has been read.
 struct RawSettings {
   std::string callers;
   std::string readiness;
@@ -31,10 +32,10 @@
   std::string peers;
   std::string metrics;
   std::vector<std::string> seeds;
-  // The shorter one bounds how old a node's copy of the store may be.
+  // The shorter of the two limits the age of a node's copy of the store.
   Duration leaving_known_within = StoreMirrorSettings().known_within;
   Duration configuration_known_within = StoreMirrorSettings().known_within;
-  // Of one core.
+  // The share of one processor core that the node has.
   double processor_share = 1;
 };
 
@@ -329,7 +330,7 @@
   return errors;
 }
 
-// Values that are each in range but do not fit together.
+// Reports values that are each in range but contradict each other.
 std::vector<SettingError> CheckTogether(
     const std::string& path,
     const GatewayProcessSettings& settings) {
--- a/programs/gcw_gateway/gateway_settings.h
+++ b/programs/gcw_gateway/gateway_settings.h
@@ -10,8 +10,8 @@
 
 namespace gcw {
 
-// Everything that `gcw-gateway` reads from its settings file; docs/SETTINGS.md
-// lists the keys.
+// The settings that `gcw-gateway` reads from its settings file;
+// docs/SETTINGS.md lists the keys.
 struct GatewayProcessSettings {
   GatewaySettings core;
   GatewayRuntimeSettings runtime;
@@ -20,11 +20,11 @@
   LogBudgetSettings log_budget;
 };
 
-// Reads and checks the file; all errors at once.
+// Reads and checks the settings file. On failure, returns all errors.
 std::variant<GatewayProcessSettings, std::vector<SettingError>>
 ReadGatewaySettings(const std::string& path);
 
-// The keys as a Markdown table.
+// Writes all keys as a Markdown table.
 void WriteGatewaySettingsReference(std::ostream& out);
 
 }  // namespace gcw
--- a/programs/gcw_gateway/main.cc
+++ b/programs/gcw_gateway/main.cc
@@ -1,5 +1,5 @@
-// The daemon on every entry VM of a platform whose store holds the operators'
-// document and the endpoints.
+// gcw-gateway, the daemon on each entry VM of a platform whose key-value
+// service holds the operators' configuration document and the endpoints.
 
 #include <csignal>
 #include <iostream>
@@ -49,8 +49,8 @@
     gcw::PrintSettingErrors(*errors);
     return gcw::DaemonExit::kWrongSettings;
   }
-  // A connection that breaks while it is written to is a failed write, not an
-  // end of the process.
+  // Without this, a write to a broken connection would end the process instead
+  // of failing.
   std::signal(SIGPIPE, SIG_IGN);
   auto started = gcw::GatewayProcess::Start(std::move(std::get<0>(read)));
   if (const auto* error = std::get_if<gcw::GatewayListenError>(&started)) {
--- a/programs/gcw_node/main.cc
+++ b/programs/gcw_node/main.cc
@@ -1,4 +1,4 @@
-// The daemon on every entry VM.
+// gcw-node, the daemon on each entry VM.
 
 #include <signal.h>
 
@@ -35,9 +35,9 @@
   return "unknown";
 }
 
-// Blocks the signals of a planned stop and of a reload in all threads that
-// start later; they are taken by `sigtimedwait`. One that nobody takes would
-// end the process.
+// Blocks the signals for a planned stop and for a reload in this thread and in
+// all threads that it starts, so that `sigtimedwait` receives them. Unblocked,
+// their default action would end the process.
 sigset_t BlockSignals() {
   sigset_t signals;
   sigemptyset(&signals);
@@ -45,8 +45,8 @@
   sigaddset(&signals, SIGINT);
   sigaddset(&signals, SIGHUP);
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
-  // A connection that breaks while it is written to is a failed write, not an
-  // end of the process.
+  // Without this, a write to a broken connection would end the process instead
+  // of failing.
   signal(SIGPIPE, SIG_IGN);
   return signals;
 }
@@ -57,8 +57,8 @@
   return errors == nullptr ? std::vector<gcw::SettingError>() : *errors;
 }
 
-// Settings of a running node do not change; faults in the file are known before
-// the next start.
+// Checks the settings file without applying it, because settings do not change
+// while a node runs. Errors in the file are thus known before the next start.
 void CheckAgain(const std::string& file) {
   const std::vector<gcw::SettingError> errors = CheckNode(file);
   gcw::LogEvent(
@@ -81,7 +81,8 @@
     return gcw::DaemonExit::kCannotListen;
   }
   gcw::NodeProcess& node = *std::get<0>(started);
-  // A planned stop may also begin through the operators' port.
+  // The wait is short because a planned stop may also begin through the
+  // operators' port, without a signal.
   const timespec patience{0, kSignalWaitNanos};
   while (!node.stopped()) {
     const int signal = sigtimedwait(&signals, nullptr, &patience);
--- a/programs/gcw_node/node_process.cc
+++ b/programs/gcw_node/node_process.cc
@@ -19,7 +19,8 @@
 namespace {
 
 constexpr std::int64_t kNever = -1;
-// A caller that takes the end of its answer slower than this loses it.
+// After accepting has ended, callers have this long to read the rest of their
+// answers before the process ends.
 constexpr Duration kMostLastAnswers = Duration::Seconds(15);
 constexpr std::size_t kMostCallerConnections = 20000;
 constexpr std::size_t kMostOperatorConnections = 256;
@@ -73,7 +74,7 @@
 
 }  // namespace
 
-// In the order in which they are built; destroyed the other way about.
+// Members are initialized in this order and destroyed in reverse order.
 struct NodeProcess::Parts {
   explicit Parts(NodeSettings with_settings)
       : settings(std::move(with_settings)),
@@ -87,7 +88,7 @@
         vm_list(traffic, settings.vm_list, settings.store_timeout),
         engines(traffic) {}
 
-  // Each listens; false with the error where one cannot.
+  // Opens all listeners. Returns false and sets `error` on the first failure.
   bool ListenForAll(NodeStartError& error);
   bool Listen(const ListenSettings& where,
               std::size_t most_connections,
@@ -97,9 +98,10 @@
   void BuildCore();
   void BuildServices();
   void StartThreads();
-  // The core's planned stop is complete; answers may still be on their way out.
+  // Called when the core's planned stop is complete; answers may still be in
+  // transmission.
   void EndServing();
-  // Tells on standard output where the node listens.
+  // Prints the node's addresses to standard output as a JSON line.
   void Announce() const;
 
   NodeSettings settings;
@@ -126,12 +128,13 @@
   std::unique_ptr<HttpServer> caller_server;
   std::unique_ptr<HttpServer> operator_server;
   std::vector<std::thread> threads;
-  // Since when nothing new is accepted; absent before.
+  // When the node stopped accepting connections; kNever before that.
   std::atomic<std::int64_t> accepting_ended_ms = kNever;
 };
 
-// The servers come first, since the core tells their ports to others. No
-// handler runs before the threads start, and by then all parts are built.
+// The servers are created before the core, because the core announces their
+// ports. Their handlers may use parts that are built later: none runs before
+// the threads start.
 bool NodeProcess::Parts::ListenForAll(NodeStartError& error) {
   error.listener = NodeListener::kCallers;
   if (!Listen(
@@ -245,8 +248,9 @@
   }
 }
 
-// A request ends for the core when its answer is queued. Ending the process
-// then would cut the answers of slow callers, so connections are let finish.
+// For the core a request ends when its answer is queued. Ending the process at
+// that point would truncate answers to slow callers, so open connections are
+// allowed to finish.
 void NodeProcess::Parts::EndServing() {
   caller_server->StopAccepting();
   accepting_ended_ms = clock().millis();
--- a/programs/gcw_node/node_process.h
+++ b/programs/gcw_node/node_process.h
@@ -8,7 +8,7 @@
 
 namespace gcw {
 
-// Which address a node could not listen on.
+// The listeners of a node.
 enum class NodeListener { kCallers, kPeers, kOperators };
 
 struct NodeStartError {
@@ -16,7 +16,7 @@
   ListenErrorKind kind;
 };
 
-// One node: its core, its threads and its servers.
+// Owns a running node: its core, threads and servers.
 class NodeProcess {
  public:
   static std::variant<std::unique_ptr<NodeProcess>, NodeStartError> Start(
@@ -28,7 +28,7 @@
 
   // Begins a planned stop; callable from any thread.
   void BeginStop();
-  // Whether the planned stop is complete.
+  // True once a planned stop is complete.
   bool stopped() const;
 
  private:
--- a/programs/gcw_node/node_settings.cc
+++ b/programs/gcw_node/node_settings.cc
@@ -19,7 +19,7 @@
 constexpr DurationRange kLongSpan{Duration::Millis(100),
                                   Duration::Seconds(24L * 3600)};
 
-// Keys whose text needs a second look once it is read.
+// Lists whose items are parsed after the file has been read.
 struct RawSettings {
   std::vector<std::string> seeds;
   std::vector<std::string> zone_distances;
@@ -220,7 +220,8 @@
   });
 }
 
-// Values that are each in range but do not fit together.
+// Reports values that are each in range but contradict each other, and a peer
+// secret that a header cannot carry.
 std::vector<SettingError> CheckTogether(const std::string& path,
                                         const NodeSettings& settings) {
   std::vector<SettingError> errors;
@@ -243,8 +244,8 @@
             ", so that an order can leave at any time between two "
             "renewals"));
   }
-  // The secret goes to other nodes in a header, which takes no other bytes:
-  // anything else would end the process at its first call to a peer.
+  // The secret is sent to other nodes in a header, which allows only printable
+  // ASCII. Any other byte would end the process at its first call to a peer.
   if (!IsHeaderText(settings.peer_secret.Reveal())) {
     errors.push_back(MakeItemError(path, "peers.secret_file", "(withheld)",
                                    "printable ASCII characters only"));
--- a/programs/gcw_node/node_settings.h
+++ b/programs/gcw_node/node_settings.h
@@ -10,14 +10,14 @@
 
 namespace gcw {
 
-// Where a node listens.
+// The address of a listener.
 struct ListenSettings {
   std::string ip = "127.0.0.1";
   // 0 lets the kernel choose.
   int port = 0;
 };
 
-// Everything that `gcw-node` reads from its settings file; docs/SETTINGS.md
+// The settings that `gcw-node` reads from its settings file; docs/SETTINGS.md
 // lists the keys.
 struct NodeSettings {
   NodeCoreSettings core;
@@ -34,15 +34,15 @@
   std::int64_t events_kept = 16384;
   Duration store_timeout = Duration::Millis(1500);
   LogSeverity log_severity = LogSeverity::kInfo;
-  // Writes each event of the time line to the log too.
+  // Whether events of the timeline are also written to the log.
   bool log_events = true;
 };
 
-// Reads and checks the file; all errors at once.
+// Reads and checks the settings file. On failure, returns all errors.
 std::variant<NodeSettings, std::vector<SettingError>> ReadNodeSettings(
     const std::string& path);
 
-// The keys as a Markdown table.
+// Writes all keys as a Markdown table.
 void WriteNodeSettingsReference(std::ostream& out);
 
 }  // namespace gcw
--- a/transport/gateway/forward_exchange.cc
+++ b/transport/gateway/forward_exchange.cc
@@ -121,7 +121,8 @@
   }
   const bool is_good = attempt_.read.is_ours && attempt_.read.is_signed &&
                        !attempt_.read.is_altered && IsSuccess(head.status);
-  // What runs on must be another run's events, not whatever this answer is.
+  // A stream that has begun can be continued only with the events of another
+  // run of the request. Any other answer that may come from a run breaks it.
   if (stream_begun_ && !is_good && !attempt_.read.is_not_run &&
       !attempt_.read.is_other_vm) {
     EndAttempt(ForwardEndKind::kBroke);
@@ -172,8 +173,8 @@
     EndAttempt(ForwardEndKind::kNotRun);
     return;
   }
-  // A whole answer that is not signed or not ours says nothing about the
-  // request: it may have run.
+  // A complete answer that has no proof or belongs to another attempt says
+  // nothing about this request, which may have run.
   if (!read.is_ours || !read.is_signed || read.is_altered ||
       (attempt_.passes_events && attempt_.cutter->has_rest())) {
     EndAttempt(ForwardEndKind::kBroke);
@@ -203,7 +204,7 @@
 }
 
 void ForwardExchange::EndAttempt(ForwardEndKind kind) {
-  // Calls that are still to come belong to an attempt that is over.
+  // Invalidates pending callbacks of this attempt.
   ++attempt_number_;
   if (attempt_.call) {
     attempt_.call->Cancel();
--- a/transport/gateway/forward_exchange.h
+++ b/transport/gateway/forward_exchange.h
@@ -14,38 +14,41 @@
 namespace gcw {
 
 struct ForwardExchangeSettings {
-  // Longest wait for a new connection to an endpoint. A VM without power does
-  // not answer; the time is lost to the request.
+  // The timeout for a new connection to an endpoint. A VM without power does
+  // not answer, and the request loses this time waiting for it.
   Duration connect_timeout = Duration::Millis(350);
-  // A plain service without a byte for this long is given up on where another
-  // can take the request.
+  // An attempt at a plain service fails after this time without a byte. It does
+  // not apply to attempts with a fresh connection, whose requests cannot be
+  // sent again elsewhere.
   Duration service_silence = Duration::Millis(500);
-  // Answers of plain services are given whole, so they are held meanwhile.
+  // Answers of plain services are buffered until they are complete. An attempt
+  // whose answer is larger than this fails.
   std::size_t most_held_bytes = 8UL * 1024 * 1024;
-  // A stream's endpoint is not read while its caller has this much to take.
+  // Not used. A limit on the bytes queued for a caller, above which the
+  // stream's endpoint is not read.
   std::size_t most_unsent_bytes = 256UL * 1024;
 };
 
-// How a request ended for its caller.
+// The final outcome of a request for its caller.
 enum class ForwardOutcome { kAnswered, kRefused, kUnknown, kCut, kCallerGone };
 
 std::string_view ForwardOutcomeName(ForwardOutcome outcome);
 
-// One request of a caller, for metrics and the log.
+// Summarizes a finished request for metrics and the log.
 struct ForwardSummary {
   ForwardId id;
   RequestId request;
   ForwardOutcome outcome = ForwardOutcome::kAnswered;
   int status = 0;
-  // The endpoint of the last attempt; empty where there was none.
+  // The endpoint of the last attempt; empty if there was no attempt.
   VmId vm;
   int attempts = 0;
   Duration first_byte;
   Duration whole;
 };
 
-// One request of a caller: carries out what the core decides, attempt by
-// attempt, and passes the answer on. Used on one thread.
+// Proxies one request of a caller: performs the steps that the core decides,
+// attempt by attempt, and forwards the answer. Not thread-safe.
 class ForwardExchange : public std::enable_shared_from_this<ForwardExchange> {
  public:
   struct Parts {
@@ -53,7 +56,7 @@
     const GatewayDialect* dialect = nullptr;
     HttpClient* endpoints = nullptr;
     Clock clock;
-    // The exchange is over.
+    // Called once when the exchange has finished.
     std::function<void(const ForwardSummary&)> on_over;
   };
 
@@ -62,21 +65,23 @@
                   HttpRequest request,
                   std::shared_ptr<HttpResponder> responder);
 
-  // Hands the request to the core. Returns its id.
+  // Passes the request to the core, performs the first step and returns the id
+  // that the core assigned.
   ForwardId Start();
   bool is_over() const { return over_; }
-  // Ends the running attempt, which gives nothing, in favour of another.
+  // Ends the current attempt as stalled, so that the core may choose another
+  // endpoint.
   void Move();
 
  private:
-  // What is known of the attempt under way.
+  // The state of the current attempt.
   struct Attempt {
     std::shared_ptr<HttpCall> call;
     SendForward send;
     HttpResponse head;
     AnswerHead read;
     bool has_head = false;
-    // The answer is a stream of events that is passed on as it comes.
+    // The answer is an event stream that is forwarded as it arrives.
     bool passes_events = false;
     std::string held;
     std::optional<EventCutter> cutter;
@@ -102,7 +107,7 @@
   std::shared_ptr<HttpResponder> responder_;
   ForwardId id_;
   Attempt attempt_;
-  // Tells calls of the attempt under way from those of earlier ones.
+  // Distinguishes callbacks of the current attempt from those of earlier ones.
   int attempt_number_ = 0;
   Time arrived_;
   std::optional<Time> first_byte_;
--- a/transport/gateway/gateway_dialect.h
+++ b/transport/gateway/gateway_dialect.h
@@ -12,34 +12,36 @@
 
 namespace gcw {
 
-// What the head of an endpoint's answer says.
+// The information in the head of an endpoint's answer.
 struct AnswerHead {
-  // It answers this attempt and no other.
+  // The answer echoes the request id, so it does not belong to another request.
+  // Always true if the request has no id.
   bool is_ours = false;
-  // It bears the endpoint's proof that it made the answer.
+  // The answer carries the endpoint's proof that it produced the answer.
   bool is_signed = false;
-  // The endpoint did not run the request.
+  // The endpoint did not execute the request.
   bool is_not_run = false;
   // The address belongs to another VM.
   bool is_other_vm = false;
-  // The body is not what the endpoint's application made, such as a coded one.
+  // The body is not as the endpoint's application produced it, for example
+  // because it has a content coding.
   bool is_altered = false;
-  // The VM that is named as the cause; may be empty.
+  // The VM that the endpoint names as the cause of a failure; may be empty.
   VmId at_fault;
   std::optional<LoadReading> load;
 };
 
-// How requests and answers are spelled on both sides of a node. Everything that
-// a platform spells in its own way is behind these hooks.
+// Hooks that encode and decode the platform's formats of requests and answers,
+// towards callers, endpoints and the key-value service.
 struct GatewayDialect {
-  // Callers.
+  // Messages exchanged with callers.
   std::function<ForwardRequest(const HttpRequest&)> read_request;
   std::function<HttpResponse(const ForwardRefused&)> make_refusal;
   std::function<HttpResponse(const ForwardUnknown&)> make_unknown;
   std::function<HttpResponse(const std::vector<Address>&, Duration keep)>
       make_entries;
 
-  // Endpoints.
+  // Messages exchanged with endpoints.
   std::function<HttpRequest(const HttpRequest& original, const SendForward&)>
       make_attempt;
   std::function<AnswerHead(const HttpResponse& head, const RequestId&)>
@@ -49,7 +51,7 @@
   std::function<HttpRequest(const VmId&)> make_probe;
   std::function<ProbeReport(const HttpResponse&)> read_probe;
 
-  // The key-value service.
+  // Messages exchanged with the key-value service.
   std::function<HttpRequest(const StoreCall&)> make_store_call;
   std::function<StoreReply(const StoreCall&, const HttpResponse&)>
       read_store_reply;
--- a/transport/gateway/gateway_metrics.h
+++ b/transport/gateway/gateway_metrics.h
@@ -15,9 +15,9 @@
   GatewayMetrics();
 
   std::string Expose() const { return metrics_.Expose(); }
-  // Counts an event of the time line by its kind.
+  // Counts an event of the timeline by its kind.
   void Observe(const TimelineEvent& event);
-  // A request that is over.
+  // Records the outcome and the latencies of a finished request.
   void ObserveRequest(const ForwardSummary& summary);
 
  private:
--- a/transport/gateway/gateway_runtime.cc
+++ b/transport/gateway/gateway_runtime.cc
@@ -242,7 +242,7 @@
           reply = parts_.dialect.read_store_reply(action.request.call,
                                                   ValueOf(answer));
         } else {
-          // Others that have been idle meanwhile may have gone silent too.
+          // Other idle connections may be dead too.
           client.ForgetConnections(settings_.store);
           parts_.metrics->store_failures.Add();
         }
--- a/transport/gateway/gateway_runtime.h
+++ b/transport/gateway/gateway_runtime.h
@@ -27,19 +27,19 @@
 
 struct GatewayRuntimeSettings {
   Address store;
-  // From sending a call to the key-value service to giving up on its answer. A
-  // watch may take as long as it waits in addition.
+  // The timeout for an answer of the key-value service. A watch has its own
+  // wait time in addition.
   Duration store_timeout = Duration::Millis(600);
   Duration peer_timeout = Duration::Millis(500);
   Duration tick_interval = Duration::Millis(40);
-  // From the end of a planned stop to that of the process: the last bytes of
-  // answers are still on their way to callers who read slowly.
+  // The delay from the end of a planned stop to the exit of the process, for
+  // the last bytes of answers to callers that read slowly.
   Duration stop_linger = Duration::Millis(300);
   GatewayListen callers;
   GatewayListen readiness;
   GatewayListen entries;
   GatewayListen peers;
-  // Without an ip, none is served.
+  // If the IP address is empty, no metrics are served.
   GatewayListen metrics;
   std::size_t most_caller_connections = 2500;
   ForwardExchangeSettings exchange;
@@ -52,18 +52,18 @@
   ListenErrorKind kind;
 };
 
-// Drives a gateway's core: its one thread reads and writes every connection and
-// holds the control state too, since the VMs of the platform have one core, and
-// handing each event to another thread would cost more than handling it.
+// Runs a gateway's core, all connections and all timers on one thread. The VMs
+// of the platform have one processor core, so handing each event to another
+// thread would cost more than handling it.
 class GatewayRuntime {
  public:
-  // All outlive the runtime.
+  // All objects pointed to must outlive the runtime.
   struct Parts {
     boost::asio::io_context* context = nullptr;
     GatewayCore* core = nullptr;
     GatewayDialect dialect;
     GatewayMetrics* metrics = nullptr;
-    // Takes events of the time line.
+    // Receives events of the timeline.
     EventSink report;
     Clock clock;
   };
@@ -72,19 +72,19 @@
   GatewayRuntime(const GatewayRuntime&) = delete;
   GatewayRuntime& operator=(const GatewayRuntime&) = delete;
 
-  // Absent when all listen.
+  // Opens all listeners. Returns the first error, or nothing on success.
   std::optional<GatewayListenError> Listen();
   void Start();
-  // Begins a planned stop; the context runs out of work when it is over.
+  // Begins a planned stop; the context is stopped when it is complete.
   void BeginStop();
 
-  // Empty where nothing listens.
+  // Returns an empty address if the listener is not open.
   Address AddressOf(GatewayListener listener) const;
 
  private:
   void ScheduleTick();
   void Tick();
-  // Callers are held to what the operators' configuration sets.
+  // Applies the request limits of the operators' configuration to callers.
   void ApplyCallerLimits();
   bool ListenOn(GatewayListener listener,
                 const GatewayListen& where,
@@ -98,10 +98,11 @@
   void ServePeer(const HttpRequest& request,
                  const std::shared_ptr<HttpResponder>& responder);
   void ServeMirror(const HttpRequest& request, HttpResponder& responder);
-  // Answered when something has changed, or the question has waited.
+  // Long poll: responds when something has changed or the wait has expired.
   void ServeChanges(const HttpRequest& request,
                     const std::shared_ptr<HttpResponder>& responder);
-  // What another node says or asks of a group.
+  // Handle another node's notice of a stalled group and its query for the
+  // progress of a group.
   void ServeStandstill(const StandstillNotice& notice,
                        HttpResponder& responder);
   void ServeProgress(const StandstillNotice& group, HttpResponder& responder);
@@ -132,14 +133,14 @@
   std::unordered_map<GatewayListener, std::unique_ptr<HttpServer>> servers_;
   std::unordered_map<GatewayListener, std::string> ips_;
   std::unordered_map<ForwardId, std::shared_ptr<ForwardExchange>> exchanges_;
-  // Other nodes that wait for changes.
+  // Pending long polls of other nodes for changes.
   std::unordered_map<ChangeQuestionId, std::shared_ptr<HttpResponder>>
       questions_;
   ChangeQuestionId last_question_;
-  // Of the limits in force for callers.
+  // The configuration version of the caller limits in force.
   ConfigurationVersion limits_version_;
   StoreBeliefObserver store_belief_{LogStoreBelief};
-  // Since when a planned stop is over.
+  // When a planned stop was first seen complete; unset while it is not.
   std::optional<Time> stop_over_since_;
   bool stopped_ = false;
 };
--- a/transport/gateway/gateway_runtime_peers.cc
+++ b/transport/gateway/gateway_runtime_peers.cc
@@ -1,4 +1,4 @@
-// What nodes of a gateway ask and tell each other.
+// Messages between the nodes of a gateway.
 
 #include <algorithm>
 #include <charconv>
@@ -23,10 +23,12 @@
 constexpr int kBadRequest = 400;
 constexpr int kNotFound = 404;
 
-// Another node's question is not held for longer, whatever it says.
+// The longest time for which a long poll of another node is held, whatever wait
+// it asks for.
 constexpr Duration kLongestQuestion = Duration::Seconds(5);
 
-// Zero where there is no such number.
+// Returns the integer query parameter `name`, or 0 if it is absent or is not a
+// number.
 std::int64_t NumberIn(const std::string& target, std::string_view name) {
   std::int64_t number = 0;
   const std::string text = QueryValue(target, name);
@@ -143,7 +145,7 @@
       [this, action](const Result<HttpResponse, HttpFailure>& answer) {
         std::optional<MirrorChanges> changes;
         if (!IsOk(answer)) {
-          // Others that have been idle meanwhile may have gone silent too.
+          // Other idle connections may be dead too.
           peers_.ForgetConnections(action.address);
         } else if (ValueOf(answer).status == kOk) {
           auto decoded = DecodeMirrorChanges(ValueOf(answer).body);
@@ -179,7 +181,8 @@
                       std::string(kStandstillPath),
                       {{"Content-Type", "application/json"}},
                       EncodeStandstillNotice(action.notice)};
-  // A lost notice costs time only: each node finds a standstill by itself.
+  // A lost notice costs only time, because each node also detects stalled
+  // groups by itself.
   peers_.Fetch(action.address, std::move(request),
                Within(settings_.peer_timeout),
                [](const Result<HttpResponse, HttpFailure>&) {});
--- a/transport/json_log.cc
+++ b/transport/json_log.cc
@@ -19,15 +19,16 @@
 constexpr std::int64_t kMicrosPerMilli = 1000;
 constexpr std::string_view kLibraryEvent = "log_message";
 
-// What `LogEvent` hands to the sink around glog, whose own message is text.
+// The typed line that `LogEvent` passes to the sink beside glog, whose own
+// messages are plain text.
 struct TypedLine {
   std::string_view name;
   const std::vector<LogField>* fields;
   const RequestId* request;
 };
 
-// Set while the calling thread's typed line passes through glog, which calls
-// sinks on the thread that logs.
+// Set while this thread's typed line passes through glog, which calls sinks on
+// the logging thread.
 thread_local const TypedLine* g_typed_line = nullptr;
 
 google::LogSeverity ToGlog(LogSeverity severity) {
@@ -42,7 +43,8 @@
   return google::GLOG_ERROR;
 }
 
-// A line that cannot be written is lost: there is no better place to tell it.
+// A line that cannot be written is lost, because there is nowhere else to
+// report the failure.
 void WriteToStandardError(std::string_view line) {
   while (!line.empty()) {
     const ssize_t written = write(STDERR_FILENO, line.data(), line.size());
@@ -133,8 +135,8 @@
 
 JsonLog::JsonLog(JsonLogSettings settings)
     : sink_(std::make_unique<Sink>(std::move(settings))) {
-  // No text lines of glog's own beside the JSON lines, neither on standard
-  // error nor in files: the VMs have no disks.
+  // Disables glog's own text output, both to standard error and to files: the
+  // VMs have no disks.
   FLAGS_logtostderr = false;
   FLAGS_alsologtostderr = false;
   FLAGS_stderrthreshold = google::NUM_SEVERITIES;
@@ -143,7 +145,7 @@
     google::SetLogDestination(severity, "");
   }
   if (!google::IsGoogleLoggingInitialized()) {
-    // glog keeps the pointer, so it must live as long as the process.
+    // glog keeps the pointer for the lifetime of the process.
     static const std::string* const program =
         new std::string(sink_->settings().program);
     google::InitGoogleLogging(program->c_str());
--- a/transport/json_log.h
+++ b/transport/json_log.h
@@ -13,19 +13,19 @@
 
 enum class LogSeverity { kInfo, kWarning, kError };
 
-// A typed detail of a log line, in the same form as in an event. Names carry
-// their unit, such as "wait_ms".
+// A typed field of a log line, in the same form as in an event. Names include
+// the unit, such as "wait_ms".
 using LogField = EventField;
 
 // Writes one JSON line through glog. `name` is a literal in snake case that
-// tells what happened. May be called from any thread; without a `JsonLog` the
-// line goes wherever glog sends it, as the bare name.
+// names the event. Thread-safe. Without a `JsonLog`, glog writes only the name,
+// to its own destination.
 void LogEvent(LogSeverity severity,
               std::string_view name,
               const std::vector<LogField>& fields = {},
               const RequestId& request = RequestId());
 
-// Writes an event of the time line as a log line of severity kInfo.
+// Writes an event of the timeline as a log line of severity kInfo.
 void LogTimelineEvent(const TimelineEvent& event);
 
 struct JsonLogSettings {
@@ -34,19 +34,20 @@
   std::string program = "goldcrestweir";
   // Lines below this severity are not written.
   LogSeverity min_severity = LogSeverity::kInfo;
-  // Takes each line, which ends in a newline. By default it is written to
-  // standard error in one call.
+  // Receives each line, including its newline. By default, lines are written to
+  // standard error, each in one call if possible.
   std::function<void(std::string_view line)> write;
 };
 
-// Turns all of glog's output, also the lines of libraries, into JSON lines for
-// as long as it lives:
+// Converts all output of glog, including that of libraries, to JSON lines
+// during its lifetime:
 //
 //   {"time_ms":1733165000123,"node":"n1","severity":"INFO",
 //    "event":"group_serving","request":"...","fields":{...}}
 //
-// Lines that come from glog's own macros are the event "log_message" with the
-// fields "message", "file" and "line". One at a time in a process.
+// Lines from glog's own macros are written as the event "log_message" with the
+// fields "message", "file" and "line". A process has at most one JsonLog at a
+// time.
 class JsonLog {
  public:
   explicit JsonLog(JsonLogSettings settings);
--- a/transport/log_budget.h
+++ b/transport/log_budget.h
@@ -10,27 +10,29 @@
 namespace gcw {
 
 struct LogBudgetSettings {
-  // Lines a second for changes of what the node believes or holds.
+  // The limit per second for changes in what the node knows or holds.
   std::int64_t belief_lines = 200;
-  // For requests that were refused, failed or moved.
+  // The limit per second for requests that were refused, failed or retried.
   std::int64_t trouble_lines = 40;
-  // For all other decisions on requests.
+  // The limit per second for all other decisions on requests.
   std::int64_t success_lines = 5;
 };
 
-// How much an event matters to whoever explains a failure afterwards.
+// Classes of events with separate limits, by their value for diagnosing a
+// failure afterwards.
 enum class LogClass { kBelief, kTrouble, kSuccess };
 
 LogClass LogClassOf(EventKind kind);
 
-// Bounds the lines that events of the time line make in a second, each class by
-// itself, so that a flood of successes never hides a refusal and logging cannot
-// take the processor from requests.
+// Limits the log lines per second for events of the timeline. Each class has
+// its own limit, so that many successes cannot hide a refusal. The limits also
+// keep logging from taking processor time from requests.
 class LogBudget {
  public:
-  // Gets the events that are within the budget.
+  // Receives the events that are within the limits.
   using Write = std::function<void(const TimelineEvent&)>;
-  // Told at the end of a second in which some were left out.
+  // Called for each class that dropped events in a second, when the first event
+  // of a later second arrives.
   using Summary = std::function<void(LogClass, std::int64_t left_out)>;
 
   LogBudget(const LogBudgetSettings& settings, Write write, Summary summary);
--- a/transport/metrics.cc
+++ b/transport/metrics.cc
@@ -39,7 +39,7 @@
   return std::string(std::begin(text), result.ptr);
 }
 
-// Puts a backslash before each of `specials`, and writes a line break as "\n".
+// Escapes each of `specials` with a backslash, and a line break as "\n".
 std::string Escape(std::string_view text, std::string_view specials) {
   std::string escaped;
   for (const char letter : ReplaceInvalidUtf8(text)) {
@@ -154,7 +154,7 @@
 Distribution::~Distribution() = default;
 
 void Distribution::Record(double value) {
-  // One NaN would make the sum NaN for good.
+  // A single NaN would make the sum NaN permanently.
   if (!std::isfinite(value)) {
     return;
   }
@@ -170,8 +170,8 @@
   };
   std::vector<Bucket> buckets;
   buckets.reserve(static_cast<std::size_t>(axis.size()) + 2);
-  // The cell at -1 holds what lies below the range, the cell at `size` what
-  // lies above it.
+  // The cell at -1 holds the values below the range, the cell at `size` those
+  // above it.
   for (int index = -1; index < axis.size(); ++index) {
     buckets.push_back({axis.value(index + 1), count_at(index)});
   }
--- a/transport/metrics.h
+++ b/transport/metrics.h
@@ -15,7 +15,7 @@
 
 namespace gcw {
 
-// Only ever grows. Thread-safe; one relaxed atomic addition.
+// A monotonic counter. Thread-safe; adding is one relaxed atomic operation.
 class Counter {
  public:
   void Add(std::uint64_t amount = 1) {
@@ -27,7 +27,7 @@
   std::atomic<std::uint64_t> value_ = 0;
 };
 
-// Goes up and down. Thread-safe.
+// A value that can rise and fall. Thread-safe.
 class Gauge {
  public:
   void Set(std::int64_t value) {
@@ -49,8 +49,8 @@
   unsigned count = 30;
 };
 
-// A distribution kept in a Boost.Histogram with atomic cells. Thread-safe
-// without a lock.
+// A histogram with atomic cells, based on Boost.Histogram. Thread-safe without
+// a lock.
 class Distribution {
  public:
   explicit Distribution(const BucketRange& range);
@@ -60,12 +60,13 @@
   void Record(double value);
 
   struct Bucket {
-    // Values below this are in this bucket or an earlier one; infinite for the
-    // last.
+    // Values below this bound are in this bucket or an earlier one; infinite
+    // for the last bucket.
     double upper_bound;
     std::uint64_t count;
   };
-  // Not cumulative; the first also has all values below the range.
+  // The counts are not cumulative. The first bucket holds all values below the
+  // range.
   std::vector<Bucket> buckets() const;
   double sum() const { return sum_.load(std::memory_order_relaxed); }
 
@@ -76,23 +77,24 @@
 };
 
 struct MetricSpec {
-  // With its unit, such as "gcw_ttft_ms"; a counter's name ends in "_total".
+  // The name includes the unit, such as "gcw_ttft_ms"; a counter's name ends in
+  // "_total".
   std::string name;
   std::string help;
   std::vector<std::string> label_names;
-  // Label values may come from outside, as model names do; without a bound each
-  // new value would take memory for good. Values past the bound share one set
+  // Label values may come from callers, as model names do, and each new value
+  // takes memory until the process ends. Values beyond this limit share one set
   // whose labels are all "other".
   std::size_t max_label_sets = 256;
 };
 
-// All metrics of one name, one for each set of label values.
+// The metrics of one name, with one metric per set of label values.
 template <typename Metric>
 class MetricFamily {
  public:
-  // The metric for these label values, in the order of the label names; it
-  // lives as long as the family. Takes a lock: keep the reference where the
-  // path is hot.
+  // Returns the metric for these label values, given in the order of the label
+  // names. The reference is valid for the lifetime of the family. Takes a lock,
+  // so hot paths should keep the reference.
   Metric& With(const std::vector<std::string>& label_values);
 
  private:
@@ -111,9 +113,9 @@
 using GaugeFamily = MetricFamily<Gauge>;
 using DistributionFamily = MetricFamily<Distribution>;
 
-// The metrics of one process. Thread-safe. Families are added at start; adding
-// one name twice, or a name or label name that the text format refuses, ends
-// the process, since only a mistake in the program can cause it.
+// The metrics of one process. Thread-safe. Families are added at start. Adding
+// a name twice, or a metric or label name that the text format does not allow,
+// is a programming error and ends the process.
 class Metrics {
  public:
   Metrics();
@@ -125,7 +127,7 @@
   GaugeFamily& AddGauge(MetricSpec spec);
   DistributionFamily& AddDistribution(MetricSpec spec, BucketRange range);
 
-  // All metrics in the text exposition format, version 0.0.4.
+  // Returns all metrics in the text exposition format, version 0.0.4.
   std::string Expose() const;
 
  private:
@@ -140,7 +142,7 @@
 
   mutable std::mutex mutex_;
   std::map<std::string, Family> families_;
-  // Uses of a family after its bound of label sets was reached.
+  // Counts, by family, the uses after its limit of label sets was reached.
   CounterFamily* overflows_ = nullptr;
 };
 
--- a/transport/node_metrics.h
+++ b/transport/node_metrics.h
@@ -9,18 +9,19 @@
 
 namespace gcw {
 
-// What a node counts of its requests, as `/metrics` shows it.
+// The request metrics of a node, served at `/metrics`.
 class NodeMetrics {
  public:
   explicit NodeMetrics(Metrics& metrics);
 
-  // On the control thread.
+  // These are called on the control thread.
   void OnAction(const NodeAction& action);
   void OnEvent(const NodeEvent& event);
-  // The request is over, whatever its outcome.
+  // Drops the state of a finished request.
   void Forget(const RequestId& request) { dispatches_.erase(request); }
 
-  // On traffic threads. From the request's arrival.
+  // These are called on traffic threads. `since_arrival` is the time since the
+  // arrival of the request.
   void OnFirstToken(Duration since_arrival) {
     first_token_.Record(static_cast<double>(since_arrival.millis()));
   }
--- a/transport/settings_document.cc
+++ b/transport/settings_document.cc
@@ -12,7 +12,8 @@
 
 using Entry = SettingsDocument::Entry;
 
-// The key as it stands in a path; a quoted key cannot pass for a nested one.
+// Returns the key as it appears in a path. A key that is not bare is quoted, so
+// that its dots are not taken for nesting.
 std::string KeyText(std::string_view key) {
   const bool is_bare = std::all_of(key.begin(), key.end(), [](char letter) {
     return std::isalnum(static_cast<unsigned char>(letter)) != 0 ||
@@ -49,7 +50,7 @@
   return items;
 }
 
-// Turns the tables of one parsed file into entries.
+// Flattens the tables of a parsed file into entries.
 class EntryCollector {
  public:
   EntryCollector(std::string_view text,
--- a/transport/settings_document.h
+++ b/transport/settings_document.h
@@ -15,28 +15,28 @@
 
 namespace gcw {
 
-// A value as a settings file has it, of the types that settings use.
+// A value in a settings file, of one of the types that settings use.
 using SettingValue = std::
     variant<std::int64_t, double, bool, std::string, std::vector<std::string>>;
 
-// A settings file in TOML, taken apart into keys by path, such as
+// A settings file in TOML, flattened into entries by path, such as
 // "limits.queue_wait_ms".
 class SettingsDocument {
  public:
   struct Entry {
     int line;
-    // As in the file; the first line of it.
+    // The first line of the value as written in the file.
     std::string written;
-    // Nothing for types that no setting has.
+    // Empty for types that no setting has.
     std::optional<SettingValue> value;
   };
 
-  // Tells whether any setting lies in the table of that path. A table that none
-  // lies in becomes one entry, so that it is reported once, and also when it is
-  // empty.
+  // Returns whether any setting is declared in the table at the path. A table
+  // without declared settings becomes a single entry, so that it is reported
+  // once, even if it is empty.
   using IsTable = std::function<bool(std::string_view path)>;
 
-  // `file` is for errors. The only error is kSyntax.
+  // `file` is the name shown in errors. The only error is kSyntax.
   static Result<SettingsDocument, SettingError> Parse(std::string_view text,
                                                       const std::string& file,
                                                       const IsTable& is_table);
--- a/transport/settings_reader.cc
+++ b/transport/settings_reader.cc
@@ -10,9 +10,10 @@
 namespace gcw {
 namespace {
 
-// Settings are written by hand; a larger file is a mistake.
+// Settings are written by hand, so a larger file is a mistake.
 constexpr std::size_t kMaxFileBytes = 1 << 20;
-// An unknown key is taken for a misspelling of a key this near.
+// An unknown key within this edit distance of a declared key is taken for a
+// misspelling of it.
 constexpr std::size_t kMaxSuggestionDistance = 3;
 constexpr std::string_view kDurationSuffix = "_ms";
 constexpr std::string_view kSecretSuffix = "_file";
@@ -84,8 +85,8 @@
   return row.back();
 }
 
-// Somebody may write a key itself under a name that the program does not have,
-// also within a table in one line.
+// Returns true if the text suggests a secret: a user may have written one under
+// an unknown key, or within an inline table.
 bool MayHoldSecret(std::string_view text) {
   for (const std::string_view word :
        {"key", "secret", "token", "pass", "credential", "auth", "bearer"}) {
@@ -143,7 +144,7 @@
              const double number = floating != nullptr
                                        ? *floating
                                        : static_cast<double>(*integer);
-             // Written so that NaN is refused.
+             // Every comparison with NaN is false, so NaN is rejected.
              const bool is_inside = number >= range.min && number <= range.max;
              if (!is_inside) {
                return Refusal{SettingErrorKind::kOutOfRange};
--- a/transport/settings_reader.h
+++ b/transport/settings_reader.h
@@ -20,7 +20,7 @@
 
 enum class SettingNeed { kOptional, kRequired };
 
-// Both ends are allowed.
+// Both ends are included.
 struct IntegerRange {
   std::int64_t min = std::numeric_limits<std::int64_t>::min();
   std::int64_t max = std::numeric_limits<std::int64_t>::max();
@@ -78,13 +78,13 @@
            TextRange range,
            std::string_view doc,
            SettingNeed need = SettingNeed::kOptional);
-  // The key must end in `_ms`.
+  // A duration in milliseconds; the key must end in `_ms`.
   void Add(std::string_view key,
            Duration* target,
            DurationRange range,
            std::string_view doc,
            SettingNeed need = SettingNeed::kOptional);
-  // A list of texts.
+  // A list of strings.
   void Add(std::string_view key,
            std::vector<std::string>* target,
            ListRange range,
@@ -130,19 +130,20 @@
                      *target = choices[index].second;
                    });
   }
-  // The key names a file that holds a secret, which ends at the first line
-  // break; it must end in `_file`. A relative path starts at the folder of the
-  // settings file. The range is that of the secret's length.
+  // The value is the path of a file whose first line is the secret; the key
+  // must end in `_file`. A relative path is resolved against the directory of
+  // the settings file. The range applies to the length of the secret.
   void AddSecret(std::string_view key,
                  Secret* target,
                  TextRange range,
                  std::string_view doc,
                  SettingNeed need = SettingNeed::kOptional);
 
-  // Empty when all is well; else no variable has changed.
+  // Returns all errors, or nothing on success. On error, no variable is
+  // changed.
   std::vector<SettingError> ReadFile(const std::string& path);
-  // Like `ReadFile` for a text that is at hand; `file` is for errors and for
-  // the place of relative paths.
+  // Like `ReadFile` for text in memory; `file` is shown in errors and is the
+  // base of relative paths.
   std::vector<SettingError> ReadText(std::string_view text,
                                      const std::string& file);
 
@@ -150,12 +151,12 @@
   void WriteReference(std::ostream& out) const;
 
  private:
-  // Fills a variable once all keys are known to be sound.
+  // Assigns a variable, after all keys have been found valid.
   using Apply = std::function<void()>;
   struct Refusal {
     SettingErrorKind kind;
   };
-  // Checks a value and gives back how to apply it.
+  // Checks a value and returns the function that assigns it.
   using Check = std::function<Result<Apply, Refusal>(const SettingValue&,
                                                      const std::string&)>;
   struct Declaration {
