--- a/programs/daemon/daemon_command_line.cc
+++ b/programs/daemon/daemon_command_line.cc
@@ -11,20 +11,21 @@
 namespace options = boost::program_options;
 
 constexpr std::string_view kExitCodes =
-    "\nExit codes: 0 stopped as planned, 2 wrong command line, 3 wrong "
-    "settings,\n"
-    "4 an address cannot be listened on.\n";
+    "\nExit codes: 0 success or planned stop, 2 invalid command line,\n"
+    "3 invalid settings, "
+    "4 cannot listen on an address.\n";
 
 options::options_description DescribeOptions(const std::string& name) {
   options::options_description description(name);
-  description.add_options()("help,h", "show this help")(
+  description.add_options()("help,h", "print this help and exit")(
       "settings", options::value<std::string>(),
-      "settings file; runs the daemon")(
+      "run the daemon with this settings file")(
       "settings-from", options::value<std::string>(),
-      "the same, with its path in this environment variable")(
+      "run the daemon with the settings file whose path is in this "
+      "environment variable")(
       "check-settings", options::value<std::string>(),
-      "check the settings file and end")("settings-reference",
-                                         "print all keys as a Markdown table");
+      "check this settings file, print all errors and exit")(
+      "settings-reference", "print all settings as a Markdown table and exit");
   return description;
 }
 
@@ -35,7 +36,7 @@
     PrintSettingErrors(errors);
     return DaemonExit::kWrongSettings;
   }
-  std::cout << file << ": all settings are sound\n";
+  std::cout << file << ": all settings are valid\n";
   return DaemonExit::kStoppedAsPlanned;
 }
 
@@ -76,13 +77,15 @@
     const auto& variable = values["settings-from"].as<std::string>();
     const char* const path = std::getenv(variable.c_str());
     if (path == nullptr) {
-      std::cerr << "the environment variable " << variable << " is not set\n";
+      std::cerr << "environment variable " << variable
+                << " is not set; --settings-from needs a variable that holds "
+                   "the path of a settings file\n";
       return DaemonExit::kWrongCommandLine;
     }
     return program.run(path);
   }
   if (values.count("settings") == 0) {
-    std::cerr << "--settings is missing\n\n"
+    std::cerr << "no settings file given; use --settings or --settings-from\n\n"
               << description << program.examples << kExitCodes;
     return DaemonExit::kWrongCommandLine;
   }
--- a/programs/gcw_gateway/main.cc
+++ b/programs/gcw_gateway/main.cc
@@ -18,8 +18,9 @@
     "  gcw-gateway --settings-from GOLDCRESTWEIR_BOOT\n"
     "  gcw-gateway --check-settings gateway.toml\n"
     "  gcw-gateway --settings-reference\n\n"
-    "SIGTERM and SIGINT begin a planned stop; SIGHUP checks the settings "
-    "file.\n";
+    "SIGTERM and SIGINT begin a planned stop. SIGHUP checks the settings "
+    "file\nand logs the number of errors; changes apply only after a "
+    "restart.\n";
 
 std::string_view ListenerName(gcw::GatewayListener listener) {
   switch (listener) {
@@ -54,8 +55,10 @@
   std::signal(SIGPIPE, SIG_IGN);
   auto started = gcw::GatewayProcess::Start(std::move(std::get<0>(read)));
   if (const auto* error = std::get_if<gcw::GatewayListenError>(&started)) {
-    std::cerr << "cannot listen for " << ListenerName(error->listener)
-              << "; is the address taken or not this machine's?\n";
+    std::cerr << "cannot listen on the address of the setting listen."
+              << ListenerName(error->listener)
+              << ": it is already in use, is not an address of this machine or "
+                 "may not be used by this user\n";
     return gcw::DaemonExit::kCannotListen;
   }
   std::get<0>(started)->Run(file);
--- a/programs/gcw_node/main.cc
+++ b/programs/gcw_node/main.cc
@@ -20,8 +20,10 @@
     "  gcw-node --settings node.toml\n"
     "  gcw-node --check-settings node.toml\n"
     "  gcw-node --settings-reference\n\n"
-    "SIGTERM and SIGINT begin a planned stop: the node leaves the answers to\n"
-    "callers at once, serves until they have moved on, and ends.\n";
+    "SIGTERM and SIGINT begin a planned stop: the node is no longer announced "
+    "to\ncallers, serves requests until callers have moved to other nodes, and "
+    "exits.\nSIGHUP checks the settings file and logs the number of errors; "
+    "changes apply\nonly after a restart.\n";
 
 std::string_view ListenerName(gcw::NodeListener listener) {
   switch (listener) {
@@ -76,8 +78,11 @@
   const sigset_t signals = BlockSignals();
   auto started = gcw::NodeProcess::Start(std::move(std::get<0>(read)));
   if (const auto* error = std::get_if<gcw::NodeStartError>(&started)) {
-    std::cerr << "cannot listen for " << ListenerName(error->listener)
-              << "; is the address taken or not this machine's?\n";
+    std::cerr
+        << "cannot listen on the IP address and port of the settings table "
+        << ListenerName(error->listener)
+        << ": they are already in use, the IP address is not one of this "
+           "machine or the port may not be used by this user\n";
     return gcw::DaemonExit::kCannotListen;
   }
   gcw::NodeProcess& node = *std::get<0>(started);
--- a/programs/gcw_node/node_settings.cc
+++ b/programs/gcw_node/node_settings.cc
@@ -241,7 +241,7 @@
         std::to_string(lease.time_to_live.millis()),
         "at least renew_interval_ms plus margin_ms plus " +
             std::to_string((order.timeout + order.margin).millis()) +
-            ", so that an order can leave at any time between two "
+            " ms, so that an order can be sent at any time between two "
             "renewals"));
   }
   // The secret is sent to other nodes in a header, which allows only printable
--- a/transport/settings_reader.cc
+++ b/transport/settings_reader.cc
@@ -184,7 +184,7 @@
                          std::string_view doc,
                          SettingNeed need) {
   if (!key.ends_with(kDurationSuffix)) {
-    RefuseDeclaration(key, "a span of time whose key ends in _ms");
+    RefuseDeclaration(key, "the key of a duration must end in _ms");
   }
   AddInteger(key, target->millis(), {range.min.millis(), range.max.millis()},
              doc, need, [target](std::int64_t number) {
@@ -222,7 +222,7 @@
                                std::string_view doc,
                                SettingNeed need) {
   if (!key.ends_with(kSecretSuffix)) {
-    RefuseDeclaration(key, "a secret whose key ends in _file");
+    RefuseDeclaration(key, "the key of a secret must end in _file");
   }
   Declare({std::string(key), "path of a file",
            "a file whose first line has " +
@@ -323,7 +323,7 @@
 
 void SettingsReader::Declare(Declaration declaration) {
   if (Find(declaration.key) != nullptr) {
-    RefuseDeclaration(declaration.key, "a key is declared once");
+    RefuseDeclaration(declaration.key, "the key is declared more than once");
     return;
   }
   declarations_.push_back(std::move(declaration));
@@ -365,7 +365,7 @@
                        });
   if (nearest == declarations_.end() ||
       distance(*nearest) > kMaxSuggestionDistance) {
-    return "docs/SETTINGS.md lists the keys";
+    return "see docs/SETTINGS.md for all keys";
   }
   return "is " + nearest->key + " meant?";
 }
@@ -376,7 +376,7 @@
     SettingError error;
     error.kind = SettingErrorKind::kFileUnreadable;
     error.file = path;
-    error.allowed = "a readable file of at most " +
+    error.allowed = "must be a readable regular file of at most " +
                     std::to_string(kMaxFileBytes) + " bytes";
     return {std::move(error)};
   }
