--- a/programs/daemon/daemon_command_line.cc
+++ b/programs/daemon/daemon_command_line.cc
@@ -29,15 +29,15 @@
   return description;
 }
 
-DaemonExit CheckSettings(const DaemonProgram& program,
-                         const std::string& file) {
+DaemonExitCode CheckSettings(const DaemonProgram& program,
+                             const std::string& file) {
   const std::vector<SettingError> errors = program.check(file);
   if (!errors.empty()) {
     PrintSettingErrors(errors);
-    return DaemonExit::kWrongSettings;
+    return DaemonExitCode::kInvalidSettings;
   }
   std::cout << file << ": all settings are valid\n";
-  return DaemonExit::kStoppedAsPlanned;
+  return DaemonExitCode::kSuccess;
 }
 
 }  // namespace
@@ -48,9 +48,9 @@
   }
 }
 
-DaemonExit RunDaemonProgram(const DaemonProgram& program,
-                            int argc,
-                            char** argv) {
+DaemonExitCode RunDaemonProgram(const DaemonProgram& program,
+                                int argc,
+                                char** argv) {
   const options::options_description description =
       DescribeOptions(program.name);
   options::variables_map values;
@@ -60,15 +60,15 @@
   } catch (const options::error& error) {
     std::cerr << error.what() << "\n\n"
               << description << program.examples << kExitCodes;
-    return DaemonExit::kWrongCommandLine;
+    return DaemonExitCode::kInvalidCommandLine;
   }
   if (values.count("help") > 0) {
     std::cout << description << '\n' << program.examples << kExitCodes;
-    return DaemonExit::kStoppedAsPlanned;
+    return DaemonExitCode::kSuccess;
   }
   if (values.count("settings-reference") > 0) {
     program.write_reference(std::cout);
-    return DaemonExit::kStoppedAsPlanned;
+    return DaemonExitCode::kSuccess;
   }
   if (values.count("check-settings") > 0) {
     return CheckSettings(program, values["check-settings"].as<std::string>());
@@ -80,14 +80,14 @@
       std::cerr << "environment variable " << variable
                 << " is not set; --settings-from needs a variable that holds "
                    "the path of a settings file\n";
-      return DaemonExit::kWrongCommandLine;
+      return DaemonExitCode::kInvalidCommandLine;
     }
     return program.run(path);
   }
   if (values.count("settings") == 0) {
     std::cerr << "no settings file given; use --settings or --settings-from\n\n"
               << description << program.examples << kExitCodes;
-    return DaemonExit::kWrongCommandLine;
+    return DaemonExitCode::kInvalidCommandLine;
   }
   return program.run(values["settings"].as<std::string>());
 }
--- a/programs/daemon/daemon_command_line.h
+++ b/programs/daemon/daemon_command_line.h
@@ -11,11 +11,11 @@
 
 namespace gcw {
 
-enum class DaemonExit {
-  kStoppedAsPlanned = 0,
-  kWrongCommandLine = 2,
-  kWrongSettings = 3,
-  kCannotListen = 4,
+enum class DaemonExitCode {
+  kSuccess = 0,
+  kInvalidCommandLine = 2,
+  kInvalidSettings = 3,
+  kListenFailed = 4,
 };
 
 // The parts of the command line that differ between daemons.
@@ -24,7 +24,7 @@
   // Examples and a description of the signals, for --help.
   std::string_view examples;
   // Runs the daemon with the settings file until it stops.
-  std::function<DaemonExit(const std::string& settings_file)> run;
+  std::function<DaemonExitCode(const std::string& settings_file)> run;
   // Returns the errors of a settings file.
   std::function<std::vector<SettingError>(const std::string& settings_file)>
       check;
@@ -37,9 +37,9 @@
 // Parses and executes the command line of a daemon: --settings FILE,
 // --settings-from VARIABLE, --check-settings FILE, --settings-reference or
 // --help.
-DaemonExit RunDaemonProgram(const DaemonProgram& program,
-                            int argc,
-                            char** argv);
+DaemonExitCode RunDaemonProgram(const DaemonProgram& program,
+                                int argc,
+                                char** argv);
 
 }  // namespace gcw
 
--- a/programs/daemon/setting_items.cc
+++ b/programs/daemon/setting_items.cc
@@ -2,10 +2,10 @@
 
 namespace gcw {
 
-SettingError MakeItemError(const std::string& file,
-                           std::string_view key,
-                           const std::string& value,
-                           std::string_view allowed) {
+SettingError MakeSettingValueError(const std::string& file,
+                                   std::string_view key,
+                                   const std::string& value,
+                                   std::string_view allowed) {
   SettingError error;
   error.kind = SettingErrorKind::kOutOfRange;
   error.file = file;
--- a/programs/daemon/setting_items.h
+++ b/programs/daemon/setting_items.h
@@ -10,10 +10,10 @@
 
 // Returns the error for a value that has the right type but is invalid;
 // `allowed` describes the valid values. The line is not known at this point.
-SettingError MakeItemError(const std::string& file,
-                           std::string_view key,
-                           const std::string& value,
-                           std::string_view allowed);
+SettingError MakeSettingValueError(const std::string& file,
+                                   std::string_view key,
+                                   const std::string& value,
+                                   std::string_view allowed);
 
 }  // namespace gcw
 
--- a/programs/gcw_gateway/gateway_process.cc
+++ b/programs/gcw_gateway/gateway_process.cc
@@ -18,7 +18,7 @@
 constexpr int kThreads = 1;
 
 // The limit of the buffer for log lines while nobody reads standard output.
-constexpr std::size_t kMaxHeldLogBytes = 256UL * 1024;
+constexpr std::size_t kMaxBufferedLogBytes = 256UL * 1024;
 
 std::string_view LogClassName(LogClass log_class) {
   switch (log_class) {
@@ -32,7 +32,7 @@
   return "unknown";
 }
 
-void LogLeftOut(LogClass log_class, std::int64_t left_out) {
+void LogDroppedLines(LogClass log_class, std::int64_t left_out) {
   LogEvent(
       LogSeverity::kWarning, "log_lines_left_out",
       {{"class", std::string(LogClassName(log_class))}, {"lines", left_out}});
@@ -62,20 +62,20 @@
 
 // Members are initialized in this order and destroyed in reverse order.
 struct GatewayProcess::Parts {
-  explicit Parts(GatewayProcessSettings with_settings)
-      : settings(std::move(with_settings)),
+  explicit Parts(GatewayProcessSettings initial_settings)
+      : settings(std::move(initial_settings)),
         clock(SystemClock()),
-        lines(STDOUT_FILENO, kMaxHeldLogBytes),
+        line_writer(STDOUT_FILENO, kMaxBufferedLogBytes),
         json_log({settings.core.self.id, "gcw-gateway", settings.log_severity,
-                  [this](std::string_view line) { lines.Write(line); }}),
-        budget(settings.log_budget, LogTimelineEvent, LogLeftOut),
+                  [this](std::string_view line) { line_writer.Write(line); }}),
+        budget(settings.log_budget, LogTimelineEvent, LogDroppedLines),
         log(EventLog::Builder()
                 .SetNode(settings.core.self.id)
                 .SetIncarnation(Incarnation(clock().millis()))
                 .SetClock(clock)
                 .SetCapacity(static_cast<std::size_t>(settings.events_kept))
                 .SetObserver([this](const TimelineEvent& event) {
-                  metrics.Observe(event);
+                  metrics.CountEvent(event);
                   budget.Take(event);
                 })
                 .Build()),
@@ -89,11 +89,11 @@
         signals(context, SIGTERM, SIGINT, SIGHUP) {}
 
   void WaitForSignal(const std::string& settings_path);
-  void Reload(const std::string& settings_path) const;
+  void CheckSettingsFile(const std::string& settings_path) const;
 
   GatewayProcessSettings settings;
   Clock clock;
-  LineWriter lines;
+  LineWriter line_writer;
   JsonLog json_log;
   GatewayMetrics metrics;
   LogBudget budget;
@@ -111,7 +111,7 @@
       return;
     }
     if (signal == SIGHUP) {
-      Reload(settings_path);
+      CheckSettingsFile(settings_path);
     } else {
       runtime.BeginStop();
     }
@@ -122,7 +122,8 @@
 // Settings do not change while a node runs: everything that may change comes
 // from the key-value service. A reload only checks the file, so that errors in
 // it are known before the next start.
-void GatewayProcess::Parts::Reload(const std::string& settings_path) const {
+void GatewayProcess::Parts::CheckSettingsFile(
+    const std::string& settings_path) const {
   const auto read = ReadGatewaySettings(settings_path);
   const auto* errors = std::get_if<1>(&read);
   LogEvent(errors != nullptr ? LogSeverity::kError : LogSeverity::kInfo,
@@ -141,11 +142,12 @@
   const GatewayRuntime& runtime = parts->runtime;
   LogEvent(
       LogSeverity::kInfo, "node_started",
-      {{"callers", runtime.AddressOf(GatewayListener::kCallers).value()},
-       {"entries", runtime.AddressOf(GatewayListener::kEntries).value()},
-       {"peers", runtime.AddressOf(GatewayListener::kPeers).value()},
-       {"readiness", runtime.AddressOf(GatewayListener::kReadiness).value()},
-       {"metrics", runtime.AddressOf(GatewayListener::kMetrics).value()},
+      {{"callers", runtime.ListenerAddress(GatewayListener::kCallers).value()},
+       {"entries", runtime.ListenerAddress(GatewayListener::kEntries).value()},
+       {"peers", runtime.ListenerAddress(GatewayListener::kPeers).value()},
+       {"readiness",
+        runtime.ListenerAddress(GatewayListener::kReadiness).value()},
+       {"metrics", runtime.ListenerAddress(GatewayListener::kMetrics).value()},
        {"store", parts->settings.runtime.store.value()}});
   parts->runtime.Start();
   return std::unique_ptr<GatewayProcess>(new GatewayProcess(std::move(parts)));
--- a/programs/gcw_gateway/gateway_settings.cc
+++ b/programs/gcw_gateway/gateway_settings.cc
@@ -16,13 +16,14 @@
 constexpr TextRange kIdText{1, 64};
 constexpr TextRange kAddressText{3, 64};
 constexpr ListRange kAnyList{0, 64};
-constexpr DurationRange kShortSpan{Duration::Millis(10), Duration::Seconds(60)};
+constexpr DurationRange kShortDuration{Duration::Millis(10),
+                                       Duration::Seconds(60)};
 // The range of settings that the platform sets. A node must start with any
 // value that the platform chooses.
-constexpr DurationRange kPlatformBound{Duration(), Duration::Seconds(86400)};
+constexpr DurationRange kPlatformDuration{Duration(), Duration::Seconds(86400)};
 
 // The weight of a node that has a whole processor core; the lowest weight is 1.
-constexpr double kWeightOfCore = 100;
+constexpr double kWeightPerCore = 100;
 
 // Values that are parsed or combined after the file has been read.
 struct RawSettings {
@@ -75,77 +76,82 @@
                   SettingsReader& reader) {
   reader.Add("store.address", &settings.runtime.store, kAddressText,
              "Address of the key-value service.", SettingNeed::kRequired);
-  reader.Add("store.timeout_ms", &settings.runtime.store_timeout, kShortSpan,
+  reader.Add("store.timeout_ms", &settings.runtime.store_timeout,
+             kShortDuration,
              "Longest wait for an answer of the key-value service.");
   StoreMirrorSettings& mirror = settings.core.mirror;
-  reader.Add("store.watch_interval_ms", &mirror.watch_interval, kShortSpan,
+  reader.Add("store.watch_interval_ms", &mirror.watch_interval, kShortDuration,
              "Time between two watches at least.");
   reader.Add("store.fleet_watches_per_second", &mirror.fleet_watches_per_second,
              NumberRange{0.1, 10000},
              "Watches of all nodes together; with more nodes each one waits "
              "longer between two.");
-  reader.Add("store.watch_wait_ms", &mirror.watch_wait, kShortSpan,
+  reader.Add("store.watch_wait_ms", &mirror.watch_wait, kShortDuration,
              "How long the key-value service may hold a watch, at least.");
   reader.Add("store.leaving_known_within_ms", &raw.leaving_known_within,
-             kPlatformBound,
+             kPlatformDuration,
              "So long after an endpoint's leaving was accepted, nothing more "
              "may be sent to it.");
   reader.Add("store.configuration_known_within_ms",
-             &raw.configuration_known_within, kPlatformBound,
+             &raw.configuration_known_within, kPlatformDuration,
              "So long after a configuration was accepted it must be in force.");
-  reader.Add("store.repeat_margin_ms", &mirror.repeat_margin, kShortSpan,
+  reader.Add("store.repeat_margin_ms", &mirror.repeat_margin, kShortDuration,
              "Left of both for an answer that never came and the next call.");
-  reader.Add("store.away_after_ms", &mirror.away_after, kShortSpan,
+  reader.Add("store.away_after_ms", &mirror.away_after, kShortDuration,
              "An answer overdue by so much: other nodes are asked.");
-  reader.Add("store.lapse_grace_ms", &mirror.lapse_grace, kShortSpan,
+  reader.Add("store.lapse_grace_ms", &mirror.lapse_grace, kShortDuration,
              "How long entries that vanish right after an outage are kept.");
   reader.Add("store.followers", &mirror.followers, IntegerRange{0, 10000},
              "Nodes of a data centre that learn of changes from one that "
              "watches the service; 0: each node watches it.");
   reader.Add("store.follow_from", &mirror.follow_from, IntegerRange{1, 10000},
              "In a data centre with fewer nodes each one watches it.");
-  reader.Add("store.follow_wait_ms", &mirror.follow_wait, kShortSpan,
+  reader.Add("store.follow_wait_ms", &mirror.follow_wait, kShortDuration,
              "How long such a node's question waits for a change.");
-  reader.Add("store.follow_timeout_ms", &mirror.follow_timeout, kShortSpan,
+  reader.Add("store.follow_timeout_ms", &mirror.follow_timeout, kShortDuration,
              "An answer overdue by so much: the node watches the service.");
-  reader.Add("store.follow_avoid_ms", &mirror.follow_avoid, kShortSpan,
+  reader.Add("store.follow_avoid_ms", &mirror.follow_avoid, kShortDuration,
              "How long a node that could not tell is not asked again.");
   NodeLeaseSettings& lease = settings.core.lease;
-  reader.Add("lease.time_to_live_ms", &lease.time_to_live, kShortSpan,
+  reader.Add("lease.time_to_live_ms", &lease.time_to_live, kShortDuration,
              "Life of the node's lease without a renewal.");
-  reader.Add("lease.renew_interval_ms", &lease.renew_interval, kShortSpan,
+  reader.Add("lease.renew_interval_ms", &lease.renew_interval, kShortDuration,
              "Time between renewals of the node's lease.");
-  reader.Add("lease.margin_ms", &lease.margin, kShortSpan,
+  reader.Add("lease.margin_ms", &lease.margin, kShortDuration,
              "Time before its end from which the lease is not relied on.");
 }
 
 void DeclareRequests(GatewayProcessSettings& settings, SettingsReader& reader) {
-  reader.Add("callers.entries_keep_ms", &settings.core.entries_keep, kShortSpan,
+  reader.Add("callers.entries_keep_ms", &settings.core.entries_keep,
+             kShortDuration,
              "How long callers may keep the list of addresses.");
   reader.Add("callers.retry_after_ms", &settings.core.requests.retry_after,
-             kShortSpan, "When refused callers should come back, on average.");
+             kShortDuration,
+             "When refused callers should come back, on average.");
   reader.Add("stop.grace_ms", &settings.core.stop_grace,
              {Duration::Seconds(1), Duration::Seconds(3600)},
              "After so long the platform ends a node that was told to stop.");
   reader.Add("stop.refuses_after_ms", &settings.core.stop_refuses_after,
-             kShortSpan,
+             kShortDuration,
              "A node that was told to stop takes requests for so long.");
-  reader.Add("stop.quiet_after_ms", &settings.core.stop_quiet_after, kShortSpan,
+  reader.Add("stop.quiet_after_ms", &settings.core.stop_quiet_after,
+             kShortDuration,
              "After so long such a node ends once no request is open.");
   ForwardExchangeSettings& exchange = settings.runtime.exchange;
   reader.Add("endpoints.connect_timeout_ms", &exchange.connect_timeout,
-             kShortSpan, "Longest wait for a connection to an endpoint.");
-  reader.Add("endpoints.service_silence_ms", &exchange.service_silence,
-             kShortSpan,
+             kShortDuration, "Longest wait for a connection to an endpoint.");
+  reader.Add("endpoints.service_silence_ms", &exchange.service_idle_timeout,
+             kShortDuration,
              "A plain service without a byte for so long is given up on where "
              "the request may be repeated.");
   ReplicaSelectorSettings& selector = settings.core.selector;
-  reader.Add("routing.silence_limit_ms", &selector.silence_limit, kShortSpan,
+  reader.Add("routing.silence_limit_ms", &selector.silence_limit,
+             kShortDuration,
              "A group whose running streams give nothing for so long stands "
              "still.");
   reader.Add("routing.first_event_limit_ms", &selector.first_event_limit,
-             kShortSpan, "The same before a stream's first event.");
-  reader.Add("routing.witness_wait_ms", &selector.witness_wait, kShortSpan,
+             kShortDuration, "The same before a stream's first event.");
+  reader.Add("routing.witness_wait_ms", &selector.witness_wait, kShortDuration,
              "How long other nodes may take to say that a silent group goes on "
              "for them.");
   reader.Add("routing.other_zone_ms", &selector.other_zone_ms,
@@ -174,25 +180,25 @@
              "part of the objective.");
   reader.Add("deferral.least_window", &deferral.least_window,
              NumberRange{1, 1e6}, "Never fewer than so many.");
-  reader.Add("deferral.rate_span_ms", &deferral.rate_span, kShortSpan,
+  reader.Add("deferral.rate_span_ms", &deferral.rate_span, kShortDuration,
              "Span over which beginnings are counted.");
   SharedRetryBudgetSettings& retries = settings.core.retries;
   reader.Add("retries.ratio", &retries.ratio, NumberRange{0, 10},
              "Second sends of all nodes as a share of the requests.");
   reader.Add("retries.slack", &retries.slack, NumberRange{0, 1e6},
              "Second sends of all nodes beyond that share.");
-  reader.Add("retries.window_ms", &retries.window, kShortSpan,
+  reader.Add("retries.window_ms", &retries.window, kShortDuration,
              "Span over which both are counted.");
 }
 
 void DeclareGroups(GatewayProcessSettings& settings, SettingsReader& reader) {
   FleetKeeperSettings& keeper = settings.core.keeper;
-  reader.Add("groups.drain_limit_ms", &keeper.drain_limit, kShortSpan,
+  reader.Add("groups.drain_limit_ms", &keeper.drain_limit, kShortDuration,
              "How long a group that is closed by plan may run what it has.");
   reader.Add("groups.form_limit_ms", &keeper.form_limit,
              {Duration::Seconds(1), Duration::Seconds(3600)},
              "A group that is not whole by then is given up.");
-  reader.Add("groups.order_timeout_ms", &keeper.order_timeout, kShortSpan,
+  reader.Add("groups.order_timeout_ms", &keeper.order_timeout, kShortDuration,
              "Longest wait for an engine's answer to an order.");
   reader.Add("groups.expected_life_ms", &keeper.planner.expected_life,
              {Duration::Seconds(1), Duration::Seconds(3600)},
@@ -228,13 +234,14 @@
              {Duration::Millis(10), Duration::Seconds(3600)},
              "How long VMs of a group that is given up for another model's are "
              "expected to serve nobody; the longer, the fewer are.");
-  reader.Add("groups.regroup_interval_ms", &keeper.regroup_interval, kShortSpan,
-             "Time between two such changes of one domain.");
+  reader.Add("groups.regroup_interval_ms", &keeper.regroup_interval,
+             kShortDuration, "Time between two such changes of one domain.");
   reader.Add("groups.regroup_drain_limit_ms", &keeper.regroup_drain_limit,
-             kShortSpan, "How long such a group may run what it has.");
-  reader.Add("groups.demand_interval_ms", &keeper.demand_interval, kShortSpan,
+             kShortDuration, "How long such a group may run what it has.");
+  reader.Add("groups.demand_interval_ms", &keeper.demand_interval,
+             kShortDuration,
              "Time between two groups that are asked for their load.");
-  reader.Add("groups.demand_memory_ms", &keeper.demand.memory, kShortSpan,
+  reader.Add("groups.demand_memory_ms", &keeper.demand.memory, kShortDuration,
              "Time constant of the mean load of a model's groups.");
   reader.Add("groups.shortage_fill", &keeper.demand.shortage_fill,
              NumberRange{0.01, 1000},
@@ -252,11 +259,11 @@
                                 "Lowest severity that is logged.");
   LogBudgetSettings& budget = settings.log_budget;
   constexpr IntegerRange kLines{0, 100000};
-  reader.Add("log.belief_lines", &budget.belief_lines, kLines,
+  reader.Add("log.belief_lines", &budget.state_change_lines, kLines,
              "Lines a second for changes of what the node believes.");
-  reader.Add("log.trouble_lines", &budget.trouble_lines, kLines,
+  reader.Add("log.trouble_lines", &budget.request_failure_lines, kLines,
              "Lines a second for requests refused, failed or moved.");
-  reader.Add("log.success_lines", &budget.success_lines, kLines,
+  reader.Add("log.success_lines", &budget.request_progress_lines, kLines,
              "Lines a second for other decisions on requests.");
 }
 
@@ -271,12 +278,12 @@
   DeclareLogging(settings, reader);
 }
 
-std::optional<GatewayListen> ParseListen(const std::string& text) {
+std::optional<GatewayListenAddress> ParseListen(const std::string& text) {
   const std::size_t colon = text.rfind(':');
   if (colon == std::string::npos || colon == 0) {
     return std::nullopt;
   }
-  GatewayListen listen;
+  GatewayListenAddress listen;
   listen.ip = text.substr(0, colon);
   const char* const end = text.data() + text.size();
   const auto read = std::from_chars(text.data() + colon + 1, end, listen.port);
@@ -286,42 +293,44 @@
   return listen;
 }
 
-std::vector<SettingError> ReadItems(const std::string& path,
-                                    const RawSettings& raw,
-                                    GatewayProcessSettings& settings) {
+std::vector<SettingError> ParseRawSettings(const std::string& path,
+                                           const RawSettings& raw,
+                                           GatewayProcessSettings& settings) {
   std::vector<SettingError> errors;
-  struct Place {
+  struct ListenKey {
     std::string_view key;
     const std::string* text;
-    GatewayListen* listen;
+    GatewayListenAddress* listen;
   };
   GatewayRuntimeSettings& runtime = settings.runtime;
-  const std::array<Place, 5> places = {{
+  const std::array<ListenKey, 5> listen_keys = {{
       {"listen.callers", &raw.callers, &runtime.callers},
       {"listen.readiness", &raw.readiness, &runtime.readiness},
       {"listen.entries", &raw.entries, &runtime.entries},
       {"listen.peers", &raw.peers, &runtime.peers},
       {"listen.metrics", &raw.metrics, &runtime.metrics},
   }};
-  for (const Place& place : places) {
-    if (place.text->empty()) {
+  for (const ListenKey& listen_key : listen_keys) {
+    if (listen_key.text->empty()) {
       continue;
     }
-    if (const auto listen = ParseListen(*place.text)) {
-      *place.listen = *listen;
+    if (const auto listen = ParseListen(*listen_key.text)) {
+      *listen_key.listen = *listen;
     } else {
-      errors.push_back(MakeItemError(path, place.key, *place.text, "ip:port"));
+      errors.push_back(MakeSettingValueError(path, listen_key.key,
+                                             *listen_key.text, "ip:port"));
     }
   }
   for (const std::string& seed : raw.seeds) {
     if (ParseListen(seed)) {
       settings.core.seeds.emplace_back(seed);
     } else {
-      errors.push_back(MakeItemError(path, "peers.seeds", seed, "ip:port"));
+      errors.push_back(
+          MakeSettingValueError(path, "peers.seeds", seed, "ip:port"));
     }
   }
   settings.core.self.weight = std::max<std::int64_t>(
-      1, std::llround(kWeightOfCore * raw.processor_share));
+      1, std::llround(kWeightPerCore * raw.processor_share));
   settings.core.mirror.known_within =
       std::min(raw.leaving_known_within, raw.configuration_known_within);
   settings.core.self.caller_address = Address(raw.callers);
@@ -331,18 +340,18 @@
 }
 
 // Reports values that are each in range but contradict each other.
-std::vector<SettingError> CheckTogether(
+std::vector<SettingError> CheckConsistency(
     const std::string& path,
     const GatewayProcessSettings& settings) {
   const NodeLeaseSettings& lease = settings.core.lease;
   if (lease.renew_interval * 2 + lease.margin <= lease.time_to_live) {
     return {};
   }
-  return {
-      MakeItemError(path, "lease.time_to_live_ms",
-                    std::to_string(lease.time_to_live.millis()),
-                    "at least twice renew_interval_ms plus margin_ms, so that "
-                    "one lost renewal does not end the lease")};
+  return {MakeSettingValueError(
+      path, "lease.time_to_live_ms",
+      std::to_string(lease.time_to_live.millis()),
+      "at least twice renew_interval_ms plus margin_ms, so that "
+      "one lost renewal does not end the lease")};
 }
 
 }  // namespace
@@ -355,10 +364,10 @@
   DeclareAll(settings, raw, reader);
   std::vector<SettingError> errors = reader.ReadFile(path);
   if (errors.empty()) {
-    errors = ReadItems(path, raw, settings);
+    errors = ParseRawSettings(path, raw, settings);
   }
   if (errors.empty()) {
-    errors = CheckTogether(path, settings);
+    errors = CheckConsistency(path, settings);
   }
   if (!errors.empty()) {
     return errors;
--- a/programs/gcw_gateway/main.cc
+++ b/programs/gcw_gateway/main.cc
@@ -38,17 +38,17 @@
   return "unknown";
 }
 
-std::vector<gcw::SettingError> CheckGateway(const std::string& file) {
+std::vector<gcw::SettingError> CheckGatewaySettings(const std::string& file) {
   const auto read = gcw::ReadGatewaySettings(file);
   const auto* errors = std::get_if<1>(&read);
   return errors == nullptr ? std::vector<gcw::SettingError>() : *errors;
 }
 
-gcw::DaemonExit RunGateway(const std::string& file) {
+gcw::DaemonExitCode RunGateway(const std::string& file) {
   auto read = gcw::ReadGatewaySettings(file);
   if (const auto* errors = std::get_if<1>(&read)) {
     gcw::PrintSettingErrors(*errors);
-    return gcw::DaemonExit::kWrongSettings;
+    return gcw::DaemonExitCode::kInvalidSettings;
   }
   // Without this, a write to a broken connection would end the process instead
   // of failing.
@@ -59,17 +59,17 @@
               << ListenerName(error->listener)
               << ": it is already in use, is not an address of this machine or "
                  "may not be used by this user\n";
-    return gcw::DaemonExit::kCannotListen;
+    return gcw::DaemonExitCode::kListenFailed;
   }
   std::get<0>(started)->Run(file);
-  return gcw::DaemonExit::kStoppedAsPlanned;
+  return gcw::DaemonExitCode::kSuccess;
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  return static_cast<int>(
-      gcw::RunDaemonProgram({"gcw-gateway", kExamples, RunGateway, CheckGateway,
-                             gcw::WriteGatewaySettingsReference},
-                            argc, argv));
+  return static_cast<int>(gcw::RunDaemonProgram(
+      {"gcw-gateway", kExamples, RunGateway, CheckGatewaySettings,
+       gcw::WriteGatewaySettingsReference},
+      argc, argv));
 }
--- a/programs/gcw_node/main.cc
+++ b/programs/gcw_node/main.cc
@@ -53,7 +53,7 @@
   return signals;
 }
 
-std::vector<gcw::SettingError> CheckNode(const std::string& file) {
+std::vector<gcw::SettingError> CheckNodeSettings(const std::string& file) {
   const auto read = gcw::ReadNodeSettings(file);
   const auto* errors = std::get_if<1>(&read);
   return errors == nullptr ? std::vector<gcw::SettingError>() : *errors;
@@ -61,19 +61,19 @@
 
 // Checks the settings file without applying it, because settings do not change
 // while a node runs. Errors in the file are thus known before the next start.
-void CheckAgain(const std::string& file) {
-  const std::vector<gcw::SettingError> errors = CheckNode(file);
+void LogSettingsCheck(const std::string& file) {
+  const std::vector<gcw::SettingError> errors = CheckNodeSettings(file);
   gcw::LogEvent(
       errors.empty() ? gcw::LogSeverity::kInfo : gcw::LogSeverity::kError,
       "settings_checked",
       {{"errors", static_cast<std::int64_t>(errors.size())}});
 }
 
-gcw::DaemonExit RunNode(const std::string& file) {
+gcw::DaemonExitCode RunNode(const std::string& file) {
   auto read = gcw::ReadNodeSettings(file);
   if (const auto* errors = std::get_if<1>(&read)) {
     gcw::PrintSettingErrors(*errors);
-    return gcw::DaemonExit::kWrongSettings;
+    return gcw::DaemonExitCode::kInvalidSettings;
   }
   const sigset_t signals = BlockSignals();
   auto started = gcw::NodeProcess::Start(std::move(std::get<0>(read)));
@@ -83,28 +83,28 @@
         << ListenerName(error->listener)
         << ": they are already in use, the IP address is not one of this "
            "machine or the port may not be used by this user\n";
-    return gcw::DaemonExit::kCannotListen;
+    return gcw::DaemonExitCode::kListenFailed;
   }
   gcw::NodeProcess& node = *std::get<0>(started);
   // The wait is short because a planned stop may also begin through the
   // operators' port, without a signal.
-  const timespec patience{0, kSignalWaitNanos};
+  const timespec signal_wait{0, kSignalWaitNanos};
   while (!node.stopped()) {
-    const int signal = sigtimedwait(&signals, nullptr, &patience);
+    const int signal = sigtimedwait(&signals, nullptr, &signal_wait);
     if (signal == SIGHUP) {
-      CheckAgain(file);
+      LogSettingsCheck(file);
     } else if (signal > 0) {
       node.BeginStop();
     }
   }
-  return gcw::DaemonExit::kStoppedAsPlanned;
+  return gcw::DaemonExitCode::kSuccess;
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
   return static_cast<int>(
-      gcw::RunDaemonProgram({"gcw-node", kExamples, RunNode, CheckNode,
+      gcw::RunDaemonProgram({"gcw-node", kExamples, RunNode, CheckNodeSettings,
                              gcw::WriteNodeSettingsReference},
                             argc, argv));
 }
--- a/programs/gcw_node/node_process.cc
+++ b/programs/gcw_node/node_process.cc
@@ -18,12 +18,12 @@
 namespace gcw {
 namespace {
 
-constexpr std::int64_t kNever = -1;
+constexpr std::int64_t kNotEnded = -1;
 // After accepting has ended, callers have this long to read the rest of their
 // answers before the process ends.
-constexpr Duration kMostLastAnswers = Duration::Seconds(15);
-constexpr std::size_t kMostCallerConnections = 20000;
-constexpr std::size_t kMostOperatorConnections = 256;
+constexpr Duration kMaxAnswerDrainTime = Duration::Seconds(15);
+constexpr std::size_t kMaxCallerConnections = 20000;
+constexpr std::size_t kMaxOperatorConnections = 256;
 
 template <typename Record>
 std::optional<Record> ValueIfOk(Decoded<Record> decoded) {
@@ -33,7 +33,7 @@
   return std::move(ValueOf(decoded));
 }
 
-NodeCodecs JsonCodecs() {
+NodeCodecs MakeJsonCodecs() {
   NodeCodecs codecs;
   codecs.node_record.encode = EncodeNodeRecord;
   codecs.node_record.decode = [](std::string_view text) {
@@ -68,16 +68,16 @@
   return builder.Build();
 }
 
-Address AddressOf(const ListenSettings& where, std::uint16_t port) {
-  return Address(where.ip + ":" + std::to_string(port));
+Address MakeAddress(const ListenSettings& listen_settings, std::uint16_t port) {
+  return Address(listen_settings.ip + ":" + std::to_string(port));
 }
 
 }  // namespace
 
 // Members are initialized in this order and destroyed in reverse order.
 struct NodeProcess::Parts {
-  explicit Parts(NodeSettings with_settings)
-      : settings(std::move(with_settings)),
+  explicit Parts(NodeSettings initial_settings)
+      : settings(std::move(initial_settings)),
         clock(SystemClock()),
         json_log(
             {settings.core.self.id, "gcw-node", settings.log_severity, {}}),
@@ -89,9 +89,9 @@
         engines(traffic) {}
 
   // Opens all listeners. Returns false and sets `error` on the first failure.
-  bool ListenForAll(NodeStartError& error);
-  bool Listen(const ListenSettings& where,
-              std::size_t most_connections,
+  bool OpenListeners(NodeStartError& error);
+  bool Listen(const ListenSettings& listen_settings,
+              std::size_t connection_limit,
               HttpHandler handler,
               std::unique_ptr<HttpServer>& server,
               ListenErrorKind& error);
@@ -100,9 +100,9 @@
   void StartThreads();
   // Called when the core's planned stop is complete; answers may still be in
   // transmission.
-  void EndServing();
+  void OnStopComplete();
   // Prints the node's addresses to standard output as a JSON line.
-  void Announce() const;
+  void PrintAddresses() const;
 
   NodeSettings settings;
   Clock clock;
@@ -128,17 +128,17 @@
   std::unique_ptr<HttpServer> caller_server;
   std::unique_ptr<HttpServer> operator_server;
   std::vector<std::thread> threads;
-  // When the node stopped accepting connections; kNever before that.
-  std::atomic<std::int64_t> accepting_ended_ms = kNever;
+  // When the node stopped accepting connections; kNotEnded before that.
+  std::atomic<std::int64_t> accepting_ended_ms = kNotEnded;
 };
 
 // The servers are created before the core, because the core announces their
 // ports. Their handlers may use parts that are built later: none runs before
 // the threads start.
-bool NodeProcess::Parts::ListenForAll(NodeStartError& error) {
+bool NodeProcess::Parts::OpenListeners(NodeStartError& error) {
   error.listener = NodeListener::kCallers;
   if (!Listen(
-          settings.caller_listen, kMostCallerConnections,
+          settings.caller_listen, kMaxCallerConnections,
           [this](HttpRequest request,
                  const std::shared_ptr<HttpResponder>& responder) {
             callers->Handle(std::move(request), responder);
@@ -148,7 +148,7 @@
   }
   error.listener = NodeListener::kOperators;
   if (!Listen(
-          settings.operator_listen, kMostOperatorConnections,
+          settings.operator_listen, kMaxOperatorConnections,
           [this](const HttpRequest& request,
                  const std::shared_ptr<HttpResponder>& responder) {
             operators->Handle(request, responder);
@@ -177,16 +177,17 @@
   return true;
 }
 
-bool NodeProcess::Parts::Listen(const ListenSettings& where,
-                                std::size_t most_connections,
+bool NodeProcess::Parts::Listen(const ListenSettings& listen_settings,
+                                std::size_t connection_limit,
                                 HttpHandler handler,
                                 std::unique_ptr<HttpServer>& server,
                                 ListenErrorKind& error) {
   HttpServerLimits limits;
-  limits.max_connections = most_connections;
-  auto listening = HttpServer::Listen(traffic, where.ip,
-                                      static_cast<std::uint16_t>(where.port),
-                                      limits, std::move(handler));
+  limits.max_connections = connection_limit;
+  auto listening =
+      HttpServer::Listen(traffic, listen_settings.ip,
+                         static_cast<std::uint16_t>(listen_settings.port),
+                         limits, std::move(handler));
   if (!IsOk(listening)) {
     error = ErrorOf(listening).kind;
     return false;
@@ -198,13 +199,13 @@
 void NodeProcess::Parts::BuildCore() {
   NodeRecord& self = settings.core.self;
   self.caller_address =
-      AddressOf(settings.caller_listen, caller_server->port());
+      MakeAddress(settings.caller_listen, caller_server->port());
   self.operator_address =
-      AddressOf(settings.operator_listen, operator_server->port());
-  self.peer_address = AddressOf(settings.peer_listen, peer_server->port());
+      MakeAddress(settings.operator_listen, operator_server->port());
+  self.peer_address = MakeAddress(settings.peer_listen, peer_server->port());
   core = NodeCore::Builder()
              .SetSettings(settings.core)
-             .SetCodecs(JsonCodecs())
+             .SetCodecs(MakeJsonCodecs())
              .SetRandom(SeededRandom(std::random_device()()))
              .SetEventSink(log.Sink())
              .Build(clock());
@@ -230,7 +231,7 @@
                                               settings.weights, clock);
   runtime = std::make_unique<NodeRuntime>(
       control, *core, log, *executor, node_metrics,
-      NodeRuntime::Hooks{clock, [this] { EndServing(); }});
+      NodeRuntime::Hooks{clock, [this] { OnStopComplete(); }});
   CallerServiceSettings caller_settings = settings.callers;
   caller_settings.id_prefix =
       settings.core.self.id.value() + "-" +
@@ -251,12 +252,12 @@
 // For the core a request ends when its answer is queued. Ending the process at
 // that point would truncate answers to slow callers, so open connections are
 // allowed to finish.
-void NodeProcess::Parts::EndServing() {
+void NodeProcess::Parts::OnStopComplete() {
   caller_server->StopAccepting();
   accepting_ended_ms = clock().millis();
 }
 
-void NodeProcess::Parts::Announce() const {
+void NodeProcess::Parts::PrintAddresses() const {
   const NodeRecord& self = settings.core.self;
   std::cout << boost::json::serialize(boost::json::object{
                    {"node", self.id.value()},
@@ -272,13 +273,13 @@
   settings.core.incarnation = Incarnation(SystemClock()().millis());
   auto parts = std::make_unique<Parts>(std::move(settings));
   NodeStartError error{};
-  if (!parts->ListenForAll(error)) {
+  if (!parts->OpenListeners(error)) {
     return error;
   }
   parts->BuildCore();
   parts->BuildServices();
   parts->StartThreads();
-  parts->Announce();
+  parts->PrintAddresses();
   return std::unique_ptr<NodeProcess>(new NodeProcess(std::move(parts)));
 }
 
@@ -299,12 +300,12 @@
 
 bool NodeProcess::stopped() const {
   const std::int64_t ended = parts_->accepting_ended_ms;
-  if (ended == kNever) {
+  if (ended == kNotEnded) {
     return false;
   }
   const Duration waited = parts_->clock() - Time::FromMillis(ended);
   return parts_->caller_server->open_connections() == 0 ||
-         waited >= kMostLastAnswers;
+         waited >= kMaxAnswerDrainTime;
 }
 
 }  // namespace gcw
--- a/programs/gcw_node/node_settings.cc
+++ b/programs/gcw_node/node_settings.cc
@@ -15,9 +15,10 @@
 constexpr IntegerRange kPort{0, 65535};
 constexpr TextRange kSecretText{16, 512};
 constexpr ListRange kAnyList{0, 64};
-constexpr DurationRange kShortSpan{Duration::Millis(10), Duration::Seconds(60)};
-constexpr DurationRange kLongSpan{Duration::Millis(100),
-                                  Duration::Seconds(24L * 3600)};
+constexpr DurationRange kShortDuration{Duration::Millis(10),
+                                       Duration::Seconds(60)};
+constexpr DurationRange kLongDuration{Duration::Millis(100),
+                                      Duration::Seconds(24L * 3600)};
 
 // Lists whose items are parsed after the file has been read.
 struct RawSettings {
@@ -65,64 +66,65 @@
 void DeclarePlatform(NodeSettings& settings, SettingsReader& reader) {
   reader.Add("store.address", &settings.store, kAddressText,
              "Address of the key-value service.", SettingNeed::kRequired);
-  reader.Add("store.timeout_ms", &settings.store_timeout, kShortSpan,
+  reader.Add("store.timeout_ms", &settings.store_timeout, kShortDuration,
              "Longest wait for an answer of the key-value service.");
   reader.Add("vm_list.address", &settings.vm_list, kAddressText,
              "Address of the VM list.", SettingNeed::kRequired);
   reader.Add("vm_list.interval_ms", &settings.core.endpoints.vm_list_interval,
-             kLongSpan, "Time between reads of the VM list.");
+             kLongDuration, "Time between reads of the VM list.");
   reader.Add("weights.address", &settings.weights, kAddressText,
              "Address of the weight store.", SettingNeed::kRequired);
 }
 
 void DeclareCallers(NodeSettings& settings, SettingsReader& reader) {
-  reader.Add("entries.keep_ms", &settings.core.entries.keep, kLongSpan,
+  reader.Add("entries.keep_ms", &settings.core.entries.keep, kLongDuration,
              "How long callers may keep an answer of GET /v1/entries.");
-  reader.Add("entries.spread_ms", &settings.core.entries.spread_time, kLongSpan,
+  reader.Add("entries.spread_ms", &settings.core.entries.spread_time,
+             kLongDuration,
              "Time until a node's leaving has reached all nodes.");
   reader.Add("callers.connect_timeout_ms", &settings.callers.connect_timeout,
-             kShortSpan, "Longest wait for a connection to an endpoint.");
+             kShortDuration, "Longest wait for a connection to an endpoint.");
   reader.Add("callers.model_progress_timeout_ms",
-             &settings.callers.model_progress_timeout, kShortSpan,
+             &settings.callers.model_progress_timeout, kShortDuration,
              "An engine's stream without a byte for so long is silent.");
   reader.Add("callers.service_progress_timeout_ms",
-             &settings.callers.service_progress_timeout, kShortSpan,
+             &settings.callers.service_progress_timeout, kShortDuration,
              "A plain service without a byte for so long is silent.");
   reader.Add("callers.model_timeout_ms",
-             &settings.callers.default_model_timeout, kLongSpan,
+             &settings.callers.default_model_timeout, kLongDuration,
              "Deadline of model requests that name none.");
   reader.Add("callers.service_timeout_ms",
-             &settings.callers.default_service_timeout, kLongSpan,
+             &settings.callers.default_service_timeout, kLongDuration,
              "Deadline of plain service requests that name none.");
 }
 
 void DeclareControl(NodeSettings& settings, SettingsReader& reader) {
   NodeCoreSettings& core = settings.core;
-  reader.Add("lease.time_to_live_ms", &core.lease.time_to_live, kLongSpan,
+  reader.Add("lease.time_to_live_ms", &core.lease.time_to_live, kLongDuration,
              "Life of the node's lease without a renewal.");
-  reader.Add("lease.renew_interval_ms", &core.lease.renew_interval, kLongSpan,
-             "Time between renewals of the node's lease.");
-  reader.Add("lease.margin_ms", &core.lease.margin, kLongSpan,
+  reader.Add("lease.renew_interval_ms", &core.lease.renew_interval,
+             kLongDuration, "Time between renewals of the node's lease.");
+  reader.Add("lease.margin_ms", &core.lease.margin, kLongDuration,
              "Time before its end from which the lease is not relied on.");
   reader.Add("orders.takeover_wait_ms", &core.keeper.order.takeover_wait,
-             kLongSpan,
+             kLongDuration,
              "Wait of a new keeper before its first order; not less than the "
              "lease's time to live.");
-  reader.Add("membership.period_ms", &core.membership.period, kShortSpan,
+  reader.Add("membership.period_ms", &core.membership.period, kShortDuration,
              "Time between probes of other nodes.");
   reader.Add("gate.max_evidence_age_ms", &core.gate.max_evidence_age,
-             kShortSpan,
+             kShortDuration,
              "A group of this zone closes when the evidence that it is "
              "complete is older.");
   reader.Add("gate.max_remote_evidence_age_ms",
-             &core.gate.max_remote_evidence_age, kShortSpan,
+             &core.gate.max_remote_evidence_age, kShortDuration,
              "The same for groups of other zones.");
   reader.Add("keeper.loss_after_ms", &core.keeper.tracker.loss_after,
-             kShortSpan, "A VM that is silent for so long counts as lost.");
-  reader.Add("keeper.list_lag_ms", &core.keeper.tracker.list_lag, kLongSpan,
+             kShortDuration, "A VM that is silent for so long counts as lost.");
+  reader.Add("keeper.list_lag_ms", &core.keeper.tracker.list_lag, kLongDuration,
              "How far the VM list may lag behind.");
-  reader.Add("keeper.plan_interval_ms", &core.keeper.plan_interval, kShortSpan,
-             "Time between two repair plans.");
+  reader.Add("keeper.plan_interval_ms", &core.keeper.plan_interval,
+             kShortDuration, "Time between two repair plans.");
   reader.Add("repair.group_downtime_weight",
              &core.keeper.planner.weights.group_downtime, NumberRange{0, 1e6},
              "Cost of a second in which a wanted group cannot serve.");
@@ -190,23 +192,24 @@
   return distance;
 }
 
-std::vector<SettingError> ReadItems(const std::string& path,
-                                    const RawSettings& raw,
-                                    NodeSettings& settings) {
+std::vector<SettingError> ParseRawSettings(const std::string& path,
+                                           const RawSettings& raw,
+                                           NodeSettings& settings) {
   std::vector<SettingError> errors;
   for (const std::string& text : raw.seeds) {
     if (std::optional<NodeRecord> seed = ParseSeed(text)) {
       settings.core.seeds.push_back(std::move(*seed));
     } else {
-      errors.push_back(MakeItemError(path, "peers.seeds", text, "id@ip:port"));
+      errors.push_back(
+          MakeSettingValueError(path, "peers.seeds", text, "id@ip:port"));
     }
   }
   for (const std::string& text : raw.zone_distances) {
     if (std::optional<ZoneDistance> distance = ParseDistance(text)) {
       settings.core.router.distances.push_back(std::move(*distance));
     } else {
-      errors.push_back(
-          MakeItemError(path, "zones.distances", text, "zone=milliseconds"));
+      errors.push_back(MakeSettingValueError(path, "zones.distances", text,
+                                             "zone=milliseconds"));
     }
   }
   return errors;
@@ -222,12 +225,12 @@
 
 // Reports values that are each in range but contradict each other, and a peer
 // secret that a header cannot carry.
-std::vector<SettingError> CheckTogether(const std::string& path,
-                                        const NodeSettings& settings) {
+std::vector<SettingError> CheckConsistency(const std::string& path,
+                                           const NodeSettings& settings) {
   std::vector<SettingError> errors;
   const NodeLeaseSettings& lease = settings.core.lease;
   if (lease.renew_interval * 2 + lease.margin > lease.time_to_live) {
-    errors.push_back(MakeItemError(
+    errors.push_back(MakeSettingValueError(
         path, "lease.time_to_live_ms",
         std::to_string(lease.time_to_live.millis()),
         "at least twice renew_interval_ms plus margin_ms, so that one "
@@ -236,7 +239,7 @@
   const OrderSettings& order = settings.core.keeper.order;
   if (lease.time_to_live - lease.margin - lease.renew_interval <
       order.timeout + order.margin) {
-    errors.push_back(MakeItemError(
+    errors.push_back(MakeSettingValueError(
         path, "lease.time_to_live_ms",
         std::to_string(lease.time_to_live.millis()),
         "at least renew_interval_ms plus margin_ms plus " +
@@ -247,14 +250,15 @@
   // The secret is sent to other nodes in a header, which allows only printable
   // ASCII. Any other byte would end the process at its first call to a peer.
   if (!IsHeaderText(settings.peer_secret.Reveal())) {
-    errors.push_back(MakeItemError(path, "peers.secret_file", "(withheld)",
-                                   "printable ASCII characters only"));
+    errors.push_back(MakeSettingValueError(path, "peers.secret_file",
+                                           "(withheld)",
+                                           "printable ASCII characters only"));
   }
   const Duration wait = order.takeover_wait;
   if (wait < lease.time_to_live) {
-    errors.push_back(MakeItemError(path, "orders.takeover_wait_ms",
-                                   std::to_string(wait.millis()),
-                                   "at least lease.time_to_live_ms"));
+    errors.push_back(MakeSettingValueError(path, "orders.takeover_wait_ms",
+                                           std::to_string(wait.millis()),
+                                           "at least lease.time_to_live_ms"));
   }
   return errors;
 }
@@ -271,9 +275,9 @@
   if (!errors.empty()) {
     return errors;
   }
-  errors = ReadItems(path, raw, settings);
+  errors = ParseRawSettings(path, raw, settings);
   if (errors.empty()) {
-    errors = CheckTogether(path, settings);
+    errors = CheckConsistency(path, settings);
   }
   if (!errors.empty()) {
     return errors;
--- a/transport/gateway/forward_exchange.cc
+++ b/transport/gateway/forward_exchange.cc
@@ -28,9 +28,9 @@
       return "refused";
     case ForwardOutcome::kUnknown:
       return "unknown";
-    case ForwardOutcome::kCut:
+    case ForwardOutcome::kTruncated:
       return "cut";
-    case ForwardOutcome::kCallerGone:
+    case ForwardOutcome::kCallerDisconnected:
       return "caller_gone";
   }
   return "none";
@@ -49,33 +49,33 @@
   ForwardRequest request = parts_.dialect->read_request(request_);
   request_id_ = request.id;
   arrived_ = parts_.clock();
-  ForwardBegun begun = parts_.core->OnArrived(arrived_, std::move(request));
-  id_ = begun.id;
+  ForwardBegun started = parts_.core->OnArrived(arrived_, std::move(request));
+  id_ = started.id;
   responder_->OnCallerGone([weak = weak_from_this()] {
     if (const auto self = weak.lock()) {
       self->OnCallerGone();
     }
   });
-  Carry(begun.step);
+  PerformStep(started.step);
   return id_;
 }
 
-void ForwardExchange::Carry(const ForwardStep& step) {
+void ForwardExchange::PerformStep(const ForwardStep& step) {
   if (const auto* send = std::get_if<SendForward>(&step)) {
-    Send(*send);
+    StartAttempt(*send);
   } else if (std::holds_alternative<PassAnswer>(step)) {
-    PassWhole();
+    RespondWithAnswer();
   } else if (const auto* refused = std::get_if<ForwardRefused>(&step)) {
     Respond(parts_.dialect->make_refusal(*refused), ForwardOutcome::kRefused);
   } else if (const auto* unknown = std::get_if<ForwardUnknown>(&step)) {
     Respond(parts_.dialect->make_unknown(*unknown), ForwardOutcome::kUnknown);
   } else {
     responder_->Abort();
-    Finish(ForwardOutcome::kCut, attempt_.head.status);
+    Finish(ForwardOutcome::kTruncated, attempt_.head.status);
   }
 }
 
-void ForwardExchange::Send(const SendForward& send) {
+void ForwardExchange::StartAttempt(const SendForward& send) {
   attempt_ = Attempt();
   attempt_.send = send;
   const int number = ++attempt_number_;
@@ -85,27 +85,27 @@
   options.deadline = send.time_left;
   options.progress_timeout = send.streams || send.fresh_connection
                                  ? send.time_left
-                                 : settings_.service_silence;
+                                 : settings_.service_idle_timeout;
   options.reuse_connection = !send.fresh_connection;
   options.accept_unframed = true;
   HttpCallHandlers handlers;
-  const auto guard = [weak = weak_from_this(), number](auto run) {
+  const auto if_current = [weak = weak_from_this(), number](auto run) {
     const auto self = weak.lock();
-    if (self && !self->over_ && self->attempt_number_ == number) {
+    if (self && !self->finished_ && self->attempt_number_ == number) {
       run(*self);
     }
   };
-  handlers.on_head = [guard](const HttpResponse& head) {
-    guard([&](ForwardExchange& self) { self.OnHead(head); });
+  handlers.on_head = [if_current](const HttpResponse& head) {
+    if_current([&](ForwardExchange& self) { self.OnHead(head); });
   };
-  handlers.on_body = [guard](std::string_view chunk) {
-    guard([&](ForwardExchange& self) { self.OnBody(chunk); });
+  handlers.on_body = [if_current](std::string_view chunk) {
+    if_current([&](ForwardExchange& self) { self.OnBody(chunk); });
   };
-  handlers.on_end = [guard] {
-    guard([](ForwardExchange& self) { self.OnEnd(); });
+  handlers.on_end = [if_current] {
+    if_current([](ForwardExchange& self) { self.OnEnd(); });
   };
-  handlers.on_failure = [guard](const HttpFailure& failure) {
-    guard([&](ForwardExchange& self) { self.OnFailure(failure); });
+  handlers.on_failure = [if_current](const HttpFailure& failure) {
+    if_current([&](ForwardExchange& self) { self.OnFailure(failure); });
   };
   attempt_.call = parts_.endpoints->Send(
       send.address, parts_.dialect->make_attempt(request_, send), options,
@@ -115,29 +115,29 @@
 void ForwardExchange::OnHead(const HttpResponse& head) {
   attempt_.head = head;
   attempt_.has_head = true;
-  attempt_.read = parts_.dialect->read_answer(head, request_id_);
-  if (attempt_.read.load) {
-    parts_.core->OnLoad(parts_.clock(), id_, *attempt_.read.load);
+  attempt_.answer = parts_.dialect->read_answer(head, request_id_);
+  if (attempt_.answer.load) {
+    parts_.core->OnLoad(parts_.clock(), id_, *attempt_.answer.load);
   }
-  const bool is_good = attempt_.read.is_ours && attempt_.read.is_signed &&
-                       !attempt_.read.is_altered && IsSuccess(head.status);
+  const bool is_good = attempt_.answer.is_ours && attempt_.answer.is_signed &&
+                       !attempt_.answer.is_altered && IsSuccess(head.status);
   // A stream that has begun can be continued only with the events of another
   // run of the request. Any other answer that may come from a run breaks it.
-  if (stream_begun_ && !is_good && !attempt_.read.is_not_run &&
-      !attempt_.read.is_other_vm) {
+  if (stream_started_ && !is_good && !attempt_.answer.is_not_run &&
+      !attempt_.answer.is_other_vm) {
     EndAttempt(ForwardEndKind::kBroke);
     return;
   }
   if (is_good && attempt_.send.streams) {
-    attempt_.passes_events = true;
+    attempt_.streams_events = true;
     attempt_.cutter.emplace(attempt_.send.resume_after);
   }
 }
 
 void ForwardExchange::OnBody(std::string_view chunk) {
-  if (!attempt_.passes_events) {
-    attempt_.held += chunk;
-    if (attempt_.held.size() > settings_.most_held_bytes) {
+  if (!attempt_.streams_events) {
+    attempt_.buffered_body += chunk;
+    if (attempt_.buffered_body.size() > settings_.max_buffered_bytes) {
       EndAttempt(ForwardEndKind::kBroke);
     }
     return;
@@ -149,13 +149,13 @@
   }
   if (!events->empty()) {
     parts_.core->OnProgress(parts_.clock(), id_);
-    PassEvents(*events);
+    ForwardEvents(*events);
   }
 }
 
-void ForwardExchange::PassEvents(std::string_view events) {
-  if (!stream_begun_) {
-    stream_begun_ = true;
+void ForwardExchange::ForwardEvents(std::string_view events) {
+  if (!stream_started_) {
+    stream_started_ = true;
     first_byte_ = parts_.clock();
     responder_->StartStream(attempt_.head.status, attempt_.head.headers);
   }
@@ -164,19 +164,19 @@
 }
 
 void ForwardExchange::OnEnd() {
-  const AnswerHead& read = attempt_.read;
-  if (read.is_other_vm) {
+  const AnswerHead& answer = attempt_.answer;
+  if (answer.is_other_vm) {
     EndAttempt(ForwardEndKind::kOtherVm);
     return;
   }
-  if (read.is_not_run) {
+  if (answer.is_not_run) {
     EndAttempt(ForwardEndKind::kNotRun);
     return;
   }
   // A complete answer that has no proof or belongs to another attempt says
   // nothing about this request, which may have run.
-  if (!read.is_ours || !read.is_signed || read.is_altered ||
-      (attempt_.passes_events && attempt_.cutter->has_rest())) {
+  if (!answer.is_ours || !answer.is_signed || answer.is_altered ||
+      (attempt_.streams_events && attempt_.cutter->has_rest())) {
     EndAttempt(ForwardEndKind::kBroke);
     return;
   }
@@ -197,8 +197,8 @@
                                                       : ForwardEndKind::kBroke);
 }
 
-void ForwardExchange::Move() {
-  if (!over_) {
+void ForwardExchange::EndStalledAttempt() {
+  if (!finished_) {
     EndAttempt(ForwardEndKind::kSilent);
   }
 }
@@ -212,16 +212,16 @@
   }
   ForwardEnd end;
   end.kind = kind;
-  end.at_fault = attempt_.read.at_fault;
-  end.delivered = stream_begun_;
+  end.at_fault = attempt_.answer.at_fault;
+  end.delivered = stream_started_;
   end.last_event = last_event_;
   end.is_callers_fault =
       attempt_.has_head && IsClientError(attempt_.head.status);
-  Carry(parts_.core->OnEnded(parts_.clock(), id_, end));
+  PerformStep(parts_.core->OnEnded(parts_.clock(), id_, end));
 }
 
-void ForwardExchange::PassWhole() {
-  if (stream_begun_) {
+void ForwardExchange::RespondWithAnswer() {
+  if (stream_started_) {
     responder_->Finish();
     Finish(ForwardOutcome::kAnswered, attempt_.head.status);
     return;
@@ -229,7 +229,7 @@
   HttpResponse response;
   response.status = attempt_.head.status;
   response.headers = std::move(attempt_.head.headers);
-  response.body = std::move(attempt_.held);
+  response.body = std::move(attempt_.buffered_body);
   Respond(std::move(response), ForwardOutcome::kAnswered);
 }
 
@@ -240,7 +240,7 @@
 }
 
 void ForwardExchange::OnCallerGone() {
-  if (over_) {
+  if (finished_) {
     return;
   }
   ++attempt_number_;
@@ -249,11 +249,11 @@
     attempt_.call.reset();
   }
   parts_.core->OnCallerGone(parts_.clock(), id_);
-  Finish(ForwardOutcome::kCallerGone, 0);
+  Finish(ForwardOutcome::kCallerDisconnected, 0);
 }
 
 void ForwardExchange::Finish(ForwardOutcome outcome, int status) {
-  over_ = true;
+  finished_ = true;
   responder_.reset();
   const Time now = parts_.clock();
   ForwardSummary summary;
@@ -263,9 +263,9 @@
   summary.status = status;
   summary.vm = attempt_.send.vm;
   summary.attempts = attempts_;
-  summary.first_byte = first_byte_.value_or(now) - arrived_;
-  summary.whole = now - arrived_;
-  parts_.on_over(summary);
+  summary.time_to_first_byte = first_byte_.value_or(now) - arrived_;
+  summary.total_time = now - arrived_;
+  parts_.on_finished(summary);
 }
 
 }  // namespace gcw
--- a/transport/gateway/forward_exchange.h
+++ b/transport/gateway/forward_exchange.h
@@ -20,17 +20,23 @@
   // An attempt at a plain service fails after this time without a byte. It does
   // not apply to attempts with a fresh connection, whose requests cannot be
   // sent again elsewhere.
-  Duration service_silence = Duration::Millis(500);
-  // Answers of plain services are buffered until they are complete. An attempt
-  // whose answer is larger than this fails.
-  std::size_t most_held_bytes = 8UL * 1024 * 1024;
+  Duration service_idle_timeout = Duration::Millis(500);
+  // Answers other than forwarded event streams are buffered until they are
+  // complete. An attempt whose answer is larger than this fails.
+  std::size_t max_buffered_bytes = 8UL * 1024 * 1024;
   // Not used. A limit on the bytes queued for a caller, above which the
   // stream's endpoint is not read.
-  std::size_t most_unsent_bytes = 256UL * 1024;
+  std::size_t max_unsent_bytes = 256UL * 1024;
 };
 
 // The final outcome of a request for its caller.
-enum class ForwardOutcome { kAnswered, kRefused, kUnknown, kCut, kCallerGone };
+enum class ForwardOutcome {
+  kAnswered,
+  kRefused,
+  kUnknown,
+  kTruncated,
+  kCallerDisconnected
+};
 
 std::string_view ForwardOutcomeName(ForwardOutcome outcome);
 
@@ -43,8 +49,8 @@
   // The endpoint of the last attempt; empty if there was no attempt.
   VmId vm;
   int attempts = 0;
-  Duration first_byte;
-  Duration whole;
+  Duration time_to_first_byte;
+  Duration total_time;
 };
 
 // Proxies one request of a caller: performs the steps that the core decides,
@@ -57,7 +63,7 @@
     HttpClient* endpoints = nullptr;
     Clock clock;
     // Called once when the exchange has finished.
-    std::function<void(const ForwardSummary&)> on_over;
+    std::function<void(const ForwardSummary&)> on_finished;
   };
 
   ForwardExchange(ForwardExchangeSettings settings,
@@ -68,10 +74,10 @@
   // Passes the request to the core, performs the first step and returns the id
   // that the core assigned.
   ForwardId Start();
-  bool is_over() const { return over_; }
+  bool is_finished() const { return finished_; }
   // Ends the current attempt as stalled, so that the core may choose another
   // endpoint.
-  void Move();
+  void EndStalledAttempt();
 
  private:
   // The state of the current attempt.
@@ -79,23 +85,23 @@
     std::shared_ptr<HttpCall> call;
     SendForward send;
     HttpResponse head;
-    AnswerHead read;
+    AnswerHead answer;
     bool has_head = false;
     // The answer is an event stream that is forwarded as it arrives.
-    bool passes_events = false;
-    std::string held;
+    bool streams_events = false;
+    std::string buffered_body;
     std::optional<EventCutter> cutter;
   };
 
-  void Carry(const ForwardStep& step);
-  void Send(const SendForward& send);
+  void PerformStep(const ForwardStep& step);
+  void StartAttempt(const SendForward& send);
   void OnHead(const HttpResponse& head);
   void OnBody(std::string_view chunk);
   void OnEnd();
   void OnFailure(const HttpFailure& failure);
   void EndAttempt(ForwardEndKind kind);
-  void PassWhole();
-  void PassEvents(std::string_view events);
+  void RespondWithAnswer();
+  void ForwardEvents(std::string_view events);
   void Respond(HttpResponse response, ForwardOutcome outcome);
   void OnCallerGone();
   void Finish(ForwardOutcome outcome, int status);
@@ -112,9 +118,9 @@
   Time arrived_;
   std::optional<Time> first_byte_;
   int attempts_ = 0;
-  bool stream_begun_ = false;
+  bool stream_started_ = false;
   std::optional<std::int64_t> last_event_;
-  bool over_ = false;
+  bool finished_ = false;
 };
 
 }  // namespace gcw
--- a/transport/gateway/gateway_metrics.cc
+++ b/transport/gateway/gateway_metrics.cc
@@ -5,14 +5,16 @@
 namespace gcw {
 namespace {
 
-Counter& AddPlainCounter(Metrics& metrics, std::string name, std::string help) {
+Counter& AddUnlabeledCounter(Metrics& metrics,
+                             std::string name,
+                             std::string help) {
   MetricSpec spec;
   spec.name = std::move(name);
   spec.help = std::move(help);
   return metrics.AddCounter(std::move(spec)).With({});
 }
 
-CounterFamily& AddEvents(Metrics& metrics) {
+CounterFamily& AddEventFamily(Metrics& metrics) {
   MetricSpec spec;
   spec.name = "gcw_events_total";
   spec.help = "Events of the time line, by kind.";
@@ -20,7 +22,7 @@
   return metrics.AddCounter(std::move(spec));
 }
 
-CounterFamily& AddOutcomes(Metrics& metrics) {
+CounterFamily& AddOutcomeFamily(Metrics& metrics) {
   MetricSpec spec;
   spec.name = "gcw_outcomes_total";
   spec.help = "Requests that are over, by outcome for the caller.";
@@ -28,9 +30,9 @@
   return metrics.AddCounter(std::move(spec));
 }
 
-DistributionFamily& AddTimes(Metrics& metrics,
-                             std::string name,
-                             std::string help) {
+DistributionFamily& AddLatencyFamily(Metrics& metrics,
+                                     std::string name,
+                                     std::string help) {
   MetricSpec spec;
   spec.name = std::move(name);
   spec.help = std::move(help);
@@ -41,41 +43,43 @@
 }  // namespace
 
 GatewayMetrics::GatewayMetrics()
-    : events_(AddEvents(metrics_)),
-      outcomes_(AddOutcomes(metrics_)),
-      first_byte_(AddTimes(metrics_,
+    : events_(AddEventFamily(metrics_)),
+      outcomes_(AddOutcomeFamily(metrics_)),
+      first_byte_times_(
+          AddLatencyFamily(metrics_,
                            "gcw_first_byte_ms",
                            "From arrival to the first byte, milliseconds.")),
-      whole_(AddTimes(metrics_,
-                      "gcw_request_ms",
-                      "From arrival to the end, milliseconds.")),
-      requests(AddPlainCounter(metrics_,
-                               "gcw_requests_total",
-                               "Requests of callers that were read.")),
-      store_calls(AddPlainCounter(metrics_,
-                                  "gcw_store_calls_total",
-                                  "Calls to the key-value service.")),
-      store_failures(
-          AddPlainCounter(metrics_,
-                          "gcw_store_failures_total",
-                          "Calls to the key-value service without an answer.")),
-      orders(AddPlainCounter(metrics_,
-                             "gcw_orders_total",
-                             "Orders sent to engines.")),
-      probes(AddPlainCounter(metrics_,
-                             "gcw_probes_total",
-                             "Probes sent to engines.")) {}
+      total_times_(AddLatencyFamily(metrics_,
+                                    "gcw_request_ms",
+                                    "From arrival to the end, milliseconds.")),
+      requests(AddUnlabeledCounter(metrics_,
+                                   "gcw_requests_total",
+                                   "Requests of callers that were read.")),
+      store_calls(AddUnlabeledCounter(metrics_,
+                                      "gcw_store_calls_total",
+                                      "Calls to the key-value service.")),
+      store_failures(AddUnlabeledCounter(
+          metrics_,
+          "gcw_store_failures_total",
+          "Calls to the key-value service without an answer.")),
+      orders(AddUnlabeledCounter(metrics_,
+                                 "gcw_orders_total",
+                                 "Orders sent to engines.")),
+      probes(AddUnlabeledCounter(metrics_,
+                                 "gcw_probes_total",
+                                 "Probes sent to engines.")) {}
 
-void GatewayMetrics::Observe(const TimelineEvent& event) {
+void GatewayMetrics::CountEvent(const TimelineEvent& event) {
   events_.With({std::string(EventKindName(event.draft.kind))}).Add();
 }
 
-void GatewayMetrics::ObserveRequest(const ForwardSummary& summary) {
+void GatewayMetrics::RecordRequest(const ForwardSummary& summary) {
   const std::string outcome(ForwardOutcomeName(summary.outcome));
   outcomes_.With({outcome}).Add();
-  first_byte_.With({outcome}).Record(
-      static_cast<double>(summary.first_byte.millis()));
-  whole_.With({outcome}).Record(static_cast<double>(summary.whole.millis()));
+  first_byte_times_.With({outcome}).Record(
+      static_cast<double>(summary.time_to_first_byte.millis()));
+  total_times_.With({outcome}).Record(
+      static_cast<double>(summary.total_time.millis()));
 }
 
 }  // namespace gcw
--- a/transport/gateway/gateway_metrics.h
+++ b/transport/gateway/gateway_metrics.h
@@ -16,16 +16,16 @@
 
   std::string Expose() const { return metrics_.Expose(); }
   // Counts an event of the timeline by its kind.
-  void Observe(const TimelineEvent& event);
+  void CountEvent(const TimelineEvent& event);
   // Records the outcome and the latencies of a finished request.
-  void ObserveRequest(const ForwardSummary& summary);
+  void RecordRequest(const ForwardSummary& summary);
 
  private:
   Metrics metrics_;
   CounterFamily& events_;
   CounterFamily& outcomes_;
-  DistributionFamily& first_byte_;
-  DistributionFamily& whole_;
+  DistributionFamily& first_byte_times_;
+  DistributionFamily& total_times_;
 
  public:
   Counter& requests;
--- a/transport/gateway/gateway_runtime.cc
+++ b/transport/gateway/gateway_runtime.cc
@@ -9,9 +9,9 @@
 
 constexpr int kOk = 200;
 constexpr int kUnavailable = 503;
-constexpr std::size_t kMostOtherConnections = 512;
+constexpr std::size_t kMaxOtherConnections = 512;
 
-ProbeVerdict VerdictOf(const HttpFailure& failure) {
+ProbeVerdict ProbeVerdictFor(const HttpFailure& failure) {
   if (failure.kind == HttpFailureKind::kConnectRefused) {
     return ProbeVerdict::kRefused;
   }
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-HttpCallOptions GatewayRuntime::Within(Duration limit) {
+HttpCallOptions GatewayRuntime::OptionsWithTimeout(Duration limit) {
   HttpCallOptions options;
   options.connect_timeout = limit;
   options.progress_timeout = limit;
@@ -33,11 +33,11 @@
 GatewayRuntime::GatewayRuntime(GatewayRuntimeSettings settings, Parts parts)
     : settings_(std::move(settings)),
       parts_(std::move(parts)),
-      endpoints_(*parts_.context),
-      store_(*parts_.context),
-      watches_(*parts_.context),
-      orders_(*parts_.context),
-      peers_(*parts_.context),
+      endpoint_client_(*parts_.context),
+      store_client_(*parts_.context),
+      watch_client_(*parts_.context),
+      engine_client_(*parts_.context),
+      peer_client_(*parts_.context),
       timer_(*parts_.context) {}
 
 std::optional<GatewayListenError> GatewayRuntime::Listen() {
@@ -50,55 +50,55 @@
           (self->*serve)(responder);
         };
       };
-  const bool all =
+  const bool all_listening =
       ListenOn(
           GatewayListener::kCallers, settings_.callers,
-          settings_.most_caller_connections,
+          settings_.max_caller_connections,
           [this](HttpRequest request,
                  const std::shared_ptr<HttpResponder>& responder) {
             ServeCaller(std::move(request), responder);
           },
           error) &&
       ListenOn(GatewayListener::kReadiness, settings_.readiness,
-               kMostOtherConnections,
+               kMaxOtherConnections,
                ignore_request(&GatewayRuntime::ServeReadiness, this), error) &&
       ListenOn(GatewayListener::kEntries, settings_.entries,
-               kMostOtherConnections,
+               kMaxOtherConnections,
                ignore_request(&GatewayRuntime::ServeEntries, this), error) &&
       ListenOn(
-          GatewayListener::kPeers, settings_.peers, kMostOtherConnections,
+          GatewayListener::kPeers, settings_.peers, kMaxOtherConnections,
           [this](const HttpRequest& request,
                  const std::shared_ptr<HttpResponder>& responder) {
             ServePeer(request, responder);
           },
           error);
-  if (all && !settings_.metrics.ip.empty()) {
-    ListenOn(GatewayListener::kMetrics, settings_.metrics,
-             kMostOtherConnections,
+  if (all_listening && !settings_.metrics.ip.empty()) {
+    ListenOn(GatewayListener::kMetrics, settings_.metrics, kMaxOtherConnections,
              ignore_request(&GatewayRuntime::ServeMetrics, this), error);
   }
   return error;
 }
 
 bool GatewayRuntime::ListenOn(GatewayListener listener,
-                              const GatewayListen& where,
-                              std::size_t most_connections,
+                              const GatewayListenAddress& listen_address,
+                              std::size_t connection_limit,
                               HttpHandler handler,
                               std::optional<GatewayListenError>& error) {
   HttpServerLimits limits;
-  limits.max_connections = most_connections;
-  auto listening = HttpServer::Listen(*parts_.context, where.ip, where.port,
-                                      limits, std::move(handler));
+  limits.max_connections = connection_limit;
+  auto listening =
+      HttpServer::Listen(*parts_.context, listen_address.ip,
+                         listen_address.port, limits, std::move(handler));
   if (!IsOk(listening)) {
     error = GatewayListenError{listener, ErrorOf(listening).kind};
     return false;
   }
   servers_[listener] = std::move(ValueOf(listening));
-  ips_[listener] = where.ip;
+  ips_[listener] = listen_address.ip;
   return true;
 }
 
-Address GatewayRuntime::AddressOf(GatewayListener listener) const {
+Address GatewayRuntime::ListenerAddress(GatewayListener listener) const {
   const auto found = servers_.find(listener);
   if (found == servers_.end()) {
     return Address();
@@ -108,9 +108,9 @@
 }
 
 void GatewayRuntime::Start() {
-  Execute(parts_.core->SetOwnAddresses(Now(),
-                                       AddressOf(GatewayListener::kCallers),
-                                       AddressOf(GatewayListener::kPeers)));
+  Execute(parts_.core->SetOwnAddresses(
+      Now(), ListenerAddress(GatewayListener::kCallers),
+      ListenerAddress(GatewayListener::kPeers)));
   Tick();
 }
 
@@ -128,12 +128,12 @@
   Execute(parts_.core->Tick(Now()));
   ApplyCallerLimits();
   if (!parts_.core->is_stop_over(Now())) {
-    stop_over_since_.reset();
-  } else if (!stop_over_since_) {
-    stop_over_since_ = Now();
+    stop_completed_at_.reset();
+  } else if (!stop_completed_at_) {
+    stop_completed_at_ = Now();
   }
-  if (stop_over_since_ && Now() - *stop_over_since_ >= settings_.stop_linger &&
-      !stopped_) {
+  if (stop_completed_at_ &&
+      Now() - *stop_completed_at_ >= settings_.exit_delay && !stopped_) {
     stopped_ = true;
     LogEvent(LogSeverity::kInfo, "node_stopped",
              {{"open_requests", static_cast<std::int64_t>(exchanges_.size())}});
@@ -145,10 +145,10 @@
 
 void GatewayRuntime::ApplyCallerLimits() {
   const std::shared_ptr<const RouteTable> routes = parts_.core->view().routes();
-  if (!routes || routes->configuration().version == limits_version_) {
+  if (!routes || routes->configuration().version == caller_limits_version_) {
     return;
   }
-  limits_version_ = routes->configuration().version;
+  caller_limits_version_ = routes->configuration().version;
   const CallerLimits& limits = routes->configuration().limits;
   servers_.at(GatewayListener::kCallers)
       ->SetRequestLimits({static_cast<std::size_t>(limits.max_header_bytes),
@@ -170,10 +170,10 @@
   ForwardExchange::Parts parts;
   parts.core = parts_.core;
   parts.dialect = &parts_.dialect;
-  parts.endpoints = &endpoints_;
+  parts.endpoints = &endpoint_client_;
   parts.clock = parts_.clock;
-  parts.on_over = [this](const ForwardSummary& summary) {
-    parts_.metrics->ObserveRequest(summary);
+  parts.on_finished = [this](const ForwardSummary& summary) {
+    parts_.metrics->RecordRequest(summary);
     parts_.report(
         {EventKind::kRequestFinished,
          summary.request.value(),
@@ -182,15 +182,15 @@
           {"status", static_cast<std::int64_t>(summary.status)},
           {"vm", summary.vm.value()},
           {"attempts", static_cast<std::int64_t>(summary.attempts)},
-          {"first_byte_ms", summary.first_byte.millis()},
-          {"whole_ms", summary.whole.millis()}}});
+          {"first_byte_ms", summary.time_to_first_byte.millis()},
+          {"whole_ms", summary.total_time.millis()}}});
     exchanges_.erase(summary.id);
   };
   auto exchange = std::make_shared<ForwardExchange>(
       settings_.exchange, std::move(parts), std::move(request), responder);
   parts_.metrics->requests.Add();
   const ForwardId id = exchange->Start();
-  if (exchange->is_over()) {
+  if (exchange->is_finished()) {
     return;
   }
   exchanges_[id] = std::move(exchange);
@@ -231,11 +231,11 @@
   if (watch != nullptr) {
     timeout = timeout + watch->wait;
   }
-  HttpClient& client = watch != nullptr ? watches_ : store_;
+  HttpClient& client = watch != nullptr ? watch_client_ : store_client_;
   parts_.metrics->store_calls.Add();
   client.Fetch(
       settings_.store, parts_.dialect.make_store_call(action.request.call),
-      Within(timeout),
+      OptionsWithTimeout(timeout),
       [this, action, &client](const Result<HttpResponse, HttpFailure>& answer) {
         StoreReply reply = StoreNoAnswer{};
         if (IsOk(answer)) {
@@ -246,7 +246,7 @@
           client.ForgetConnections(settings_.store);
           parts_.metrics->store_failures.Add();
         }
-        store_belief_.Observe(reply);
+        store_health_.Observe(reply);
         Execute(parts_.core->OnStoreReply(Now(), action.module,
                                           action.request.id, reply));
       });
@@ -254,9 +254,9 @@
 
 void GatewayRuntime::Execute(const SendGroupOrder& action) {
   parts_.metrics->orders.Add();
-  orders_.Fetch(
+  engine_client_.Fetch(
       action.address, parts_.dialect.make_order(action.vm, action.order),
-      Within(action.timeout),
+      OptionsWithTimeout(action.timeout),
       [this, id = action.id](const Result<HttpResponse, HttpFailure>& answer) {
         GroupOrderVerdict verdict = GroupOrderVerdict::kNoAnswer;
         if (IsOk(answer)) {
@@ -270,27 +270,27 @@
 
 void GatewayRuntime::Execute(const ProbeEngine& action) {
   parts_.metrics->probes.Add();
-  orders_.Fetch(
+  engine_client_.Fetch(
       action.address, parts_.dialect.make_probe(action.vm),
-      Within(action.timeout),
+      OptionsWithTimeout(action.timeout),
       [this, vm = action.vm](const Result<HttpResponse, HttpFailure>& answer) {
         const ProbeReport report =
             IsOk(answer) ? parts_.dialect.read_probe(ValueOf(answer))
-                         : ProbeReport{VerdictOf(ErrorOf(answer)), 1};
+                         : ProbeReport{ProbeVerdictFor(ErrorOf(answer)), 1};
         Execute(parts_.core->OnProbeReply(Now(), vm, report));
       });
 }
 
 void GatewayRuntime::Execute(const ForgetConnections& action) {
-  endpoints_.ForgetConnections(action.address);
-  orders_.ForgetConnections(action.address);
+  endpoint_client_.ForgetConnections(action.address);
+  engine_client_.ForgetConnections(action.address);
 }
 
 void GatewayRuntime::Execute(const MoveForward& action) {
   const auto found = exchanges_.find(action.id);
   if (found != exchanges_.end()) {
     const std::shared_ptr<ForwardExchange> exchange = found->second;
-    exchange->Move();
+    exchange->EndStalledAttempt();
   }
 }
 
--- a/transport/gateway/gateway_runtime.h
+++ b/transport/gateway/gateway_runtime.h
@@ -20,7 +20,7 @@
 
 namespace gcw {
 
-struct GatewayListen {
+struct GatewayListenAddress {
   std::string ip;
   std::uint16_t port = 0;
 };
@@ -34,14 +34,14 @@
   Duration tick_interval = Duration::Millis(40);
   // The delay from the end of a planned stop to the exit of the process, for
   // the last bytes of answers to callers that read slowly.
-  Duration stop_linger = Duration::Millis(300);
-  GatewayListen callers;
-  GatewayListen readiness;
-  GatewayListen entries;
-  GatewayListen peers;
+  Duration exit_delay = Duration::Millis(300);
+  GatewayListenAddress callers;
+  GatewayListenAddress readiness;
+  GatewayListenAddress entries;
+  GatewayListenAddress peers;
   // If the IP address is empty, no metrics are served.
-  GatewayListen metrics;
-  std::size_t most_caller_connections = 2500;
+  GatewayListenAddress metrics;
+  std::size_t max_caller_connections = 2500;
   ForwardExchangeSettings exchange;
 };
 
@@ -79,7 +79,7 @@
   void BeginStop();
 
   // Returns an empty address if the listener is not open.
-  Address AddressOf(GatewayListener listener) const;
+  Address ListenerAddress(GatewayListener listener) const;
 
  private:
   void ScheduleTick();
@@ -87,8 +87,8 @@
   // Applies the request limits of the operators' configuration to callers.
   void ApplyCallerLimits();
   bool ListenOn(GatewayListener listener,
-                const GatewayListen& where,
-                std::size_t most_connections,
+                const GatewayListenAddress& listen_address,
+                std::size_t connection_limit,
                 HttpHandler handler,
                 std::optional<GatewayListenError>& error);
   void ServeCaller(HttpRequest request,
@@ -103,9 +103,10 @@
                     const std::shared_ptr<HttpResponder>& responder);
   // Handle another node's notice of a stalled group and its query for the
   // progress of a group.
-  void ServeStandstill(const StandstillNotice& notice,
-                       HttpResponder& responder);
-  void ServeProgress(const StandstillNotice& group, HttpResponder& responder);
+  void ServeStallNotice(const StandstillNotice& notice,
+                        HttpResponder& responder);
+  void ServeProgressQuery(const StandstillNotice& group,
+                          HttpResponder& responder);
   void ServeMetrics(const std::shared_ptr<HttpResponder>& responder);
 
   void Execute(const GatewayActions& actions);
@@ -119,29 +120,29 @@
   void Execute(const ProbeEngine& action);
   void Execute(const MoveForward& action);
   void Execute(const ForgetConnections& action);
-  static HttpCallOptions Within(Duration limit);
+  static HttpCallOptions OptionsWithTimeout(Duration limit);
   Time Now() const { return parts_.clock(); }
 
   GatewayRuntimeSettings settings_;
   Parts parts_;
-  HttpClient endpoints_;
-  HttpClient store_;
-  HttpClient watches_;
-  HttpClient orders_;
-  HttpClient peers_;
+  HttpClient endpoint_client_;
+  HttpClient store_client_;
+  HttpClient watch_client_;
+  HttpClient engine_client_;
+  HttpClient peer_client_;
   boost::asio::steady_timer timer_;
   std::unordered_map<GatewayListener, std::unique_ptr<HttpServer>> servers_;
   std::unordered_map<GatewayListener, std::string> ips_;
   std::unordered_map<ForwardId, std::shared_ptr<ForwardExchange>> exchanges_;
   // Pending long polls of other nodes for changes.
   std::unordered_map<ChangeQuestionId, std::shared_ptr<HttpResponder>>
-      questions_;
-  ChangeQuestionId last_question_;
+      pending_change_requests_;
+  ChangeQuestionId last_change_request_id_;
   // The configuration version of the caller limits in force.
-  ConfigurationVersion limits_version_;
-  StoreBeliefObserver store_belief_{LogStoreBelief};
+  ConfigurationVersion caller_limits_version_;
+  StoreBeliefObserver store_health_{LogStoreBelief};
   // When a planned stop was first seen complete; unset while it is not.
-  std::optional<Time> stop_over_since_;
+  std::optional<Time> stop_completed_at_;
   bool stopped_ = false;
 };
 
--- a/transport/gateway/gateway_runtime_peers.cc
+++ b/transport/gateway/gateway_runtime_peers.cc
@@ -16,8 +16,8 @@
 constexpr std::string_view kChangesPath = "/v1/changes";
 constexpr std::string_view kStandstillPath = "/v1/standstill";
 constexpr std::string_view kProgressPath = "/v1/progress";
-constexpr std::string_view kNewerThan = "newer_than";
-constexpr std::string_view kWaitMillis = "wait_ms";
+constexpr std::string_view kNewerThanParameter = "newer_than";
+constexpr std::string_view kWaitParameter = "wait_ms";
 constexpr int kOk = 200;
 constexpr int kNoContent = 204;
 constexpr int kBadRequest = 400;
@@ -25,11 +25,12 @@
 
 // The longest time for which a long poll of another node is held, whatever wait
 // it asks for.
-constexpr Duration kLongestQuestion = Duration::Seconds(5);
+constexpr Duration kMaxChangesWait = Duration::Seconds(5);
 
 // Returns the integer query parameter `name`, or 0 if it is absent or is not a
 // number.
-std::int64_t NumberIn(const std::string& target, std::string_view name) {
+std::int64_t IntegerParameter(const std::string& target,
+                              std::string_view name) {
   std::int64_t number = 0;
   const std::string text = QueryValue(target, name);
   std::from_chars(text.data(), text.data() + text.size(), number);
@@ -63,16 +64,16 @@
     return;
   }
   if (path == kStandstillPath) {
-    ServeStandstill(ValueOf(notice), *responder);
+    ServeStallNotice(ValueOf(notice), *responder);
   } else {
-    ServeProgress(ValueOf(notice), *responder);
+    ServeProgressQuery(ValueOf(notice), *responder);
   }
 }
 
 void GatewayRuntime::ServeMirror(const HttpRequest& request,
                                  HttpResponder& responder) {
-  const auto snapshot =
-      parts_.core->Snapshot(Revision(NumberIn(request.target, kNewerThan)));
+  const auto snapshot = parts_.core->Snapshot(
+      Revision(IntegerParameter(request.target, kNewerThanParameter)));
   if (!snapshot) {
     responder.Respond({kNoContent, {}, {}});
     return;
@@ -86,21 +87,23 @@
     const HttpRequest& request,
     const std::shared_ptr<HttpResponder>& responder) {
   const ChangeQuestion question{
-      ++last_question_, Revision(NumberIn(request.target, kNewerThan)),
-      std::min(Duration::Millis(NumberIn(request.target, kWaitMillis)),
-               kLongestQuestion)};
-  questions_[question.id] = responder;
+      ++last_change_request_id_,
+      Revision(IntegerParameter(request.target, kNewerThanParameter)),
+      std::min(
+          Duration::Millis(IntegerParameter(request.target, kWaitParameter)),
+          kMaxChangesWait)};
+  pending_change_requests_[question.id] = responder;
   Execute(parts_.core->OnChangesAsked(Now(), question));
 }
 
-void GatewayRuntime::ServeStandstill(const StandstillNotice& notice,
-                                     HttpResponder& responder) {
+void GatewayRuntime::ServeStallNotice(const StandstillNotice& notice,
+                                      HttpResponder& responder) {
   responder.Respond({kNoContent, {}, {}});
   Execute(parts_.core->OnNotice(Now(), notice));
 }
 
-void GatewayRuntime::ServeProgress(const StandstillNotice& group,
-                                   HttpResponder& responder) {
+void GatewayRuntime::ServeProgressQuery(const StandstillNotice& group,
+                                        HttpResponder& responder) {
   const auto age = parts_.core->ProgressAge(Now(), group);
   if (!age) {
     responder.Respond({kNoContent, {}, {}});
@@ -112,12 +115,14 @@
 
 void GatewayRuntime::Execute(const AskNodeSnapshot& action) {
   HttpRequest request{"GET",
-                      std::string(kMirrorPath) + "?" + std::string(kNewerThan) +
-                          "=" + std::to_string(action.newer_than.value()),
+                      std::string(kMirrorPath) + "?" +
+                          std::string(kNewerThanParameter) + "=" +
+                          std::to_string(action.newer_than.value()),
                       {},
                       {}};
-  peers_.Fetch(
-      action.address, std::move(request), Within(settings_.peer_timeout),
+  peer_client_.Fetch(
+      action.address, std::move(request),
+      OptionsWithTimeout(settings_.peer_timeout),
       [this](const Result<HttpResponse, HttpFailure>& answer) {
         if (!IsOk(answer) || ValueOf(answer).status != kOk) {
           return;
@@ -133,20 +138,22 @@
 }
 
 void GatewayRuntime::Execute(const AskNodeChanges& action) {
-  HttpRequest request{
-      "GET",
-      std::string(kChangesPath) + "?" + std::string(kNewerThan) + "=" +
-          std::to_string(action.after.value()) + "&" +
-          std::string(kWaitMillis) + "=" + std::to_string(action.wait.millis()),
-      {},
-      {}};
-  peers_.Fetch(
-      action.address, std::move(request), Within(action.wait + action.timeout),
+  HttpRequest request{"GET",
+                      std::string(kChangesPath) + "?" +
+                          std::string(kNewerThanParameter) + "=" +
+                          std::to_string(action.after.value()) + "&" +
+                          std::string(kWaitParameter) + "=" +
+                          std::to_string(action.wait.millis()),
+                      {},
+                      {}};
+  peer_client_.Fetch(
+      action.address, std::move(request),
+      OptionsWithTimeout(action.wait + action.timeout),
       [this, action](const Result<HttpResponse, HttpFailure>& answer) {
         std::optional<MirrorChanges> changes;
         if (!IsOk(answer)) {
           // Other idle connections may be dead too.
-          peers_.ForgetConnections(action.address);
+          peer_client_.ForgetConnections(action.address);
         } else if (ValueOf(answer).status == kOk) {
           auto decoded = DecodeMirrorChanges(ValueOf(answer).body);
           if (IsOk(decoded)) {
@@ -161,12 +168,12 @@
 }
 
 void GatewayRuntime::Execute(const AnswerChanges& action) {
-  const auto question = questions_.find(action.id);
-  if (question == questions_.end()) {
+  const auto question = pending_change_requests_.find(action.id);
+  if (question == pending_change_requests_.end()) {
     return;
   }
   const std::shared_ptr<HttpResponder> responder = question->second;
-  questions_.erase(question);
+  pending_change_requests_.erase(question);
   if (!action.changes) {
     responder->Respond({kNoContent, {}, {}});
     return;
@@ -183,9 +190,9 @@
                       EncodeStandstillNotice(action.notice)};
   // A lost notice costs only time, because each node also detects stalled
   // groups by itself.
-  peers_.Fetch(action.address, std::move(request),
-               Within(settings_.peer_timeout),
-               [](const Result<HttpResponse, HttpFailure>&) {});
+  peer_client_.Fetch(action.address, std::move(request),
+                     OptionsWithTimeout(settings_.peer_timeout),
+                     [](const Result<HttpResponse, HttpFailure>&) {});
 }
 
 void GatewayRuntime::Execute(const AskProgress& action) {
@@ -193,8 +200,9 @@
                       std::string(kProgressPath),
                       {{"Content-Type", "application/json"}},
                       EncodeStandstillNotice(action.group)};
-  peers_.Fetch(
-      action.address, std::move(request), Within(settings_.peer_timeout),
+  peer_client_.Fetch(
+      action.address, std::move(request),
+      OptionsWithTimeout(settings_.peer_timeout),
       [this,
        group = action.group](const Result<HttpResponse, HttpFailure>& answer) {
         if (!IsOk(answer) || ValueOf(answer).status != kOk) {
--- a/transport/log_budget.cc
+++ b/transport/log_budget.cc
@@ -32,14 +32,14 @@
 
 LogBudget::LogBudget(const LogBudgetSettings& settings,
                      Write write,
-                     Summary summary)
-    : write_(std::move(write)), summary_(std::move(summary)) {
-  accounts_[static_cast<std::size_t>(LogClass::kBelief)].limit =
-      settings.belief_lines;
-  accounts_[static_cast<std::size_t>(LogClass::kTrouble)].limit =
-      settings.trouble_lines;
-  accounts_[static_cast<std::size_t>(LogClass::kSuccess)].limit =
-      settings.success_lines;
+                     ReportDropped report_dropped)
+    : write_(std::move(write)), report_dropped_(std::move(report_dropped)) {
+  usages_[static_cast<std::size_t>(LogClass::kBelief)].limit =
+      settings.state_change_lines;
+  usages_[static_cast<std::size_t>(LogClass::kTrouble)].limit =
+      settings.request_failure_lines;
+  usages_[static_cast<std::size_t>(LogClass::kSuccess)].limit =
+      settings.request_progress_lines;
 }
 
 void LogBudget::Take(const TimelineEvent& event) {
@@ -47,26 +47,26 @@
   if (second != second_) {
     BeginSecond(second);
   }
-  Account& account =
-      accounts_[static_cast<std::size_t>(LogClassOf(event.draft.kind))];
-  if (account.written >= account.limit) {
-    ++account.left_out;
+  ClassUsage& usage =
+      usages_[static_cast<std::size_t>(LogClassOf(event.draft.kind))];
+  if (usage.written >= usage.limit) {
+    ++usage.left_out;
     ++left_out_;
     return;
   }
-  ++account.written;
+  ++usage.written;
   write_(event);
 }
 
 void LogBudget::BeginSecond(std::int64_t second) {
   second_ = second;
-  for (std::size_t i = 0; i < kClasses; ++i) {
-    Account& account = accounts_[i];
-    if (account.left_out > 0) {
-      summary_(static_cast<LogClass>(i), account.left_out);
+  for (std::size_t i = 0; i < kClassCount; ++i) {
+    ClassUsage& usage = usages_[i];
+    if (usage.left_out > 0) {
+      report_dropped_(static_cast<LogClass>(i), usage.left_out);
     }
-    account.written = 0;
-    account.left_out = 0;
+    usage.written = 0;
+    usage.left_out = 0;
   }
 }
 
--- a/transport/log_budget.h
+++ b/transport/log_budget.h
@@ -11,11 +11,11 @@
 
 struct LogBudgetSettings {
   // The limit per second for changes in what the node knows or holds.
-  std::int64_t belief_lines = 200;
+  std::int64_t state_change_lines = 200;
   // The limit per second for requests that were refused, failed or retried.
-  std::int64_t trouble_lines = 40;
+  std::int64_t request_failure_lines = 40;
   // The limit per second for all other decisions on requests.
-  std::int64_t success_lines = 5;
+  std::int64_t request_progress_lines = 5;
 };
 
 // Classes of events with separate limits, by their value for diagnosing a
@@ -33,17 +33,19 @@
   using Write = std::function<void(const TimelineEvent&)>;
   // Called for each class that dropped events in a second, when the first event
   // of a later second arrives.
-  using Summary = std::function<void(LogClass, std::int64_t left_out)>;
+  using ReportDropped = std::function<void(LogClass, std::int64_t left_out)>;
 
-  LogBudget(const LogBudgetSettings& settings, Write write, Summary summary);
+  LogBudget(const LogBudgetSettings& settings,
+            Write write,
+            ReportDropped report_dropped);
 
   void Take(const TimelineEvent& event);
   std::int64_t left_out() const { return left_out_; }
 
  private:
-  static constexpr std::size_t kClasses = 3;
+  static constexpr std::size_t kClassCount = 3;
 
-  struct Account {
+  struct ClassUsage {
     std::int64_t limit = 0;
     std::int64_t written = 0;
     std::int64_t left_out = 0;
@@ -52,8 +54,8 @@
   void BeginSecond(std::int64_t second);
 
   Write write_;
-  Summary summary_;
-  std::array<Account, kClasses> accounts_;
+  ReportDropped report_dropped_;
+  std::array<ClassUsage, kClassCount> usages_;
   std::int64_t second_ = 0;
   std::int64_t left_out_ = 0;
 };
--- a/transport/metrics.cc
+++ b/transport/metrics.cc
@@ -69,7 +69,7 @@
   CHECK(std::regex_match(name, *pattern)) << "not a metric's name: " << name;
 }
 
-class Exposition {
+class TextExposition {
  public:
   void BeginFamily(const MetricSpec& spec, std::string_view type) {
     out_ << "# HELP " << spec.name << ' ' << EscapeHelp(spec.help) << '\n'
@@ -259,7 +259,7 @@
 }
 
 std::string Metrics::Expose() const {
-  Exposition exposition;
+  TextExposition exposition;
   const auto write_family =
       [&exposition]<typename Metric>(
           const std::unique_ptr<MetricFamily<Metric>>& family) {
--- a/transport/node_metrics.cc
+++ b/transport/node_metrics.cc
@@ -60,25 +60,26 @@
 
 void NodeMetrics::OnAction(const NodeAction& action) {
   std::visit(
-      Overloaded{[this](const DispatchAttempt& dispatch) {
-                   if (++dispatches_[dispatch.request] > 1) {
-                     retries_.Add();
-                   }
-                 },
-                 [this](const TellRefused& told) {
-                   Count("refused", RefusalKindName(told.refusal.kind));
-                 },
-                 [this](const TellUnknown&) { Count("unknown", ""); },
-                 [this](const TellStreamBroken&) { Count("broken", ""); },
-                 [this](const TellPreempted&) { Count("preempted", ""); },
-                 [this](const TellReplay&) { Count("replayed", ""); },
-                 [this](const TellEarlierSend& told) {
-                   Count("earlier_send", told.certain ? "ran" : "unknown");
-                 },
-                 [this](const CallStore& call) {
-                   store_calls_.With({ModuleName(call.module)}).Add();
-                 },
-                 [](const auto&) {}},
+      Overloaded{
+          [this](const DispatchAttempt& dispatch) {
+            if (++dispatch_counts_[dispatch.request] > 1) {
+              retries_.Add();
+            }
+          },
+          [this](const TellRefused& told) {
+            CountOutcome("refused", RefusalKindName(told.refusal.kind));
+          },
+          [this](const TellUnknown&) { CountOutcome("unknown", ""); },
+          [this](const TellStreamBroken&) { CountOutcome("broken", ""); },
+          [this](const TellPreempted&) { CountOutcome("preempted", ""); },
+          [this](const TellReplay&) { CountOutcome("replayed", ""); },
+          [this](const TellEarlierSend& told) {
+            CountOutcome("earlier_send", told.certain ? "ran" : "unknown");
+          },
+          [this](const CallStore& call) {
+            store_calls_.With({ModuleName(call.module)}).Add();
+          },
+          [](const auto&) {}},
       action);
 }
 
@@ -86,7 +87,7 @@
   if (const auto* ended = std::get_if<AttemptEnded>(&event)) {
     OnAttemptEnd(ended->end);
   } else if (std::holds_alternative<CallerGone>(event)) {
-    Count("caller_gone", "");
+    CountOutcome("caller_gone", "");
   }
 }
 
@@ -94,7 +95,7 @@
   std::visit(
       Overloaded{
           [this](const AttemptAnswered&) {
-            Count("answered", "");
+            CountOutcome("answered", "");
             attempts_.With({"answered"}).Add();
           },
           [this](const AttemptRefused&) { attempts_.With({"refused"}).Add(); },
@@ -105,7 +106,8 @@
       end);
 }
 
-void NodeMetrics::Count(std::string_view outcome, std::string_view reason) {
+void NodeMetrics::CountOutcome(std::string_view outcome,
+                               std::string_view reason) {
   outcomes_.With({std::string(outcome), std::string(reason)}).Add();
 }
 
--- a/transport/node_metrics.h
+++ b/transport/node_metrics.h
@@ -18,7 +18,7 @@
   void OnAction(const NodeAction& action);
   void OnEvent(const NodeEvent& event);
   // Drops the state of a finished request.
-  void Forget(const RequestId& request) { dispatches_.erase(request); }
+  void Forget(const RequestId& request) { dispatch_counts_.erase(request); }
 
   // These are called on traffic threads. `since_arrival` is the time since the
   // arrival of the request.
@@ -31,7 +31,7 @@
 
  private:
   void OnAttemptEnd(const AttemptEnd& end);
-  void Count(std::string_view outcome, std::string_view reason);
+  void CountOutcome(std::string_view outcome, std::string_view reason);
 
   CounterFamily& outcomes_;
   CounterFamily& attempts_;
@@ -39,7 +39,7 @@
   Counter& retries_;
   Distribution& first_token_;
   Distribution& token_gap_;
-  std::unordered_map<RequestId, int> dispatches_;
+  std::unordered_map<RequestId, int> dispatch_counts_;
 };
 
 }  // namespace gcw
--- a/transport/settings_document.cc
+++ b/transport/settings_document.cc
@@ -14,7 +14,7 @@
 
 // Returns the key as it appears in a path. A key that is not bare is quoted, so
 // that its dots are not taken for nesting.
-std::string KeyText(std::string_view key) {
+std::string PathSegment(std::string_view key) {
   const bool is_bare = std::all_of(key.begin(), key.end(), [](char letter) {
     return std::isalnum(static_cast<unsigned char>(letter)) != 0 ||
            letter == '_' || letter == '-';
@@ -54,8 +54,8 @@
 class EntryCollector {
  public:
   EntryCollector(std::string_view text,
-                 const SettingsDocument::IsTable& is_table)
-      : is_table_(is_table) {
+                 const SettingsDocument::IsDeclaredTable& is_declared_table)
+      : is_declared_table_(is_declared_table) {
     std::istringstream stream{std::string(text)};
     for (std::string line; std::getline(stream, line);) {
       lines_.push_back(line);
@@ -64,15 +64,15 @@
 
   void Add(const toml::table& table, const std::string& prefix) {
     for (const auto& [key, node] : table) {
-      const std::string path = prefix + KeyText(key.str());
+      const std::string path = prefix + PathSegment(key.str());
       const toml::table* nested = node.as_table();
-      if (nested != nullptr && is_table_(path)) {
+      if (nested != nullptr && is_declared_table_(path)) {
         Add(*nested, path + '.');
         continue;
       }
       const int line = static_cast<int>(key.source().begin.line);
       entries_.emplace(path,
-                       Entry{line, Written(node.source()), ToValue(node)});
+                       Entry{line, SourceText(node.source()), ToValue(node)});
     }
   }
 
@@ -80,7 +80,7 @@
 
  private:
   // Columns and lines count from 1.
-  std::string Written(const toml::source_region& region) const {
+  std::string SourceText(const toml::source_region& region) const {
     if (region.begin.line == 0 || region.begin.line > lines_.size()) {
       return {};
     }
@@ -96,7 +96,7 @@
                                   : std::string::npos);
   }
 
-  const SettingsDocument::IsTable& is_table_;
+  const SettingsDocument::IsDeclaredTable& is_declared_table_;
   std::vector<std::string> lines_;
   std::map<std::string, Entry> entries_;
 };
@@ -110,8 +110,8 @@
 Result<SettingsDocument, SettingError> SettingsDocument::Parse(
     std::string_view text,
     const std::string& file,
-    const IsTable& is_table) {
-  EntryCollector collector(text, is_table);
+    const IsDeclaredTable& is_declared_table) {
+  EntryCollector collector(text, is_declared_table);
   // The parser throws; no exception leaves this function.
   try {
     collector.Add(toml::parse(text, file), "");
--- a/transport/settings_document.h
+++ b/transport/settings_document.h
@@ -26,7 +26,7 @@
   struct Entry {
     int line;
     // The first line of the value as written in the file.
-    std::string written;
+    std::string source_text;
     // Empty for types that no setting has.
     std::optional<SettingValue> value;
   };
@@ -34,12 +34,13 @@
   // Returns whether any setting is declared in the table at the path. A table
   // without declared settings becomes a single entry, so that it is reported
   // once, even if it is empty.
-  using IsTable = std::function<bool(std::string_view path)>;
+  using IsDeclaredTable = std::function<bool(std::string_view path)>;
 
   // `file` is the name shown in errors. The only error is kSyntax.
-  static Result<SettingsDocument, SettingError> Parse(std::string_view text,
-                                                      const std::string& file,
-                                                      const IsTable& is_table);
+  static Result<SettingsDocument, SettingError> Parse(
+      std::string_view text,
+      const std::string& file,
+      const IsDeclaredTable& is_declared_table);
 
   const std::string& file() const { return file_; }
   const std::map<std::string, Entry>& entries() const { return entries_; }
--- a/transport/settings_reader.cc
+++ b/transport/settings_reader.cc
@@ -17,7 +17,7 @@
 constexpr std::size_t kMaxSuggestionDistance = 3;
 constexpr std::string_view kDurationSuffix = "_ms";
 constexpr std::string_view kSecretSuffix = "_file";
-constexpr std::string_view kWithheld = "(withheld)";
+constexpr std::string_view kRedacted = "(withheld)";
 
 std::optional<std::string> ReadWholeFile(const std::filesystem::path& path,
                                          std::size_t max_bytes) {
@@ -36,7 +36,7 @@
 }
 
 template <typename Number>
-std::string RangeText(Number min, Number max, std::string_view unit = "") {
+std::string DescribeRange(Number min, Number max, std::string_view unit = "") {
   std::ostringstream text;
   const bool has_min = min != std::numeric_limits<Number>::lowest();
   const bool has_max = max != std::numeric_limits<Number>::max();
@@ -53,7 +53,7 @@
   return text.str();
 }
 
-std::string Joined(const std::vector<std::string>& items) {
+std::string JoinWithCommas(const std::vector<std::string>& items) {
   std::string joined;
   for (const std::string& item : items) {
     joined += joined.empty() ? "" : ", ";
@@ -62,7 +62,7 @@
   return joined;
 }
 
-std::string Quoted(const std::string& text) {
+std::string Quote(const std::string& text) {
   std::string quoted = "\"";
   quoted += text;
   quoted += '"';
@@ -87,7 +87,7 @@
 
 // Returns true if the text suggests a secret: a user may have written one under
 // an unknown key, or within an inline table.
-bool MayHoldSecret(std::string_view text) {
+bool MayContainSecret(std::string_view text) {
   for (const std::string_view word :
        {"key", "secret", "token", "pass", "credential", "auth", "bearer"}) {
     if (text.find(word) != std::string_view::npos) {
@@ -132,22 +132,22 @@
                          SettingNeed need) {
   std::ostringstream default_value;
   default_value << *target;
-  Declare({std::string(key), "number", RangeText(range.min, range.max),
+  Declare({std::string(key), "number", DescribeRange(range.min, range.max),
            default_value.str(), std::string(doc), need, false,
            [target, range](const SettingValue& value,
-                           const std::string&) -> Result<Apply, Refusal> {
+                           const std::string&) -> Result<Apply, CheckFailure> {
              const auto* integer = std::get_if<std::int64_t>(&value);
              const auto* floating = std::get_if<double>(&value);
              if (integer == nullptr && floating == nullptr) {
-               return Refusal{SettingErrorKind::kWrongType};
+               return CheckFailure{SettingErrorKind::kWrongType};
              }
              const double number = floating != nullptr
                                        ? *floating
                                        : static_cast<double>(*integer);
              // Every comparison with NaN is false, so NaN is rejected.
-             const bool is_inside = number >= range.min && number <= range.max;
-             if (!is_inside) {
-               return Refusal{SettingErrorKind::kOutOfRange};
+             const bool in_range = number >= range.min && number <= range.max;
+             if (!in_range) {
+               return CheckFailure{SettingErrorKind::kOutOfRange};
              }
              return Apply([target, number] { *target = number; });
            }});
@@ -160,10 +160,10 @@
   Declare({std::string(key), "boolean", "true or false",
            *target ? "true" : "false", std::string(doc), need, false,
            [target](const SettingValue& value,
-                    const std::string&) -> Result<Apply, Refusal> {
+                    const std::string&) -> Result<Apply, CheckFailure> {
              const auto* flag = std::get_if<bool>(&value);
              if (flag == nullptr) {
-               return Refusal{SettingErrorKind::kWrongType};
+               return CheckFailure{SettingErrorKind::kWrongType};
              }
              return Apply([target, flag = *flag] { *target = flag; });
            }});
@@ -184,7 +184,7 @@
                          std::string_view doc,
                          SettingNeed need) {
   if (!key.ends_with(kDurationSuffix)) {
-    RefuseDeclaration(key, "the key of a duration must end in _ms");
+    AddDeclarationError(key, "the key of a duration must end in _ms");
   }
   AddInteger(key, target->millis(), {range.min.millis(), range.max.millis()},
              doc, need, [target](std::int64_t number) {
@@ -199,18 +199,18 @@
                          SettingNeed need) {
   std::vector<std::string> defaults;
   std::transform(target->begin(), target->end(), std::back_inserter(defaults),
-                 Quoted);
+                 Quote);
   Declare({std::string(key), "list of texts",
-           RangeText(range.min, range.max, " items"),
-           '[' + Joined(defaults) + ']', std::string(doc), need, false,
+           DescribeRange(range.min, range.max, " items"),
+           '[' + JoinWithCommas(defaults) + ']', std::string(doc), need, false,
            [target, range](const SettingValue& value,
-                           const std::string&) -> Result<Apply, Refusal> {
+                           const std::string&) -> Result<Apply, CheckFailure> {
              const auto* items = std::get_if<std::vector<std::string>>(&value);
              if (items == nullptr) {
-               return Refusal{SettingErrorKind::kWrongType};
+               return CheckFailure{SettingErrorKind::kWrongType};
              }
              if (items->size() < range.min || items->size() > range.max) {
-               return Refusal{SettingErrorKind::kOutOfRange};
+               return CheckFailure{SettingErrorKind::kOutOfRange};
              }
              return Apply([target, items = *items] { *target = items; });
            }});
@@ -222,29 +222,29 @@
                                std::string_view doc,
                                SettingNeed need) {
   if (!key.ends_with(kSecretSuffix)) {
-    RefuseDeclaration(key, "the key of a secret must end in _file");
+    AddDeclarationError(key, "the key of a secret must end in _file");
   }
   Declare({std::string(key), "path of a file",
            "a file whose first line has " +
-               RangeText(range.min, range.max, " bytes"),
+               DescribeRange(range.min, range.max, " bytes"),
            "none", std::string(doc), need, true,
-           [target, range](const SettingValue& value,
-                           const std::string& file) -> Result<Apply, Refusal> {
+           [target, range](const SettingValue& value, const std::string& file)
+               -> Result<Apply, CheckFailure> {
              const auto* name = std::get_if<std::string>(&value);
              if (name == nullptr) {
-               return Refusal{SettingErrorKind::kWrongType};
+               return CheckFailure{SettingErrorKind::kWrongType};
              }
              const std::filesystem::path folder =
                  std::filesystem::path(file).parent_path();
              std::optional<std::string> content =
                  ReadWholeFile(folder / *name, kMaxFileBytes);
              if (!content) {
-               return Refusal{SettingErrorKind::kSecretUnreadable};
+               return CheckFailure{SettingErrorKind::kSecretUnreadable};
              }
              content->resize(
                  std::min(content->find_first_of("\r\n"), content->size()));
              if (content->size() < range.min || content->size() > range.max) {
-               return Refusal{SettingErrorKind::kSecretUnreadable};
+               return CheckFailure{SettingErrorKind::kSecretUnreadable};
              }
              return Apply([target, secret = Secret(*std::move(content))] {
                *target = secret;
@@ -258,17 +258,17 @@
                                 std::string_view doc,
                                 SettingNeed need,
                                 std::function<void(std::int64_t)> apply) {
-  Declare({std::string(key), "integer", RangeText(range.min, range.max),
+  Declare({std::string(key), "integer", DescribeRange(range.min, range.max),
            std::to_string(default_value), std::string(doc), need, false,
            [apply = std::move(apply), range](
                const SettingValue& value,
-               const std::string&) -> Result<Apply, Refusal> {
+               const std::string&) -> Result<Apply, CheckFailure> {
              const auto* number = std::get_if<std::int64_t>(&value);
              if (number == nullptr) {
-               return Refusal{SettingErrorKind::kWrongType};
+               return CheckFailure{SettingErrorKind::kWrongType};
              }
              if (*number < range.min || *number > range.max) {
-               return Refusal{SettingErrorKind::kOutOfRange};
+               return CheckFailure{SettingErrorKind::kOutOfRange};
              }
              return Apply([apply, number = *number] { apply(number); });
            }});
@@ -280,17 +280,18 @@
                              std::string_view doc,
                              SettingNeed need,
                              std::function<void(std::string)> apply) {
-  Declare({std::string(key), "text", RangeText(range.min, range.max, " bytes"),
-           Quoted(default_value), std::string(doc), need, false,
+  Declare({std::string(key), "text",
+           DescribeRange(range.min, range.max, " bytes"), Quote(default_value),
+           std::string(doc), need, false,
            [apply = std::move(apply), range](
                const SettingValue& value,
-               const std::string&) -> Result<Apply, Refusal> {
+               const std::string&) -> Result<Apply, CheckFailure> {
              const auto* text = std::get_if<std::string>(&value);
              if (text == nullptr) {
-               return Refusal{SettingErrorKind::kWrongType};
+               return CheckFailure{SettingErrorKind::kWrongType};
              }
              if (text->size() < range.min || text->size() > range.max) {
-               return Refusal{SettingErrorKind::kOutOfRange};
+               return CheckFailure{SettingErrorKind::kOutOfRange};
              }
              return Apply([apply, text = *text] { apply(text); });
            }});
@@ -302,19 +303,19 @@
                                     std::string_view doc,
                                     SettingNeed need,
                                     std::function<void(std::size_t)> apply) {
-  const std::string allowed = Joined(names);
-  Declare({std::string(key), "choice", allowed, Quoted(default_name),
+  const std::string allowed = JoinWithCommas(names);
+  Declare({std::string(key), "choice", allowed, Quote(default_name),
            std::string(doc), need, false,
            [apply = std::move(apply), names = std::move(names)](
                const SettingValue& value,
-               const std::string&) -> Result<Apply, Refusal> {
+               const std::string&) -> Result<Apply, CheckFailure> {
              const auto* name = std::get_if<std::string>(&value);
              if (name == nullptr) {
-               return Refusal{SettingErrorKind::kWrongType};
+               return CheckFailure{SettingErrorKind::kWrongType};
              }
              const auto found = std::find(names.begin(), names.end(), *name);
              if (found == names.end()) {
-               return Refusal{SettingErrorKind::kOutOfRange};
+               return CheckFailure{SettingErrorKind::kOutOfRange};
              }
              const auto index = static_cast<std::size_t>(found - names.begin());
              return Apply([apply, index] { apply(index); });
@@ -323,14 +324,14 @@
 
 void SettingsReader::Declare(Declaration declaration) {
   if (Find(declaration.key) != nullptr) {
-    RefuseDeclaration(declaration.key, "the key is declared more than once");
+    AddDeclarationError(declaration.key, "the key is declared more than once");
     return;
   }
   declarations_.push_back(std::move(declaration));
 }
 
-void SettingsReader::RefuseDeclaration(std::string_view key,
-                                       std::string allowed) {
+void SettingsReader::AddDeclarationError(std::string_view key,
+                                         std::string allowed) {
   SettingError error;
   error.kind = SettingErrorKind::kBadDeclaration;
   error.key = std::string(key);
@@ -354,7 +355,7 @@
                      });
 }
 
-std::string SettingsReader::SuggestionFor(std::string_view key) const {
+std::string SettingsReader::SuggestKey(std::string_view key) const {
   const auto distance = [key](const Declaration& each) {
     return EditDistance(key, each.key);
   };
@@ -406,7 +407,7 @@
       errors.push_back(std::move(std::get<SettingError>(checked)));
     }
   }
-  AddMissing(document, errors);
+  ReportMissingKeys(document, errors);
   if (errors.empty()) {
     for (const Apply& apply : applies) {
       apply();
@@ -423,20 +424,23 @@
     const std::string& file,
     const std::string& key,
     const SettingsDocument::Entry& entry) const {
-  SettingError error{
-      SettingErrorKind::kUnknownKey, file, entry.line, key, entry.written, ""};
+  SettingError error{SettingErrorKind::kUnknownKey,
+                     file,
+                     entry.line,
+                     key,
+                     entry.source_text,
+                     ""};
   const Declaration* declaration = Find(key);
   if (declaration == nullptr) {
-    if (MayHoldSecret(key) || MayHoldSecret(entry.written)) {
-      error.value = kWithheld;
+    if (MayContainSecret(key) || MayContainSecret(entry.source_text)) {
+      error.value = kRedacted;
     }
-    error.allowed = SuggestionFor(key);
+    error.allowed = SuggestKey(key);
     return error;
   }
-  auto checked =
-      entry.value
-          ? declaration->check(*entry.value, file)
-          : Result<Apply, Refusal>(Refusal{SettingErrorKind::kWrongType});
+  auto checked = entry.value ? declaration->check(*entry.value, file)
+                             : Result<Apply, CheckFailure>(
+                                   CheckFailure{SettingErrorKind::kWrongType});
   if (IsOk(checked)) {
     return std::move(ValueOf(checked));
   }
@@ -445,13 +449,14 @@
   const auto* text =
       entry.value ? std::get_if<std::string>(&*entry.value) : nullptr;
   if (declaration->is_secret && (text == nullptr || !LooksLikePath(*text))) {
-    error.value = kWithheld;
+    error.value = kRedacted;
   }
   return error;
 }
 
-void SettingsReader::AddMissing(const SettingsDocument& document,
-                                std::vector<SettingError>& errors) const {
+void SettingsReader::ReportMissingKeys(
+    const SettingsDocument& document,
+    std::vector<SettingError>& errors) const {
   for (const Declaration& declaration : declarations_) {
     if (declaration.need == SettingNeed::kRequired &&
         !document.entries().contains(declaration.key)) {
--- a/transport/settings_reader.h
+++ b/transport/settings_reader.h
@@ -153,12 +153,12 @@
  private:
   // Assigns a variable, after all keys have been found valid.
   using Apply = std::function<void()>;
-  struct Refusal {
+  struct CheckFailure {
     SettingErrorKind kind;
   };
   // Checks a value and returns the function that assigns it.
-  using Check = std::function<Result<Apply, Refusal>(const SettingValue&,
-                                                     const std::string&)>;
+  using Check = std::function<Result<Apply, CheckFailure>(const SettingValue&,
+                                                          const std::string&)>;
   struct Declaration {
     std::string key;
     std::string type;
@@ -189,17 +189,17 @@
                       SettingNeed need,
                       std::function<void(std::size_t)> apply);
   void Declare(Declaration declaration);
-  void RefuseDeclaration(std::string_view key, std::string allowed);
+  void AddDeclarationError(std::string_view key, std::string allowed);
   const Declaration* Find(std::string_view key) const;
   bool HasKeysBelow(std::string_view table) const;
-  std::string SuggestionFor(std::string_view key) const;
+  std::string SuggestKey(std::string_view key) const;
   std::vector<SettingError> Evaluate(const SettingsDocument& document);
   Result<Apply, SettingError> CheckEntry(
       const std::string& file,
       const std::string& key,
       const SettingsDocument::Entry& entry) const;
-  void AddMissing(const SettingsDocument& document,
-                  std::vector<SettingError>& errors) const;
+  void ReportMissingKeys(const SettingsDocument& document,
+                         std::vector<SettingError>& errors) const;
 
   std::vector<Declaration> declarations_;
   std::vector<SettingError> declaration_errors_;
