--- a/programs/daemon/daemon_command_line.cc
+++ b/programs/daemon/daemon_command_line.cc
@@ -11,32 +11,33 @@
 namespace options = boost::program_options;
 
 constexpr std::string_view kExitCodes =
-    "\nExit codes: 0 stopped as planned, 2 wrong command line, 3 wrong "
-    "settings,\n"
-    "4 an address cannot be listened on.\n";
+    "\nExit codes: 0 success or planned stop, 2 invalid command line,\n"
+    "3 invalid settings, "
+    "4 cannot listen on an address.\n";
 
 options::options_description DescribeOptions(const std::string& name) {
   options::options_description description(name);
-  description.add_options()("help,h", "show this help")(
+  description.add_options()("help,h", "print this help and exit")(
       "settings", options::value<std::string>(),
-      "settings file; runs the daemon")(
+      "run the daemon with this settings file")(
       "settings-from", options::value<std::string>(),
-      "the same, with its path in this environment variable")(
+      "run the daemon with the settings file whose path is in this "
+      "environment variable")(
       "check-settings", options::value<std::string>(),
-      "check the settings file and end")("settings-reference",
-                                         "print all keys as a Markdown table");
+      "check this settings file, print all errors and exit")(
+      "settings-reference", "print all settings as a Markdown table and exit");
   return description;
 }
 
-DaemonExit CheckSettings(const DaemonProgram& program,
-                         const std::string& file) {
+DaemonExitCode CheckSettings(const DaemonProgram& program,
+                             const std::string& file) {
   const std::vector<SettingError> errors = program.check(file);
   if (!errors.empty()) {
     PrintSettingErrors(errors);
-    return DaemonExit::kWrongSettings;
+    return DaemonExitCode::kInvalidSettings;
   }
-  std::cout << file << ": all settings are sound\n";
-  return DaemonExit::kStoppedAsPlanned;
+  std::cout << file << ": all settings are valid\n";
+  return DaemonExitCode::kSuccess;
 }
 
 }  // namespace
@@ -47,9 +48,9 @@
   }
 }
 
-DaemonExit RunDaemonProgram(const DaemonProgram& program,
-                            int argc,
-                            char** argv) {
+DaemonExitCode RunDaemonProgram(const DaemonProgram& program,
+                                int argc,
+                                char** argv) {
   const options::options_description description =
       DescribeOptions(program.name);
   options::variables_map values;
@@ -59,15 +60,15 @@
   } catch (const options::error& error) {
     std::cerr << error.what() << "\n\n"
               << description << program.examples << kExitCodes;
-    return DaemonExit::kWrongCommandLine;
+    return DaemonExitCode::kInvalidCommandLine;
   }
   if (values.count("help") > 0) {
     std::cout << description << '\n' << program.examples << kExitCodes;
-    return DaemonExit::kStoppedAsPlanned;
+    return DaemonExitCode::kSuccess;
   }
   if (values.count("settings-reference") > 0) {
     program.write_reference(std::cout);
-    return DaemonExit::kStoppedAsPlanned;
+    return DaemonExitCode::kSuccess;
   }
   if (values.count("check-settings") > 0) {
     return CheckSettings(program, values["check-settings"].as<std::string>());
@@ -76,15 +77,17 @@
     const auto& variable = values["settings-from"].as<std::string>();
     const char* const path = std::getenv(variable.c_str());
     if (path == nullptr) {
-      std::cerr << "the environment variable " << variable << " is not set\n";
-      return DaemonExit::kWrongCommandLine;
+      std::cerr << "environment variable " << variable
+                << " is not set; --settings-from needs a variable that holds "
+                   "the path of a settings file\n";
+      return DaemonExitCode::kInvalidCommandLine;
     }
     return program.run(path);
   }
   if (values.count("settings") == 0) {
-    std::cerr << "--settings is missing\n\n"
+    std::cerr << "no settings file given; use --settings or --settings-from\n\n"
               << description << program.examples << kExitCodes;
-    return DaemonExit::kWrongCommandLine;
+    return DaemonExitCode::kInvalidCommandLine;
   }
   return program.run(values["settings"].as<std::string>());
 }
--- a/programs/daemon/daemon_command_line.h
+++ b/programs/daemon/daemon_command_line.h
@@ -11,34 +11,35 @@
 
 namespace gcw {
 
-enum class DaemonExit {
-  kStoppedAsPlanned = 0,
-  kWrongCommandLine = 2,
-  kWrongSettings = 3,
-  kCannotListen = 4,
+enum class DaemonExitCode {
+  kSuccess = 0,
+  kInvalidCommandLine = 2,
+  kInvalidSettings = 3,
+  kListenFailed = 4,
 };
 
-// What a daemon's program does of its own.
+// The parts of the command line that differ between daemons.
 struct DaemonProgram {
   std::string name;
-  // For its help, with what its signals do.
+  // Examples and a description of the signals, for --help.
   std::string_view examples;
-  // Runs with that settings file until its stop.
-  std::function<DaemonExit(const std::string& settings_file)> run;
-  // The faults of a settings file.
+  // Runs the daemon with the settings file until it stops.
+  std::function<DaemonExitCode(const std::string& settings_file)> run;
+  // Returns the errors of a settings file.
   std::function<std::vector<SettingError>(const std::string& settings_file)>
       check;
   std::function<void(std::ostream& out)> write_reference;
 };
 
-// Prints the faults, one a line.
+// Prints one error per line to standard error.
 void PrintSettingErrors(const std::vector<SettingError>& errors);
 
-// Follows the command line of a daemon: --settings FILE, --settings-from
-// VARIABLE, --check-settings FILE, --settings-reference or --help.
-DaemonExit RunDaemonProgram(const DaemonProgram& program,
-                            int argc,
-                            char** argv);
+// Parses and executes the command line of a daemon: --settings FILE,
+// --settings-from VARIABLE, --check-settings FILE, --settings-reference or
+// --help.
+DaemonExitCode RunDaemonProgram(const DaemonProgram& program,
+                                int argc,
+                                char** argv);
 
 }  // namespace gcw
 
--- a/programs/gcw_gateway/main.cc
+++ b/programs/gcw_gateway/main.cc
@@ -1,5 +1,5 @@
-// The daemon on every entry VM of a platform whose store holds the operators'
-// document and the endpoints.
+// gcw-gateway, the daemon on each entry VM of a platform whose key-value
+// service holds the operators' configuration document and the endpoints.
 
 #include <csignal>
 #include <iostream>
@@ -18,8 +18,9 @@
     "  gcw-gateway --settings-from GOLDCRESTWEIR_BOOT\n"
     "  gcw-gateway --check-settings gateway.toml\n"
     "  gcw-gateway --settings-reference\n\n"
-    "SIGTERM and SIGINT begin a planned stop; SIGHUP checks the settings "
-    "file.\n";
+    "SIGTERM and SIGINT begin a planned stop. SIGHUP checks the settings "
+    "file\nand logs the number of errors; changes apply only after a "
+    "restart.\n";
 
 std::string_view ListenerName(gcw::GatewayListener listener) {
   switch (listener) {
@@ -37,36 +38,38 @@
   return "unknown";
 }
 
-std::vector<gcw::SettingError> CheckGateway(const std::string& file) {
+std::vector<gcw::SettingError> CheckGatewaySettings(const std::string& file) {
   const auto read = gcw::ReadGatewaySettings(file);
   const auto* errors = std::get_if<1>(&read);
   return errors == nullptr ? std::vector<gcw::SettingError>() : *errors;
 }
 
-gcw::DaemonExit RunGateway(const std::string& file) {
+gcw::DaemonExitCode RunGateway(const std::string& file) {
   auto read = gcw::ReadGatewaySettings(file);
   if (const auto* errors = std::get_if<1>(&read)) {
     gcw::PrintSettingErrors(*errors);
-    return gcw::DaemonExit::kWrongSettings;
+    return gcw::DaemonExitCode::kInvalidSettings;
   }
-  // A connection that breaks while it is written to is a failed write, not an
-  // end of the process.
+  // Without this, a write to a broken connection would end the process instead
+  // of failing.
   std::signal(SIGPIPE, SIG_IGN);
   auto started = gcw::GatewayProcess::Start(std::move(std::get<0>(read)));
   if (const auto* error = std::get_if<gcw::GatewayListenError>(&started)) {
-    std::cerr << "cannot listen for " << ListenerName(error->listener)
-              << "; is the address taken or not this machine's?\n";
-    return gcw::DaemonExit::kCannotListen;
+    std::cerr << "cannot listen on the address of the setting listen."
+              << ListenerName(error->listener)
+              << ": it is already in use, is not an address of this machine or "
+                 "may not be used by this user\n";
+    return gcw::DaemonExitCode::kListenFailed;
   }
   std::get<0>(started)->Run(file);
-  return gcw::DaemonExit::kStoppedAsPlanned;
+  return gcw::DaemonExitCode::kSuccess;
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  return static_cast<int>(
-      gcw::RunDaemonProgram({"gcw-gateway", kExamples, RunGateway, CheckGateway,
-                             gcw::WriteGatewaySettingsReference},
-                            argc, argv));
+  return static_cast<int>(gcw::RunDaemonProgram(
+      {"gcw-gateway", kExamples, RunGateway, CheckGatewaySettings,
+       gcw::WriteGatewaySettingsReference},
+      argc, argv));
 }
--- a/programs/gcw_node/main.cc
+++ b/programs/gcw_node/main.cc
@@ -1,4 +1,4 @@
-// The daemon on every entry VM.
+// gcw-node, the daemon on each entry VM.
 
 #include <signal.h>
 
@@ -20,8 +20,10 @@
     "  gcw-node --settings node.toml\n"
     "  gcw-node --check-settings node.toml\n"
     "  gcw-node --settings-reference\n\n"
-    "SIGTERM and SIGINT begin a planned stop: the node leaves the answers to\n"
-    "callers at once, serves until they have moved on, and ends.\n";
+    "SIGTERM and SIGINT begin a planned stop: the node is no longer announced "
+    "to\ncallers, serves requests until callers have moved to other nodes, and "
+    "exits.\nSIGHUP checks the settings file and logs the number of errors; "
+    "changes apply\nonly after a restart.\n";
 
 std::string_view ListenerName(gcw::NodeListener listener) {
   switch (listener) {
@@ -35,9 +37,9 @@
   return "unknown";
 }
 
-// Blocks the signals of a planned stop and of a reload in all threads that
-// start later; they are taken by `sigtimedwait`. One that nobody takes would
-// end the process.
+// Blocks the signals for a planned stop and for a reload in this thread and in
+// all threads that it starts, so that `sigtimedwait` receives them. Unblocked,
+// their default action would end the process.
 sigset_t BlockSignals() {
   sigset_t signals;
   sigemptyset(&signals);
@@ -45,60 +47,64 @@
   sigaddset(&signals, SIGINT);
   sigaddset(&signals, SIGHUP);
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
-  // A connection that breaks while it is written to is a failed write, not an
-  // end of the process.
+  // Without this, a write to a broken connection would end the process instead
+  // of failing.
   signal(SIGPIPE, SIG_IGN);
   return signals;
 }
 
-std::vector<gcw::SettingError> CheckNode(const std::string& file) {
+std::vector<gcw::SettingError> CheckNodeSettings(const std::string& file) {
   const auto read = gcw::ReadNodeSettings(file);
   const auto* errors = std::get_if<1>(&read);
   return errors == nullptr ? std::vector<gcw::SettingError>() : *errors;
 }
 
-// Settings of a running node do not change; faults in the file are known before
-// the next start.
-void CheckAgain(const std::string& file) {
-  const std::vector<gcw::SettingError> errors = CheckNode(file);
+// Checks the settings file without applying it, because settings do not change
+// while a node runs. Errors in the file are thus known before the next start.
+void LogSettingsCheck(const std::string& file) {
+  const std::vector<gcw::SettingError> errors = CheckNodeSettings(file);
   gcw::LogEvent(
       errors.empty() ? gcw::LogSeverity::kInfo : gcw::LogSeverity::kError,
       "settings_checked",
       {{"errors", static_cast<std::int64_t>(errors.size())}});
 }
 
-gcw::DaemonExit RunNode(const std::string& file) {
+gcw::DaemonExitCode RunNode(const std::string& file) {
   auto read = gcw::ReadNodeSettings(file);
   if (const auto* errors = std::get_if<1>(&read)) {
     gcw::PrintSettingErrors(*errors);
-    return gcw::DaemonExit::kWrongSettings;
+    return gcw::DaemonExitCode::kInvalidSettings;
   }
   const sigset_t signals = BlockSignals();
   auto started = gcw::NodeProcess::Start(std::move(std::get<0>(read)));
   if (const auto* error = std::get_if<gcw::NodeStartError>(&started)) {
-    std::cerr << "cannot listen for " << ListenerName(error->listener)
-              << "; is the address taken or not this machine's?\n";
-    return gcw::DaemonExit::kCannotListen;
+    std::cerr
+        << "cannot listen on the IP address and port of the settings table "
+        << ListenerName(error->listener)
+        << ": they are already in use, the IP address is not one of this "
+           "machine or the port may not be used by this user\n";
+    return gcw::DaemonExitCode::kListenFailed;
   }
   gcw::NodeProcess& node = *std::get<0>(started);
-  // A planned stop may also begin through the operators' port.
-  const timespec patience{0, kSignalWaitNanos};
+  // The wait is short because a planned stop may also begin through the
+  // operators' port, without a signal.
+  const timespec signal_wait{0, kSignalWaitNanos};
   while (!node.stopped()) {
-    const int signal = sigtimedwait(&signals, nullptr, &patience);
+    const int signal = sigtimedwait(&signals, nullptr, &signal_wait);
     if (signal == SIGHUP) {
-      CheckAgain(file);
+      LogSettingsCheck(file);
     } else if (signal > 0) {
       node.BeginStop();
     }
   }
-  return gcw::DaemonExit::kStoppedAsPlanned;
+  return gcw::DaemonExitCode::kSuccess;
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
   return static_cast<int>(
-      gcw::RunDaemonProgram({"gcw-node", kExamples, RunNode, CheckNode,
+      gcw::RunDaemonProgram({"gcw-node", kExamples, RunNode, CheckNodeSettings,
                              gcw::WriteNodeSettingsReference},
                             argc, argv));
 }
--- a/transport/log_budget.h
+++ b/transport/log_budget.h
@@ -10,38 +10,42 @@
 namespace gcw {
 
 struct LogBudgetSettings {
-  // Lines a second for changes of what the node believes or holds.
-  std::int64_t belief_lines = 200;
-  // For requests that were refused, failed or moved.
-  std::int64_t trouble_lines = 40;
-  // For all other decisions on requests.
-  std::int64_t success_lines = 5;
+  // The limit per second for changes in what the node knows or holds.
+  std::int64_t state_change_lines = 200;
+  // The limit per second for requests that were refused, failed or retried.
+  std::int64_t request_failure_lines = 40;
+  // The limit per second for all other decisions on requests.
+  std::int64_t request_progress_lines = 5;
 };
 
-// How much an event matters to whoever explains a failure afterwards.
+// Classes of events with separate limits, by their value for diagnosing a
+// failure afterwards.
 enum class LogClass { kBelief, kTrouble, kSuccess };
 
 LogClass LogClassOf(EventKind kind);
 
-// Bounds the lines that events of the time line make in a second, each class by
-// itself, so that a flood of successes never hides a refusal and logging cannot
-// take the processor from requests.
+// Limits the log lines per second for events of the timeline. Each class has
+// its own limit, so that many successes cannot hide a refusal. The limits also
+// keep logging from taking processor time from requests.
 class LogBudget {
  public:
-  // Gets the events that are within the budget.
+  // Receives the events that are within the limits.
   using Write = std::function<void(const TimelineEvent&)>;
-  // Told at the end of a second in which some were left out.
-  using Summary = std::function<void(LogClass, std::int64_t left_out)>;
+  // Called for each class that dropped events in a second, when the first event
+  // of a later second arrives.
+  using ReportDropped = std::function<void(LogClass, std::int64_t left_out)>;
 
-  LogBudget(const LogBudgetSettings& settings, Write write, Summary summary);
+  LogBudget(const LogBudgetSettings& settings,
+            Write write,
+            ReportDropped report_dropped);
 
   void Take(const TimelineEvent& event);
   std::int64_t left_out() const { return left_out_; }
 
  private:
-  static constexpr std::size_t kClasses = 3;
+  static constexpr std::size_t kClassCount = 3;
 
-  struct Account {
+  struct ClassUsage {
     std::int64_t limit = 0;
     std::int64_t written = 0;
     std::int64_t left_out = 0;
@@ -50,8 +54,8 @@
   void BeginSecond(std::int64_t second);
 
   Write write_;
-  Summary summary_;
-  std::array<Account, kClasses> accounts_;
+  ReportDropped report_dropped_;
+  std::array<ClassUsage, kClassCount> usages_;
   std::int64_t second_ = 0;
   std::int64_t left_out_ = 0;
 };
--- a/transport/node_metrics.h
+++ b/transport/node_metrics.h
@@ -9,18 +9,19 @@
 
 namespace gcw {
 
-// What a node counts of its requests, as `/metrics` shows it.
+// The request metrics of a node, served at `/metrics`.
 class NodeMetrics {
  public:
   explicit NodeMetrics(Metrics& metrics);
 
-  // On the control thread.
+  // These are called on the control thread.
   void OnAction(const NodeAction& action);
   void OnEvent(const NodeEvent& event);
-  // The request is over, whatever its outcome.
-  void Forget(const RequestId& request) { dispatches_.erase(request); }
+  // Drops the state of a finished request.
+  void Forget(const RequestId& request) { dispatch_counts_.erase(request); }
 
-  // On traffic threads. From the request's arrival.
+  // These are called on traffic threads. `since_arrival` is the time since the
+  // arrival of the request.
   void OnFirstToken(Duration since_arrival) {
     first_token_.Record(static_cast<double>(since_arrival.millis()));
   }
@@ -30,7 +31,7 @@
 
  private:
   void OnAttemptEnd(const AttemptEnd& end);
-  void Count(std::string_view outcome, std::string_view reason);
+  void CountOutcome(std::string_view outcome, std::string_view reason);
 
   CounterFamily& outcomes_;
   CounterFamily& attempts_;
@@ -38,7 +39,7 @@
   Counter& retries_;
   Distribution& first_token_;
   Distribution& token_gap_;
-  std::unordered_map<RequestId, int> dispatches_;
+  std::unordered_map<RequestId, int> dispatch_counts_;
 };
 
 }  // namespace gcw
