--- a/programs/gcw_gateway/gateway_settings.cc
+++ b/programs/gcw_gateway/gateway_settings.cc
@@ -53,22 +53,23 @@
              SettingNeed::kRequired);
   reader.Add("node.processor_share", &raw.processor_share,
              NumberRange{0.01, 1000},
-             "How much of a core the node has; nodes with more of one keep the "
-             "groups.");
+             "Share of a processor core that the node has; nodes with a larger "
+             "share are preferred as the keeper of groups.");
   reader.Add("listen.callers", &raw.callers, kAddressText,
              "\"ip:port\" for callers' requests.", SettingNeed::kRequired);
   reader.Add("listen.readiness", &raw.readiness, kAddressText,
-             "\"ip:port\" where the platform asks whether the node is ready.",
+             "\"ip:port\" for the platform's readiness probes.",
              SettingNeed::kRequired);
   reader.Add("listen.entries", &raw.entries, kAddressText,
-             "\"ip:port\" where callers ask which addresses to use.",
+             "\"ip:port\" where callers request the list of node addresses.",
              SettingNeed::kRequired);
   reader.Add("listen.peers", &raw.peers, kAddressText,
              "\"ip:port\" for other nodes.", SettingNeed::kRequired);
   reader.Add("listen.metrics", &raw.metrics, kAddressText,
              "\"ip:port\" where metrics are served.");
   reader.Add("peers.seeds", &raw.seeds, kAnyList,
-             "Peer addresses to ask while the key-value service is away.");
+             "Peer addresses, each \"ip:port\", to ask while the key-value "
+             "service is unavailable.");
 }
 
 void DeclareStore(GatewayProcessSettings& settings,
@@ -77,143 +78,158 @@
   reader.Add("store.address", &settings.runtime.store, kAddressText,
              "Address of the key-value service.", SettingNeed::kRequired);
   reader.Add("store.timeout_ms", &settings.runtime.store_timeout,
-             kShortDuration,
-             "Longest wait for an answer of the key-value service.");
+             kShortDuration, "Timeout for an answer of the key-value service.");
   StoreMirrorSettings& mirror = settings.core.mirror;
   reader.Add("store.watch_interval_ms", &mirror.watch_interval, kShortDuration,
-             "Time between two watches at least.");
+             "Minimum time between two watches.");
   reader.Add("store.fleet_watches_per_second", &mirror.fleet_watches_per_second,
              NumberRange{0.1, 10000},
-             "Watches of all nodes together; with more nodes each one waits "
-             "longer between two.");
+             "Limit on the watches of all nodes together; with more nodes, "
+             "each node waits longer between two watches.");
   reader.Add("store.watch_wait_ms", &mirror.watch_wait, kShortDuration,
-             "How long the key-value service may hold a watch, at least.");
+             "Minimum time for which the key-value service may hold a watch.");
   reader.Add("store.leaving_known_within_ms", &raw.leaving_known_within,
              kPlatformDuration,
-             "So long after an endpoint's leaving was accepted, nothing more "
-             "may be sent to it.");
-  reader.Add("store.configuration_known_within_ms",
-             &raw.configuration_known_within, kPlatformDuration,
-             "So long after a configuration was accepted it must be in force.");
+             "Time after the removal of an endpoint is accepted from which no "
+             "request may be sent to it.");
+  reader.Add(
+      "store.configuration_known_within_ms", &raw.configuration_known_within,
+      kPlatformDuration,
+      "Time after a configuration is accepted by which it must be in force.");
   reader.Add("store.repeat_margin_ms", &mirror.repeat_margin, kShortDuration,
-             "Left of both for an answer that never came and the next call.");
+             "Part of the two times above that is reserved for a lost answer "
+             "and the next call.");
   reader.Add("store.away_after_ms", &mirror.away_after, kShortDuration,
-             "An answer overdue by so much: other nodes are asked.");
+             "Time by which an answer is overdue before the service counts as "
+             "unavailable and other nodes are asked.");
   reader.Add("store.lapse_grace_ms", &mirror.lapse_grace, kShortDuration,
-             "How long entries that vanish right after an outage are kept.");
+             "Grace period for entries that are removed right after an outage "
+             "of the service.");
   reader.Add("store.followers", &mirror.followers, IntegerRange{0, 10000},
-             "Nodes of a data centre that learn of changes from one that "
-             "watches the service; 0: each node watches it.");
+             "Number of nodes in a data centre that receive changes from one "
+             "node that watches the service; 0 lets each node watch it.");
   reader.Add("store.follow_from", &mirror.follow_from, IntegerRange{1, 10000},
-             "In a data centre with fewer nodes each one watches it.");
+             "In a data centre with fewer nodes than this, each node watches "
+             "the service.");
   reader.Add("store.follow_wait_ms", &mirror.follow_wait, kShortDuration,
-             "How long such a node's question waits for a change.");
+             "Time for which a follower's request waits for a change.");
   reader.Add("store.follow_timeout_ms", &mirror.follow_timeout, kShortDuration,
-             "An answer overdue by so much: the node watches the service.");
+             "Time by which an answer is overdue before the follower watches "
+             "the service itself.");
   reader.Add("store.follow_avoid_ms", &mirror.follow_avoid, kShortDuration,
-             "How long a node that could not tell is not asked again.");
+             "Time for which a node that could not answer is not asked again.");
   NodeLeaseSettings& lease = settings.core.lease;
   reader.Add("lease.time_to_live_ms", &lease.time_to_live, kShortDuration,
-             "Life of the node's lease without a renewal.");
+             "Time to live of the node's lease.");
   reader.Add("lease.renew_interval_ms", &lease.renew_interval, kShortDuration,
              "Time between renewals of the node's lease.");
   reader.Add("lease.margin_ms", &lease.margin, kShortDuration,
-             "Time before its end from which the lease is not relied on.");
+             "Safety margin: time before its expiry from which the lease is no "
+             "longer used.");
 }
 
 void DeclareRequests(GatewayProcessSettings& settings, SettingsReader& reader) {
   reader.Add("callers.entries_keep_ms", &settings.core.entries_keep,
              kShortDuration,
-             "How long callers may keep the list of addresses.");
+             "Time for which callers may cache the list of addresses.");
   reader.Add("callers.retry_after_ms", &settings.core.requests.retry_after,
              kShortDuration,
-             "When refused callers should come back, on average.");
-  reader.Add("stop.grace_ms", &settings.core.stop_grace,
-             {Duration::Seconds(1), Duration::Seconds(3600)},
-             "After so long the platform ends a node that was told to stop.");
-  reader.Add("stop.refuses_after_ms", &settings.core.stop_refuses_after,
-             kShortDuration,
-             "A node that was told to stop takes requests for so long.");
+             "Mean time after which refused callers are told to retry.");
+  reader.Add(
+      "stop.grace_ms", &settings.core.stop_grace,
+      {Duration::Seconds(1), Duration::Seconds(3600)},
+      "Time after which the platform ends a node that was told to stop.");
+  reader.Add(
+      "stop.refuses_after_ms", &settings.core.stop_refuses_after,
+      kShortDuration,
+      "Time for which a node that was told to stop still accepts requests.");
   reader.Add("stop.quiet_after_ms", &settings.core.stop_quiet_after,
              kShortDuration,
-             "After so long such a node ends once no request is open.");
+             "Time after which a node that was told to stop exits if no "
+             "request is open.");
   ForwardExchangeSettings& exchange = settings.runtime.exchange;
   reader.Add("endpoints.connect_timeout_ms", &exchange.connect_timeout,
-             kShortDuration, "Longest wait for a connection to an endpoint.");
+             kShortDuration, "Timeout for connecting to an endpoint.");
   reader.Add("endpoints.service_silence_ms", &exchange.service_idle_timeout,
              kShortDuration,
-             "A plain service without a byte for so long is given up on where "
-             "the request may be repeated.");
+             "Timeout without a byte from a plain service, for requests that "
+             "may be repeated.");
   ReplicaSelectorSettings& selector = settings.core.selector;
   reader.Add("routing.silence_limit_ms", &selector.silence_limit,
              kShortDuration,
-             "A group whose running streams give nothing for so long stands "
-             "still.");
+             "Time without an event in any running stream after which a group "
+             "counts as stalled.");
   reader.Add("routing.first_event_limit_ms", &selector.first_event_limit,
-             kShortDuration, "The same before a stream's first event.");
+             kShortDuration,
+             "Like routing.silence_limit_ms, before a stream's first event.");
   reader.Add("routing.witness_wait_ms", &selector.witness_wait, kShortDuration,
-             "How long other nodes may take to say that a silent group goes on "
-             "for them.");
+             "Time for other nodes to report that a group that seems stalled "
+             "makes progress for them.");
   reader.Add("routing.other_zone_ms", &selector.other_zone_ms,
              NumberRange{0, 1000},
-             "What an endpoint of another data centre costs, in expected "
-             "wait.");
-  reader.Add("routing.spread_ms", &selector.spread_ms, NumberRange{0, 1000},
-             "Random part of the expected wait.");
+             "Expected wait, in milliseconds, added for an endpoint in another "
+             "data centre.");
+  reader.Add(
+      "routing.spread_ms", &selector.spread_ms, NumberRange{0, 1000},
+      "Maximum random time, in milliseconds, added to the expected wait.");
   reader.Add(
       "routing.choices", &selector.choices, IntegerRange{1, 1000},
-      "Endpoints of the own data centre, and as many of the others, drawn "
-      "at random, that are compared for a request.");
+      "Number of endpoints drawn at random from the node's own data centre, "
+      "and again from all others, that are compared for a request.");
   reader.Add("routing.most_fill", &selector.most_fill, NumberRange{0.1, 100},
-             "Requests in an endpoint, as a multiple of its places, beyond "
-             "which nothing more is sent there.");
+             "Maximum number of requests in an endpoint, as a multiple of its "
+             "places.");
   reader.Add("routing.most_fill_deferred", &selector.most_fill_deferred,
              NumberRange{0.1, 100},
-             "The same at engines for requests that were deferred.");
+             "Like routing.most_fill, at engines for deferred requests.");
   reader.Add("routing.most_fill_ahead", &selector.most_fill_ahead,
              NumberRange{0.1, 100},
-             "The same for those that go before the deferred ones.");
+             "Like routing.most_fill, at engines for requests that go before "
+             "the deferred ones.");
   DeferralPolicySettings& deferral = settings.core.requests.deferral;
   reader.Add("deferral.window_part", &deferral.window_part,
              NumberRange{0.1, 10},
-             "Requests that go first and wait are as many as begin within this "
-             "part of the objective.");
-  reader.Add("deferral.least_window", &deferral.least_window,
-             NumberRange{1, 1e6}, "Never fewer than so many.");
+             "Part of the latency objective; as many requests may wait ahead "
+             "of deferred ones as begin within it.");
+  reader.Add(
+      "deferral.least_window", &deferral.least_window, NumberRange{1, 1e6},
+      "Minimum number of requests that may wait ahead of deferred ones.");
   reader.Add("deferral.rate_span_ms", &deferral.rate_span, kShortDuration,
-             "Span over which beginnings are counted.");
+             "Time window over which started requests are counted.");
   SharedRetryBudgetSettings& retries = settings.core.retries;
   reader.Add("retries.ratio", &retries.ratio, NumberRange{0, 10},
-             "Second sends of all nodes as a share of the requests.");
-  reader.Add("retries.slack", &retries.slack, NumberRange{0, 1e6},
-             "Second sends of all nodes beyond that share.");
+             "Limit on retries of all nodes, as a share of the requests.");
+  reader.Add(
+      "retries.slack", &retries.slack, NumberRange{0, 1e6},
+      "Number of retries of all nodes allowed in a window beyond that share.");
   reader.Add("retries.window_ms", &retries.window, kShortDuration,
-             "Span over which both are counted.");
+             "Time window over which requests and retries are counted.");
 }
 
 void DeclareGroups(GatewayProcessSettings& settings, SettingsReader& reader) {
   FleetKeeperSettings& keeper = settings.core.keeper;
-  reader.Add("groups.drain_limit_ms", &keeper.drain_limit, kShortDuration,
-             "How long a group that is closed by plan may run what it has.");
+  reader.Add(
+      "groups.drain_limit_ms", &keeper.drain_limit, kShortDuration,
+      "Time for which a group that is closed by plan may finish its requests.");
   reader.Add("groups.form_limit_ms", &keeper.form_limit,
              {Duration::Seconds(1), Duration::Seconds(3600)},
-             "A group that is not whole by then is given up.");
+             "Time after which a group that is not complete is abandoned.");
   reader.Add("groups.order_timeout_ms", &keeper.order_timeout, kShortDuration,
-             "Longest wait for an engine's answer to an order.");
+             "Timeout for an engine's answer to an order.");
   reader.Add("groups.expected_life_ms", &keeper.planner.expected_life,
              {Duration::Seconds(1), Duration::Seconds(3600)},
-             "How long a group is expected to serve as it is planned.");
+             "Time that a new group is expected to serve.");
   reader.Add("groups.least_restage_gain", &keeper.planner.least_restage_gain,
              NumberRange{1, 1000},
-             "A spare loads another model's weights where its groups would be "
-             "down so many times as long without.");
+             "A spare VM loads another model's weights if that model's groups "
+             "would otherwise be down this many times as long.");
   reader.Add("groups.load_rate_share", &keeper.loads.rate_share,
              NumberRange{0.01, 1},
-             "Part of the weight store's rate that is used.");
+             "Part of the weight store's published rate that is used.");
   reader.Add("groups.busy_reviews_per_second", &keeper.busy_reviews_per_second,
              NumberRange{1, 10000},
-             "Reviews a second, over all domains, of those in which something "
-             "is under way.");
+             "Maximum reviews per second of all domains together in which "
+             "changes are in progress.");
 }
 
 void DeclareRegrouping(GatewayProcessSettings& settings,
@@ -221,26 +237,30 @@
   FleetKeeperSettings& keeper = settings.core.keeper;
   reader.Add("groups.min_standby_groups", &keeper.planner.min_standby_groups,
              IntegerRange{1, 1000000},
-             "In a domain with so many groups of a model, their hosts get a "
-             "larger model's weights.");
-  reader.Add("groups.standby_load_share", &keeper.loads.max_standby_share,
-             NumberRange{0, 1},
-             "Part of the loads at once beyond which no such load begins.");
+             "Number of groups of a model in a domain from which their hosts "
+             "also load a larger model's weights.");
+  reader.Add(
+      "groups.standby_load_share", &keeper.loads.max_standby_share,
+      NumberRange{0, 1},
+      "Part of the concurrent loads from which no such standby load begins.");
   reader.Add("groups.min_free_part", &keeper.planner.min_free_part,
              NumberRange{0, 1},
-             "Part of a group's members that have to be free before groups of "
-             "another model are given up for it.");
-  reader.Add("groups.regroup_time_ms", &keeper.planner.regroup_time,
-             {Duration::Millis(10), Duration::Seconds(3600)},
-             "How long VMs of a group that is given up for another model's are "
-             "expected to serve nobody; the longer, the fewer are.");
+             "Part of a group's members that must be free before groups of "
+             "another model are closed for it.");
+  reader.Add(
+      "groups.regroup_time_ms", &keeper.planner.regroup_time,
+      {Duration::Millis(10), Duration::Seconds(3600)},
+      "Expected time without service of the VMs of a group that is closed for "
+      "another model's group; a larger value leads to fewer such changes.");
   reader.Add("groups.regroup_interval_ms", &keeper.regroup_interval,
-             kShortDuration, "Time between two such changes of one domain.");
+             kShortDuration,
+             "Minimum time between two such changes in a domain.");
   reader.Add("groups.regroup_drain_limit_ms", &keeper.regroup_drain_limit,
-             kShortDuration, "How long such a group may run what it has.");
+             kShortDuration,
+             "Time for which such a group may finish its requests.");
   reader.Add("groups.demand_interval_ms", &keeper.demand_interval,
              kShortDuration,
-             "Time between two groups that are asked for their load.");
+             "Time between load queries; each query asks one group.");
   reader.Add("groups.demand_memory_ms", &keeper.demand.memory, kShortDuration,
              "Time constant of the mean load of a model's groups.");
   reader.Add("groups.shortage_fill", &keeper.demand.shortage_fill,
@@ -251,7 +271,8 @@
 
 void DeclareLogging(GatewayProcessSettings& settings, SettingsReader& reader) {
   reader.Add("log.events_kept", &settings.events_kept,
-             IntegerRange{100, 1000000}, "Events of the time line in memory.");
+             IntegerRange{100, 1000000},
+             "Number of timeline events kept in memory.");
   reader.AddChoice<LogSeverity>("log.severity", &settings.log_severity,
                                 {{"info", LogSeverity::kInfo},
                                  {"warning", LogSeverity::kWarning},
@@ -259,12 +280,14 @@
                                 "Lowest severity that is logged.");
   LogBudgetSettings& budget = settings.log_budget;
   constexpr IntegerRange kLines{0, 100000};
-  reader.Add("log.belief_lines", &budget.state_change_lines, kLines,
-             "Lines a second for changes of what the node believes.");
+  reader.Add(
+      "log.belief_lines", &budget.state_change_lines, kLines,
+      "Maximum log lines per second for changes in what the node knows.");
   reader.Add("log.trouble_lines", &budget.request_failure_lines, kLines,
-             "Lines a second for requests refused, failed or moved.");
+             "Maximum log lines per second for requests that were refused, "
+             "failed or retried.");
   reader.Add("log.success_lines", &budget.request_progress_lines, kLines,
-             "Lines a second for other decisions on requests.");
+             "Maximum log lines per second for other decisions on requests.");
 }
 
 void DeclareAll(GatewayProcessSettings& settings,
--- a/programs/gcw_node/node_settings.cc
+++ b/programs/gcw_node/node_settings.cc
@@ -36,10 +36,11 @@
   reader.Add("node.region", &self.region, kIdText, "Region of the data centre.",
              SettingNeed::kRequired);
   reader.Add("node.weight", &self.weight, IntegerRange{1, 1000},
-             "Share of callers relative to other nodes.");
+             "Weight of this node when callers are distributed over nodes.");
   reader.Add("node.traffic_threads", &settings.traffic_threads,
              IntegerRange{1, 64},
-             "Threads for callers and endpoints, beside the control thread.");
+             "Number of threads for callers and endpoints, in addition to the "
+             "control thread.");
 }
 
 void DeclareListening(NodeSettings& settings, SettingsReader& reader) {
@@ -67,7 +68,7 @@
   reader.Add("store.address", &settings.store, kAddressText,
              "Address of the key-value service.", SettingNeed::kRequired);
   reader.Add("store.timeout_ms", &settings.store_timeout, kShortDuration,
-             "Longest wait for an answer of the key-value service.");
+             "Timeout for an answer of the key-value service.");
   reader.Add("vm_list.address", &settings.vm_list, kAddressText,
              "Address of the VM list.", SettingNeed::kRequired);
   reader.Add("vm_list.interval_ms", &settings.core.endpoints.vm_list_interval,
@@ -78,69 +79,73 @@
 
 void DeclareCallers(NodeSettings& settings, SettingsReader& reader) {
   reader.Add("entries.keep_ms", &settings.core.entries.keep, kLongDuration,
-             "How long callers may keep an answer of GET /v1/entries.");
+             "Time for which callers may cache an answer of GET /v1/entries.");
   reader.Add("entries.spread_ms", &settings.core.entries.spread_time,
              kLongDuration,
-             "Time until a node's leaving has reached all nodes.");
+             "Time until all nodes know that a node is leaving.");
   reader.Add("callers.connect_timeout_ms", &settings.callers.connect_timeout,
-             kShortDuration, "Longest wait for a connection to an endpoint.");
+             kShortDuration, "Timeout for connecting to an endpoint.");
   reader.Add("callers.model_progress_timeout_ms",
              &settings.callers.model_progress_timeout, kShortDuration,
-             "An engine's stream without a byte for so long is silent.");
+             "Timeout without a byte in an engine's stream.");
   reader.Add("callers.service_progress_timeout_ms",
              &settings.callers.service_progress_timeout, kShortDuration,
-             "A plain service without a byte for so long is silent.");
+             "Timeout without a byte from a plain service.");
   reader.Add("callers.model_timeout_ms",
              &settings.callers.default_model_timeout, kLongDuration,
-             "Deadline of model requests that name none.");
+             "Deadline of model requests that specify none.");
   reader.Add("callers.service_timeout_ms",
              &settings.callers.default_service_timeout, kLongDuration,
-             "Deadline of plain service requests that name none.");
+             "Deadline of plain service requests that specify none.");
 }
 
 void DeclareControl(NodeSettings& settings, SettingsReader& reader) {
   NodeCoreSettings& core = settings.core;
   reader.Add("lease.time_to_live_ms", &core.lease.time_to_live, kLongDuration,
-             "Life of the node's lease without a renewal.");
+             "Time to live of the node's lease.");
   reader.Add("lease.renew_interval_ms", &core.lease.renew_interval,
              kLongDuration, "Time between renewals of the node's lease.");
   reader.Add("lease.margin_ms", &core.lease.margin, kLongDuration,
-             "Time before its end from which the lease is not relied on.");
+             "Safety margin: time before its expiry from which the lease is no "
+             "longer used.");
   reader.Add("orders.takeover_wait_ms", &core.keeper.order.takeover_wait,
              kLongDuration,
-             "Wait of a new keeper before its first order; not less than the "
-             "lease's time to live.");
+             "Wait of a new keeper before its first order; at least "
+             "lease.time_to_live_ms.");
   reader.Add("membership.period_ms", &core.membership.period, kShortDuration,
              "Time between probes of other nodes.");
   reader.Add("gate.max_evidence_age_ms", &core.gate.max_evidence_age,
              kShortDuration,
-             "A group of this zone closes when the evidence that it is "
-             "complete is older.");
+             "Maximum age of the evidence that a group in this zone is "
+             "complete; the group closes when the evidence is older.");
   reader.Add("gate.max_remote_evidence_age_ms",
              &core.gate.max_remote_evidence_age, kShortDuration,
-             "The same for groups of other zones.");
+             "Like gate.max_evidence_age_ms, for groups in other zones.");
   reader.Add("keeper.loss_after_ms", &core.keeper.tracker.loss_after,
-             kShortDuration, "A VM that is silent for so long counts as lost.");
+             kShortDuration,
+             "Time without a sign of life after which a VM counts as lost.");
   reader.Add("keeper.list_lag_ms", &core.keeper.tracker.list_lag, kLongDuration,
-             "How far the VM list may lag behind.");
+             "Maximum delay of the VM list.");
   reader.Add("keeper.plan_interval_ms", &core.keeper.plan_interval,
              kShortDuration, "Time between two repair plans.");
   reader.Add("repair.group_downtime_weight",
              &core.keeper.planner.weights.group_downtime, NumberRange{0, 1e6},
-             "Cost of a second in which a wanted group cannot serve.");
+             "Cost of one second in which a wanted group cannot serve.");
   reader.Add("repair.stranded_accelerator_weight",
              &core.keeper.planner.weights.stranded_accelerator,
-             NumberRange{0, 1e6}, "Cost of a second of an idle accelerator.");
+             NumberRange{0, 1e6},
+             "Cost of one second in which an accelerator is idle.");
   reader.Add("limits.shards", &core.limits.shards, IntegerRange{1, 1024},
-             "Owners that contracts' limits are spread over; the same on all "
-             "nodes.");
+             "Number of shards that the limits of contracts are distributed "
+             "over; must be the same on all nodes.");
 }
 
 void DeclareLogging(NodeSettings& settings, SettingsReader& reader) {
   reader.Add("log.events_kept", &settings.events_kept,
-             IntegerRange{100, 10000000}, "Events of the time line in memory.");
+             IntegerRange{100, 10000000},
+             "Number of timeline events kept in memory.");
   reader.Add("log.events", &settings.log_events,
-             "Whether events of the time line go to the log too.");
+             "Whether events of the timeline are also written to the log.");
   reader.AddChoice<LogSeverity>("log.severity", &settings.log_severity,
                                 {{"info", LogSeverity::kInfo},
                                  {"warning", LogSeverity::kWarning},
@@ -158,10 +163,11 @@
   DeclareControl(settings, reader);
   DeclareLogging(settings, reader);
   reader.Add("peers.seeds", &raw.seeds, kAnyList,
-             "Nodes to ask while the key-value service is down: "
+             "Nodes to ask while the key-value service is unavailable, each "
              "\"id@ip:port\".");
-  reader.Add("zones.distances", &raw.zone_distances, kAnyList,
-             "One-way delay to other data centres: \"zone=milliseconds\".");
+  reader.Add(
+      "zones.distances", &raw.zone_distances, kAnyList,
+      "One-way delay to other data centres, each \"zone=milliseconds\".");
 }
 
 std::optional<NodeRecord> ParseSeed(const std::string& text) {
