--- a/programs/gcw_standin/batch.cc
+++ b/programs/gcw_standin/batch.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::int64_t kMillisPerSecond = 1000;
-// After a pause of the process, steps that nobody computed are not made up for.
+// After a pause of the process, older steps than these are skipped.
 constexpr std::int64_t kMostStepsAtOnce = 5;
 
 }  // namespace
--- a/programs/gcw_standin/batch.h
+++ b/programs/gcw_standin/batch.h
@@ -19,14 +19,15 @@
   std::int64_t priority = 0;
   std::vector<std::uint64_t> blocks;
   std::int64_t prompt_tokens = 0;
-  // Tokens from `next_token` to `end_token` are to be generated.
+  // The batch generates the tokens from `next_token` up to, but not including,
+  // `end_token`.
   std::int64_t next_token = 0;
   std::int64_t end_token = 0;
-  // Not begun after this time; no end where absent.
+  // A request that is still queued at this time is dropped.
   std::optional<Time> deadline;
 };
 
-// The request left the queue and runs.
+// The request left the queue and started to run.
 struct BatchStarted {
   Ticket ticket;
 };
@@ -37,7 +38,7 @@
 struct BatchEnded {
   Ticket ticket;
 };
-// Its deadline passed in the queue: it was not run.
+// The deadline passed while the request was queued; it did not run.
 struct BatchExpired {
   Ticket ticket;
 };
@@ -45,28 +46,28 @@
 using BatchEvent =
     std::variant<BatchStarted, BatchToken, BatchEnded, BatchExpired>;
 
-// Continuous batching in virtual steps: each step admits requests by priority,
-// computes prompts within a budget, and generates one token for each request
-// whose prompt is computed.
+// Simulates continuous batching in discrete steps. Each step admits requests by
+// priority, computes prompts within a token budget, and generates one token for
+// each request whose prompt is computed.
 class Batch {
  public:
   struct Settings {
     std::int64_t batch_limit = 32;
     std::int64_t prefill_tokens_per_second = 20000;
-    // One token per running request.
+    // Time of one step, which generates one token per running request.
     Duration step = Duration::Millis(20);
     std::size_t cache_blocks = 4096;
   };
 
-  // Prompt tokens that a cached block saves.
+  // Number of prompt tokens that need no computation per cached block.
   static constexpr std::int64_t kTokensPerBlock = 16;
 
   Batch(Settings settings, PrefixCache::Sink sink);
 
   void Add(Time now, BatchRequest request);
-  // Whether it held the request.
+  // Returns whether the request was queued or running.
   bool Cancel(Ticket ticket);
-  // Drops all requests; cached prefixes stay.
+  // Drops all requests and keeps the cached prefixes.
   void DropRequests();
   void ClearCache();
   std::vector<BatchEvent> Tick(Time now);
@@ -94,7 +95,7 @@
   Settings settings_;
   PrefixCache cache_;
   Time next_step_;
-  // By priority, in order of arrival.
+  // Sorted by priority, and by arrival within a priority.
   std::multimap<std::int64_t, BatchRequest> queue_;
   std::vector<Running> running_;
 };
--- a/programs/gcw_standin/cache_event_log.cc
+++ b/programs/gcw_standin/cache_event_log.cc
@@ -16,7 +16,7 @@
                                     std::int64_t after,
                                     Duration lag) const {
   if (after > last_sequence_) {
-    // The reader knows an earlier run of this process.
+    // The reader's sequence number comes from an earlier run of this process.
     return {};
   }
   CacheEventBatch batch{.first = after + 1, .next = after + 1, .events = {}};
--- a/programs/gcw_standin/cache_event_log.h
+++ b/programs/gcw_standin/cache_event_log.h
@@ -9,23 +9,24 @@
 
 namespace gcw {
 
-// The cache events that an engine publishes: late, and with gaps where readers
-// come too seldom or events are dropped on purpose.
+// The cache events that an engine publishes. Readers see them with a lag, and
+// with gaps if they read too seldom or if a fault drops events.
 class CacheEventLog {
  public:
   struct Settings {
-    // Events kept.
+    // Number of events kept.
     std::size_t capacity = 4096;
-    // Most events in one answer.
+    // Maximum number of events in one answer.
     std::size_t batch_limit = 1024;
   };
 
   explicit CacheEventLog(Settings settings);
 
   void Append(Time now, CacheEventKind kind, std::uint64_t block);
-  // The events after `after` that are older than `lag`.
+  // Returns the events with a sequence number above `after` that are at least
+  // `lag` old.
   CacheEventBatch Read(Time now, std::int64_t after, Duration lag) const;
-  // Forgets all events so far, which leaves a gap.
+  // Deletes all events, which leaves a gap in the sequence.
   void Drop();
 
  private:
--- a/programs/gcw_standin/command_line.cc
+++ b/programs/gcw_standin/command_line.cc
@@ -11,17 +11,20 @@
 
 options::options_description CommonDescription() {
   options::options_description description("All stand-ins");
-  description.add_options()("help", "print this")(
+  description.add_options()("help", "print this help and exit")(
       "ip", options::value<std::string>()->default_value("127.0.0.1"),
-      "address to listen on")("port",
-                              options::value<std::uint16_t>()->default_value(0),
-                              "port to listen on; 0 lets the kernel choose")(
+      "IP address to listen on")(
+      "port", options::value<std::uint16_t>()->default_value(0),
+      "port to listen on; 0 picks a free port")(
       "fault", options::value<std::vector<std::string>>()->composing(),
-      "NAME=VALUE, switched on at the start; may stand repeatedly");
+      "fault to inject from the start, as NAME=VALUE; repeatable; "
+      "docs/STANDIN.md lists the names");
   return description;
 }
 
-// "slow_ms=20" as the body of `POST /faults`. A value that is no JSON is text.
+// Converts a setting such as "slow_ms=20" into the body of `POST /faults`. A
+// value that is not valid JSON is taken as a string; a missing value means
+// true.
 std::string FaultMessage(const std::string& setting) {
   const std::size_t equals = setting.find('=');
   const std::string name = setting.substr(0, equals);
@@ -36,7 +39,8 @@
       boost::json::object{{"name", name}, {"value", std::move(value)}});
 }
 
-// Whether all settings were understood.
+// Applies the `--fault` options. Prints an error and returns false if one of
+// them is invalid.
 bool ReadFaults(const options::variables_map& values, Faults& faults) {
   if (values.count("fault") == 0) {
     return true;
@@ -45,8 +49,9 @@
        values["fault"].as<std::vector<std::string>>()) {
     Decoded<Faults> changed = ApplyFault(faults, FaultMessage(setting));
     if (!IsOk(changed)) {
-      std::cerr << "--fault " << setting << ": "
-                << CodecErrorKindName(ErrorOf(changed).kind) << " at "
+      std::cerr << "gcw-standin: invalid --fault " << setting
+                << " (expected NAME=VALUE as listed in docs/STANDIN.md): "
+                << CodecErrorKindName(ErrorOf(changed).kind) << " in field "
                 << ErrorOf(changed).field << '\n';
       return false;
     }
@@ -69,17 +74,17 @@
     options::store(
         options::command_line_parser(arguments).options(description).run(),
         parsed.values);
-    // A call for help need not be complete.
+    // `--help` works without the required options.
     if (parsed.values.count("help") == 0) {
       options::notify(parsed.values);
     }
   } catch (const options::error& error) {
     std::cerr << "gcw-standin " << name << ": " << error.what()
-              << "; see gcw-standin " << name << " --help\n";
+              << "; for the options run gcw-standin " << name << " --help\n";
     return CommandEnded{kExitUsage};
   }
   if (parsed.values.count("help") > 0) {
-    std::cout << "gcw-standin " << name << " [options]\n"
+    std::cout << "Usage: gcw-standin " << name << " [options]\n"
               << description << "\nExamples\n"
               << examples;
     return CommandEnded{kExitOk};
--- a/programs/gcw_standin/command_line.h
+++ b/programs/gcw_standin/command_line.h
@@ -18,7 +18,7 @@
 inline constexpr int kExitUsage = 2;
 inline constexpr int kExitListen = 3;
 
-// What all subcommands take.
+// Options that all subcommands have.
 struct CommonOptions {
   std::string ip;
   std::uint16_t port = 0;
@@ -30,13 +30,12 @@
   boost::program_options::variables_map values;
 };
 
-// There is nothing to run: help was printed, or the line is wrong and the
-// reason was.
+// There is nothing to run, because the help or a usage error was printed.
 struct CommandEnded {
   int exit_status = kExitOk;
 };
 
-// Parses a subcommand's line. `examples` stand at the end of its help.
+// Parses the arguments of a subcommand. Its help ends with `examples`.
 std::variant<ParsedCommand, CommandEnded> ParseCommand(
     const std::string& name,
     const std::string& examples,
--- a/programs/gcw_standin/commands.cc
+++ b/programs/gcw_standin/commands.cc
@@ -42,16 +42,19 @@
 std::string_view ListenErrorName(ListenErrorKind kind) {
   switch (kind) {
     case ListenErrorKind::kAddressMalformed:
-      return "malformed address";
+      return "not an IP address; give one with --ip";
     case ListenErrorKind::kAddressInUse:
-      return "address in use";
+      return "address already in use; choose another --port, or 0 for a free "
+             "port";
     case ListenErrorKind::kRefused:
-      return "refused by the system";
+      return "refused by the system; check that --ip is an address of this "
+             "machine and that --port is allowed";
   }
-  return "unknown";
+  return "unknown error";
 }
 
-// Serves until a signal. `make_shell(server)` builds what answers.
+// Runs a stand-in until SIGTERM or SIGINT. `make_shell(server)` creates the
+// object that answers its requests.
 template <typename MakeShell>
 int Serve(const std::string& name,
           const CommonOptions& common,
@@ -89,17 +92,21 @@
 
 Description StoreOptions() {
   Description description("Key-value service");
-  description.add_options()("calls-per-s", Default(2000.0),
-                            "calls a second before 429; 0 for no limit")(
+  description.add_options()(
+      "calls-per-s", Default(2000.0),
+      "calls accepted per second; more are refused with status 429; 0 for "
+      "no limit")(
       "writes-per-s", Default(400.0),
-      "writes a second before 429; 0 for no limit")(
-      "history", Default(std::size_t{10000}), "changes kept for watches")(
+      "writes accepted per second; more are refused with status 429; 0 for no "
+      "limit")("history", Default(std::size_t{10000}),
+               "changes kept for watches; older ones are compacted")(
       "first-revision", Default(std::int64_t{1}),
-      "where the revision counter starts");
+      "first value of the revision counter");
   return description;
 }
 
-// The rows of a file in the shape of `GET /vms`; none without a file.
+// Reads the VM list from a file in the format of `GET /vms`. Returns an empty
+// list if `path` is empty.
 Decoded<VmListSnapshot> ReadVmFile(const std::string& path) {
   if (path.empty()) {
     return VmListSnapshot{};
@@ -113,8 +120,9 @@
   const std::string path = Get<std::string>(parsed, "vms");
   const auto vms = ReadVmFile(path);
   if (!IsOk(vms)) {
-    std::cerr << "gcw-standin vmlist: " << path << ": "
-              << CodecErrorKindName(ErrorOf(vms).kind) << " at "
+    std::cerr << "gcw-standin vmlist: cannot read --vms file " << path
+              << " (expected JSON as returned by GET /vms): "
+              << CodecErrorKindName(ErrorOf(vms).kind) << " in field "
               << ErrorOf(vms).field << '\n';
     return kExitUsage;
   }
@@ -125,8 +133,9 @@
 
 Description VmListOptions() {
   Description description("VM list");
-  description.add_options()("vms", Default(std::string()),
-                            "JSON file in the shape of GET /vms");
+  description.add_options()(
+      "vms", Default(std::string()),
+      "JSON file with the initial list, in the format of GET /vms");
   return description;
 }
 
@@ -145,11 +154,13 @@
 
 Description PlatformOptions() {
   Description description("The users' platform: store, operator, endpoints");
-  description.add_options()("domains", Default(1), "fabric domains")(
-      "vms", Default(11), "VMs of each domain")(
-      "plain", Default(2), "processes of the plain service")(
-      "time-scale", Default(0.05), "factor on load and warm times")(
-      "history", Default(std::size_t{10000}), "changes kept for watches");
+  description.add_options()("domains", Default(1), "number of fabric domains")(
+      "vms", Default(11), "number of VMs in each domain")(
+      "plain", Default(2), "number of processes of the plain service")(
+      "time-scale", Default(0.05),
+      "factor by which load and warm-up times are multiplied")(
+      "history", Default(std::size_t{10000}),
+      "changes kept for watches; older ones are compacted");
   return description;
 }
 
@@ -166,8 +177,9 @@
 
 Description WeightsOptions() {
   Description description("Weight store");
-  description.add_options()("bytes-per-s", Default(std::int64_t{2000000000}),
-                            "rate that all fetches share, one after another");
+  description.add_options()(
+      "bytes-per-s", Default(std::int64_t{2000000000}),
+      "bytes per second; fetches are served one at a time");
   return description;
 }
 
@@ -211,23 +223,28 @@
   const Batch::Settings batch;
   Description description("Model engine of one VM");
   description.add_options()("vm", options::value<std::string>()->required(),
-                            "the VM's id")(
+                            "id of the VM")(
       "weights", Default(std::string()),
-      "IP:PORT of the weight store; none if empty")(
+      "IP:PORT of the weight store; if empty, nothing is fetched")(
       "shard-bytes", Default(std::int64_t{1000000000}),
-      "bytes fetched for a load")("load-ms", Default(std::int64_t{0}),
-                                  "time of a load after the fetch")(
-      "ignore-fence", "carry out orders with an old fencing number")(
+      "bytes to fetch for each load")(
+      "load-ms", Default(std::int64_t{0}),
+      "milliseconds that a load takes after the fetch")(
+      "ignore-fence", "carry out orders with a stale fencing token")(
       "member-timeout-ms", Default(std::int64_t{700}),
-      "a member unseen for so long is missing")(
-      "batch-limit", Default(batch.batch_limit), "requests run at once")(
+      "milliseconds without an answer after which a group member counts as "
+      "lost")("batch-limit", Default(batch.batch_limit),
+              "requests that run concurrently")(
       "prefill-tokens-per-s", Default(batch.prefill_tokens_per_second),
-      "prompt tokens computed a second")(
-      "step-ms", Default(batch.step.millis()), "time between tokens")(
+      "prompt tokens computed per second")(
+      "step-ms", Default(batch.step.millis()),
+      "milliseconds between two tokens of a request")(
       "cache-blocks", Default(batch.cache_blocks),
-      "prefix blocks of 64 bytes kept")(
-      "cache-events", Default(std::size_t{4096}), "cache events kept")(
-      "queue-limit", Default(std::int64_t{256}), "waiting requests before 503");
+      "capacity of the prefix cache, in blocks of 64 bytes")(
+      "cache-events", Default(std::size_t{4096}),
+      "cache events kept for readers")(
+      "queue-limit", Default(std::int64_t{256}),
+      "queued requests; more are refused with status 503");
   return description;
 }
 
@@ -243,8 +260,8 @@
 Description ServiceOptions() {
   Description description("Plain service");
   description.add_options()("vm", options::value<std::string>()->required(),
-                            "the VM's id")("delay-ms", Default(std::int64_t{5}),
-                                           "time that a call takes");
+                            "id of the VM")(
+      "delay-ms", Default(std::int64_t{5}), "milliseconds that a call takes");
   return description;
 }
 
@@ -270,17 +287,19 @@
      "  gcw-standin engine --vm vm-2 --weights 127.0.0.1:7003 "
      "--ignore-fence\n"},
     {"service", ServiceOptions, RunService,
-     "  gcw-standin service --vm shelf-1 --delay-ms 20 --fault slow_ms=500\n"},
+     "  gcw-standin service --vm vm-3 --delay-ms 20 --fault slow_ms=500\n"},
 };
 
 int PrintUsage(std::ostream& out, int exit_status) {
-  out << "gcw-standin COMMAND [options]\n\nCommands\n";
+  out << "Usage: gcw-standin COMMAND [options]\n\nCommands\n";
   for (const Command& command : kCommands) {
     out << "  " << command.name << '\n';
   }
-  out << "\nEach prints one JSON line with its port once it listens, and ends "
-         "on SIGTERM.\ngcw-standin COMMAND --help tells its options; "
-         "docs/STANDIN.md the faults.\n\nExamples\n";
+  out << "\nEach command prints one JSON line with its address and port once "
+         "it "
+         "listens,\nand exits on SIGTERM or SIGINT. gcw-standin COMMAND --help "
+         "lists its options;\ndocs/STANDIN.md describes the "
+         "faults.\n\nExamples\n";
   for (const Command& command : kCommands) {
     out << command.examples;
   }
@@ -305,7 +324,7 @@
     }
     return command.run(std::get<ParsedCommand>(parsed));
   }
-  std::cerr << "gcw-standin: no command " << arguments.front() << "\n\n";
+  std::cerr << "gcw-standin: unknown command " << arguments.front() << "\n\n";
   return PrintUsage(std::cerr, kExitUsage);
 }
 
--- a/programs/gcw_standin/commands.h
+++ b/programs/gcw_standin/commands.h
@@ -6,8 +6,8 @@
 
 namespace gcw {
 
-// Runs the subcommand named by the first argument until SIGTERM or SIGINT.
-// Returns the process's exit status.
+// Runs the subcommand named by the first argument until SIGTERM or SIGINT and
+// returns the exit status of the process.
 int RunStandin(const std::vector<std::string>& arguments);
 
 }  // namespace gcw
--- a/programs/gcw_standin/engine_member.cc
+++ b/programs/gcw_standin/engine_member.cc
@@ -40,7 +40,8 @@
   status_.fence = std::max(status_.fence, order.fence);
   const bool is_old = order.generation < status_.generation;
   if (status_.group == order.group && is_old && !ignore_fence) {
-    // Meant for members that this group no longer has: nothing is left to do.
+    // The order is for an earlier generation of this group, so there is nothing
+    // to do.
     return {EngineOrderAccepted{}, {}};
   }
   switch (order.kind) {
@@ -106,7 +107,7 @@
   status_.generation = order.generation;
   const std::optional<std::int64_t> rank = RankOf(settings_.vm, order.members);
   status_.rank = rank.value_or(0);
-  // An order for a group without this VM cannot be carried out.
+  // A VM that is not among the members cannot join the group.
   status_.state = rank ? EngineState::kLoading : EngineState::kFailed;
   own_part_loaded_ = false;
   loaded_at_.reset();
--- a/programs/gcw_standin/engine_member.h
+++ b/programs/gcw_standin/engine_member.h
@@ -10,16 +10,18 @@
 
 namespace gcw {
 
-// Ask another member's engine for its status.
+// Requests the status of another member's engine.
 struct PollMember {
   VmId vm;
   Address address;
 };
-// Fetch this VM's shard from the weight store, then call `OnWeights`.
+// Fetches this VM's shard from the weight store; `OnWeights` must be called
+// when the fetch is complete.
 struct FetchWeights {
   Generation generation;
 };
-// Requests in hand are lost: the group or this engine's part in it is gone.
+// Aborts all pending requests, because the group failed or because this engine
+// left it or joined another generation.
 struct BreakAnswers {};
 
 using MemberAction = std::variant<PollMember, FetchWeights, BreakAnswers>;
@@ -29,33 +31,38 @@
   std::vector<MemberAction> actions;
 };
 
-// One VM's part in a replica group: takes orders, loads, and at rank 0 watches
-// the other members, without which the group serves nothing.
+// The membership of one VM in a replica group. Carries out orders and loads the
+// shard. At rank 0 it also polls the other members, because the group serves
+// only while all of them are present.
 class EngineMember {
  public:
   struct Settings {
     VmId vm;
     Incarnation incarnation = Incarnation(1);
-    // Zero and no weight store: loaded at once.
+    // Time to load a shard, counted from the end of the fetch if there is a
+    // weight store.
     Duration load_time;
     bool uses_weight_store = false;
     Duration poll_period = Duration::Millis(200);
-    // A member that was not seen at work for so long is missing.
+    // A member that has not answered as a member of this generation for this
+    // time counts as lost.
     Duration member_timeout = Duration::Millis(700);
   };
 
   explicit EngineMember(Settings settings);
 
-  // An engine that ignores fences executes orders of any number.
+  // `ignore_fence` also carries out orders with a stale fencing token or
+  // generation.
   OrderOutcome OnOrder(Time now, const EngineOrder& order, bool ignore_fence);
   void OnWeights(Time now, Generation generation);
   std::vector<MemberAction> OnMemberStatus(Time now,
                                            const EngineStatus& status);
   std::vector<MemberAction> Tick(Time now);
 
-  // Whether it takes new requests: rank 0 of a group with all its members.
+  // Returns whether the engine accepts new requests: it has rank 0 in a group
+  // that is ready.
   bool IsServing() const;
-  // Without `active`, which the batch knows.
+  // Leaves `active` unset, because only the batch knows it.
   EngineStatus Status(Time now) const;
   const EngineStatus& own() const { return status_; }
 
@@ -63,13 +70,14 @@
   struct Peer {
     VmId vm;
     Address address;
-    // When it last answered as a member of this generation.
+    // Time of its last answer as a member of this generation.
     std::optional<Time> seen;
     Incarnation incarnation;
     bool loaded = false;
   };
 
-  // What it holds in memory, which a new generation can go on using.
+  // The weights in memory. A new generation that needs the same shard does not
+  // load it again.
   struct Shard {
     ModelId model;
     std::int64_t rank = 0;
@@ -94,8 +102,8 @@
   std::vector<Peer> peers_;
   std::optional<Shard> shard_;
   Shard wanted_;
-  // Loading its own part is done at this time; absent while it is not or while
-  // the weight store decides.
+  // Time at which the load of this VM's shard completes. Absent if no load is
+  // in progress or if the fetch from the weight store is not complete yet.
   std::optional<Time> loaded_at_;
   bool own_part_loaded_ = false;
   Time next_poll_;
--- a/programs/gcw_standin/engine_shell.cc
+++ b/programs/gcw_standin/engine_shell.cc
@@ -184,7 +184,8 @@
     return;
   }
   StartStream(found->second);
-  // A copy, since the caller may go away during the write.
+  // A copy keeps the responder alive if the caller disconnects during the
+  // write, which erases the exchange.
   const std::shared_ptr<HttpResponder> responder = found->second.responder;
   responder->Write(EncodeChatTokenEvent(action.token));
 }
--- a/programs/gcw_standin/engine_shell.h
+++ b/programs/gcw_standin/engine_shell.h
@@ -12,12 +12,13 @@
 
 namespace gcw {
 
-// Puts a `StandinEngine` on HTTP. `GET /executions` tells what truly ran.
+// Serves a `StandinEngine` over HTTP. `GET /executions` returns the counts of
+// the requests that were executed.
 class EngineShell {
  public:
   struct Settings {
     StandinEngine::Settings engine;
-    // Empty where loading takes a fixed time only.
+    // If empty, a load takes a fixed time and fetches nothing.
     Address weight_store;
     std::int64_t shard_bytes = 1000000000;
   };
@@ -37,7 +38,7 @@
   void Handle(Time now,
               const HttpRequest& request,
               std::shared_ptr<HttpResponder> responder);
-  // Whether the path was one of them.
+  // Answers the read-only paths. Returns false if the path is none of them.
   bool HandleRead(Time now,
                   const HttpRequest& request,
                   HttpResponder& responder) const;
@@ -58,7 +59,8 @@
   void Run(const FetchWeights& action);
 
   void StartStream(Exchange& exchange);
-  // Hands over the exchange and forgets it; without responder if it is gone.
+  // Removes the exchange and returns it. The result has no responder if the
+  // exchange has already ended.
   Exchange Take(Ticket ticket);
   void OnFaults();
 
--- a/programs/gcw_standin/faults.h
+++ b/programs/gcw_standin/faults.h
@@ -10,34 +10,35 @@
 
 namespace gcw {
 
-// Faults that are switched on now; docs/STANDIN.md tells what each does.
+// The faults that are injected at present; docs/STANDIN.md describes each.
 struct Faults {
   bool refuse = false;
   bool outage = false;
-  // Before a request is looked at.
+  // Delay before a request is handled.
   Duration slow;
-  // The next so many writes take effect without an answer.
+  // Number of writes still to come that take effect but get no answer.
   std::int64_t lose_answer = 0;
-  // Nothing is answered, on old and new connections.
+  // No request gets an answer, on open and on new connections.
   bool silent = false;
-  // Grows each time the exchanges that are open then go silent for good.
+  // Incremented to silence all exchanges that are open at that time. They never
+  // get an answer.
   std::int64_t silenced_epoch = 0;
-  // A request whose body has this text ends the process; off where empty.
+  // A request whose body contains this text ends the process; off if empty.
   std::string crash_on;
-  // Tokens after which an answer breaks; 0 for never.
+  // Number of tokens after which an answer is aborted; 0 for never.
   std::int64_t cut_stream_after = 0;
-  // How old load reports, cache events and VM lists are.
+  // Age of the load reports, cache events and VM lists that readers get.
   Duration lag;
-  // Orders with an old fencing number are carried out.
+  // Orders with a stale fencing token are carried out.
   bool ignore_fence = false;
-  // Grows each time the cache events so far are lost.
+  // Incremented to drop all cache events published so far.
   std::int64_t cache_gaps = 0;
 };
 
-// Reads `{"name", "value"}` and sets the fault of that name.
+// Parses `{"name", "value"}` and returns `faults` with that fault set.
 Decoded<Faults> ApplyFault(const Faults& faults, std::string_view text);
 
-// The faults by name.
+// Returns a JSON object with the value of each fault by name.
 std::string EncodeFaults(const Faults& faults);
 
 }  // namespace gcw
--- a/programs/gcw_standin/faulty_responder.h
+++ b/programs/gcw_standin/faulty_responder.h
@@ -14,24 +14,24 @@
 
 namespace gcw {
 
-// Passes an answer on, unless a fault swallows it: the exchange went silent, or
-// its answer is to be lost. Not thread-safe.
+// Forwards an answer to another responder, unless a fault has silenced the
+// exchange or drops its answer. Not thread-safe.
 class FaultyResponder : public HttpResponder,
                         public std::enable_shared_from_this<FaultyResponder> {
  public:
-  // Silenced exchanges, kept here since a connection would close with the last
-  // owner of its responder.
+  // Responders of silenced exchanges. The set keeps them alive, because a
+  // connection closes when its responder is destroyed.
   using Silenced = std::set<std::shared_ptr<FaultyResponder>>;
 
-  // `faults` and `silenced` outlive the exchange. With `loses_answer` the
-  // connection closes in place of an answer.
+  // `faults` and `silenced` must outlive the exchange. With `loses_answer` the
+  // connection is closed instead of answered.
   static std::shared_ptr<FaultyResponder> Wrap(
       std::shared_ptr<HttpResponder> inner,
       const Faults& faults,
       Silenced& silenced,
       bool loses_answer);
 
-  // Never answers, and keeps the connection open.
+  // Suppresses the answer and keeps the connection open.
   void Silence();
 
   void Respond(HttpResponse response) override;
@@ -48,8 +48,9 @@
                   Silenced& silenced,
                   bool loses_answer);
 
-  // Whether nothing may be sent; stays so, since a stream that went on later
-  // would have a hole.
+  // Returns whether the exchange is silenced or its caller is gone. A silenced
+  // exchange stays silenced when the fault ends, because a stream that
+  // continued would have a gap.
   bool IsSilenced();
   void HandleCallerGone();
 
--- a/programs/gcw_standin/http_answers.h
+++ b/programs/gcw_standin/http_answers.h
@@ -12,18 +12,20 @@
 namespace gcw {
 
 HttpResponse JsonResponse(int status, std::string body);
-// 400 with the kind and field of the fault.
+// Returns status 400 with the kind and the field of the error.
 HttpResponse MalformedResponse(const CodecError& error);
 HttpResponse NotFoundResponse();
-// Refused without running, in the words of model engines and plain services.
+// Returns the answer of model engines and plain services to a request that they
+// rejected without running it.
 HttpResponse NotRunResponse(int status, std::string_view reason);
 
-// The part before the query.
+// Returns the target without its query.
 std::string_view TargetPath(std::string_view target);
-// A query parameter that is a whole number.
+// Returns the value of a query parameter, or nothing if it is missing or not an
+// integer.
 std::optional<std::int64_t> QueryNumber(std::string_view target,
                                         std::string_view name);
-// Absent unless the text is a whole number.
+// Returns nothing unless the whole text is an integer.
 std::optional<std::int64_t> ParseNumber(std::string_view text);
 
 }  // namespace gcw
--- a/programs/gcw_standin/lagging.h
+++ b/programs/gcw_standin/lagging.h
@@ -9,7 +9,7 @@
 
 namespace gcw {
 
-// Values over time, so that a reader can be given an old one.
+// Keeps past values with their times, so that readers can be given stale ones.
 template <typename Value>
 class Lagging {
  public:
@@ -18,7 +18,7 @@
     Value value;
   };
 
-  // `time` never goes back.
+  // `time` must not be earlier than that of the last entry.
   void Put(Time time, Value value) {
     entries_.push_back({time, std::move(value)});
     if (entries_.size() > kMaxEntries) {
@@ -28,8 +28,8 @@
 
   bool empty() const { return entries_.empty(); }
 
-  // The newest entry put at or before `time`, or the oldest one where all are
-  // newer. There must be one.
+  // Returns the newest entry at or before `time`, or the oldest entry if all
+  // are later. There must be at least one entry.
   const Entry& At(Time time) const {
     for (auto entry = entries_.rbegin(); entry != entries_.rend(); ++entry) {
       if (entry->time <= time) {
--- a/programs/gcw_standin/platform_documents.h
+++ b/programs/gcw_standin/platform_documents.h
@@ -9,24 +9,26 @@
 
 namespace gcw {
 
-// What the stand-in of the platform writes and reads: the inverse of the codecs
-// in platform/.
+// Documents that the stand-in of the platform writes and reads. These functions
+// are the inverse of the codecs in platform/.
 
-// The engines of its one model service.
+// Returns the profile of the engines of the only model service.
 EngineProfile StandinEngineProfile();
-// What the stand-in's operator changes while it runs.
+// The parts of the configuration document that the simulated operator can
+// change at run time.
 struct StandinChoices {
   std::int64_t version = 1;
   std::int64_t max_body_bytes = 4194304;
   std::string key = "standin-key";
 };
-// The operators' document: models `large` (6 VMs) and `small` (3) under
-// `/large/` and `/small/`, a plain service under `/safe/` and `/once/`, all of
-// the host `models.example`; the one key is customer `paid`'s.
+// Returns the operators' configuration document. It has the models `large` (6
+// VMs) and `small` (3) under `/large/` and `/small/` and a plain service under
+// `/safe/` and `/once/`, all on the host `models.example`. The only key belongs
+// to the team `paid`.
 std::string EncodeStandinConfiguration(const StandinChoices& choices);
 std::string EncodeRegistrationEntry(const VmRegistration& registration);
 
-// Absent where the request is no call to the store.
+// Returns nothing if the request is not a valid call to the store.
 std::optional<StoreCall> DecodePlatformStoreCall(const HttpRequest& request);
 HttpResponse EncodePlatformStoreReply(const StoreCall& call,
                                       const StoreReply& reply);
--- a/programs/gcw_standin/platform_engine.cc
+++ b/programs/gcw_standin/platform_engine.cc
@@ -251,8 +251,8 @@
   SendEvent(responder, first + 1, membership->group);
 }
 
-// A group that lost a member stands still: nothing comes, and nothing tells
-// why.
+// A group that has lost a member stalls: the stream stays open, but neither
+// events nor an error are sent.
 void PlatformEngine::SendEvent(const std::shared_ptr<HttpResponder>& responder,
                                int event,
                                const GroupId& group) {
--- a/programs/gcw_standin/platform_engine.h
+++ b/programs/gcw_standin/platform_engine.h
@@ -12,25 +12,25 @@
 
 namespace gcw {
 
-// One endpoint of the users' platform: a VM that takes orders and, as the first
-// member of an open group, streams, or a process of a plain service. Left out:
-// batches, memory, passes (an event comes every `event_interval`), versions of
-// weights, and probes of health.
+// One endpoint of the users' platform: either a VM that carries out group
+// orders and streams answers as the first member of an open group, or a process
+// of a plain service. It does not simulate batches, memory, forward passes (an
+// event is sent every `event_interval`), versions of weights or health probes.
 class PlatformEngine {
  public:
   struct Settings {
     VmRegistration self;
     // Absent for plain services.
     std::optional<EngineProfile> engine;
-    // Between two events of a stream.
+    // Time between two events of a stream.
     Duration event_interval = Duration::Millis(20);
     int events = 20;
-    // Load and warm times are multiplied by it.
+    // Factor by which load and warm-up times are multiplied.
     double time_scale = 0.05;
   };
-  // Whether the members of the group all live and are in it.
+  // Returns whether all members of the group are alive and have joined it.
   using IsWhole = std::function<bool(const PlatformEngine& head)>;
-  // The registration changed.
+  // Called when the registration of the endpoint has changed.
   using OnChange = std::function<void(const PlatformEngine&)>;
 
   PlatformEngine(StandinServer& server,
@@ -39,13 +39,13 @@
                  OnChange on_change);
 
   bool Listen(const std::string& ip);
-  // Ends all connections and listens no more.
+  // Closes all connections and stops listening.
   void Kill();
 
   const VmRegistration& self() const { return settings_.self; }
   const std::vector<VmId>& members() const { return members_; }
   bool alive() const { return server_ != nullptr; }
-  // Requests that it began to run.
+  // Number of requests that started to run.
   std::int64_t runs() const { return runs_; }
 
  private:
--- a/programs/gcw_standin/platform_shell.cc
+++ b/programs/gcw_standin/platform_shell.cc
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr Duration kTick = Duration::Millis(20);
-// Three heartbeats without one, as on the platform.
+// The platform removes a registration after three missed heartbeats.
 constexpr Duration kLapse = Duration::Millis(3600);
 constexpr int kOk = 200;
 constexpr int kNotFound = 404;
@@ -70,7 +70,7 @@
                         const std::shared_ptr<HttpResponder>& responder) {
     Handle(now, request, responder);
   };
-  // Orders to the stand-in itself are never subject to its faults.
+  // The faults `refuse` and `crash_on` do not apply to the test interface.
   hooks.is_work = [](const HttpRequest& request) {
     return !request.target.starts_with("/standin/");
   };
--- a/programs/gcw_standin/platform_shell.h
+++ b/programs/gcw_standin/platform_shell.h
@@ -21,13 +21,16 @@
   double time_scale = 0.05;
 };
 
-// Plays the users' platform on loopback: its store, endpoints that register
-// there, and an operator who writes one document. Left out: rates by kind of
-// call, stale reads, other documents than that one, addresses that are used
-// again. The faults of stand-ins concern the store; `POST /standin/kill?vm=ID`
-// ends an endpoint without a word, `POST /standin/configure?max_body_bytes=N`
-// or `?key=KEY` writes the next document, and `GET /standin/runs` counts what
-// ran.
+// Simulates the users' platform on loopback: its store, the endpoints that
+// register there, and an operator who writes the configuration document. It
+// does not simulate rate limits by kind of call, stale reads, other documents
+// or addresses that are reused. Injected faults apply to the store, not to the
+// endpoints.
+//
+// `POST /standin/kill?vm=ID` stops an endpoint without notice, `POST
+// /standin/configure?max_body_bytes=N` or `?key=KEY` writes the next version of
+// the document, and `GET /standin/runs` returns how many requests each endpoint
+// has started.
 class PlatformShell {
  public:
   PlatformShell(StandinServer& server, PlatformShellSettings settings);
--- a/programs/gcw_standin/prefix_cache.h
+++ b/programs/gcw_standin/prefix_cache.h
@@ -12,15 +12,15 @@
 
 namespace gcw {
 
-// Which prefix blocks an engine has computed, in limited memory; the least
-// recently used block goes first.
+// The prefix blocks that an engine keeps in limited memory. If it is full, the
+// least recently used block is evicted.
 class PrefixCache {
  public:
   using Sink = std::function<void(CacheEventKind, std::uint64_t block)>;
 
   PrefixCache(std::size_t capacity_blocks, Sink sink);
 
-  // How many leading blocks are cached; counts as a use of them.
+  // Returns how many leading blocks are cached, and marks them as used.
   std::size_t Touch(const std::vector<std::uint64_t>& blocks);
   void Store(const std::vector<std::uint64_t>& blocks);
   void Clear();
--- a/programs/gcw_standin/rate_limit.h
+++ b/programs/gcw_standin/rate_limit.h
@@ -5,16 +5,17 @@
 
 namespace gcw {
 
-// Token bucket that holds a quarter of a second's worth, and at least one.
+// Token bucket with a capacity of a quarter of a second's calls, but at least
+// one.
 class RateLimit {
  public:
-  // 0 for no limit.
+  // 0 means no limit.
   explicit RateLimit(double per_second);
 
   bool HasRoom(Time now);
-  // Call only when there is room.
+  // Must only be called if `HasRoom` returned true.
   void Take();
-  // Until the next call has room.
+  // Returns the time until the next call is allowed.
   Duration Wait() const;
 
  private:
--- a/programs/gcw_standin/service_shell.h
+++ b/programs/gcw_standin/service_shell.h
@@ -9,7 +9,8 @@
 
 namespace gcw {
 
-// Puts a `StandinService` on HTTP. `GET /executions` tells what truly ran.
+// Serves a `StandinService` over HTTP. `GET /executions` returns the counts of
+// the calls that were executed.
 class ServiceShell {
  public:
   ServiceShell(StandinServer& server,
--- a/programs/gcw_standin/standin_engine.h
+++ b/programs/gcw_standin/standin_engine.h
@@ -19,11 +19,11 @@
 
 namespace gcw {
 
-// A chat request with what its headers say.
+// A chat request with the values of its headers.
 struct EngineCall {
   AttemptId attempt;
   ChatRequest chat;
-  // Any generation will do where absent.
+  // If absent, any generation may serve the request.
   std::optional<Generation> generation;
   std::int64_t priority = 0;
   std::int64_t resume_from = 0;
@@ -35,18 +35,18 @@
   Ticket ticket;
   ChatToken token;
 };
-// The answer is whole; `answer` has all its text.
+// The answer is complete. `answer` has the whole text unless it was streamed.
 struct FinishAnswer {
   Ticket ticket;
   ChatAnswer answer;
 };
-// The answer can never be whole.
+// The answer is aborted and cannot be completed.
 struct BreakAnswer {
   Ticket ticket;
 };
 
 enum class NotRunReason {
-  // The group cannot serve, or this is not its first VM.
+  // The group is not ready, or this VM does not have rank 0 in it.
   kNotServing,
   kOtherGeneration,
   kOtherModel,
@@ -54,7 +54,7 @@
   kDeadline,
 };
 
-// Refused without running.
+// The request was rejected without running.
 struct RefuseCall {
   Ticket ticket;
   NotRunReason reason = NotRunReason::kNotServing;
@@ -72,9 +72,9 @@
   std::vector<EngineAction> actions;
 };
 
-// One VM's model engine without I/O: its part in a group, the batch at rank 0,
-// the prefix cache with its events, lagging load reports, and counts of what
-// truly ran.
+// The model engine of one VM, without I/O. It consists of the group membership,
+// the batch (used at rank 0), the prefix cache and its events, delayed load
+// reports, and counts of actual executions.
 class StandinEngine {
  public:
   struct Settings {
@@ -85,14 +85,15 @@
     Duration load_report_period = Duration::Millis(50);
   };
 
-  // `faults` outlives the engine and may change at any time.
+  // `faults` must outlive the engine and may change at any time.
   StandinEngine(Settings settings, const Faults& faults);
 
   EngineOrderResult OnOrder(Time now, const EngineOrder& order);
   std::vector<EngineAction> OnChat(Time now, Ticket ticket, EngineCall call);
-  // The caller went away.
+  // Drops the request of a caller that has disconnected.
   void Forget(Ticket ticket);
-  // Whether the attempt was still in hand. Its caller's answer breaks.
+  // Cancels an attempt and aborts its answer. Returns false if no request of
+  // that attempt is pending.
   bool OnCancel(const AttemptId& attempt, std::vector<EngineAction>& actions);
   std::vector<EngineAction> OnMemberStatus(Time now,
                                            const EngineStatus& status);
@@ -102,7 +103,7 @@
   EngineStatus Status(Time now) const;
   LoadReport Load(Time now) const;
   CacheEventBatch CacheEvents(Time now, std::int64_t after) const;
-  // Loses the cache events so far.
+  // Drops all cache events published so far, as the fault `cache_gap` does.
   void DropCacheEvents() { events_.Drop(); }
   const ExecutionCounts& executions() const { return executions_; }
 
@@ -134,7 +135,7 @@
   ExecutionCounts executions_;
   Lagging<LoadReport> reports_;
   Time next_report_;
-  // Of the call being handled, for the cache's hook.
+  // Time of the call in progress, for the hook of the prefix cache.
   Time now_;
 };
 
--- a/programs/gcw_standin/standin_server.cc
+++ b/programs/gcw_standin/standin_server.cc
@@ -15,12 +15,13 @@
 namespace gcw {
 namespace {
 
-// Exit status after a request that was to crash the process.
+// Exit status after a request that matched the fault `crash_on`.
 constexpr int kCrashStatus = 86;
-// The timer counts nanoseconds, so a longer one could overflow.
+// The timer counts in nanoseconds, so a longer delay could overflow.
 constexpr Duration kLongestDelay = Duration::Seconds(365L * 24 * 3600);
 
-// Paths by which tests look inside; no fault concerns them.
+// Returns whether the path belongs to the test interface, to which no fault
+// applies.
 bool IsTestPath(std::string_view path) {
   return path == "/faults" || path == "/executions" || path == "/counts";
 }
--- a/programs/gcw_standin/standin_server.h
+++ b/programs/gcw_standin/standin_server.h
@@ -13,8 +13,8 @@
 
 namespace gcw {
 
-// What all stand-ins share: the server, the faults with their test interface
-// `GET` and `POST /faults`, timers and the line printed at the start. Runs on
+// The parts that all stand-ins share: the HTTP server, the faults with their
+// test interface `GET` and `POST /faults`, timers and the startup line. Runs on
 // one thread.
 class StandinServer {
  public:
@@ -24,27 +24,29 @@
 
   struct Hooks {
     Handler handle;
-    // Which requests the faults `refuse` and `crash_on` concern.
+    // Selects the requests to which the faults `refuse` and `crash_on` apply.
     RequestTest is_work;
-    // Which requests the fault `lose_answer` concerns.
+    // Selects the requests to which the fault `lose_answer` applies.
     RequestTest is_write;
-    // After a change of the faults.
+    // Called after the faults have changed.
     std::function<void()> on_faults;
   };
 
   StandinServer(boost::asio::io_context& context, Faults faults);
 
-  // The faults that hold now; the reference stays valid.
+  // Returns the current faults. The reference stays valid for the life of the
+  // server.
   const Faults& faults() const { return faults_; }
   Time now() const { return clock_(); }
   boost::asio::io_context& context() { return context_; }
 
-  // Listens and prints a JSON line with the port.
+  // Listens and prints a JSON line with the address and the port.
   Result<std::uint16_t, ListenError> Listen(const std::string& name,
                                             const std::string& ip,
                                             std::uint16_t port,
                                             Hooks hooks);
-  // Ends all connections; what answers them may then go away.
+  // Closes all connections. The objects that the hooks use may be destroyed
+  // afterwards.
   void Close();
   void After(Duration delay, std::function<void(Time)> action);
   void Every(Duration period, std::function<void(Time)> action);
--- a/programs/gcw_standin/standin_service.h
+++ b/programs/gcw_standin/standin_service.h
@@ -13,26 +13,27 @@
 struct ServiceCall {
   std::string method;
   std::string target;
-  // Empty where the caller gave none.
+  // Empty if the caller sent none.
   std::string idempotency_key;
   std::string body;
 };
 
-// A plain service that runs whatever reaches it and counts it. It does not
-// deduplicate: running twice must show.
+// A plain service that runs and counts every call. It does not deduplicate, so
+// that the counts show a call that ran twice.
 class StandinService {
  public:
   struct Settings {
     EndpointId endpoint;
-    // Calls run at once; told in load reports only.
+    // The concurrency that load reports state; it is not enforced.
     std::int64_t concurrency = 64;
   };
 
   explicit StandinService(Settings settings);
 
-  // Runs the call and returns the answer's body.
+  // Runs the call and returns the body of its answer.
   std::string Begin(const ServiceCall& call);
-  // The answer was given, or its caller went away.
+  // Must be called when the answer to a call has been sent or its caller has
+  // disconnected.
   void End();
 
   LoadReport Load(Time now) const;
--- a/programs/gcw_standin/standin_store.cc
+++ b/programs/gcw_standin/standin_store.cc
@@ -8,7 +8,7 @@
 namespace gcw {
 namespace {
 
-// A watch waits no longer than this, whatever its caller asks for.
+// Upper limit on the wait that a watch requests.
 constexpr Duration kMaxWatchWait = Duration::Seconds(60);
 
 }  // namespace
@@ -141,7 +141,7 @@
   if (reply.compacted) {
     return reply;
   }
-  // Only the last change of each key counts.
+  // The reply has only the last change of each key.
   std::map<std::string, const Change*> last;
   for (auto change = ChangesAfter(call.after); change != history_.end();
        ++change) {
@@ -178,7 +178,8 @@
                           });
 }
 
-// A revision above the counter comes from before the store was restored.
+// A revision above the counter was read before the store was restored from a
+// backup, so the changes after it are not known either.
 bool StandinStore::IsCompacted(Revision after) const {
   return after < compacted_ || after > revision_;
 }
--- a/programs/gcw_standin/standin_store.h
+++ b/programs/gcw_standin/standin_store.h
@@ -24,37 +24,39 @@
 };
 
 struct StoreCounts {
-  // Answered other than by `StoreBusy`; a watch counts when it arrives.
+  // Calls that were not answered with `StoreBusy`. A watch is counted when it
+  // arrives.
   std::int64_t calls = 0;
   std::int64_t writes = 0;
   std::int64_t busy = 0;
 };
 
-// The key-value service in memory: compare-and-swap, leases, watches and a rate
-// limit, on one revision counter. It has no I/O and no clock.
+// An in-memory key-value service with compare-and-swap, leases, watches, rate
+// limits and one revision counter. It has no I/O and no clock.
 class StandinStore {
  public:
   struct Settings {
-    // 0 for no limit.
+    // 0 means no limit, for both rates.
     double calls_per_second = 0;
     double writes_per_second = 0;
-    // Changes kept for watches; older ones are compacted away.
+    // Number of changes kept for watches; older ones are compacted.
     std::size_t history = 10000;
-    // The counter starts here; a lower one than before stands for a restored
-    // store.
+    // First value of the revision counter. A lower value than in an earlier run
+    // simulates a store that was restored from a backup.
     Revision first_revision = Revision(1);
   };
 
   explicit StandinStore(Settings settings);
 
-  // Answers that are due now: that of the call, unless it is a watch that
-  // waits, and those of the watches that it woke.
+  // Returns the answers that are due: the answer to the call, unless it is a
+  // watch that has to wait, and the answers to the watches that the call
+  // completed.
   std::vector<StoreAnswer> OnCall(Time now,
                                   Ticket ticket,
                                   const StoreCall& call);
-  // Ends leases and watches whose time is over.
+  // Removes expired leases and returns the answers to watches that are due.
   std::vector<StoreAnswer> Tick(Time now);
-  // The caller of a waiting watch went away.
+  // Drops a pending watch whose caller has disconnected.
   void Forget(Ticket ticket);
 
   const StoreCounts& counts() const { return counts_; }
@@ -74,7 +76,7 @@
   struct Watch {
     StoreWatch call;
     Time deadline;
-    // No change up to here concerns it.
+    // No change up to this revision matches the watch.
     Revision checked;
   };
 
@@ -87,11 +89,11 @@
   StoreReply Run(Time now, const StoreLeaseGrant& call);
   StoreReply Run(Time now, const StoreLeaseKeepAlive& call);
   StoreReply Run(Time now, const StoreLeaseRevoke& call);
-  // The reply of a watch that does not have to wait longer.
+  // Returns the reply to a watch that is due.
   StoreReply Run(Time now, const StoreWatch& call);
 
   bool IsDue(Time now, Watch& watch) const;
-  // The first change kept after a revision.
+  // Returns the first kept change after a revision.
   std::deque<Change>::const_iterator ChangesAfter(Revision revision) const;
   bool IsCompacted(Revision after) const;
   std::optional<StoreConflict> FindConflict(const std::string& key,
--- a/programs/gcw_standin/standin_vm_list.h
+++ b/programs/gcw_standin/standin_vm_list.h
@@ -8,7 +8,7 @@
 
 namespace gcw {
 
-// The platform's VM list, which tells what held `lag` ago.
+// The VM list of the platform. A read returns the list as it was `lag` ago.
 class StandinVmList {
  public:
   explicit StandinVmList(Time now, std::vector<VmEntry> vms);
--- a/programs/gcw_standin/standin_weights.h
+++ b/programs/gcw_standin/standin_weights.h
@@ -7,13 +7,14 @@
 
 namespace gcw {
 
-// The weight store's queue: fetches take their turn at one rate.
+// The queue of the weight store, which serves one fetch at a time at a fixed
+// rate.
 class StandinWeights {
  public:
   // `bytes_per_second` must be positive.
   explicit StandinWeights(std::int64_t bytes_per_second);
 
-  // When a fetch that arrives now is through.
+  // Returns the time at which a fetch that arrives now is complete.
   Time Enqueue(Time now, std::int64_t bytes);
   WeightStoreStatus Status(Time now) const;
 
--- a/programs/gcw_standin/store_shell.h
+++ b/programs/gcw_standin/store_shell.h
@@ -10,7 +10,8 @@
 
 namespace gcw {
 
-// Puts a `StandinStore` on HTTP. `GET /counts` tells its calls and writes.
+// Serves a `StandinStore` over HTTP. `GET /counts` returns its counters of
+// calls, writes and refusals.
 class StoreShell {
  public:
   StoreShell(StandinServer& server, StandinStore::Settings settings);
--- a/programs/gcw_standin/ticket.h
+++ b/programs/gcw_standin/ticket.h
@@ -5,7 +5,7 @@
 
 namespace gcw {
 
-// Names a request that a stand-in holds until its answer.
+// Identifies a request that a stand-in has not answered yet.
 using Ticket = StrongNumber<struct TicketTag>;
 
 }  // namespace gcw
--- a/programs/gcw_standin/vm_list_shell.h
+++ b/programs/gcw_standin/vm_list_shell.h
@@ -9,7 +9,7 @@
 
 namespace gcw {
 
-// Puts a `StandinVmList` on HTTP. Tests set the list by `PUT /vms`.
+// Serves a `StandinVmList` over HTTP. Tests replace the list with `PUT /vms`.
 class VmListShell {
  public:
   VmListShell(StandinServer& server, std::vector<VmEntry> vms);
--- a/programs/gcw_standin/weights_shell.h
+++ b/programs/gcw_standin/weights_shell.h
@@ -9,8 +9,8 @@
 
 namespace gcw {
 
-// Puts a `StandinWeights` on HTTP. `POST /fetch {"bytes"}` answers when its
-// turn is through.
+// Serves a `StandinWeights` over HTTP. `POST /fetch {"bytes"}` is answered when
+// the fetch is complete.
 class WeightsShell {
  public:
   WeightsShell(StandinServer& server, std::int64_t bytes_per_second);
