--- a/programs/gcw_standin/commands.cc
+++ b/programs/gcw_standin/commands.cc
@@ -296,9 +296,8 @@
     out << "  " << command.name << '\n';
   }
   out << "\nEach command prints one JSON line with its address and port once "
-         "it "
-         "listens,\nand exits on SIGTERM or SIGINT. gcw-standin COMMAND --help "
-         "lists its options;\ndocs/STANDIN.md describes the "
+         "it listens,\nand exits on SIGTERM or SIGINT. gcw-standin COMMAND "
+         "--help lists its options;\ndocs/STANDIN.md describes the "
          "faults.\n\nExamples\n";
   for (const Command& command : kCommands) {
     out << command.examples;
--- a/programs/gcw_standin/platform_shell.h
+++ b/programs/gcw_standin/platform_shell.h
@@ -27,10 +27,10 @@
 // or addresses that are reused. Injected faults apply to the store, not to the
 // endpoints.
 //
-// `POST /standin/kill?vm=ID` stops an endpoint without notice, `POST
-// /standin/configure?max_body_bytes=N` or `?key=KEY` writes the next version of
-// the document, and `GET /standin/runs` returns how many requests each endpoint
-// has started.
+// `POST /standin/kill?vm=ID` stops an endpoint without notice.
+// `POST /standin/configure?max_body_bytes=N` or `?key=KEY` writes the next
+// version of the document. `GET /standin/runs` returns how many requests each
+// endpoint has started.
 class PlatformShell {
  public:
   PlatformShell(StandinServer& server, PlatformShellSettings settings);
--- a/tests/transport/http_client_test.cc
+++ b/tests/transport/http_client_test.cc
@@ -42,13 +42,14 @@
                   [&](Answer result) { answer.set_value(std::move(result)); });
     return answer.get_future().get();
   }
-  // Runs one call against a server that does as the script says.
+  // Sends one request to a server that runs the script.
   Answer FetchFrom(const ScriptedServer::Script& script,
                    HttpRequest request = {"GET", "/", {}, ""}) {
     ScriptedServer server(script);
     return Fetch(server.port(), std::move(request));
   }
-  // A server that answers the request's head with the bytes, then closes.
+  // Sends one request to a server that answers its head with `bytes` and
+  // closes.
   Answer FetchBytes(std::string bytes) {
     return FetchFrom([&](RawPeer& peer, int) {
       peer.ReadHead();
@@ -117,8 +118,9 @@
                 HttpProgress::kNothingSent);
 }
 
-// Symptom: connecting hangs. The peer's accept queue is full, so that the
-// kernel drops what would open the connection.
+// Guards against a connection attempt without a timeout. The accept queue of
+// the peer is full, so the kernel drops the packets that would open the
+// connection.
 TEST_F(HttpClientTest, NothingIsSentWhereConnectingHangs) {
   boost::asio::io_context context;
   using Tcp = boost::asio::ip::tcp;
@@ -154,8 +156,8 @@
   EXPECT_EQ(received, "");
 }
 
-// Symptom: a request is said to be not run although it ran. The connection is
-// reset after the request left: nobody knows.
+// Guards against reporting a request as not run although it ran. If the
+// connection is reset after the request was sent, the client cannot know.
 TEST_F(HttpClientTest, MayHaveRunAfterAResetWithoutAnAnswer) {
   ExpectFailure(FetchFrom([](RawPeer& peer, int) {
                   peer.ReadHead();
@@ -180,7 +182,7 @@
 }
 
 TEST_F(HttpClientTest, TakesAnAnswerThatComesBeforeTheRequestsEnd) {
-  // Larger than the kernel's buffers, and never read.
+  // The body is larger than the kernel's buffers and is never read.
   std::promise<void> answered;
   ScriptedServer server([&](RawPeer& peer, int) {
     peer.ReadHead();
@@ -221,7 +223,7 @@
                std::string(101, 'x'),
            std::string("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                        "zz\r\n"),
-           // Without a length, a cut answer would look whole.
+           // Without a length, a truncated answer would look complete.
            std::string("HTTP/1.1 200 OK\r\n\r\nsome text"),
        }) {
     ExpectFailure(FetchBytes(bytes), HttpFailureKind::kMalformedAnswer,
@@ -298,8 +300,9 @@
   }
 }
 
-// Symptom: a caller gets a piece of another's answer. Bytes that come after an
-// answer, at once or while the connection is idle, would be read as the next.
+// Guards against a caller getting part of another caller's answer. Bytes that
+// arrive after an answer, at once or while the connection is idle, must not be
+// read as the next answer.
 TEST_F(HttpClientTest, ExtraBytesNeverReachTheNextCaller) {
   for (const bool at_once : {true, false}) {
     std::promise<void> first_done;
@@ -375,8 +378,8 @@
   EXPECT_EQ(own, calls);
 }
 
-// Calls are cancelled at drawn moments among calls that are not; whatever the
-// moment, the others get their own whole answers and the cancelled ones end
+// Some of the concurrent calls are cancelled at random moments. The others must
+// get their own complete answers, and each cancelled call must end exactly
 // once.
 RC_GTEST_FIXTURE_PROP(HttpClientTest, CancelNeverMixesAnswers, ()) {
   const auto cancel_after =
--- a/tests/transport/http_server_test.cc
+++ b/tests/transport/http_server_test.cc
@@ -172,8 +172,9 @@
   EXPECT_THAT(peer.ReadUntil("POST /aab"), StartsWith("HTTP/1.1 200 "));
 }
 
-// Symptom: an engine works on for a caller that has left. The caller closes or
-// resets its connection while its answer is pending; only a read shows it.
+// Guards against an engine that keeps working for a caller that has
+// disconnected. The caller closes or resets its connection while its answer is
+// pending, and only a pending read detects it.
 TEST_F(HttpServerTest, TellsWhenTheCallerLeavesBeforeItsAnswer) {
   std::promise<Responder> arrived;
   std::atomic<int> gone = 0;
@@ -192,7 +193,7 @@
     });
     reset ? peer.Reset() : peer.Close();
     told.get_future().get();
-    // A hook that comes too late is called as well.
+    // A hook that is set after the caller has disconnected is called as well.
     std::promise<void> told_late;
     responder->OnCallerGone([&] { told_late.set_value(); });
     told_late.get_future().get();
@@ -231,8 +232,9 @@
   EXPECT_THAT(answer, Not(HasSubstr("after the end")));
 }
 
-// Symptom: a caller takes a cut answer for a whole one. Without the last chunk
-// (HTTP/1.1) or with a reset (HTTP/1.0, where the close is the end) it cannot.
+// Guards against a truncated answer that looks complete. The server leaves out
+// the last chunk (HTTP/1.1) or resets the connection (HTTP/1.0, where a close
+// marks the end).
 TEST_F(HttpServerTest, AbortedStreamsDoNotLookWhole) {
   Serve([](const HttpRequest&, const Responder& responder) {
     responder->StartStream(200, {});
@@ -265,8 +267,8 @@
               Not(HasSubstr("0\r\n\r\n")));
 }
 
-// Symptom: a piece of one answer in another. A responder of an ended answer
-// goes on writing while the connection carries the next one.
+// Guards against mixed answers. The responder of a finished answer continues to
+// write while the connection carries the next answer.
 TEST_F(HttpServerTest, AnEndedResponderCannotWriteIntoTheNextAnswer) {
   Responder ended;
   Serve([&](const HttpRequest& request, const Responder& responder) {
@@ -301,7 +303,7 @@
   peer.Send(kGet);
   const Responder responder = arrived.get_future().get();
   const std::string chunk(1024UL * 1024, 'x');
-  // More than the kernel's buffers on both sides hold.
+  // This is more than the kernel buffers on both sides hold.
   for (int i = 0; i < 32; ++i) {
     responder->Write(chunk);
   }
--- a/tests/transport/io_threads.h
+++ b/tests/transport/io_threads.h
@@ -10,7 +10,7 @@
 
 namespace gcw {
 
-// An io_context that several threads run until the end of the test.
+// An io_context that several threads run until `Stop` or destruction.
 class IoThreads {
  public:
   explicit IoThreads(std::size_t count = 3)
--- a/tests/transport/json_log_test.cc
+++ b/tests/transport/json_log_test.cc
@@ -38,7 +38,7 @@
     return settings;
   }
 
-  // The only line, which must be one line of JSON.
+  // Returns the only line written, which must be a single line of JSON.
   boost::json::object Line() {
     EXPECT_EQ(lines_.size(), 1U);
     EXPECT_EQ(lines_.at(0).find('\n'), lines_.at(0).size() - 1);
--- a/tests/transport/line_writer_test.cc
+++ b/tests/transport/line_writer_test.cc
@@ -34,9 +34,9 @@
   EXPECT_EQ(ReadSome(), "one\ntwo\n");
 }
 
-// Symptom: every request of a process waits. Sequence: whoever reads its log
-// stops; the pipe fills; the next line waits for room. Cause: a write that may
-// wait on the thread that serves.
+// Guards against a blocking write on the serving thread. If the reader of the
+// log stops, the pipe fills up, and every request would wait for the next log
+// line.
 TEST_F(LineWriterTest, NeverWaitsAndHoldsNoMoreThanItsBound) {
   constexpr std::size_t kBound = 50000;
   LineWriter writer(ends_[1], kBound);
@@ -46,7 +46,7 @@
     ASSERT_LE(writer.held_bytes(), kBound);
   }
   EXPECT_GT(writer.dropped(), 0);
-  // Once somebody reads again, what is held goes out first.
+  // When the reader reads again, the held lines are written first.
   while (writer.held_bytes() > 0) {
     EXPECT_FALSE(ReadSome().empty());
     writer.Flush();
--- a/tests/transport/log_budget_test.cc
+++ b/tests/transport/log_budget_test.cc
@@ -14,8 +14,9 @@
   return event;
 }
 
-// Symptom: the one refusal that would explain a complaint is missing. Sequence:
-// thousands of requests succeed in the same second. Cause: one bound for all.
+// Guards against losing the one refusal that would explain a complaint because
+// thousands of requests succeed in the same second: each log class has its own
+// limit.
 TEST(LogBudgetTest, SuccessesNeverHideATroubleOrAChangeOfBelief) {
   std::map<EventKind, int> written;
   std::map<LogClass, std::int64_t> left_out;
@@ -36,7 +37,7 @@
   EXPECT_EQ(written[EventKind::kRequestRefused], 3);
   EXPECT_EQ(written[EventKind::kGroupClosed], 2);
   EXPECT_TRUE(left_out.empty());
-  // The next second tells what was left out, and begins anew.
+  // The next second reports the lines left out and starts with a new budget.
   budget.Take(Event(2000, EventKind::kRequestRefused));
   EXPECT_EQ(left_out[LogClass::kSuccess], 95);
   EXPECT_EQ(left_out[LogClass::kTrouble], 7);
--- a/tests/transport/metrics_test.cc
+++ b/tests/transport/metrics_test.cc
@@ -52,10 +52,9 @@
                               "gcw_ttft_ms_sum 1055\ngcw_ttft_ms_count 5\n"));
 }
 
-// Symptom: a node's memory grows until it is killed.
-// Sequence: a caller asks for a new model name with each request; each refusal
-// is counted under that name.
-// Cause: label values from outside would be kept for good.
+// Guards against unlimited memory growth. Callers choose label values such as
+// model names, and a caller that sends a new name with each request would add a
+// label set for each refusal.
 TEST(MetricsTest, LabelSetsPastTheBoundShareOne) {
   Metrics metrics;
   CounterFamily& family =
--- a/tests/transport/peer_test.cc
+++ b/tests/transport/peer_test.cc
@@ -32,17 +32,18 @@
   return std::get<Ping>(std::get<MembershipMessage>(message)).probe.value();
 }
 
-// One control thread, as in a node, that both ends share.
+// Client and server share one control thread, as in a node.
 class PeerTest : public ::testing::Test {
  protected:
   PeerTest() {
     settings_.self = NodeId("sender");
     settings_.incarnation = Incarnation(3);
     settings_.secret = Secret("s3cret");
-    // The client makes no promise: a frame that is not acknowledged in time is
-    // lost, and a message that was sent once never arrives. A sanitized build
-    // beside other work can take longer for its first connection than a node
-    // waits, so tests that send once must not depend on that limit.
+    // The client does not send a frame again that is not acknowledged in time,
+    // so a message that was sent once would never arrive. A sanitized build on
+    // a busy machine can need longer for its first connection than the default
+    // timeout, so tests that send a message once must not depend on that
+    // timeout.
     settings_.call_timeout = Duration::Seconds(600);
   }
   ~PeerTest() override {
@@ -72,7 +73,7 @@
     envelopes_.push_back(std::move(envelope));
     changed_.notify_all();
   }
-  // Waits until a message with the number has arrived.
+  // Waits until a ping with the given number has arrived.
   void AwaitPing(std::int64_t number) {
     std::unique_lock lock(mutex_);
     changed_.wait(lock, [&] {
@@ -104,14 +105,14 @@
     OnControl([&] { stats = client_->stats(); });
     return stats;
   }
-  // Sends pings until the client's counters are as wished.
+  // Sends pings until the counters of the client satisfy `reached`.
   void SendUntil(const std::function<bool(const PeerClientStats&)>& reached) {
     while (!reached(ClientStats())) {
       Send(0, 0);
       std::this_thread::yield();
     }
   }
-  // What the server says to a frame sent by hand.
+  // Sends a frame without the client and returns the server's status.
   grpc::Status Deliver(const wire::PeerFrame& frame,
                        const std::string& secret = "s3cret") {
     const auto stub = wire::Peers::NewStub(
@@ -187,8 +188,8 @@
   AwaitPing(1);
 }
 
-// Symptom: a node acts on what was meant for another one. A VM's address came
-// to another node while a peer still holds the old view.
+// Guards against a node that acts on messages for another node. This happens
+// when the address of a VM is reassigned while a peer still has the old view.
 TEST_F(PeerTest, RefusesFramesForAnotherNode) {
   Listen();
   wire::PeerFrame frame = Frame();
@@ -235,8 +236,8 @@
       [&](const PeerClientStats&) { return server_->stats().frames > frames; });
 }
 
-// Symptom: a peer looks dead although it lives. The open connection went silent
-// for good, while new ones work: the client replaces it.
+// Guards against declaring a live peer dead. An open connection can stall for
+// ever while new connections work, so the client has to replace it.
 TEST_F(PeerTest, ReplacesASilentConnection) {
   ScriptedServer silent([](RawPeer& peer, int) { peer.ReadToEnd(); });
   settings_.call_timeout = Duration::Millis(50);
@@ -247,10 +248,9 @@
   OnControl([&] { client_.reset(); });
 }
 
-// Symptom: whoever waits for one message waits without end. Sequence: the frame
-// that carries it is not acknowledged within the call's time. Cause: a frame
-// that is late counts as lost and is not sent again; newer messages replace
-// what it said.
+// A frame that is not acknowledged within the call timeout counts as lost and
+// is not sent again, because newer messages replace its content. A caller that
+// waits for one particular message would wait for ever.
 TEST_F(PeerTest, AFrameThatIsNotAcknowledgedInTimeIsLost) {
   ScriptedServer silent([](RawPeer& peer, int) { peer.ReadToEnd(); });
   settings_.call_timeout = Duration::Millis(20);
@@ -267,12 +267,12 @@
   OnControl([&] { client_.reset(); });
 }
 
-// Symptom: what is sent to a live node on a busy machine is lost, and whoever
-// waits for it waits without end. Sequence: the node takes 300 ms to answer the
-// opening of the connection. Cause: the attempt to connect was ended after
-// 100 ms, however long its frame may wait, and every frame under way with it.
+// Guards against losing messages to a live node on a busy machine. The node
+// takes 300 ms to answer the opening of the connection; a fixed connect timeout
+// of 100 ms ended the attempt, and with it every frame in flight, although the
+// call timeout of the frames was longer.
 TEST_F(PeerTest, AConnectionMayTakeAsLongToOpenAsItsFrame) {
-  // An empty SETTINGS frame of HTTP/2: length, type, flags and stream.
+  // An empty HTTP/2 SETTINGS frame: length, type, flags and stream.
   constexpr std::string_view kSettings("\0\0\0\4\0\0\0\0\0", 9);
   std::promise<bool> frame_came;
   ScriptedServer slow([&](RawPeer& peer, int connection) {
--- a/tests/transport/platform_clients_test.cc
+++ b/tests/transport/platform_clients_test.cc
@@ -28,7 +28,7 @@
  protected:
   ~PlatformClientsTest() override { io_.Stop(); }
 
-  // Starts a service that gives this answer to every request.
+  // Starts a service that gives the same answer to every request.
   Address Serve(const HttpResponse& answer) {
     return Serve([answer](const HttpRequest&,
                           const std::shared_ptr<HttpResponder>& responder) {
@@ -82,8 +82,8 @@
   EXPECT_EQ(std::get<StoreBusy>(reply).retry_after, Duration::Millis(30));
 }
 
-// Symptom: a write is believed lost or done that was not. An outage, a broken
-// answer and silence all leave open whether it took effect.
+// Guards against a wrong conclusion about a write. An outage, a malformed
+// answer and a missing answer all leave open whether it took effect.
 TEST_F(PlatformClientsTest, WhateverIsUnclearIsNoAnswer) {
   const StoreCall put = StorePut{"k", "v", {}, {}};
   for (const HttpResponse& answer :
@@ -103,11 +103,9 @@
       CallStore(Address("127.0.0.1:1"), put)));
 }
 
-// Symptom: a watch ends as unanswered although nothing went wrong, and each
-// change is seen only by the next one.
-// Sequence: a watch waits, another call runs into its timeout, then a change
-// comes and the watch is answered.
-// Cause: one timeout for calls that are answered at once and calls that wait.
+// Guards against one timeout for all calls. A watch waits for a change, so a
+// timeout meant for calls that are answered at once would end it as unanswered,
+// and each change would be seen only by the next watch.
 TEST_F(PlatformClientsTest, AWatchMayTakeLongerThanOtherCalls) {
   std::promise<std::shared_ptr<HttpResponder>> watch_arrived;
   std::promise<std::shared_ptr<HttpResponder>> read_arrived;
@@ -124,7 +122,7 @@
   const auto watch_responder = watch_arrived.get_future().get();
   client.Call(StoreRange{"a"},
               [&](StoreReply r) { read.set_value(std::move(r)); });
-  // Kept, so that the read can only end by its timeout.
+  // The responder is kept, so that the read can only end by its timeout.
   const auto read_responder = read_arrived.get_future().get();
   EXPECT_TRUE(std::holds_alternative<StoreNoAnswer>(read.get_future().get()));
   watch_responder->Respond(
--- a/tests/transport/raw_peer.h
+++ b/tests/transport/raw_peer.h
@@ -21,7 +21,7 @@
 
 namespace gcw {
 
-// A blocking loopback connection that sends and reads bytes as told.
+// A blocking loopback connection for raw bytes.
 class RawPeer {
  public:
   using Tcp = boost::asio::ip::tcp;
@@ -34,13 +34,14 @@
     socket_.assign(Tcp::v4(), accepted);
   }
 
-  // Returns whether everything was taken.
+  // Returns whether all bytes were written.
   bool Send(std::string_view bytes) {
     boost::system::error_code error;
     boost::asio::write(socket_, boost::asio::buffer(bytes), error);
     return !error;
   }
-  // What arrives up to and with `end`, or up to the connection's end.
+  // Returns the bytes up to and including `end`, or up to the end of the
+  // connection.
   std::string ReadUntil(std::string_view end) {
     boost::system::error_code error;
     const std::size_t size = boost::asio::read_until(
@@ -52,7 +53,7 @@
     boost::asio::read(socket_, boost::asio::dynamic_buffer(unread_), error);
     return TakeUnread(unread_.size());
   }
-  // A request head of a test, without its body.
+  // Reads the head of a message, without its body.
   std::string ReadHead() { return ReadUntil("\r\n\r\n"); }
   void CloseSending() {
     boost::system::error_code error;
@@ -80,8 +81,8 @@
   std::string unread_;
 };
 
-// Accepts on a port of the kernel's choice and runs the script for each
-// connection, on a thread of its own, with the connection's number from 0.
+// Listens on a free port and runs the script for each connection on a separate
+// thread. Connections are numbered from 0.
 class ScriptedServer {
  public:
   using Script = std::function<void(RawPeer&, int connection)>;
--- a/tests/transport/settings_reader_test.cc
+++ b/tests/transport/settings_reader_test.cc
@@ -50,7 +50,8 @@
     return reader_.ReadText(text, "gcw.toml");
   }
 
-  // The kind of the only error that the text gives beside a sound node.
+  // Reads `text` together with a valid `node` and returns the kind of the only
+  // error.
   SettingErrorKind KindOf(const std::string& text) {
     const auto errors = Read("node = \"n1\"\n" + text);
     EXPECT_EQ(errors.size(), 1U) << text;
@@ -81,9 +82,9 @@
   EXPECT_EQ(settings_.zones, (std::vector<std::string>{"b", "c"}));
 }
 
-// Symptom: an operator mends one setting after another, a restart each.
-// Sequence: a file has several faults, of which the first is reported.
-// Cause: reading stops at the first fault, perhaps with half the values set.
+// Guards against reading that stops at the first error. An operator would need
+// a restart for each error in the file, and some values might already be
+// changed.
 TEST_F(SettingsReaderTest, ReportsAllErrorsAtOnceAndChangesNothing) {
   const auto errors = Read(
       "mode = \"slow\"\n"
@@ -149,10 +150,9 @@
   EXPECT_TRUE(settings_.operator_key.Matches("correct-horse"));
 }
 
-// Symptom: a key stands in the log.
-// Sequence: an operator writes the key itself where its file's path belongs, or
-// under a key that the program does not have; the start fails.
-// Cause: errors show the value as written.
+// Guards against secrets in the log. Errors usually show the value as written,
+// and an operator may write a secret where the path of its file belongs, or
+// under an unknown key.
 TEST_F(SecretSettingTest, NoErrorShowsASecret) {
   WriteFile("short.key", "hush");
   const std::string shown =
--- a/tests/transport/store_belief_test.cc
+++ b/tests/transport/store_belief_test.cc
@@ -32,8 +32,8 @@
                           StoreBelief::kKnowsNoCall, StoreBelief::kAnswers}));
 }
 
-// Symptom: a line of the log for each call. Sequence: the service refuses every
-// second one. Cause: each answer was taken for a change.
+// Guards against a log line for each call if the service refuses every second
+// call: a single answer is not yet a change of its state.
 TEST_F(StoreBeliefTest, AServiceThatRefusesSomeCallsIsNoChangeEachTime) {
   for (int i = 0; i < 100; ++i) {
     Observe(StoreBusy{}, 1);
