--- a/programs/gcw_standin/batch.cc
+++ b/programs/gcw_standin/batch.cc
@@ -8,12 +8,13 @@
 
 constexpr std::int64_t kMillisPerSecond = 1000;
 // After a pause of the process, older steps than these are skipped.
-constexpr std::int64_t kMostStepsAtOnce = 5;
+constexpr std::int64_t kMaxStepsPerTick = 5;
 
 }  // namespace
 
-Batch::Batch(Settings settings, PrefixCache::Sink sink)
-    : settings_(settings), cache_(settings.cache_blocks, std::move(sink)) {}
+Batch::Batch(Settings settings, PrefixCache::EventCallback on_cache_event)
+    : settings_(settings),
+      cache_(settings.cache_blocks, std::move(on_cache_event)) {}
 
 void Batch::Add(Time now, BatchRequest request) {
   if (IsIdle()) {
@@ -24,10 +25,10 @@
 }
 
 bool Batch::Cancel(Ticket ticket) {
-  const auto is_it = [ticket](const auto& item) {
+  const auto has_ticket = [ticket](const auto& item) {
     return item.second.ticket == ticket;
   };
-  const auto queued = std::find_if(queue_.begin(), queue_.end(), is_it);
+  const auto queued = std::find_if(queue_.begin(), queue_.end(), has_ticket);
   if (queued != queue_.end()) {
     queue_.erase(queued);
     return true;
@@ -49,7 +50,7 @@
 std::vector<BatchEvent> Batch::Tick(Time now) {
   std::vector<BatchEvent> events;
   next_step_ =
-      std::max(next_step_, now - settings_.step * (kMostStepsAtOnce - 1));
+      std::max(next_step_, now - settings_.step * (kMaxStepsPerTick - 1));
   while (!IsIdle() && next_step_ <= now) {
     Step(next_step_, events);
     next_step_ = next_step_ + settings_.step;
@@ -108,7 +109,8 @@
     BatchRequest request = std::move(queue_.begin()->second);
     queue_.erase(queue_.begin());
     events.emplace_back(BatchStarted{request.ticket});
-    const auto cached = static_cast<std::int64_t>(cache_.Touch(request.blocks));
+    const auto cached =
+        static_cast<std::int64_t>(cache_.MatchPrefix(request.blocks));
     const std::int64_t tokens =
         request.prompt_tokens + request.next_token - cached * kTokensPerBlock;
     running_.push_back({std::move(request), std::max<std::int64_t>(tokens, 0)});
--- a/programs/gcw_standin/batch.h
+++ b/programs/gcw_standin/batch.h
@@ -62,7 +62,7 @@
   // Number of prompt tokens that need no computation per cached block.
   static constexpr std::int64_t kTokensPerBlock = 16;
 
-  Batch(Settings settings, PrefixCache::Sink sink);
+  Batch(Settings settings, PrefixCache::EventCallback on_cache_event);
 
   void Add(Time now, BatchRequest request);
   // Returns whether the request was queued or running.
--- a/programs/gcw_standin/commands.cc
+++ b/programs/gcw_standin/commands.cc
@@ -11,11 +11,11 @@
 
 #include "programs/gcw_standin/command_line.h"
 #include "programs/gcw_standin/engine_shell.h"
-#include "programs/gcw_standin/platform_shell.h"
-#include "programs/gcw_standin/service_shell.h"
+#include "programs/gcw_standin/platform_http_frontend.h"
+#include "programs/gcw_standin/service_http_frontend.h"
 #include "programs/gcw_standin/store_shell.h"
-#include "programs/gcw_standin/vm_list_shell.h"
-#include "programs/gcw_standin/weights_shell.h"
+#include "programs/gcw_standin/vm_list_http_frontend.h"
+#include "programs/gcw_standin/weight_store_http_frontend.h"
 
 namespace gcw {
 namespace {
@@ -127,7 +127,7 @@
     return kExitUsage;
   }
   return Serve("vmlist", parsed.common, [&](StandinServer& server) {
-    return std::make_unique<VmListShell>(server, ValueOf(vms).vms);
+    return std::make_unique<VmListHttpFrontend>(server, ValueOf(vms).vms);
   });
 }
 
@@ -140,7 +140,7 @@
 }
 
 int RunPlatform(const ParsedCommand& parsed) {
-  PlatformShellSettings settings;
+  PlatformHttpFrontendSettings settings;
   settings.ip = parsed.common.ip;
   settings.domains = Get<int>(parsed, "domains");
   settings.vms_per_domain = Get<int>(parsed, "vms");
@@ -148,7 +148,7 @@
   settings.time_scale = Get<double>(parsed, "time-scale");
   settings.store.history = Get<std::size_t>(parsed, "history");
   return Serve("platform", parsed.common, [&](StandinServer& server) {
-    return std::make_unique<PlatformShell>(server, settings);
+    return std::make_unique<PlatformHttpFrontend>(server, settings);
   });
 }
 
@@ -171,7 +171,7 @@
     return kExitUsage;
   }
   return Serve("weights", parsed.common, [&](StandinServer& server) {
-    return std::make_unique<WeightsShell>(server, rate);
+    return std::make_unique<WeightStoreHttpFrontend>(server, rate);
   });
 }
 
@@ -253,7 +253,7 @@
       .endpoint = EndpointId(Get<std::string>(parsed, "vm"))};
   const Duration delay = GetMillis(parsed, "delay-ms");
   return Serve("service", parsed.common, [&](StandinServer& server) {
-    return std::make_unique<ServiceShell>(server, settings, delay);
+    return std::make_unique<ServiceHttpFrontend>(server, settings, delay);
   });
 }
 
--- a/programs/gcw_standin/engine_member.cc
+++ b/programs/gcw_standin/engine_member.cc
@@ -6,7 +6,7 @@
 namespace gcw {
 namespace {
 
-bool IsAtWork(EngineState state) {
+bool IsReadyOrDraining(EngineState state) {
   return state == EngineState::kReady || state == EngineState::kDraining;
 }
 
@@ -38,8 +38,8 @@
     return {EngineOrderBusy{.group = status_.group}, {}};
   }
   status_.fence = std::max(status_.fence, order.fence);
-  const bool is_old = order.generation < status_.generation;
-  if (status_.group == order.group && is_old && !ignore_fence) {
+  const bool is_earlier_generation = order.generation < status_.generation;
+  if (status_.group == order.group && is_earlier_generation && !ignore_fence) {
     // The order is for an earlier generation of this group, so there is nothing
     // to do.
     return {EngineOrderAccepted{}, {}};
@@ -62,13 +62,13 @@
   if (is_repeated) {
     return {EngineOrderAccepted{}, {}};
   }
-  OrderOutcome outcome{EngineOrderAccepted{}, {BreakAnswers{}}};
+  OrderOutcome outcome{EngineOrderAccepted{}, {AbortAnswers{}}};
   Join(order);
   if (status_.state == EngineState::kFailed) {
     return outcome;
   }
-  wanted_ = {order.model, status_.rank, order.members.size()};
-  if (shard_ == wanted_) {
+  target_shard_ = {order.model, status_.rank, order.members.size()};
+  if (shard_ == target_shard_) {
     FinishLoad();
     return outcome;
   }
@@ -76,7 +76,7 @@
   if (settings_.uses_weight_store) {
     outcome.actions.emplace_back(FetchWeights{order.generation});
   } else {
-    loaded_at_ = now + settings_.load_time;
+    load_done_at_ = now + settings_.load_time;
   }
   return outcome;
 }
@@ -89,9 +89,9 @@
   status_.state = EngineState::kIdle;
   peers_.clear();
   shard_.reset();
-  loaded_at_.reset();
-  own_part_loaded_ = false;
-  return {EngineOrderAccepted{}, {BreakAnswers{}}};
+  load_done_at_.reset();
+  own_shard_loaded_ = false;
+  return {EngineOrderAccepted{}, {AbortAnswers{}}};
 }
 
 OrderOutcome EngineMember::Drain() {
@@ -109,8 +109,8 @@
   status_.rank = rank.value_or(0);
   // A VM that is not among the members cannot join the group.
   status_.state = rank ? EngineState::kLoading : EngineState::kFailed;
-  own_part_loaded_ = false;
-  loaded_at_.reset();
+  own_shard_loaded_ = false;
+  load_done_at_.reset();
   peers_.clear();
   next_poll_ = Time();
   if (rank != 0) {
@@ -131,7 +131,7 @@
       status_.generation != generation) {
     return;
   }
-  loaded_at_ = now + settings_.load_time;
+  load_done_at_ = now + settings_.load_time;
 }
 
 std::vector<MemberAction> EngineMember::OnMemberStatus(
@@ -146,31 +146,32 @@
   const bool is_member =
       status.group == status_.group && status.generation == status_.generation;
   const bool has_restarted =
-      peer->seen && peer->incarnation != status.incarnation;
-  if ((!is_member || has_restarted) && IsAtWork(status_.state)) {
+      peer->last_seen && peer->incarnation != status.incarnation;
+  if ((!is_member || has_restarted) && IsReadyOrDraining(status_.state)) {
     return Fail();
   }
   if (!is_member) {
-    peer->seen.reset();
+    peer->last_seen.reset();
     return {};
   }
-  peer->seen = now;
+  peer->last_seen = now;
   peer->incarnation = status.incarnation;
-  peer->loaded = IsAtWork(status.state);
+  peer->loaded = IsReadyOrDraining(status.state);
   return {};
 }
 
 std::vector<MemberAction> EngineMember::Tick(Time now) {
   std::vector<MemberAction> actions;
-  if (loaded_at_ && *loaded_at_ <= now) {
+  if (load_done_at_ && *load_done_at_ <= now) {
     FinishLoad();
   }
-  if (IsAtWork(status_.state) && !SeesAll(now)) {
+  if (IsReadyOrDraining(status_.state) && !SeesAllPeers(now)) {
     actions = Fail();
   }
-  const bool may_serve = status_.state == EngineState::kLoading &&
-                         own_part_loaded_ && SeesAll(now) && AllLoaded();
-  if (may_serve) {
+  const bool is_group_ready = status_.state == EngineState::kLoading &&
+                              own_shard_loaded_ && SeesAllPeers(now) &&
+                              AllPeersLoaded();
+  if (is_group_ready) {
     status_.state = EngineState::kReady;
   }
   PollPeers(now, actions);
@@ -196,35 +197,35 @@
 }
 
 void EngineMember::FinishLoad() {
-  loaded_at_.reset();
-  own_part_loaded_ = true;
-  shard_ = wanted_;
+  load_done_at_.reset();
+  own_shard_loaded_ = true;
+  shard_ = target_shard_;
 }
 
 bool EngineMember::IsPresent(Time now, const Peer& peer) const {
-  return peer.seen && now - *peer.seen < settings_.member_timeout;
+  return peer.last_seen && now - *peer.last_seen < settings_.member_timeout;
 }
 
-bool EngineMember::SeesAll(Time now) const {
+bool EngineMember::SeesAllPeers(Time now) const {
   return std::all_of(peers_.begin(), peers_.end(),
                      [&](const Peer& peer) { return IsPresent(now, peer); });
 }
 
-bool EngineMember::AllLoaded() const {
+bool EngineMember::AllPeersLoaded() const {
   return std::all_of(peers_.begin(), peers_.end(),
                      [](const Peer& peer) { return peer.loaded; });
 }
 
 std::vector<MemberAction> EngineMember::Fail() {
   status_.state = EngineState::kFailed;
-  return {BreakAnswers{}};
+  return {AbortAnswers{}};
 }
 
 void EngineMember::PollPeers(Time now, std::vector<MemberAction>& actions) {
   if (peers_.empty() || now < next_poll_) {
     return;
   }
-  next_poll_ = now + settings_.poll_period;
+  next_poll_ = now + settings_.poll_interval;
   for (const Peer& peer : peers_) {
     actions.emplace_back(PollMember{peer.vm, peer.address});
   }
--- a/programs/gcw_standin/engine_member.h
+++ b/programs/gcw_standin/engine_member.h
@@ -22,9 +22,9 @@
 };
 // Aborts all pending requests, because the group failed or because this engine
 // left it or joined another generation.
-struct BreakAnswers {};
+struct AbortAnswers {};
 
-using MemberAction = std::variant<PollMember, FetchWeights, BreakAnswers>;
+using MemberAction = std::variant<PollMember, FetchWeights, AbortAnswers>;
 
 struct OrderOutcome {
   EngineOrderReply reply;
@@ -43,7 +43,7 @@
     // weight store.
     Duration load_time;
     bool uses_weight_store = false;
-    Duration poll_period = Duration::Millis(200);
+    Duration poll_interval = Duration::Millis(200);
     // A member that has not answered as a member of this generation for this
     // time counts as lost.
     Duration member_timeout = Duration::Millis(700);
@@ -64,14 +64,14 @@
   bool IsServing() const;
   // Leaves `active` unset, because only the batch knows it.
   EngineStatus Status(Time now) const;
-  const EngineStatus& own() const { return status_; }
+  const EngineStatus& local_status() const { return status_; }
 
  private:
   struct Peer {
     VmId vm;
     Address address;
     // Time of its last answer as a member of this generation.
-    std::optional<Time> seen;
+    std::optional<Time> last_seen;
     Incarnation incarnation;
     bool loaded = false;
   };
@@ -92,8 +92,8 @@
   void Join(const EngineOrder& order);
   void FinishLoad();
   bool IsPresent(Time now, const Peer& peer) const;
-  bool SeesAll(Time now) const;
-  bool AllLoaded() const;
+  bool SeesAllPeers(Time now) const;
+  bool AllPeersLoaded() const;
   std::vector<MemberAction> Fail();
   void PollPeers(Time now, std::vector<MemberAction>& actions);
 
@@ -101,11 +101,11 @@
   EngineStatus status_;
   std::vector<Peer> peers_;
   std::optional<Shard> shard_;
-  Shard wanted_;
+  Shard target_shard_;
   // Time at which the load of this VM's shard completes. Absent if no load is
   // in progress or if the fetch from the weight store is not complete yet.
-  std::optional<Time> loaded_at_;
-  bool own_part_loaded_ = false;
+  std::optional<Time> load_done_at_;
+  bool own_shard_loaded_ = false;
   Time next_poll_;
 };
 
--- a/programs/gcw_standin/engine_shell.cc
+++ b/programs/gcw_standin/engine_shell.cc
@@ -8,13 +8,13 @@
 namespace gcw {
 namespace {
 
-constexpr Duration kTick = Duration::Millis(5);
-constexpr Duration kWeightsRetry = Duration::Seconds(1);
+constexpr Duration kTickInterval = Duration::Millis(5);
+constexpr Duration kWeightsRetryDelay = Duration::Seconds(1);
 constexpr Duration kWeightsTimeout = Duration::Seconds(24L * 3600);
 constexpr int kNotServing = 503;
 constexpr int kOtherGeneration = 409;
 
-bool IsWork(const HttpRequest& request) {
+bool IsWorkload(const HttpRequest& request) {
   return request.target.starts_with("/v1/");
 }
 
@@ -64,7 +64,7 @@
   return call;
 }
 
-HttpHeader EchoOf(const AttemptId& attempt) {
+HttpHeader AttemptHeader(const AttemptId& attempt) {
   return {std::string(kAttemptHeader), attempt.value()};
 }
 
@@ -75,7 +75,8 @@
       settings_(std::move(settings)),
       engine_(settings_.engine, server.faults()),
       client_(server.context()) {
-  server.Every(kTick, [this](Time now) { Run(engine_.Tick(now)); });
+  server.RunEvery(kTickInterval,
+                  [this](Time now) { Execute(engine_.Tick(now)); });
 }
 
 StandinServer::Hooks EngineShell::MakeHooks() {
@@ -84,9 +85,9 @@
                         std::shared_ptr<HttpResponder> responder) {
     Handle(now, request, std::move(responder));
   };
-  hooks.is_work = IsWork;
+  hooks.is_workload = IsWorkload;
   hooks.is_write = IsWrite;
-  hooks.on_faults = [this] { OnFaults(); };
+  hooks.on_faults_changed = [this] { OnFaultsChanged(); };
   return hooks;
 }
 
@@ -114,8 +115,8 @@
   } else if (path == "/load") {
     responder.Respond(JsonResponse(200, EncodeLoadReport(engine_.Load(now))));
   } else if (path == "/cache_events") {
-    const auto asked = QueryNumber(request.target, "after").value_or(0);
-    const std::int64_t after = std::max<std::int64_t>(asked, 0);
+    const auto requested = QueryNumber(request.target, "after").value_or(0);
+    const std::int64_t after = std::max<std::int64_t>(requested, 0);
     responder.Respond(
         JsonResponse(200, EncodeCacheEvents(engine_.CacheEvents(now, after))));
   } else if (path == "/executions") {
@@ -138,7 +139,7 @@
   const EngineOrderResult result = engine_.OnOrder(now, ValueOf(order));
   EngineOrderReplyMessage message = EncodeEngineOrderReply(result.reply);
   responder.Respond(JsonResponse(message.status, std::move(message.body)));
-  Run(result.actions);
+  Execute(result.actions);
 }
 
 void EngineShell::HandleCancel(const HttpRequest& request,
@@ -151,7 +152,7 @@
   std::vector<EngineAction> actions;
   const bool cancelled = engine_.OnCancel(ValueOf(attempt), actions);
   responder.Respond(JsonResponse(200, EncodeCancelReply(cancelled)));
-  Run(actions);
+  Execute(actions);
 }
 
 void EngineShell::HandleChat(Time now,
@@ -165,20 +166,20 @@
   EngineCall call = MakeCall(request, std::move(ValueOf(chat)));
   const Ticket ticket = ++last_ticket_;
   responder->OnCallerGone([this, ticket] {
-    engine_.Forget(ticket);
+    engine_.DropRequest(ticket);
     exchanges_.erase(ticket);
   });
   exchanges_[ticket] = {std::move(responder), call.attempt, call.chat.stream};
-  Run(engine_.OnChat(now, ticket, std::move(call)));
+  Execute(engine_.OnChat(now, ticket, std::move(call)));
 }
 
-void EngineShell::Run(const std::vector<EngineAction>& actions) {
+void EngineShell::Execute(const std::vector<EngineAction>& actions) {
   for (const EngineAction& action : actions) {
-    std::visit([this](const auto& typed) { Run(typed); }, action);
+    std::visit([this](const auto& typed) { Execute(typed); }, action);
   }
 }
 
-void EngineShell::Run(const SendToken& action) {
+void EngineShell::Execute(const SendToken& action) {
   const auto found = exchanges_.find(action.ticket);
   if (found == exchanges_.end()) {
     return;
@@ -190,8 +191,8 @@
   responder->Write(EncodeChatTokenEvent(action.token));
 }
 
-void EngineShell::Run(const FinishAnswer& action) {
-  Exchange exchange = Take(action.ticket);
+void EngineShell::Execute(const FinishAnswer& action) {
+  Exchange exchange = TakeExchange(action.ticket);
   if (!exchange.responder) {
     return;
   }
@@ -202,19 +203,19 @@
     return;
   }
   HttpResponse response = JsonResponse(200, EncodeChatAnswer(action.answer));
-  response.headers.push_back(EchoOf(exchange.attempt));
+  response.headers.push_back(AttemptHeader(exchange.attempt));
   exchange.responder->Respond(std::move(response));
 }
 
-void EngineShell::Run(const BreakAnswer& action) {
-  const Exchange exchange = Take(action.ticket);
+void EngineShell::Execute(const BreakAnswer& action) {
+  const Exchange exchange = TakeExchange(action.ticket);
   if (exchange.responder) {
     exchange.responder->Abort();
   }
 }
 
-void EngineShell::Run(const RefuseCall& action) {
-  const Exchange exchange = Take(action.ticket);
+void EngineShell::Execute(const RefuseCall& action) {
+  const Exchange exchange = TakeExchange(action.ticket);
   if (!exchange.responder) {
     return;
   }
@@ -222,27 +223,28 @@
                          ? kOtherGeneration
                          : kNotServing;
   HttpResponse response = NotRunResponse(status, NameOf(action.reason));
-  response.headers.push_back(EchoOf(exchange.attempt));
+  response.headers.push_back(AttemptHeader(exchange.attempt));
   exchange.responder->Respond(std::move(response));
 }
 
-void EngineShell::Run(const PollMember& action) {
+void EngineShell::Execute(const PollMember& action) {
   HttpRequest request;
   request.method = "GET";
   request.target = "/status";
-  client_.Fetch(action.address, std::move(request), PollOptions(),
-                [this](const Result<HttpResponse, HttpFailure>& result) {
-                  if (!IsOk(result)) {
-                    return;
-                  }
-                  const auto status = DecodeEngineStatus(ValueOf(result).body);
-                  if (IsOk(status)) {
-                    Run(engine_.OnMemberStatus(server_.now(), ValueOf(status)));
-                  }
-                });
+  client_.Fetch(
+      action.address, std::move(request), PollOptions(),
+      [this](const Result<HttpResponse, HttpFailure>& result) {
+        if (!IsOk(result)) {
+          return;
+        }
+        const auto status = DecodeEngineStatus(ValueOf(result).body);
+        if (IsOk(status)) {
+          Execute(engine_.OnMemberStatus(server_.now(), ValueOf(status)));
+        }
+      });
 }
 
-void EngineShell::Run(const FetchWeights& action) {
+void EngineShell::Execute(const FetchWeights& action) {
   HttpRequest request;
   request.method = "POST";
   request.target = "/fetch";
@@ -255,9 +257,9 @@
           engine_.OnWeights(server_.now(), action.generation);
           return;
         }
-        server_.After(kWeightsRetry, [this, action](Time now) {
+        server_.RunAfter(kWeightsRetryDelay, [this, action](Time now) {
           if (engine_.Status(now).generation == action.generation) {
-            Run(action);
+            Execute(action);
           }
         });
       });
@@ -268,11 +270,11 @@
     return;
   }
   exchange.stream_started = true;
-  exchange.responder->StartStream(
-      200, {{"Content-Type", "text/event-stream"}, EchoOf(exchange.attempt)});
+  exchange.responder->StartStream(200, {{"Content-Type", "text/event-stream"},
+                                        AttemptHeader(exchange.attempt)});
 }
 
-EngineShell::Exchange EngineShell::Take(Ticket ticket) {
+EngineShell::Exchange EngineShell::TakeExchange(Ticket ticket) {
   const auto found = exchanges_.find(ticket);
   if (found == exchanges_.end()) {
     return {};
@@ -282,7 +284,7 @@
   return exchange;
 }
 
-void EngineShell::OnFaults() {
+void EngineShell::OnFaultsChanged() {
   if (cache_gaps_ != server_.faults().cache_gaps) {
     cache_gaps_ = server_.faults().cache_gaps;
     engine_.DropCacheEvents();
--- a/programs/gcw_standin/engine_shell.h
+++ b/programs/gcw_standin/engine_shell.h
@@ -50,19 +50,19 @@
                   const HttpRequest& request,
                   std::shared_ptr<HttpResponder> responder);
 
-  void Run(const std::vector<EngineAction>& actions);
-  void Run(const SendToken& action);
-  void Run(const FinishAnswer& action);
-  void Run(const BreakAnswer& action);
-  void Run(const RefuseCall& action);
-  void Run(const PollMember& action);
-  void Run(const FetchWeights& action);
+  void Execute(const std::vector<EngineAction>& actions);
+  void Execute(const SendToken& action);
+  void Execute(const FinishAnswer& action);
+  void Execute(const BreakAnswer& action);
+  void Execute(const RefuseCall& action);
+  void Execute(const PollMember& action);
+  void Execute(const FetchWeights& action);
 
   void StartStream(Exchange& exchange);
   // Removes the exchange and returns it. The result has no responder if the
   // exchange has already ended.
-  Exchange Take(Ticket ticket);
-  void OnFaults();
+  Exchange TakeExchange(Ticket ticket);
+  void OnFaultsChanged();
 
   StandinServer& server_;
   Settings settings_;
--- a/programs/gcw_standin/faulty_responder.cc
+++ b/programs/gcw_standin/faulty_responder.cc
@@ -12,7 +12,7 @@
       faults_(&faults),
       silenced_(&silenced),
       loses_answer_(loses_answer),
-      epoch_(faults.silenced_epoch) {}
+      silenced_epoch_at_start_(faults.silenced_epoch) {}
 
 std::shared_ptr<FaultyResponder> FaultyResponder::Wrap(
     std::shared_ptr<HttpResponder> inner,
@@ -89,7 +89,7 @@
 }
 
 bool FaultyResponder::IsSilenced() {
-  if (faults_->silent || faults_->silenced_epoch != epoch_) {
+  if (faults_->silent || faults_->silenced_epoch != silenced_epoch_at_start_) {
     Silence();
   }
   return is_silenced_ || caller_gone_;
--- a/programs/gcw_standin/faulty_responder.h
+++ b/programs/gcw_standin/faulty_responder.h
@@ -58,7 +58,7 @@
   const Faults* faults_;
   Silenced* silenced_;
   bool loses_answer_;
-  std::int64_t epoch_;
+  std::int64_t silenced_epoch_at_start_;
   bool is_silenced_ = false;
   bool caller_gone_ = false;
   std::function<void()> caller_gone_hook_;
--- a/programs/gcw_standin/http_answers.cc
+++ b/programs/gcw_standin/http_answers.cc
@@ -55,8 +55,8 @@
 std::optional<std::int64_t> ParseNumber(std::string_view text) {
   std::int64_t number = 0;
   const char* end = text.data() + text.size();
-  const auto [stop, fault] = std::from_chars(text.data(), end, number);
-  if (fault != std::errc() || stop != end) {
+  const auto [stop, error] = std::from_chars(text.data(), end, number);
+  if (error != std::errc() || stop != end) {
     return std::nullopt;
   }
   return number;
--- a/programs/gcw_standin/platform_documents.cc
+++ b/programs/gcw_standin/platform_documents.cc
@@ -15,7 +15,7 @@
 constexpr int kNotFound = 404;
 constexpr int kGone = 410;
 constexpr int kPreconditionFailed = 412;
-constexpr int kTooMany = 429;
+constexpr int kTooManyRequests = 429;
 
 object EncodeRoute(const std::string& name,
                    const std::string& type,
@@ -78,7 +78,7 @@
           {"lease", entry.lease.value()}};
 }
 
-HttpResponse Json(int status, const object& body) {
+HttpResponse MakeJsonResponse(int status, const object& body) {
   return {status,
           {{"Content-Type", "application/json"}},
           boost::json::serialize(body)};
@@ -91,7 +91,7 @@
   return number;
 }
 
-std::int64_t NumberBehind(std::string_view path, std::string_view prefix) {
+std::int64_t NumberAfter(std::string_view path, std::string_view prefix) {
   std::int64_t number = 0;
   path.remove_prefix(prefix.size());
   std::from_chars(path.data(), path.data() + path.size(), number);
@@ -133,8 +133,8 @@
                             {"revision", deletion.revision.value()},
                             {"deleted", true}});
   }
-  return Json(kOk, {{"events", std::move(events)},
-                    {"current_rev", watch.revision.value()}});
+  return MakeJsonResponse(kOk, {{"events", std::move(events)},
+                                {"current_rev", watch.revision.value()}});
 }
 
 HttpResponse EncodeRange(const StoreRangeReply& range) {
@@ -142,9 +142,9 @@
   for (const StoreEntry& entry : range.entries) {
     items.push_back(EncodeEntry(entry));
   }
-  return Json(kOk, {{"items", std::move(items)},
-                    {"more_pages", range.more},
-                    {"current_rev", range.revision.value()}});
+  return MakeJsonResponse(kOk, {{"items", std::move(items)},
+                                {"more_pages", range.more},
+                                {"current_rev", range.revision.value()}});
 }
 
 HttpResponse EncodeConflict(const StoreConflict& conflict) {
@@ -152,7 +152,7 @@
   if (conflict.current) {
     items.push_back(EncodeEntry(*conflict.current));
   }
-  return Json(kPreconditionFailed, {{"items", std::move(items)}});
+  return MakeJsonResponse(kPreconditionFailed, {{"items", std::move(items)}});
 }
 
 }  // namespace
@@ -174,11 +174,12 @@
   return profile;
 }
 
-std::string EncodeStandinConfiguration(const StandinChoices& choices) {
+std::string EncodeStandinConfiguration(
+    const StandinConfigurationOptions& options) {
   const object document{
-      {"version", choices.version},
+      {"version", options.version},
       {"limits", object{{"max_header_bytes", 16384},
-                        {"max_body_bytes", choices.max_body_bytes},
+                        {"max_body_bytes", options.max_body_bytes},
                         {"header_timeout_ms", 10000},
                         {"idle_timeout_ms", 60000}}},
       {"routes", array{EncodeRoute("large", "stream", "llm", 2),
@@ -191,7 +192,7 @@
                     {"engine", EncodeEngine(StandinEngineProfile())}},
              object{{"name", "desk"}, {"max_connections", 110}}}},
       {"tenants", array{object{{"name", "paid"},
-                               {"api_keys", array{choices.key}},
+                               {"api_keys", array{options.key}},
                                {"priority", 1}}}}};
   return boost::json::serialize(document);
 }
@@ -237,10 +238,10 @@
                       Duration::Millis(QueryNumber(request, "wait_ms"))};
   }
   if (path.starts_with(kStoreRenewPath)) {
-    return StoreLeaseKeepAlive{LeaseId(NumberBehind(path, kStoreRenewPath))};
+    return StoreLeaseKeepAlive{LeaseId(NumberAfter(path, kStoreRenewPath))};
   }
   if (path.starts_with(kStoreEndLeasePath)) {
-    return StoreLeaseRevoke{LeaseId(NumberBehind(path, kStoreEndLeasePath))};
+    return StoreLeaseRevoke{LeaseId(NumberAfter(path, kStoreEndLeasePath))};
   }
   boost::json::error_code error;
   const boost::json::value body = boost::json::parse(request.body, error);
@@ -265,20 +266,21 @@
             return EncodeConflict(conflict);
           },
           [](const StoreWritten& written) {
-            return Json(kOk, {{"revision", written.revision.value()}});
+            return MakeJsonResponse(kOk,
+                                    {{"revision", written.revision.value()}});
           },
           [&](const StoreLeaseReply& lease) {
             object body{{"ttl_ms", lease.time_to_live.millis()}};
             if (std::holds_alternative<StoreLeaseGrant>(call)) {
               body["lease"] = lease.lease.value();
             }
-            return Json(kOk, body);
+            return MakeJsonResponse(kOk, body);
           },
           [](const StoreLeaseUnknown&) {
             return HttpResponse{kNotFound, {}, {}};
           },
           [](const auto&) {
-            return HttpResponse{kTooMany, {}, {}};
+            return HttpResponse{kTooManyRequests, {}, {}};
           },
       },
       reply);
--- a/programs/gcw_standin/platform_documents.h
+++ b/programs/gcw_standin/platform_documents.h
@@ -16,7 +16,7 @@
 EngineProfile StandinEngineProfile();
 // The parts of the configuration document that the simulated operator can
 // change at run time.
-struct StandinChoices {
+struct StandinConfigurationOptions {
   std::int64_t version = 1;
   std::int64_t max_body_bytes = 4194304;
   std::string key = "standin-key";
@@ -25,7 +25,8 @@
 // VMs) and `small` (3) under `/large/` and `/small/` and a plain service under
 // `/safe/` and `/once/`, all on the host `models.example`. The only key belongs
 // to the team `paid`.
-std::string EncodeStandinConfiguration(const StandinChoices& choices);
+std::string EncodeStandinConfiguration(
+    const StandinConfigurationOptions& options);
 std::string EncodeRegistrationEntry(const VmRegistration& registration);
 
 // Returns nothing if the request is not a valid call to the store.
--- a/programs/gcw_standin/platform_engine.cc
+++ b/programs/gcw_standin/platform_engine.cc
@@ -37,16 +37,16 @@
 
 PlatformEngine::PlatformEngine(StandinServer& server,
                                Settings settings,
-                               IsWhole is_whole,
-                               OnChange on_change)
-    : standin_(server),
+                               GroupPredicate has_all_members,
+                               ChangeCallback on_change)
+    : standin_server_(server),
       settings_(std::move(settings)),
-      is_whole_(std::move(is_whole)),
+      has_all_members_(std::move(has_all_members)),
       on_change_(std::move(on_change)) {}
 
 bool PlatformEngine::Listen(const std::string& ip) {
   auto listening = HttpServer::Listen(
-      standin_.context(), ip, 0, HttpServerLimits{},
+      standin_server_.context(), ip, 0, HttpServerLimits{},
       [this](const HttpRequest& request,
              const std::shared_ptr<HttpResponder>& responder) {
         Handle(request, responder);
@@ -55,8 +55,9 @@
     return false;
   }
   server_ = std::move(ValueOf(listening));
-  settings_.self.address = Address(ip + ":" + std::to_string(server_->port()));
-  Changed();
+  settings_.registration.address =
+      Address(ip + ":" + std::to_string(server_->port()));
+  NotifyChange();
   return true;
 }
 
@@ -67,10 +68,11 @@
 void PlatformEngine::Handle(const HttpRequest& request,
                             const std::shared_ptr<HttpResponder>& responder) {
   const std::string& expected = request.Header(kExpectedVmHeader);
-  if (!expected.empty() && expected != settings_.self.id.value()) {
-    responder->Respond({kMisdirected,
-                        {{std::string(kVmHeader), settings_.self.id.value()}},
-                        {}});
+  if (!expected.empty() && expected != settings_.registration.id.value()) {
+    responder->Respond(
+        {kMisdirected,
+         {{std::string(kVmHeader), settings_.registration.id.value()}},
+         {}});
     return;
   }
   const std::string path = PathOf(request.target);
@@ -79,7 +81,7 @@
   } else if (path == kOrderPath) {
     HandleOrder(request, *responder);
   } else if (settings_.engine) {
-    Stream(request, responder);
+    StreamAnswer(request, responder);
   } else {
     ++runs_;
     responder->Respond({kOk, AnswerHeaders(request), "done: " + request.body});
@@ -96,11 +98,11 @@
     return;
   }
   const FencingToken fence(IntegerAt(*order, "fencing_token"));
-  if (fence < seen_fence_) {
+  if (fence < last_fence_) {
     responder.Respond({kPreconditionFailed, {}, {}});
     return;
   }
-  seen_fence_ = fence;
+  last_fence_ = fence;
   const std::string kind = TextAt(*order, "op");
   int status = kBadRequest;
   if (kind == "join") {
@@ -117,18 +119,18 @@
   responder.Respond({status, {}, {}});
 }
 
-bool PlatformEngine::IsFor(const boost::json::object& order) const {
-  const auto& membership = settings_.self.membership;
+bool PlatformEngine::MatchesMembership(const boost::json::object& order) const {
+  const auto& membership = settings_.registration.membership;
   return membership && membership->group.value() == TextAt(order, "group") &&
          membership->generation.value() == IntegerAt(order, "epoch");
 }
 
 int PlatformEngine::Join(const boost::json::object& order) {
   const Generation generation(IntegerAt(order, "epoch"));
-  if (generation < seen_generation_) {
+  if (generation < last_generation_) {
     return kPreconditionFailed;
   }
-  if (IsFor(order)) {
+  if (MatchesMembership(order)) {
     return kOk;
   }
   const auto* members = order.if_contains("members");
@@ -139,28 +141,29 @@
   for (const boost::json::value& member : members->as_array()) {
     members_.emplace_back(std::string(member.as_string()));
   }
-  seen_generation_ = generation;
+  last_generation_ = generation;
   const ModelId model(TextAt(order, "model"));
   const GroupId group(TextAt(order, "group"));
   const auto rank =
-      std::find(members_.begin(), members_.end(), settings_.self.id) -
+      std::find(members_.begin(), members_.end(), settings_.registration.id) -
       members_.begin();
-  settings_.self.membership =
+  settings_.registration.membership =
       GroupMembership{group, generation, rank, MemberPhase::kJoining};
-  standin_.After(TimeFor(model),
-                 [this, group, model](Time) { BecomeReady(group, model); });
-  Changed();
+  standin_server_.RunAfter(ScaledLoadTime(model), [this, group, model](Time) {
+    BecomeReady(group, model);
+  });
+  NotifyChange();
   return kAccepted;
 }
 
-Duration PlatformEngine::TimeFor(const ModelId& model) const {
-  constexpr Duration kSameModel = Duration::Millis(200);
-  Duration time = kSameModel;
-  if (settings_.self.models != std::vector<ModelId>{model}) {
+Duration PlatformEngine::ScaledLoadTime(const ModelId& model) const {
+  constexpr Duration kSameModelTime = Duration::Millis(200);
+  Duration time = kSameModelTime;
+  if (settings_.registration.models != std::vector<ModelId>{model}) {
     for (const ModelProfile& profile : settings_.engine->models) {
       if (profile.model == model) {
-        time = settings_.self.HasStaged(model) ? profile.warm_time
-                                               : profile.load_time;
+        time = settings_.registration.HasStaged(model) ? profile.warm_time
+                                                       : profile.load_time;
       }
     }
   }
@@ -169,52 +172,52 @@
 }
 
 void PlatformEngine::BecomeReady(const GroupId& group, const ModelId& model) {
-  auto& membership = settings_.self.membership;
+  auto& membership = settings_.registration.membership;
   if (!alive() || !membership || membership->group != group) {
     return;
   }
   membership->phase = MemberPhase::kReady;
-  settings_.self.models = {model};
-  settings_.self.staged = {model};
-  Changed();
+  settings_.registration.models = {model};
+  settings_.registration.staged = {model};
+  NotifyChange();
 }
 
 int PlatformEngine::Open(const boost::json::object& order) {
-  auto& membership = settings_.self.membership;
-  if (!IsFor(order) || membership->rank != 0 ||
+  auto& membership = settings_.registration.membership;
+  if (!MatchesMembership(order) || membership->rank != 0 ||
       membership->phase == MemberPhase::kJoining) {
     return kConflict;
   }
   membership->phase = MemberPhase::kOpen;
-  Changed();
+  NotifyChange();
   return kAccepted;
 }
 
 int PlatformEngine::Close(const boost::json::object& order) {
-  if (!IsFor(order)) {
+  if (!MatchesMembership(order)) {
     return kConflict;
   }
-  settings_.self.membership->phase = MemberPhase::kReady;
-  Changed();
+  settings_.registration.membership->phase = MemberPhase::kReady;
+  NotifyChange();
   return kAccepted;
 }
 
 int PlatformEngine::Leave(const boost::json::object& order) {
-  if (!IsFor(order)) {
+  if (!MatchesMembership(order)) {
     return kConflict;
   }
-  settings_.self.membership.reset();
+  settings_.registration.membership.reset();
   members_.clear();
-  Changed();
+  NotifyChange();
   return kAccepted;
 }
 
 int PlatformEngine::Stage(const boost::json::object& order) {
   const ModelId model(TextAt(order, "model"));
-  standin_.After(TimeFor(model), [this, model](Time) {
-    settings_.self.staged = {model};
+  standin_server_.RunAfter(ScaledLoadTime(model), [this, model](Time) {
+    settings_.registration.staged = {model};
     if (alive()) {
-      Changed();
+      NotifyChange();
     }
   });
   return kAccepted;
@@ -224,14 +227,16 @@
     const HttpRequest& request) const {
   return {
       {std::string(kAttemptIdHeader), request.Header(kAttemptIdHeader)},
-      {std::string(kProofHeader), "proof-" + settings_.self.id.value()},
-      {std::string(kLoadHeader), std::to_string(running_) + ",0," +
-                                     std::to_string(settings_.self.places)}};
+      {std::string(kProofHeader), "proof-" + settings_.registration.id.value()},
+      {std::string(kLoadHeader),
+       std::to_string(running_) + ",0," +
+           std::to_string(settings_.registration.places)}};
 }
 
-void PlatformEngine::Stream(const HttpRequest& request,
-                            const std::shared_ptr<HttpResponder>& responder) {
-  const auto& membership = settings_.self.membership;
+void PlatformEngine::StreamAnswer(
+    const HttpRequest& request,
+    const std::shared_ptr<HttpResponder>& responder) {
+  const auto& membership = settings_.registration.membership;
   if (!membership || membership->rank != 0) {
     responder->Respond({kMisdirected, {}, {}});
     return;
@@ -256,26 +261,26 @@
 void PlatformEngine::SendEvent(const std::shared_ptr<HttpResponder>& responder,
                                int event,
                                const GroupId& group) {
-  standin_.After(settings_.event_interval,
-                 [this, responder, event, group](Time) {
-                   const auto& membership = settings_.self.membership;
-                   if (!alive() || !membership || membership->group != group) {
-                     --running_;
-                     responder->Abort();
-                     return;
-                   }
-                   if (!is_whole_(*this)) {
-                     SendEvent(responder, event, group);
-                     return;
-                   }
-                   responder->Write(EventText(event));
-                   if (event < settings_.events) {
-                     SendEvent(responder, event + 1, group);
-                     return;
-                   }
-                   --running_;
-                   responder->Finish();
-                 });
+  standin_server_.RunAfter(
+      settings_.event_interval, [this, responder, event, group](Time) {
+        const auto& membership = settings_.registration.membership;
+        if (!alive() || !membership || membership->group != group) {
+          --running_;
+          responder->Abort();
+          return;
+        }
+        if (!has_all_members_(*this)) {
+          SendEvent(responder, event, group);
+          return;
+        }
+        responder->Write(EventText(event));
+        if (event < settings_.events) {
+          SendEvent(responder, event + 1, group);
+          return;
+        }
+        --running_;
+        responder->Finish();
+      });
 }
 
 }  // namespace gcw
--- a/programs/gcw_standin/platform_engine.h
+++ b/programs/gcw_standin/platform_engine.h
@@ -19,7 +19,7 @@
 class PlatformEngine {
  public:
   struct Settings {
-    VmRegistration self;
+    VmRegistration registration;
     // Absent for plain services.
     std::optional<EngineProfile> engine;
     // Time between two events of a stream.
@@ -29,20 +29,21 @@
     double time_scale = 0.05;
   };
   // Returns whether all members of the group are alive and have joined it.
-  using IsWhole = std::function<bool(const PlatformEngine& head)>;
+  using GroupPredicate =
+      std::function<bool(const PlatformEngine& first_member)>;
   // Called when the registration of the endpoint has changed.
-  using OnChange = std::function<void(const PlatformEngine&)>;
+  using ChangeCallback = std::function<void(const PlatformEngine&)>;
 
   PlatformEngine(StandinServer& server,
                  Settings settings,
-                 IsWhole is_whole,
-                 OnChange on_change);
+                 GroupPredicate has_all_members,
+                 ChangeCallback on_change);
 
   bool Listen(const std::string& ip);
   // Closes all connections and stops listening.
   void Kill();
 
-  const VmRegistration& self() const { return settings_.self; }
+  const VmRegistration& registration() const { return settings_.registration; }
   const std::vector<VmId>& members() const { return members_; }
   bool alive() const { return server_ != nullptr; }
   // Number of requests that started to run.
@@ -57,25 +58,25 @@
   int Close(const boost::json::object& order);
   int Leave(const boost::json::object& order);
   int Stage(const boost::json::object& order);
-  bool IsFor(const boost::json::object& order) const;
-  Duration TimeFor(const ModelId& model) const;
+  bool MatchesMembership(const boost::json::object& order) const;
+  Duration ScaledLoadTime(const ModelId& model) const;
   void BecomeReady(const GroupId& group, const ModelId& model);
-  void Stream(const HttpRequest& request,
-              const std::shared_ptr<HttpResponder>& responder);
+  void StreamAnswer(const HttpRequest& request,
+                    const std::shared_ptr<HttpResponder>& responder);
   void SendEvent(const std::shared_ptr<HttpResponder>& responder,
                  int event,
                  const GroupId& group);
   std::vector<HttpHeader> AnswerHeaders(const HttpRequest& request) const;
-  void Changed() const { on_change_(*this); }
+  void NotifyChange() const { on_change_(*this); }
 
-  StandinServer& standin_;
+  StandinServer& standin_server_;
   Settings settings_;
-  IsWhole is_whole_;
-  OnChange on_change_;
+  GroupPredicate has_all_members_;
+  ChangeCallback on_change_;
   std::unique_ptr<HttpServer> server_;
   std::vector<VmId> members_;
-  Generation seen_generation_;
-  FencingToken seen_fence_;
+  Generation last_generation_;
+  FencingToken last_fence_;
   std::int64_t running_ = 0;
   std::int64_t runs_ = 0;
 };
--- /dev/null
+++ b/programs/gcw_standin/platform_http_frontend.cc
@@ -0,0 +1,198 @@
+#include "programs/gcw_standin/platform_http_frontend.h"
+
+#include <algorithm>
+#include <charconv>
+#include <utility>
+
+#include <boost/json.hpp>
+
+namespace gcw {
+namespace {
+
+constexpr Duration kTickInterval = Duration::Millis(20);
+// The platform removes a registration after three missed heartbeats.
+constexpr Duration kRegistrationTimeout = Duration::Millis(3600);
+constexpr int kOk = 200;
+constexpr int kNotFound = 404;
+
+bool IsWrite(const HttpRequest& request) {
+  return PathOf(request.target) == kStoreChangePath;
+}
+
+}  // namespace
+
+PlatformHttpFrontend::PlatformHttpFrontend(
+    StandinServer& server,
+    PlatformHttpFrontendSettings settings)
+    : server_(server), settings_(std::move(settings)), store_(settings_.store) {
+  Write(std::string(kConfigurationKey), EncodeStandinConfiguration(options_));
+  for (int d = 0; d < settings_.domains; ++d) {
+    for (int v = 0; v < settings_.vms_per_domain; ++v) {
+      VmRegistration registration;
+      registration.id =
+          VmId("vm-" + std::to_string(d) + "-" + std::to_string(v));
+      registration.service = ServiceId("llm");
+      registration.zone = ZoneId("zone-1");
+      registration.domain = FabricDomainId("domain-" + std::to_string(d));
+      registration.places = StandinEngineProfile().batch_limit;
+      AddEngine(registration, StandinEngineProfile());
+    }
+  }
+  for (int p = 0; p < settings_.plain_processes; ++p) {
+    VmRegistration registration;
+    registration.id = VmId("desk-" + std::to_string(p));
+    registration.service = ServiceId("desk");
+    registration.zone = ZoneId("zone-1");
+    registration.places = 6;
+    AddEngine(registration, std::nullopt);
+  }
+  server_.RunEvery(kTickInterval,
+                   [this](Time now) { Deliver(store_.Tick(now)); });
+}
+
+void PlatformHttpFrontend::AddEngine(const VmRegistration& registration,
+                                     std::optional<EngineProfile> engine) {
+  PlatformEngine::Settings settings;
+  settings.registration = registration;
+  settings.engine = std::move(engine);
+  settings.time_scale = settings_.time_scale;
+  auto created = std::make_unique<PlatformEngine>(
+      server_, std::move(settings),
+      [this](const PlatformEngine& first_member) {
+        return HasAllMembers(first_member);
+      },
+      [this](const PlatformEngine& changed) { Register(changed); });
+  PlatformEngine& added = *created;
+  engines_[registration.id] = std::move(created);
+  if (!added.Listen(settings_.ip)) {
+    engines_.erase(registration.id);
+  }
+}
+
+StandinServer::Hooks PlatformHttpFrontend::MakeHooks() {
+  StandinServer::Hooks hooks;
+  hooks.handle = [this](Time now, const HttpRequest& request,
+                        const std::shared_ptr<HttpResponder>& responder) {
+    Handle(now, request, responder);
+  };
+  // The faults `refuse` and `crash_on` do not apply to the test interface.
+  hooks.is_workload = [](const HttpRequest& request) {
+    return !request.target.starts_with("/standin/");
+  };
+  hooks.is_write = IsWrite;
+  return hooks;
+}
+
+void PlatformHttpFrontend::Handle(
+    Time now,
+    const HttpRequest& request,
+    const std::shared_ptr<HttpResponder>& responder) {
+  const std::optional<StoreCall> call = DecodePlatformStoreCall(request);
+  if (!call) {
+    HandleTestRequest(request, *responder);
+    return;
+  }
+  const Ticket ticket = ++last_ticket_;
+  responder->OnCallerGone([this, ticket] {
+    store_.DropWatch(ticket);
+    pending_calls_.erase(ticket);
+  });
+  pending_calls_[ticket] = {*call, responder};
+  Deliver(store_.OnCall(now, ticket, *call));
+}
+
+void PlatformHttpFrontend::HandleTestRequest(const HttpRequest& request,
+                                             HttpResponder& responder) {
+  const std::string path = PathOf(request.target);
+  if (path == "/standin/kill") {
+    const VmId vm(QueryValue(request.target, "vm"));
+    const auto found = engines_.find(vm);
+    if (found != engines_.end()) {
+      found->second->Kill();
+      server_.RunAfter(kRegistrationTimeout, [this, vm](Time) { Remove(vm); });
+      responder.Respond({kOk, {}, {}});
+      return;
+    }
+  }
+  if (path == "/standin/configure") {
+    WriteNextConfiguration(request);
+    responder.Respond({kOk, {}, {}});
+    return;
+  }
+  if (path == "/standin/runs") {
+    boost::json::object runs;
+    for (const auto& [id, engine] : engines_) {
+      runs[id.value()] = engine->runs();
+    }
+    responder.Respond({kOk, {}, boost::json::serialize(runs)});
+    return;
+  }
+  responder.Respond({kNotFound, {}, {}});
+}
+
+void PlatformHttpFrontend::WriteNextConfiguration(const HttpRequest& request) {
+  ++options_.version;
+  const std::string key = QueryValue(request.target, "key");
+  if (!key.empty()) {
+    options_.key = key;
+  }
+  const std::string bytes = QueryValue(request.target, "max_body_bytes");
+  std::from_chars(bytes.data(), bytes.data() + bytes.size(),
+                  options_.max_body_bytes);
+  Write(std::string(kConfigurationKey), EncodeStandinConfiguration(options_));
+}
+
+void PlatformHttpFrontend::Deliver(const std::vector<StoreAnswer>& answers) {
+  for (const StoreAnswer& answer : answers) {
+    const auto found = pending_calls_.find(answer.ticket);
+    if (found == pending_calls_.end()) {
+      continue;
+    }
+    const PendingCall pending = std::move(found->second);
+    pending_calls_.erase(found);
+    pending.responder->Respond(
+        EncodePlatformStoreReply(pending.call, answer.reply));
+  }
+}
+
+void PlatformHttpFrontend::Register(const PlatformEngine& engine) {
+  Write(std::string(kVmPrefix) + engine.registration().id.value(),
+        EncodeRegistrationEntry(engine.registration()));
+}
+
+void PlatformHttpFrontend::Write(const std::string& key,
+                                 const std::string& value) {
+  const StorePut put{key, value, revisions_[key], LeaseId()};
+  const Ticket ticket = ++last_ticket_;
+  for (const StoreAnswer& answer : store_.OnCall(server_.now(), ticket, put)) {
+    if (answer.ticket == ticket) {
+      if (const auto* written = std::get_if<StoreWritten>(&answer.reply)) {
+        revisions_[key] = written->revision;
+      }
+    } else {
+      Deliver({answer});
+    }
+  }
+}
+
+void PlatformHttpFrontend::Remove(const VmId& vm) {
+  const std::string key = std::string(kVmPrefix) + vm.value();
+  Deliver(store_.OnCall(server_.now(), ++last_ticket_,
+                        StoreDelete{key, revisions_[key]}));
+  revisions_.erase(key);
+}
+
+bool PlatformHttpFrontend::HasAllMembers(
+    const PlatformEngine& first_member) const {
+  return std::all_of(first_member.members().begin(),
+                     first_member.members().end(), [&](const VmId& member) {
+                       const auto found = engines_.find(member);
+                       return found != engines_.end() &&
+                              found->second->alive() &&
+                              found->second->registration().membership &&
+                              found->second->registration().membership->group ==
+                                  first_member.registration().membership->group;
+                     });
+}
+
+}  // namespace gcw
--- a/programs/gcw_standin/platform_shell.h
+++ b/programs/gcw_standin/platform_http_frontend.h
@@ -1,5 +1,5 @@
-#ifndef PROGRAMS_GCW_STANDIN_PLATFORM_SHELL_H_
-#define PROGRAMS_GCW_STANDIN_PLATFORM_SHELL_H_
+#ifndef PROGRAMS_GCW_STANDIN_PLATFORM_HTTP_FRONTEND_H_
+#define PROGRAMS_GCW_STANDIN_PLATFORM_HTTP_FRONTEND_H_
 
 #include <map>
 #include <memory>
@@ -12,7 +12,7 @@
 
 namespace gcw {
 
-struct PlatformShellSettings {
+struct PlatformHttpFrontendSettings {
   StandinStore::Settings store;
   std::string ip = "127.0.0.1";
   int domains = 1;
@@ -31,9 +31,10 @@
 // `POST /standin/configure?max_body_bytes=N` or `?key=KEY` writes the next
 // version of the document. `GET /standin/runs` returns how many requests each
 // endpoint has started.
-class PlatformShell {
+class PlatformHttpFrontend {
  public:
-  PlatformShell(StandinServer& server, PlatformShellSettings settings);
+  PlatformHttpFrontend(StandinServer& server,
+                       PlatformHttpFrontendSettings settings);
 
   StandinServer::Hooks MakeHooks();
 
@@ -41,30 +42,30 @@
   void Handle(Time now,
               const HttpRequest& request,
               const std::shared_ptr<HttpResponder>& responder);
-  void HandleTest(const HttpRequest& request, HttpResponder& responder);
+  void HandleTestRequest(const HttpRequest& request, HttpResponder& responder);
   void Deliver(const std::vector<StoreAnswer>& answers);
-  void AddEngine(const VmRegistration& self,
+  void AddEngine(const VmRegistration& registration,
                  std::optional<EngineProfile> engine);
   void Register(const PlatformEngine& engine);
   void Remove(const VmId& vm);
-  void Configure(const HttpRequest& request);
+  void WriteNextConfiguration(const HttpRequest& request);
   void Write(const std::string& key, const std::string& value);
-  bool IsWhole(const PlatformEngine& head) const;
+  bool HasAllMembers(const PlatformEngine& first_member) const;
 
   StandinServer& server_;
-  PlatformShellSettings settings_;
+  PlatformHttpFrontendSettings settings_;
   StandinStore store_;
-  StandinChoices choices_;
+  StandinConfigurationOptions options_;
   Ticket last_ticket_;
-  struct Waiting {
+  struct PendingCall {
     StoreCall call;
     std::shared_ptr<HttpResponder> responder;
   };
-  std::map<Ticket, Waiting> waiting_;
+  std::map<Ticket, PendingCall> pending_calls_;
   std::map<VmId, std::unique_ptr<PlatformEngine>> engines_;
   std::map<std::string, Revision> revisions_;
 };
 
 }  // namespace gcw
 
-#endif  // PROGRAMS_GCW_STANDIN_PLATFORM_SHELL_H_
+#endif  // PROGRAMS_GCW_STANDIN_PLATFORM_HTTP_FRONTEND_H_
--- a/programs/gcw_standin/prefix_cache.cc
+++ b/programs/gcw_standin/prefix_cache.cc
@@ -4,12 +4,12 @@
 
 namespace gcw {
 
-PrefixCache::PrefixCache(std::size_t capacity_blocks, Sink sink)
-    : capacity_blocks_(capacity_blocks), sink_(std::move(sink)) {}
+PrefixCache::PrefixCache(std::size_t capacity_blocks, EventCallback on_event)
+    : capacity_blocks_(capacity_blocks), on_event_(std::move(on_event)) {}
 
-std::size_t PrefixCache::Touch(const std::vector<std::uint64_t>& blocks) {
+std::size_t PrefixCache::MatchPrefix(const std::vector<std::uint64_t>& blocks) {
   std::size_t cached = 0;
-  while (cached < blocks.size() && Use(blocks[cached])) {
+  while (cached < blocks.size() && MarkUsed(blocks[cached])) {
     ++cached;
   }
   return cached;
@@ -17,38 +17,38 @@
 
 void PrefixCache::Store(const std::vector<std::uint64_t>& blocks) {
   for (const std::uint64_t block : blocks) {
-    if (capacity_blocks_ == 0 || Use(block)) {
+    if (capacity_blocks_ == 0 || MarkUsed(block)) {
       continue;
     }
     if (by_block_.size() == capacity_blocks_) {
-      EvictOldest();
+      EvictLeastRecentlyUsed();
     }
-    order_.push_front(block);
-    by_block_[block] = order_.begin();
-    sink_(CacheEventKind::kStored, block);
+    by_recency_.push_front(block);
+    by_block_[block] = by_recency_.begin();
+    on_event_(CacheEventKind::kStored, block);
   }
 }
 
 void PrefixCache::Clear() {
-  while (!order_.empty()) {
-    EvictOldest();
+  while (!by_recency_.empty()) {
+    EvictLeastRecentlyUsed();
   }
 }
 
-bool PrefixCache::Use(std::uint64_t block) {
+bool PrefixCache::MarkUsed(std::uint64_t block) {
   const auto found = by_block_.find(block);
   if (found == by_block_.end()) {
     return false;
   }
-  order_.splice(order_.begin(), order_, found->second);
+  by_recency_.splice(by_recency_.begin(), by_recency_, found->second);
   return true;
 }
 
-void PrefixCache::EvictOldest() {
-  const std::uint64_t block = order_.back();
-  order_.pop_back();
+void PrefixCache::EvictLeastRecentlyUsed() {
+  const std::uint64_t block = by_recency_.back();
+  by_recency_.pop_back();
   by_block_.erase(block);
-  sink_(CacheEventKind::kEvicted, block);
+  on_event_(CacheEventKind::kEvicted, block);
 }
 
 }  // namespace gcw
--- a/programs/gcw_standin/prefix_cache.h
+++ b/programs/gcw_standin/prefix_cache.h
@@ -16,12 +16,13 @@
 // least recently used block is evicted.
 class PrefixCache {
  public:
-  using Sink = std::function<void(CacheEventKind, std::uint64_t block)>;
+  using EventCallback =
+      std::function<void(CacheEventKind, std::uint64_t block)>;
 
-  PrefixCache(std::size_t capacity_blocks, Sink sink);
+  PrefixCache(std::size_t capacity_blocks, EventCallback on_event);
 
   // Returns how many leading blocks are cached, and marks them as used.
-  std::size_t Touch(const std::vector<std::uint64_t>& blocks);
+  std::size_t MatchPrefix(const std::vector<std::uint64_t>& blocks);
   void Store(const std::vector<std::uint64_t>& blocks);
   void Clear();
 
@@ -29,16 +30,16 @@
   std::size_t capacity() const { return capacity_blocks_; }
 
  private:
-  using Order = std::list<std::uint64_t>;
+  using RecencyList = std::list<std::uint64_t>;
 
-  bool Use(std::uint64_t block);
-  void EvictOldest();
+  bool MarkUsed(std::uint64_t block);
+  void EvictLeastRecentlyUsed();
 
   std::size_t capacity_blocks_;
-  Sink sink_;
+  EventCallback on_event_;
   // The most recently used block comes first.
-  Order order_;
-  std::unordered_map<std::uint64_t, Order::iterator> by_block_;
+  RecencyList by_recency_;
+  std::unordered_map<std::uint64_t, RecencyList::iterator> by_block_;
 };
 
 }  // namespace gcw
--- a/programs/gcw_standin/rate_limit.cc
+++ b/programs/gcw_standin/rate_limit.cc
@@ -14,30 +14,30 @@
 RateLimit::RateLimit(double per_second)
     : per_second_(per_second),
       capacity_(std::max(1.0, per_second * kBurstSeconds)),
-      level_(capacity_) {}
+      tokens_(capacity_) {}
 
-bool RateLimit::HasRoom(Time now) {
+bool RateLimit::HasToken(Time now) {
   Refill(now);
-  return per_second_ == 0 || level_ >= 1;
+  return per_second_ == 0 || tokens_ >= 1;
 }
 
-void RateLimit::Take() {
-  level_ -= 1;
+void RateLimit::TakeToken() {
+  tokens_ -= 1;
 }
 
-Duration RateLimit::Wait() const {
-  if (per_second_ == 0 || level_ >= 1) {
+Duration RateLimit::TimeUntilToken() const {
+  if (per_second_ == 0 || tokens_ >= 1) {
     return {};
   }
-  const double millis = (1 - level_) / per_second_ * kMillisPerSecond;
+  const double millis = (1 - tokens_) / per_second_ * kMillisPerSecond;
   return Duration::Millis(static_cast<std::int64_t>(std::ceil(millis)));
 }
 
 void RateLimit::Refill(Time now) {
-  const auto elapsed = static_cast<double>((now - refilled_).millis());
-  refilled_ = now;
-  level_ =
-      std::min(capacity_, level_ + elapsed * per_second_ / kMillisPerSecond);
+  const auto elapsed = static_cast<double>((now - refilled_at_).millis());
+  refilled_at_ = now;
+  tokens_ =
+      std::min(capacity_, tokens_ + elapsed * per_second_ / kMillisPerSecond);
 }
 
 }  // namespace gcw
--- a/programs/gcw_standin/rate_limit.h
+++ b/programs/gcw_standin/rate_limit.h
@@ -12,19 +12,19 @@
   // 0 means no limit.
   explicit RateLimit(double per_second);
 
-  bool HasRoom(Time now);
-  // Must only be called if `HasRoom` returned true.
-  void Take();
+  bool HasToken(Time now);
+  // Must only be called if `HasToken` returned true.
+  void TakeToken();
   // Returns the time until the next call is allowed.
-  Duration Wait() const;
+  Duration TimeUntilToken() const;
 
  private:
   void Refill(Time now);
 
   double per_second_;
   double capacity_;
-  double level_;
-  Time refilled_;
+  double tokens_;
+  Time refilled_at_;
 };
 
 }  // namespace gcw
--- a/programs/gcw_standin/service_shell.h
+++ b/programs/gcw_standin/service_http_frontend.h
@@ -1,37 +1,37 @@
-#ifndef PROGRAMS_GCW_STANDIN_SERVICE_SHELL_H_
-#define PROGRAMS_GCW_STANDIN_SERVICE_SHELL_H_
+#ifndef PROGRAMS_GCW_STANDIN_SERVICE_HTTP_FRONTEND_H_
+#define PROGRAMS_GCW_STANDIN_SERVICE_HTTP_FRONTEND_H_
 
 #include <memory>
 
-#include "programs/gcw_standin/lagging.h"
 #include "programs/gcw_standin/standin_server.h"
 #include "programs/gcw_standin/standin_service.h"
+#include "programs/gcw_standin/value_history.h"
 
 namespace gcw {
 
 // Serves a `StandinService` over HTTP. `GET /executions` returns the counts of
 // the calls that were executed.
-class ServiceShell {
+class ServiceHttpFrontend {
  public:
-  ServiceShell(StandinServer& server,
-               StandinService::Settings settings,
-               Duration delay);
+  ServiceHttpFrontend(StandinServer& server,
+                      StandinService::Settings settings,
+                      Duration delay);
 
   StandinServer::Hooks MakeHooks();
 
  private:
   void Handle(const HttpRequest& request,
               const std::shared_ptr<HttpResponder>& responder);
-  void Run(const HttpRequest& request,
-           const std::shared_ptr<HttpResponder>& responder);
+  void RunCall(const HttpRequest& request,
+               const std::shared_ptr<HttpResponder>& responder);
   void RespondLoad(HttpResponder& responder) const;
 
   StandinServer& server_;
   StandinService service_;
   Duration delay_;
-  Lagging<LoadReport> reports_;
+  ValueHistory<LoadReport> load_reports_;
 };
 
 }  // namespace gcw
 
-#endif  // PROGRAMS_GCW_STANDIN_SERVICE_SHELL_H_
+#endif  // PROGRAMS_GCW_STANDIN_SERVICE_HTTP_FRONTEND_H_
--- a/programs/gcw_standin/standin_engine.cc
+++ b/programs/gcw_standin/standin_engine.cc
@@ -8,19 +8,19 @@
 StandinEngine::StandinEngine(Settings settings, const Faults& faults)
     : settings_(std::move(settings)),
       faults_(&faults),
-      events_(settings_.events),
+      cache_events_(settings_.events),
       member_(settings_.member),
       batch_(settings_.batch, [this](CacheEventKind kind, std::uint64_t block) {
-        events_.Append(now_, kind, block);
+        cache_events_.Append(now_, kind, block);
       }) {}
 
 EngineOrderResult StandinEngine::OnOrder(Time now, const EngineOrder& order) {
   now_ = now;
-  const ModelId old_model = member_.own().model;
+  const ModelId old_model = member_.local_status().model;
   OrderOutcome outcome = member_.OnOrder(now, order, faults_->ignore_fence);
   EngineOrderResult result{std::move(outcome.reply), {}};
   Apply(outcome.actions, result.actions);
-  if (member_.own().model != old_model) {
+  if (member_.local_status().model != old_model) {
     batch_.ClearCache();
   }
   return result;
@@ -33,30 +33,30 @@
   if (const auto reason = FindRefusal(call)) {
     return {RefuseCall{ticket, *reason}};
   }
-  Held held;
-  held.call = std::move(call);
-  held.prompt = PromptOf(held.call.chat);
-  held.prompt_hash = HashOf(held.prompt);
-  batch_.Add(now, MakeBatchRequest(ticket, held));
-  held_.emplace(ticket, std::move(held));
+  PendingRequest pending;
+  pending.call = std::move(call);
+  pending.prompt = PromptOf(pending.call.chat);
+  pending.prompt_hash = HashOf(pending.prompt);
+  batch_.Add(now, MakeBatchRequest(ticket, pending));
+  pending_requests_.emplace(ticket, std::move(pending));
   return {};
 }
 
-void StandinEngine::Forget(Ticket ticket) {
+void StandinEngine::DropRequest(Ticket ticket) {
   batch_.Cancel(ticket);
-  held_.erase(ticket);
+  pending_requests_.erase(ticket);
 }
 
 bool StandinEngine::OnCancel(const AttemptId& attempt,
                              std::vector<EngineAction>& actions) {
   const auto found = std::find_if(
-      held_.begin(), held_.end(),
+      pending_requests_.begin(), pending_requests_.end(),
       [&](const auto& item) { return item.second.call.attempt == attempt; });
-  if (found == held_.end()) {
+  if (found == pending_requests_.end()) {
     return false;
   }
   const Ticket ticket = found->first;
-  Forget(ticket);
+  DropRequest(ticket);
   actions.emplace_back(BreakAnswer{ticket});
   return true;
 }
@@ -81,25 +81,25 @@
   for (const BatchEvent& event : batch_.Tick(now)) {
     Apply(event, actions);
   }
-  if (next_report_ <= now) {
-    TakeLoadReport(now);
+  if (next_load_report_ <= now) {
+    RecordLoadReport(now);
   }
   return actions;
 }
 
 EngineStatus StandinEngine::Status(Time now) const {
   EngineStatus status = member_.Status(now);
-  status.active = static_cast<std::int64_t>(held_.size());
+  status.active = static_cast<std::int64_t>(pending_requests_.size());
   return status;
 }
 
 LoadReport StandinEngine::Load(Time now) const {
-  return reports_.empty() ? LoadReport{}
-                          : reports_.At(now - faults_->lag).value;
+  return load_reports_.empty() ? LoadReport{}
+                               : load_reports_.At(now - faults_->lag).value;
 }
 
 CacheEventBatch StandinEngine::CacheEvents(Time now, std::int64_t after) const {
-  return events_.Read(now, after, faults_->lag);
+  return cache_events_.Read(now, after, faults_->lag);
 }
 
 std::optional<NotRunReason> StandinEngine::FindRefusal(
@@ -107,11 +107,11 @@
   if (!member_.IsServing()) {
     return NotRunReason::kNotServing;
   }
-  const EngineStatus& own = member_.own();
-  if (call.generation && *call.generation != own.generation) {
+  const EngineStatus& status = member_.local_status();
+  if (call.generation && *call.generation != status.generation) {
     return NotRunReason::kOtherGeneration;
   }
-  if (call.chat.model != own.model) {
+  if (call.chat.model != status.model) {
     return NotRunReason::kOtherModel;
   }
   if (batch_.queued() >= settings_.queue_limit) {
@@ -120,75 +120,78 @@
   return std::nullopt;
 }
 
-BatchRequest StandinEngine::MakeBatchRequest(Ticket ticket,
-                                             const Held& held) const {
+BatchRequest StandinEngine::MakeBatchRequest(
+    Ticket ticket,
+    const PendingRequest& pending) const {
   BatchRequest request;
   request.ticket = ticket;
-  request.priority = held.call.priority;
-  request.blocks = PrefixBlocks(held.prompt);
-  request.prompt_tokens = PromptTokens(held.prompt).value();
-  request.end_token = held.call.chat.max_tokens.value();
-  request.next_token = std::min(held.call.resume_from, request.end_token);
-  request.deadline = held.call.deadline;
+  request.priority = pending.call.priority;
+  request.blocks = PrefixBlocks(pending.prompt);
+  request.prompt_tokens = PromptTokens(pending.prompt).value();
+  request.end_token = pending.call.chat.max_tokens.value();
+  request.next_token = std::min(pending.call.resume_from, request.end_token);
+  request.deadline = pending.call.deadline;
   return request;
 }
 
 void StandinEngine::Apply(const BatchEvent& event,
                           std::vector<EngineAction>& actions) {
   std::visit(
-      Overloaded{
-          [&](const BatchStarted& started) {
-            const auto held = held_.find(started.ticket);
-            if (held != held_.end()) {
-              executions_.Count(held->second.call.attempt.value(),
-                                held->second.prompt);
-            }
-          },
-          [&](const BatchToken& token) { ApplyToken(token, actions); },
-          [&](const BatchEnded& ended) { Finish(ended.ticket, actions); },
-          [&](const BatchExpired& expired) {
-            held_.erase(expired.ticket);
-            actions.emplace_back(
-                RefuseCall{expired.ticket, NotRunReason::kDeadline});
-          }},
+      Overloaded{[&](const BatchStarted& started) {
+                   const auto pending = pending_requests_.find(started.ticket);
+                   if (pending != pending_requests_.end()) {
+                     executions_.Count(pending->second.call.attempt.value(),
+                                       pending->second.prompt);
+                   }
+                 },
+                 [&](const BatchToken& token) { ApplyToken(token, actions); },
+                 [&](const BatchEnded& ended) {
+                   FinishRequest(ended.ticket, actions);
+                 },
+                 [&](const BatchExpired& expired) {
+                   pending_requests_.erase(expired.ticket);
+                   actions.emplace_back(
+                       RefuseCall{expired.ticket, NotRunReason::kDeadline});
+                 }},
       event);
 }
 
 void StandinEngine::ApplyToken(const BatchToken& token,
                                std::vector<EngineAction>& actions) {
-  const auto found = held_.find(token.ticket);
-  if (found == held_.end()) {
+  const auto found = pending_requests_.find(token.ticket);
+  if (found == pending_requests_.end()) {
     return;
   }
-  Held& held = found->second;
+  PendingRequest& pending = found->second;
   const std::int64_t cut_after = faults_->cut_stream_after;
-  if (cut_after > 0 && held.tokens_sent >= cut_after) {
+  if (cut_after > 0 && pending.tokens_sent >= cut_after) {
     actions.emplace_back(BreakAnswer{token.ticket});
-    Forget(token.ticket);
+    DropRequest(token.ticket);
     return;
   }
-  ++held.tokens_sent;
-  std::string text = ReferenceToken(held.prompt_hash, token.index);
-  if (!held.call.chat.stream) {
-    held.text += text;
+  ++pending.tokens_sent;
+  std::string text = ReferenceToken(pending.prompt_hash, token.index);
+  if (!pending.call.chat.stream) {
+    pending.text += text;
     return;
   }
   actions.emplace_back(SendToken{
-      token.ticket, {held.call.attempt, token.index, std::move(text)}});
+      token.ticket, {pending.call.attempt, token.index, std::move(text)}});
 }
 
-void StandinEngine::Finish(Ticket ticket, std::vector<EngineAction>& actions) {
-  const auto found = held_.find(ticket);
-  if (found == held_.end()) {
+void StandinEngine::FinishRequest(Ticket ticket,
+                                  std::vector<EngineAction>& actions) {
+  const auto found = pending_requests_.find(ticket);
+  if (found == pending_requests_.end()) {
     return;
   }
-  Held held = std::move(found->second);
-  held_.erase(found);
-  ChatAnswer answer{.attempt = held.call.attempt,
-                    .model = held.call.chat.model,
-                    .text = std::move(held.text),
-                    .prompt_tokens = PromptTokens(held.prompt),
-                    .generated_tokens = TokenCount(held.tokens_sent)};
+  PendingRequest pending = std::move(found->second);
+  pending_requests_.erase(found);
+  ChatAnswer answer{.attempt = pending.call.attempt,
+                    .model = pending.call.chat.model,
+                    .text = std::move(pending.text),
+                    .prompt_tokens = PromptTokens(pending.prompt),
+                    .generated_tokens = TokenCount(pending.tokens_sent)};
   actions.emplace_back(FinishAnswer{ticket, std::move(answer)});
 }
 
@@ -196,25 +199,25 @@
                           std::vector<EngineAction>& actions) {
   for (const MemberAction& action : member_actions) {
     std::visit(
-        Overloaded{[&](const BreakAnswers&) { BreakAll(actions); },
+        Overloaded{[&](const AbortAnswers&) { AbortAll(actions); },
                    [&](const auto& other) { actions.emplace_back(other); }},
         action);
   }
 }
 
-void StandinEngine::BreakAll(std::vector<EngineAction>& actions) {
-  for (const auto& [ticket, held] : held_) {
+void StandinEngine::AbortAll(std::vector<EngineAction>& actions) {
+  for (const auto& [ticket, pending] : pending_requests_) {
     actions.emplace_back(BreakAnswer{ticket});
   }
-  held_.clear();
+  pending_requests_.clear();
   batch_.DropRequests();
 }
 
-void StandinEngine::TakeLoadReport(Time now) {
-  next_report_ = now + settings_.load_report_period;
+void StandinEngine::RecordLoadReport(Time now) {
+  next_load_report_ = now + settings_.load_report_interval;
   LoadReport report;
-  report.endpoint = EndpointId(member_.own().group.value());
-  report.generation = member_.own().generation;
+  report.endpoint = EndpointId(member_.local_status().group.value());
+  report.generation = member_.local_status().generation;
   report.taken_at = now;
   report.queued_requests = batch_.queued();
   report.running_requests = batch_.running();
@@ -222,7 +225,7 @@
   report.queued_prompt_tokens = TokenCount(batch_.queued_prompt_tokens());
   report.cache_used = TokenCount(batch_.cache_used());
   report.cache_capacity = TokenCount(batch_.cache_capacity());
-  reports_.Put(now, std::move(report));
+  load_reports_.Append(now, std::move(report));
 }
 
 }  // namespace gcw
--- a/programs/gcw_standin/standin_engine.h
+++ b/programs/gcw_standin/standin_engine.h
@@ -13,8 +13,8 @@
 #include "programs/gcw_standin/engine_member.h"
 #include "programs/gcw_standin/execution_counts.h"
 #include "programs/gcw_standin/faults.h"
-#include "programs/gcw_standin/lagging.h"
 #include "programs/gcw_standin/ticket.h"
+#include "programs/gcw_standin/value_history.h"
 #include "protocol/protocol.h"
 
 namespace gcw {
@@ -82,7 +82,7 @@
     Batch::Settings batch;
     CacheEventLog::Settings events;
     std::int64_t queue_limit = 256;
-    Duration load_report_period = Duration::Millis(50);
+    Duration load_report_interval = Duration::Millis(50);
   };
 
   // `faults` must outlive the engine and may change at any time.
@@ -91,7 +91,7 @@
   EngineOrderResult OnOrder(Time now, const EngineOrder& order);
   std::vector<EngineAction> OnChat(Time now, Ticket ticket, EngineCall call);
   // Drops the request of a caller that has disconnected.
-  void Forget(Ticket ticket);
+  void DropRequest(Ticket ticket);
   // Cancels an attempt and aborts its answer. Returns false if no request of
   // that attempt is pending.
   bool OnCancel(const AttemptId& attempt, std::vector<EngineAction>& actions);
@@ -104,11 +104,11 @@
   LoadReport Load(Time now) const;
   CacheEventBatch CacheEvents(Time now, std::int64_t after) const;
   // Drops all cache events published so far, as the fault `cache_gap` does.
-  void DropCacheEvents() { events_.Drop(); }
+  void DropCacheEvents() { cache_events_.Drop(); }
   const ExecutionCounts& executions() const { return executions_; }
 
  private:
-  struct Held {
+  struct PendingRequest {
     EngineCall call;
     std::string prompt;
     std::uint64_t prompt_hash = 0;
@@ -117,24 +117,25 @@
   };
 
   std::optional<NotRunReason> FindRefusal(const EngineCall& call) const;
-  BatchRequest MakeBatchRequest(Ticket ticket, const Held& held) const;
+  BatchRequest MakeBatchRequest(Ticket ticket,
+                                const PendingRequest& pending) const;
   void Apply(const BatchEvent& event, std::vector<EngineAction>& actions);
   void ApplyToken(const BatchToken& token, std::vector<EngineAction>& actions);
-  void Finish(Ticket ticket, std::vector<EngineAction>& actions);
+  void FinishRequest(Ticket ticket, std::vector<EngineAction>& actions);
   void Apply(const std::vector<MemberAction>& member_actions,
              std::vector<EngineAction>& actions);
-  void BreakAll(std::vector<EngineAction>& actions);
-  void TakeLoadReport(Time now);
+  void AbortAll(std::vector<EngineAction>& actions);
+  void RecordLoadReport(Time now);
 
   Settings settings_;
   const Faults* faults_;
-  CacheEventLog events_;
+  CacheEventLog cache_events_;
   EngineMember member_;
   Batch batch_;
-  std::map<Ticket, Held> held_;
+  std::map<Ticket, PendingRequest> pending_requests_;
   ExecutionCounts executions_;
-  Lagging<LoadReport> reports_;
-  Time next_report_;
+  ValueHistory<LoadReport> load_reports_;
+  Time next_load_report_;
   // Time of the call in progress, for the hook of the prefix cache.
   Time now_;
 };
--- a/programs/gcw_standin/standin_server.cc
+++ b/programs/gcw_standin/standin_server.cc
@@ -18,7 +18,7 @@
 // Exit status after a request that matched the fault `crash_on`.
 constexpr int kCrashStatus = 86;
 // The timer counts in nanoseconds, so a longer delay could overflow.
-constexpr Duration kLongestDelay = Duration::Seconds(365L * 24 * 3600);
+constexpr Duration kMaxDelay = Duration::Seconds(365L * 24 * 3600);
 
 // Returns whether the path belongs to the test interface, to which no fault
 // applies.
@@ -31,9 +31,9 @@
          request.body.find(faults.crash_on) != std::string::npos;
 }
 
-void PrintStart(const std::string& name,
-                const std::string& ip,
-                std::uint16_t port) {
+void PrintStartupLine(const std::string& name,
+                      const std::string& ip,
+                      std::uint16_t port) {
   std::cout << boost::json::serialize(boost::json::object{
                    {"standin", name},
                    {"address", ip + ':' + std::to_string(port)},
@@ -62,7 +62,7 @@
     return ErrorOf(server);
   }
   server_ = std::move(ValueOf(server));
-  PrintStart(name, ip, server_->port());
+  PrintStartupLine(name, ip, server_->port());
   return server_->port();
 }
 
@@ -71,10 +71,9 @@
   silenced_.clear();
 }
 
-void StandinServer::After(Duration delay, std::function<void(Time)> action) {
+void StandinServer::RunAfter(Duration delay, std::function<void(Time)> action) {
   const auto timer = std::make_shared<boost::asio::steady_timer>(
-      context_,
-      std::chrono::milliseconds(std::min(delay, kLongestDelay).millis()));
+      context_, std::chrono::milliseconds(std::min(delay, kMaxDelay).millis()));
   timer->async_wait([this, timer, action = std::move(action)](
                         boost::system::error_code failure) {
     if (!failure) {
@@ -83,10 +82,11 @@
   });
 }
 
-void StandinServer::Every(Duration period, std::function<void(Time)> action) {
-  After(period, [this, period, action = std::move(action)](Time now) {
+void StandinServer::RunEvery(Duration period,
+                             std::function<void(Time)> action) {
+  RunAfter(period, [this, period, action = std::move(action)](Time now) {
     action(now);
-    Every(period, action);
+    RunEvery(period, action);
   });
 }
 
@@ -101,18 +101,18 @@
     hooks_.handle(now(), std::move(request), std::move(responder));
     return;
   }
-  const auto faulty = FaultyResponder::Wrap(std::move(responder), faults_,
-                                            silenced_, TakeLostAnswer(request));
+  const auto faulty = FaultyResponder::Wrap(
+      std::move(responder), faults_, silenced_, ConsumeLostAnswer(request));
   if (faults_.silent) {
     faulty->Silence();
     return;
   }
   if (faults_.slow == Duration()) {
-    Pass(std::move(request), faulty);
+    Dispatch(std::move(request), faulty);
     return;
   }
-  After(faults_.slow, [this, request = std::move(request), faulty](Time) {
-    Pass(request, faulty);
+  RunAfter(faults_.slow, [this, request = std::move(request), faulty](Time) {
+    Dispatch(request, faulty);
   });
 }
 
@@ -128,26 +128,26 @@
     return;
   }
   faults_ = std::move(ValueOf(changed));
-  if (hooks_.on_faults) {
-    hooks_.on_faults();
+  if (hooks_.on_faults_changed) {
+    hooks_.on_faults_changed();
   }
   responder.Respond(JsonResponse(200, EncodeFaults(faults_)));
 }
 
-void StandinServer::Pass(HttpRequest request,
-                         std::shared_ptr<HttpResponder> responder) {
-  const bool is_work = hooks_.is_work(request);
-  if (faults_.outage || (faults_.refuse && is_work)) {
+void StandinServer::Dispatch(HttpRequest request,
+                             std::shared_ptr<HttpResponder> responder) {
+  const bool is_workload = hooks_.is_workload(request);
+  if (faults_.outage || (faults_.refuse && is_workload)) {
     responder->Respond(NotRunResponse(503, "fault"));
     return;
   }
-  if (is_work && IsCrashing(faults_, request)) {
+  if (is_workload && IsCrashing(faults_, request)) {
     std::_Exit(kCrashStatus);
   }
   hooks_.handle(now(), std::move(request), std::move(responder));
 }
 
-bool StandinServer::TakeLostAnswer(const HttpRequest& request) {
+bool StandinServer::ConsumeLostAnswer(const HttpRequest& request) {
   if (faults_.lose_answer == 0 || !hooks_.is_write(request)) {
     return false;
   }
--- a/programs/gcw_standin/standin_server.h
+++ b/programs/gcw_standin/standin_server.h
@@ -20,16 +20,16 @@
  public:
   using Handler = std::function<
       void(Time now, HttpRequest, std::shared_ptr<HttpResponder>)>;
-  using RequestTest = std::function<bool(const HttpRequest&)>;
+  using RequestPredicate = std::function<bool(const HttpRequest&)>;
 
   struct Hooks {
     Handler handle;
     // Selects the requests to which the faults `refuse` and `crash_on` apply.
-    RequestTest is_work;
+    RequestPredicate is_workload;
     // Selects the requests to which the fault `lose_answer` applies.
-    RequestTest is_write;
+    RequestPredicate is_write;
     // Called after the faults have changed.
-    std::function<void()> on_faults;
+    std::function<void()> on_faults_changed;
   };
 
   StandinServer(boost::asio::io_context& context, Faults faults);
@@ -48,14 +48,14 @@
   // Closes all connections. The objects that the hooks use may be destroyed
   // afterwards.
   void Close();
-  void After(Duration delay, std::function<void(Time)> action);
-  void Every(Duration period, std::function<void(Time)> action);
+  void RunAfter(Duration delay, std::function<void(Time)> action);
+  void RunEvery(Duration period, std::function<void(Time)> action);
 
  private:
   void OnRequest(HttpRequest request, std::shared_ptr<HttpResponder> responder);
   void OnFaultsRequest(const HttpRequest& request, HttpResponder& responder);
-  void Pass(HttpRequest request, std::shared_ptr<HttpResponder> responder);
-  bool TakeLostAnswer(const HttpRequest& request);
+  void Dispatch(HttpRequest request, std::shared_ptr<HttpResponder> responder);
+  bool ConsumeLostAnswer(const HttpRequest& request);
 
   boost::asio::io_context& context_;
   Faults faults_;
--- a/programs/gcw_standin/standin_store.cc
+++ b/programs/gcw_standin/standin_store.cc
@@ -24,16 +24,16 @@
                                               Ticket ticket,
                                               const StoreCall& call) {
   std::vector<StoreAnswer> answers;
-  EndLapsedLeases(now);
-  if (!TakeRate(now, call)) {
+  RemoveExpiredLeases(now);
+  if (!TakeRateTokens(now, call)) {
     ++counts_.busy;
-    answers.emplace_back(ticket, StoreReply(Busy()));
+    answers.emplace_back(ticket, StoreReply(MakeBusyReply()));
   } else if (const auto* watch = std::get_if<StoreWatch>(&call)) {
     watches_[ticket] = {*watch, now + std::min(watch->wait, kMaxWatchWait),
                         watch->after};
   } else {
-    StoreReply reply =
-        std::visit([&](const auto& typed) { return Run(now, typed); }, call);
+    StoreReply reply = std::visit(
+        [&](const auto& typed) { return Execute(now, typed); }, call);
     answers.emplace_back(ticket, std::move(reply));
   }
   AnswerDueWatches(now, answers);
@@ -42,35 +42,36 @@
 
 std::vector<StoreAnswer> StandinStore::Tick(Time now) {
   std::vector<StoreAnswer> answers;
-  EndLapsedLeases(now);
+  RemoveExpiredLeases(now);
   AnswerDueWatches(now, answers);
   return answers;
 }
 
-void StandinStore::Forget(Ticket ticket) {
+void StandinStore::DropWatch(Ticket ticket) {
   watches_.erase(ticket);
 }
 
-bool StandinStore::TakeRate(Time now, const StoreCall& call) {
+bool StandinStore::TakeRateTokens(Time now, const StoreCall& call) {
   const bool is_write = IsStoreWrite(call);
-  if (!call_rate_.HasRoom(now) || (is_write && !write_rate_.HasRoom(now))) {
+  if (!call_rate_.HasToken(now) || (is_write && !write_rate_.HasToken(now))) {
     return false;
   }
-  call_rate_.Take();
+  call_rate_.TakeToken();
   ++counts_.calls;
   if (is_write) {
-    write_rate_.Take();
+    write_rate_.TakeToken();
     ++counts_.writes;
   }
   return true;
 }
 
-StoreBusy StandinStore::Busy() const {
-  const Duration wait = std::max(call_rate_.Wait(), write_rate_.Wait());
+StoreBusy StandinStore::MakeBusyReply() const {
+  const Duration wait =
+      std::max(call_rate_.TimeUntilToken(), write_rate_.TimeUntilToken());
   return {.retry_after = std::max(wait, Duration::Millis(1))};
 }
 
-StoreReply StandinStore::Run(Time, const StoreRange& call) {
+StoreReply StandinStore::Execute(Time, const StoreRange& call) {
   StoreRangeReply reply{.revision = revision_, .entries = {}};
   for (auto entry = entries_.lower_bound(call.prefix);
        entry != entries_.end() && entry->first.starts_with(call.prefix);
@@ -80,7 +81,7 @@
   return reply;
 }
 
-StoreReply StandinStore::Run(Time, const StorePut& call) {
+StoreReply StandinStore::Execute(Time, const StorePut& call) {
   if (call.lease != LeaseId() && !leases_.contains(call.lease)) {
     return StoreLeaseUnknown{};
   }
@@ -96,11 +97,11 @@
     leases_.at(call.lease).keys.insert(call.key);
   }
   entries_[call.key] = entry;
-  Remember({.entry = std::move(entry)});
+  AppendToHistory({.entry = std::move(entry)});
   return StoreWritten{.revision = revision_};
 }
 
-StoreReply StandinStore::Run(Time, const StoreDelete& call) {
+StoreReply StandinStore::Execute(Time, const StoreDelete& call) {
   if (auto conflict = FindConflict(call.key, call.expected)) {
     return *std::move(conflict);
   }
@@ -110,30 +111,30 @@
   return StoreWritten{.revision = revision_};
 }
 
-StoreReply StandinStore::Run(Time now, const StoreLeaseGrant& call) {
+StoreReply StandinStore::Execute(Time now, const StoreLeaseGrant& call) {
   const LeaseId lease = ++last_lease_;
   leases_[lease] = {call.time_to_live, now + call.time_to_live, {}};
   return StoreLeaseReply{lease, call.time_to_live};
 }
 
-StoreReply StandinStore::Run(Time now, const StoreLeaseKeepAlive& call) {
+StoreReply StandinStore::Execute(Time now, const StoreLeaseKeepAlive& call) {
   const auto found = leases_.find(call.lease);
   if (found == leases_.end()) {
     return StoreLeaseUnknown{};
   }
-  found->second.expires = now + found->second.time_to_live;
+  found->second.expires_at = now + found->second.time_to_live;
   return StoreLeaseReply{call.lease, found->second.time_to_live};
 }
 
-StoreReply StandinStore::Run(Time, const StoreLeaseRevoke& call) {
+StoreReply StandinStore::Execute(Time, const StoreLeaseRevoke& call) {
   if (!leases_.contains(call.lease)) {
     return StoreLeaseUnknown{};
   }
-  EndLease(call.lease);
+  RemoveLease(call.lease);
   return StoreLeaseReply{call.lease, Duration()};
 }
 
-StoreReply StandinStore::Run(Time, const StoreWatch& call) {
+StoreReply StandinStore::Execute(Time, const StoreWatch& call) {
   StoreWatchReply reply{.revision = revision_,
                         .changed = {},
                         .deleted = {},
@@ -163,8 +164,8 @@
   if (watch.deadline <= now || IsCompacted(watch.call.after)) {
     return true;
   }
-  const auto first = ChangesAfter(watch.checked);
-  watch.checked = revision_;
+  const auto first = ChangesAfter(watch.checked_revision);
+  watch.checked_revision = revision_;
   return std::any_of(first, history_.end(), [&](const Change& change) {
     return change.entry.key.starts_with(watch.call.prefix);
   });
@@ -206,10 +207,10 @@
     leases_.at(entry.lease).keys.erase(key);
   }
   entry.revision = ++revision_;
-  Remember({.entry = std::move(entry), .deleted = true});
+  AppendToHistory({.entry = std::move(entry), .deleted = true});
 }
 
-void StandinStore::EndLease(LeaseId lease) {
+void StandinStore::RemoveLease(LeaseId lease) {
   const std::set<std::string> keys = leases_.at(lease).keys;
   for (const std::string& key : keys) {
     Erase(key);
@@ -217,19 +218,19 @@
   leases_.erase(lease);
 }
 
-void StandinStore::EndLapsedLeases(Time now) {
-  std::vector<LeaseId> lapsed;
+void StandinStore::RemoveExpiredLeases(Time now) {
+  std::vector<LeaseId> expired;
   for (const auto& [id, lease] : leases_) {
-    if (lease.expires <= now) {
-      lapsed.push_back(id);
+    if (lease.expires_at <= now) {
+      expired.push_back(id);
     }
   }
-  for (const LeaseId lease : lapsed) {
-    EndLease(lease);
+  for (const LeaseId lease : expired) {
+    RemoveLease(lease);
   }
 }
 
-void StandinStore::Remember(Change change) {
+void StandinStore::AppendToHistory(Change change) {
   history_.push_back(std::move(change));
   while (history_.size() > settings_.history) {
     compacted_ = history_.front().entry.revision;
@@ -244,7 +245,7 @@
       ++watch;
       continue;
     }
-    answers.emplace_back(watch->first, Run(now, watch->second.call));
+    answers.emplace_back(watch->first, Execute(now, watch->second.call));
     watch = watches_.erase(watch);
   }
 }
--- a/programs/gcw_standin/standin_store.h
+++ b/programs/gcw_standin/standin_store.h
@@ -57,14 +57,14 @@
   // Removes expired leases and returns the answers to watches that are due.
   std::vector<StoreAnswer> Tick(Time now);
   // Drops a pending watch whose caller has disconnected.
-  void Forget(Ticket ticket);
+  void DropWatch(Ticket ticket);
 
   const StoreCounts& counts() const { return counts_; }
 
  private:
   struct Lease {
     Duration time_to_live;
-    Time expires;
+    Time expires_at;
     std::set<std::string> keys;
   };
 
@@ -77,20 +77,20 @@
     StoreWatch call;
     Time deadline;
     // No change up to this revision matches the watch.
-    Revision checked;
+    Revision checked_revision;
   };
 
-  bool TakeRate(Time now, const StoreCall& call);
-  StoreBusy Busy() const;
+  bool TakeRateTokens(Time now, const StoreCall& call);
+  StoreBusy MakeBusyReply() const;
 
-  StoreReply Run(Time now, const StoreRange& call);
-  StoreReply Run(Time now, const StorePut& call);
-  StoreReply Run(Time now, const StoreDelete& call);
-  StoreReply Run(Time now, const StoreLeaseGrant& call);
-  StoreReply Run(Time now, const StoreLeaseKeepAlive& call);
-  StoreReply Run(Time now, const StoreLeaseRevoke& call);
+  StoreReply Execute(Time now, const StoreRange& call);
+  StoreReply Execute(Time now, const StorePut& call);
+  StoreReply Execute(Time now, const StoreDelete& call);
+  StoreReply Execute(Time now, const StoreLeaseGrant& call);
+  StoreReply Execute(Time now, const StoreLeaseKeepAlive& call);
+  StoreReply Execute(Time now, const StoreLeaseRevoke& call);
   // Returns the reply to a watch that is due.
-  StoreReply Run(Time now, const StoreWatch& call);
+  StoreReply Execute(Time now, const StoreWatch& call);
 
   bool IsDue(Time now, Watch& watch) const;
   // Returns the first kept change after a revision.
@@ -99,9 +99,9 @@
   std::optional<StoreConflict> FindConflict(const std::string& key,
                                             Revision expected) const;
   void Erase(const std::string& key);
-  void EndLease(LeaseId lease);
-  void EndLapsedLeases(Time now);
-  void Remember(Change change);
+  void RemoveLease(LeaseId lease);
+  void RemoveExpiredLeases(Time now);
+  void AppendToHistory(Change change);
   void AnswerDueWatches(Time now, std::vector<StoreAnswer>& answers);
 
   Settings settings_;
--- a/programs/gcw_standin/standin_vm_list.cc
+++ b/programs/gcw_standin/standin_vm_list.cc
@@ -10,11 +10,11 @@
 }
 
 void StandinVmList::Replace(Time now, std::vector<VmEntry> vms) {
-  lists_.Put(now, std::move(vms));
+  history_.Append(now, std::move(vms));
 }
 
 VmListSnapshot StandinVmList::Read(Time now, Duration lag) const {
-  const auto& entry = lists_.At(now - lag);
+  const auto& entry = history_.At(now - lag);
   return {.as_of = std::max(now - lag, entry.time), .vms = entry.value};
 }
 
--- a/programs/gcw_standin/standin_vm_list.h
+++ b/programs/gcw_standin/standin_vm_list.h
@@ -3,7 +3,7 @@
 
 #include <vector>
 
-#include "programs/gcw_standin/lagging.h"
+#include "programs/gcw_standin/value_history.h"
 #include "state/state.h"
 
 namespace gcw {
@@ -17,7 +17,7 @@
   VmListSnapshot Read(Time now, Duration lag) const;
 
  private:
-  Lagging<std::vector<VmEntry>> lists_;
+  ValueHistory<std::vector<VmEntry>> history_;
 };
 
 }  // namespace gcw
--- a/programs/gcw_standin/standin_weights.cc
+++ b/programs/gcw_standin/standin_weights.cc
@@ -16,13 +16,13 @@
   const double seconds =
       static_cast<double>(bytes) / static_cast<double>(bytes_per_second_);
   const auto millis = static_cast<std::int64_t>(seconds * kMillisPerSecond);
-  free_at_ = std::max(free_at_, now) + Duration::Millis(millis);
-  return free_at_;
+  idle_at_ = std::max(idle_at_, now) + Duration::Millis(millis);
+  return idle_at_;
 }
 
 WeightStoreStatus StandinWeights::Status(Time now) const {
   const auto wait =
-      static_cast<double>(std::max(free_at_ - now, Duration()).millis());
+      static_cast<double>(std::max(idle_at_ - now, Duration()).millis());
   const double bytes =
       wait / kMillisPerSecond * static_cast<double>(bytes_per_second_);
   return {.bytes_per_second = bytes_per_second_,
--- a/programs/gcw_standin/standin_weights.h
+++ b/programs/gcw_standin/standin_weights.h
@@ -20,7 +20,7 @@
 
  private:
   std::int64_t bytes_per_second_;
-  Time free_at_;
+  Time idle_at_;
 };
 
 }  // namespace gcw
--- a/programs/gcw_standin/store_shell.cc
+++ b/programs/gcw_standin/store_shell.cc
@@ -7,7 +7,7 @@
 namespace gcw {
 namespace {
 
-constexpr Duration kTick = Duration::Millis(20);
+constexpr Duration kTickInterval = Duration::Millis(20);
 constexpr std::size_t kMaxValueBytes = std::size_t{1} << 20;
 
 bool IsWrite(const HttpRequest& request) {
@@ -24,7 +24,8 @@
 
 StoreShell::StoreShell(StandinServer& server, StandinStore::Settings settings)
     : store_(settings) {
-  server.Every(kTick, [this](Time now) { Deliver(store_.Tick(now)); });
+  server.RunEvery(kTickInterval,
+                  [this](Time now) { Deliver(store_.Tick(now)); });
 }
 
 StandinServer::Hooks StoreShell::MakeHooks() {
@@ -33,7 +34,7 @@
                         std::shared_ptr<HttpResponder> responder) {
     Handle(now, request, std::move(responder));
   };
-  hooks.is_work = [](const HttpRequest&) { return true; };
+  hooks.is_workload = [](const HttpRequest&) { return true; };
   hooks.is_write = IsWrite;
   return hooks;
 }
@@ -55,15 +56,15 @@
         MalformedResponse({CodecErrorKind::kOutOfRange, "value"}));
     return;
   }
-  Run(now, ValueOf(call), std::move(responder));
+  HandleCall(now, ValueOf(call), std::move(responder));
 }
 
-void StoreShell::Run(Time now,
-                     const StoreCall& call,
-                     std::shared_ptr<HttpResponder> responder) {
+void StoreShell::HandleCall(Time now,
+                            const StoreCall& call,
+                            std::shared_ptr<HttpResponder> responder) {
   const Ticket ticket = ++last_ticket_;
   responder->OnCallerGone([this, ticket] {
-    store_.Forget(ticket);
+    store_.DropWatch(ticket);
     responders_.erase(ticket);
   });
   responders_[ticket] = std::move(responder);
--- a/programs/gcw_standin/store_shell.h
+++ b/programs/gcw_standin/store_shell.h
@@ -22,9 +22,9 @@
   void Handle(Time now,
               const HttpRequest& request,
               std::shared_ptr<HttpResponder> responder);
-  void Run(Time now,
-           const StoreCall& call,
-           std::shared_ptr<HttpResponder> responder);
+  void HandleCall(Time now,
+                  const StoreCall& call,
+                  std::shared_ptr<HttpResponder> responder);
   void Deliver(const std::vector<StoreAnswer>& answers);
   void RespondCounts(HttpResponder& responder) const;
 
--- a/programs/gcw_standin/lagging.h
+++ b/programs/gcw_standin/value_history.h
@@ -1,5 +1,5 @@
-#ifndef PROGRAMS_GCW_STANDIN_LAGGING_H_
-#define PROGRAMS_GCW_STANDIN_LAGGING_H_
+#ifndef PROGRAMS_GCW_STANDIN_VALUE_HISTORY_H_
+#define PROGRAMS_GCW_STANDIN_VALUE_HISTORY_H_
 
 #include <cstddef>
 #include <deque>
@@ -11,7 +11,7 @@
 
 // Keeps past values with their times, so that readers can be given stale ones.
 template <typename Value>
-class Lagging {
+class ValueHistory {
  public:
   struct Entry {
     Time time;
@@ -19,7 +19,7 @@
   };
 
   // `time` must not be earlier than that of the last entry.
-  void Put(Time time, Value value) {
+  void Append(Time time, Value value) {
     entries_.push_back({time, std::move(value)});
     if (entries_.size() > kMaxEntries) {
       entries_.pop_front();
@@ -47,4 +47,4 @@
 
 }  // namespace gcw
 
-#endif  // PROGRAMS_GCW_STANDIN_LAGGING_H_
+#endif  // PROGRAMS_GCW_STANDIN_VALUE_HISTORY_H_
--- a/programs/gcw_standin/vm_list_shell.cc
+++ b/programs/gcw_standin/vm_list_http_frontend.cc
@@ -1,4 +1,4 @@
-#include "programs/gcw_standin/vm_list_shell.h"
+#include "programs/gcw_standin/vm_list_http_frontend.h"
 
 #include <utility>
 
@@ -11,25 +11,26 @@
 
 }  // namespace
 
-VmListShell::VmListShell(StandinServer& server, std::vector<VmEntry> vms)
+VmListHttpFrontend::VmListHttpFrontend(StandinServer& server,
+                                       std::vector<VmEntry> vms)
     : server_(server), list_(server.now(), std::move(vms)) {}
 
-StandinServer::Hooks VmListShell::MakeHooks() {
+StandinServer::Hooks VmListHttpFrontend::MakeHooks() {
   StandinServer::Hooks hooks;
   hooks.handle = [this](Time now, const HttpRequest& request,
                         const std::shared_ptr<HttpResponder>& responder) {
     Handle(now, request, *responder);
   };
-  hooks.is_work = [](const HttpRequest& request) {
+  hooks.is_workload = [](const HttpRequest& request) {
     return request.method == "GET";
   };
   hooks.is_write = [](const HttpRequest&) { return false; };
   return hooks;
 }
 
-void VmListShell::Handle(Time now,
-                         const HttpRequest& request,
-                         HttpResponder& responder) {
+void VmListHttpFrontend::Handle(Time now,
+                                const HttpRequest& request,
+                                HttpResponder& responder) {
   if (TargetPath(request.target) != kPath) {
     responder.Respond(NotFoundResponse());
     return;
@@ -42,9 +43,9 @@
   responder.Respond(JsonResponse(200, EncodeVmList(snapshot)));
 }
 
-void VmListShell::Replace(Time now,
-                          const HttpRequest& request,
-                          HttpResponder& responder) {
+void VmListHttpFrontend::Replace(Time now,
+                                 const HttpRequest& request,
+                                 HttpResponder& responder) {
   Decoded<VmListSnapshot> snapshot = DecodeVmList(request.body);
   if (!IsOk(snapshot)) {
     responder.Respond(MalformedResponse(ErrorOf(snapshot)));
--- a/programs/gcw_standin/vm_list_shell.h
+++ b/programs/gcw_standin/vm_list_http_frontend.h
@@ -1,5 +1,5 @@
-#ifndef PROGRAMS_GCW_STANDIN_VM_LIST_SHELL_H_
-#define PROGRAMS_GCW_STANDIN_VM_LIST_SHELL_H_
+#ifndef PROGRAMS_GCW_STANDIN_VM_LIST_HTTP_FRONTEND_H_
+#define PROGRAMS_GCW_STANDIN_VM_LIST_HTTP_FRONTEND_H_
 
 #include <memory>
 #include <vector>
@@ -10,9 +10,9 @@
 namespace gcw {
 
 // Serves a `StandinVmList` over HTTP. Tests replace the list with `PUT /vms`.
-class VmListShell {
+class VmListHttpFrontend {
  public:
-  VmListShell(StandinServer& server, std::vector<VmEntry> vms);
+  VmListHttpFrontend(StandinServer& server, std::vector<VmEntry> vms);
 
   StandinServer::Hooks MakeHooks();
 
@@ -26,4 +26,4 @@
 
 }  // namespace gcw
 
-#endif  // PROGRAMS_GCW_STANDIN_VM_LIST_SHELL_H_
+#endif  // PROGRAMS_GCW_STANDIN_VM_LIST_HTTP_FRONTEND_H_
--- a/programs/gcw_standin/weights_shell.cc
+++ b/programs/gcw_standin/weight_store_http_frontend.cc
@@ -1,28 +1,30 @@
-#include "programs/gcw_standin/weights_shell.h"
+#include "programs/gcw_standin/weight_store_http_frontend.h"
 
 #include "programs/gcw_standin/http_answers.h"
 
 namespace gcw {
 
-WeightsShell::WeightsShell(StandinServer& server, std::int64_t bytes_per_second)
+WeightStoreHttpFrontend::WeightStoreHttpFrontend(StandinServer& server,
+                                                 std::int64_t bytes_per_second)
     : server_(server), weights_(bytes_per_second) {}
 
-StandinServer::Hooks WeightsShell::MakeHooks() {
+StandinServer::Hooks WeightStoreHttpFrontend::MakeHooks() {
   StandinServer::Hooks hooks;
   hooks.handle = [this](Time now, const HttpRequest& request,
                         const std::shared_ptr<HttpResponder>& responder) {
     Handle(now, request, responder);
   };
-  hooks.is_work = [](const HttpRequest&) { return true; };
+  hooks.is_workload = [](const HttpRequest&) { return true; };
   hooks.is_write = [](const HttpRequest& request) {
     return request.method == "POST";
   };
   return hooks;
 }
 
-void WeightsShell::Handle(Time now,
-                          const HttpRequest& request,
-                          const std::shared_ptr<HttpResponder>& responder) {
+void WeightStoreHttpFrontend::Handle(
+    Time now,
+    const HttpRequest& request,
+    const std::shared_ptr<HttpResponder>& responder) {
   if (request.target == "/fetch") {
     Fetch(now, request, responder);
   } else if (request.target == "/weights") {
@@ -33,9 +35,10 @@
   }
 }
 
-void WeightsShell::Fetch(Time now,
-                         const HttpRequest& request,
-                         const std::shared_ptr<HttpResponder>& responder) {
+void WeightStoreHttpFrontend::Fetch(
+    Time now,
+    const HttpRequest& request,
+    const std::shared_ptr<HttpResponder>& responder) {
   const auto bytes = DecodeJson(
       request.body, [](JsonReader& reader) { return reader.Count("bytes"); });
   if (!IsOk(bytes)) {
@@ -43,7 +46,7 @@
     return;
   }
   const Time done = weights_.Enqueue(now, ValueOf(bytes));
-  server_.After(done - now, [responder](Time) {
+  server_.RunAfter(done - now, [responder](Time) {
     responder->Respond(JsonResponse(200, "{}"));
   });
 }
--- a/programs/gcw_standin/weights_shell.h
+++ b/programs/gcw_standin/weight_store_http_frontend.h
@@ -1,5 +1,5 @@
-#ifndef PROGRAMS_GCW_STANDIN_WEIGHTS_SHELL_H_
-#define PROGRAMS_GCW_STANDIN_WEIGHTS_SHELL_H_
+#ifndef PROGRAMS_GCW_STANDIN_WEIGHT_STORE_HTTP_FRONTEND_H_
+#define PROGRAMS_GCW_STANDIN_WEIGHT_STORE_HTTP_FRONTEND_H_
 
 #include <cstdint>
 #include <memory>
@@ -11,9 +11,9 @@
 
 // Serves a `StandinWeights` over HTTP. `POST /fetch {"bytes"}` is answered when
 // the fetch is complete.
-class WeightsShell {
+class WeightStoreHttpFrontend {
  public:
-  WeightsShell(StandinServer& server, std::int64_t bytes_per_second);
+  WeightStoreHttpFrontend(StandinServer& server, std::int64_t bytes_per_second);
 
   StandinServer::Hooks MakeHooks();
 
@@ -31,4 +31,4 @@
 
 }  // namespace gcw
 
-#endif  // PROGRAMS_GCW_STANDIN_WEIGHTS_SHELL_H_
+#endif  // PROGRAMS_GCW_STANDIN_WEIGHT_STORE_HTTP_FRONTEND_H_
