--- a/programs/gcw_standin/commands.cc
+++ b/programs/gcw_standin/commands.cc
@@ -53,17 +53,17 @@
   return "unknown error";
 }
 
-// Runs a stand-in until SIGTERM or SIGINT. `make_shell(server)` creates the
+// Runs a stand-in until SIGTERM or SIGINT. `make_frontend(server)` creates the
 // object that answers its requests.
-template <typename MakeShell>
+template <typename MakeFrontend>
 int Serve(const std::string& name,
           const CommonOptions& common,
-          MakeShell make_shell) {
+          MakeFrontend make_frontend) {
   boost::asio::io_context context;
   StandinServer server(context, common.faults);
-  auto shell = make_shell(server);
+  auto frontend = make_frontend(server);
   const auto listening =
-      server.Listen(name, common.ip, common.port, shell->MakeHooks());
+      server.Listen(name, common.ip, common.port, frontend->MakeHooks());
   if (!IsOk(listening)) {
     std::cerr << "gcw-standin " << name << ": cannot listen on " << common.ip
               << ':' << common.port << ": "
--- a/tests/transport/http_client_test.cc
+++ b/tests/transport/http_client_test.cc
@@ -71,7 +71,7 @@
   HttpClient client_{io_.context()};
 };
 
-TEST_F(HttpClientTest, FetchesWholeAnswers) {
+TEST_F(HttpClientTest, FetchesCompleteAnswers) {
   const Answer sized = FetchBytes(std::string(kOk));
   ASSERT_TRUE(IsOk(sized));
   EXPECT_EQ(ValueOf(sized).body, "ok");
@@ -102,13 +102,13 @@
   EXPECT_THAT(received, ::testing::Not(::testing::HasSubstr("X-E")));
 }
 
-TEST_F(HttpClientTest, ARequestThatCannotBeWrittenIsNotSent) {
+TEST_F(HttpClientTest, DoesNotSendInvalidRequests) {
   ExpectFailure(
       FetchFrom([](RawPeer&, int) {}, {"GET", "/ HTTP/1.1\r\nX: y", {}, ""}),
       HttpFailureKind::kCancelled, HttpProgress::kNothingSent);
 }
 
-TEST_F(HttpClientTest, NothingIsSentWhereNobodyListens) {
+TEST_F(HttpClientTest, SendsNothingIfConnectionIsRefused) {
   std::uint16_t port = 0;
   {
     const ScriptedServer server([](RawPeer&, int) {});
@@ -121,7 +121,7 @@
 // Guards against a connection attempt without a timeout. The accept queue of
 // the peer is full, so the kernel drops the packets that would open the
 // connection.
-TEST_F(HttpClientTest, NothingIsSentWhereConnectingHangs) {
+TEST_F(HttpClientTest, SendsNothingIfConnectingTimesOut) {
   boost::asio::io_context context;
   using Tcp = boost::asio::ip::tcp;
   Tcp::acceptor acceptor(context);
@@ -138,7 +138,7 @@
                 HttpFailureKind::kConnectTimeout, HttpProgress::kNothingSent);
 }
 
-TEST_F(HttpClientTest, NothingIsSentWhereTheLastCheckSaysNo) {
+TEST_F(HttpClientTest, SendsNothingIfBeforeSendReturnsFalse) {
   std::string received;
   std::promise<HttpFailure> failure;
   {
@@ -158,7 +158,7 @@
 
 // Guards against reporting a request as not run although it ran. If the
 // connection is reset after the request was sent, the client cannot know.
-TEST_F(HttpClientTest, MayHaveRunAfterAResetWithoutAnAnswer) {
+TEST_F(HttpClientTest, ReportsMaybeSentAfterResetWithoutAnswer) {
   ExpectFailure(FetchFrom([](RawPeer& peer, int) {
                   peer.ReadHead();
                   peer.Reset();
@@ -171,7 +171,7 @@
                 HttpFailureKind::kConnectionReset, HttpProgress::kMaybeSent);
 }
 
-TEST_F(HttpClientTest, MayHaveRunAfterAResetDuringTheWrite) {
+TEST_F(HttpClientTest, ReportsMaybeSentAfterResetDuringWrite) {
   ExpectFailure(FetchFrom(
                     [](RawPeer& peer, int) {
                       peer.ReadHead();
@@ -181,7 +181,7 @@
                 HttpFailureKind::kConnectionReset, HttpProgress::kMaybeSent);
 }
 
-TEST_F(HttpClientTest, TakesAnAnswerThatComesBeforeTheRequestsEnd) {
+TEST_F(HttpClientTest, AcceptsAnswerBeforeEndOfRequest) {
   // The body is larger than the kernel's buffers and is never read.
   std::promise<void> answered;
   ScriptedServer server([&](RawPeer& peer, int) {
@@ -231,7 +231,7 @@
   }
 }
 
-TEST_F(HttpClientTest, TellsASilentPeerFromAnOverdueAnswer) {
+TEST_F(HttpClientTest, DistinguishesSilentPeerFromDeadline) {
   options_.progress_timeout = Duration::Millis(50);
   ExpectFailure(FetchFrom([](RawPeer& peer, int) { peer.ReadToEnd(); }),
                 HttpFailureKind::kSilent, HttpProgress::kMaybeSent);
@@ -244,10 +244,10 @@
                 HttpFailureKind::kDeadline, HttpProgress::kAnswerBegun);
 }
 
-TEST_F(HttpClientTest, APausedCallReadsNothingMore) {
+TEST_F(HttpClientTest, PausedCallStopsReading) {
   std::promise<void> begun;
   std::promise<std::string> ended;
-  std::atomic<std::size_t> taken = 0;
+  std::atomic<std::size_t> received = 0;
   std::string body;
   const std::size_t size = 32UL * 1024 * 1024;
   ScriptedServer server([&](RawPeer& peer, int) {
@@ -263,7 +263,7 @@
     call->Pause();
     begun.set_value();
   };
-  handlers.on_body = [&](std::string_view chunk) { taken += chunk.size(); };
+  handlers.on_body = [&](std::string_view chunk) { received += chunk.size(); };
   handlers.on_end = [&] { ended.set_value("end"); };
   handlers.on_failure = [&](HttpFailure) { ended.set_value("failure"); };
   {
@@ -272,10 +272,10 @@
                         options_, handlers);
   }
   begun.get_future().get();
-  EXPECT_LT(taken, size);
+  EXPECT_LT(received, size);
   call->Resume();
   EXPECT_EQ(ended.get_future().get(), "end");
-  EXPECT_EQ(taken, size);
+  EXPECT_EQ(received, size);
 }
 
 // Answers each request on a connection with the connection's number.
@@ -286,7 +286,7 @@
   }
 }
 
-TEST_F(HttpClientTest, ReusesAConnectionOnlyWhereAllowed) {
+TEST_F(HttpClientTest, ReusesConnectionOnlyIfAllowed) {
   {
     ScriptedServer server(AnswerWithNumber);
     EXPECT_EQ(ValueOf(Fetch(server.port())).body, "0");
@@ -344,7 +344,7 @@
   EXPECT_TRUE(IsOk(Fetch(server.port())));
 }
 
-TEST_F(HttpClientTest, EachOfManyCallsGetsItsOwnAnswer) {
+TEST_F(HttpClientTest, ConcurrentCallsGetTheirOwnAnswers) {
   const auto server =
       Serve([](const HttpRequest& request,
                const std::shared_ptr<HttpResponder>& responder) {
@@ -355,7 +355,7 @@
         responder->Finish();
       });
   constexpr int calls = 400;
-  std::atomic<int> own = 0;
+  std::atomic<int> correct = 0;
   std::atomic<int> ended = 0;
   std::promise<void> all_ended;
   for (int i = 0; i < calls; ++i) {
@@ -367,7 +367,7 @@
     client_.Fetch(LoopbackAt(server->port()), {"GET", target, {}, ""}, options_,
                   [&, expected](const Answer& answer) {
                     if (IsOk(answer) && ValueOf(answer).body == expected) {
-                      ++own;
+                      ++correct;
                     }
                     if (++ended == calls) {
                       all_ended.set_value();
@@ -375,7 +375,7 @@
                   });
   }
   all_ended.get_future().get();
-  EXPECT_EQ(own, calls);
+  EXPECT_EQ(correct, calls);
 }
 
 // Some of the concurrent calls are cancelled at random moments. The others must
--- a/tests/transport/http_server_test.cc
+++ b/tests/transport/http_server_test.cc
@@ -92,7 +92,7 @@
   EXPECT_EQ(handled_, 0);
 }
 
-TEST_F(HttpServerTest, EndsRequestsThatArriveTooSlowly) {
+TEST_F(HttpServerTest, TimesOutSlowRequests) {
   limits_.request_timeout = Duration::Millis(50);
   ServeEcho();
   EXPECT_THAT(Exchange("POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\nab"),
@@ -100,7 +100,7 @@
   EXPECT_EQ(handled_, 0);
 }
 
-TEST_F(HttpServerTest, EndsHeadersThatArriveTooSlowly) {
+TEST_F(HttpServerTest, TimesOutSlowHeaders) {
   limits_.header_timeout = Duration::Millis(50);
   ServeEcho();
   EXPECT_THAT(Exchange("POST / HTTP/1.1\r\nContent-Le"),
@@ -108,7 +108,7 @@
   EXPECT_EQ(handled_, 0);
 }
 
-TEST_F(HttpServerTest, TakesOtherLimitsWhileItRuns) {
+TEST_F(HttpServerTest, AppliesNewLimitsWhileRunning) {
   ServeEcho();
   const std::string request =
       "POST / HTTP/1.1\r\nContent-Length: 4\r\nConnection: close\r\n\r\nabcd";
@@ -128,7 +128,7 @@
   EXPECT_EQ(Exchange(""), "");
 }
 
-TEST_F(HttpServerTest, RefusesRequestsCutByAHalfClose) {
+TEST_F(HttpServerTest, RefusesRequestsTruncatedByHalfClose) {
   ServeEcho();
   RawPeer peer(server_->port());
   peer.Send("POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\nab");
@@ -162,7 +162,7 @@
   EXPECT_NE(answers.find("GET /3"), std::string::npos);
 }
 
-TEST_F(HttpServerTest, AsksForABodyThatWaitsForLeave) {
+TEST_F(HttpServerTest, AnswersExpectContinue) {
   ServeEcho();
   RawPeer peer(server_->port());
   peer.Send(
@@ -175,7 +175,7 @@
 // Guards against an engine that keeps working for a caller that has
 // disconnected. The caller closes or resets its connection while its answer is
 // pending, and only a pending read detects it.
-TEST_F(HttpServerTest, TellsWhenTheCallerLeavesBeforeItsAnswer) {
+TEST_F(HttpServerTest, ReportsCallerGoneBeforeAnswer) {
   std::promise<Responder> arrived;
   std::atomic<int> gone = 0;
   Serve([&](const HttpRequest&, const Responder& responder) {
@@ -183,26 +183,26 @@
   });
   for (const bool reset : {false, true}) {
     arrived = {};
-    std::promise<void> told;
+    std::promise<void> notified;
     RawPeer peer(server_->port());
     peer.Send(kGet);
     const Responder responder = arrived.get_future().get();
     responder->OnCallerGone([&] {
       ++gone;
-      told.set_value();
+      notified.set_value();
     });
     reset ? peer.Reset() : peer.Close();
-    told.get_future().get();
+    notified.get_future().get();
     // A hook that is set after the caller has disconnected is called as well.
-    std::promise<void> told_late;
-    responder->OnCallerGone([&] { told_late.set_value(); });
-    told_late.get_future().get();
+    std::promise<void> notified_late;
+    responder->OnCallerGone([&] { notified_late.set_value(); });
+    notified_late.get_future().get();
     responder->Respond({200, {}, "too late"});
   }
   EXPECT_EQ(gone, 2);
 }
 
-TEST_F(HttpServerTest, CallsNoHookAfterAWholeAnswer) {
+TEST_F(HttpServerTest, DoesNotReportCallerGoneAfterCompleteAnswer) {
   std::atomic<int> gone = 0;
   Serve([&](const HttpRequest&, const Responder& responder) {
     responder->OnCallerGone([&] { ++gone; });
@@ -235,7 +235,7 @@
 // Guards against a truncated answer that looks complete. The server leaves out
 // the last chunk (HTTP/1.1) or resets the connection (HTTP/1.0, where a close
 // marks the end).
-TEST_F(HttpServerTest, AbortedStreamsDoNotLookWhole) {
+TEST_F(HttpServerTest, AbortedStreamsDoNotLookComplete) {
   Serve([](const HttpRequest&, const Responder& responder) {
     responder->StartStream(200, {});
     responder->Write("part");
@@ -255,7 +255,7 @@
   EXPECT_EQ(error, boost::asio::error::connection_reset);
 }
 
-TEST_F(HttpServerTest, ARequestThatIsLetGoGetsAnError) {
+TEST_F(HttpServerTest, DroppedResponderAnswersWithAnError) {
   Serve([](const HttpRequest& request, const Responder& responder) {
     if (request.target == "/stream") {
       responder->StartStream(200, {});
@@ -293,7 +293,7 @@
   ended.reset();
 }
 
-TEST_F(HttpServerTest, ShowsWhatASlowCallerHasNotTaken) {
+TEST_F(HttpServerTest, ReportsUnsentBytesOfSlowCallers) {
   std::promise<Responder> arrived;
   Serve([&](const HttpRequest&, const Responder& responder) {
     responder->StartStream(200, {});
@@ -314,7 +314,7 @@
   EXPECT_EQ(responder->unsent_bytes(), 0U);
 }
 
-TEST_F(HttpServerTest, ACallerThatTakesNothingCountsAsGone) {
+TEST_F(HttpServerTest, TreatsStalledCallerAsGone) {
   limits_.write_timeout = Duration::Millis(100);
   std::promise<void> gone;
   Responder kept;
@@ -329,7 +329,7 @@
   gone.get_future().get();
 }
 
-TEST_F(HttpServerTest, StopsWithoutCuttingARunningRequest) {
+TEST_F(HttpServerTest, StopAcceptingFinishesRunningRequests) {
   std::promise<Responder> arrived;
   Serve([&](const HttpRequest&, const Responder& responder) {
     arrived.set_value(responder);
@@ -342,7 +342,7 @@
   EXPECT_THAT(peer.ReadToEnd(), HasSubstr("whole"));
 }
 
-TEST_F(HttpServerTest, AnIdleConnectionMaySendOneMoreRequestAfterTheStop) {
+TEST_F(HttpServerTest, StopAcceptingAllowsOneMoreRequestOnIdleConnections) {
   ServeEcho();
   RawPeer peer(server_->port());
   peer.Send(kGet);
--- a/tests/transport/json_log_test.cc
+++ b/tests/transport/json_log_test.cc
@@ -63,7 +63,7 @@
   EXPECT_EQ(line.at("fields").at("model"), "m\"\n\xef\xbf\xbd");
 }
 
-TEST_F(JsonLogTest, LinesOfLibrariesAreJsonToo) {
+TEST_F(JsonLogTest, LibraryLogLinesAreJson) {
   const JsonLog log(Settings());
   LOG(ERROR) << "from a library: " << 7;
   const boost::json::object line = Line();
@@ -73,7 +73,7 @@
   EXPECT_EQ(line.at("fields").at("file"), "json_log_test.cc");
 }
 
-TEST_F(JsonLogTest, LeavesOutWhatIsBelowTheSeverity) {
+TEST_F(JsonLogTest, DropsEventsBelowMinSeverity) {
   JsonLogSettings settings = Settings();
   settings.min_severity = LogSeverity::kError;
   const JsonLog log(std::move(settings));
@@ -81,7 +81,7 @@
   EXPECT_TRUE(lines_.empty());
 }
 
-TEST_F(JsonLogTest, WritesNothingOnceItIsGone) {
+TEST_F(JsonLogTest, WritesNothingAfterDestruction) {
   { const JsonLog log(Settings()); }
   LogEvent(LogSeverity::kInfo, "after");
   EXPECT_TRUE(lines_.empty());
--- a/tests/transport/log_budget_test.cc
+++ b/tests/transport/log_budget_test.cc
@@ -17,7 +17,7 @@
 // Guards against losing the one refusal that would explain a complaint because
 // thousands of requests succeed in the same second: each log class has its own
 // limit.
-TEST(LogBudgetTest, SuccessesNeverHideATroubleOrAChangeOfBelief) {
+TEST(LogBudgetTest, SuccessesDoNotUseTheBudgetOfOtherClasses) {
   std::map<EventKind, int> written;
   std::map<LogClass, std::int64_t> left_out;
   LogBudget budget(
--- a/tests/transport/metrics_test.cc
+++ b/tests/transport/metrics_test.cc
@@ -55,7 +55,7 @@
 // Guards against unlimited memory growth. Callers choose label values such as
 // model names, and a caller that sends a new name with each request would add a
 // label set for each refusal.
-TEST(MetricsTest, LabelSetsPastTheBoundShareOne) {
+TEST(MetricsTest, LabelSetsBeyondTheLimitShareOneSeries) {
   Metrics metrics;
   CounterFamily& family =
       metrics.AddCounter({"gcw_refused_total", "Refused.", {"model"}, 2});
@@ -92,7 +92,7 @@
               HasSubstr("gcw_wait_ms_count " + std::to_string(2 * kRounds)));
 }
 
-TEST(MetricsDeathTest, RefusesNamesThatTheFormatRefuses) {
+TEST(MetricsDeathTest, RefusesInvalidAndDuplicateNames) {
   GTEST_FLAG_SET(death_test_style, "threadsafe");
   Metrics metrics;
   metrics.AddGauge({"gcw_a", "A.", {}});
--- a/tests/transport/peer_test.cc
+++ b/tests/transport/peer_test.cc
@@ -154,7 +154,7 @@
   EXPECT_GT(server_->stats().bytes, 0);
 }
 
-TEST_F(PeerTest, TheOldestMessagesAreDroppedWhereTooManyWait) {
+TEST_F(PeerTest, DropsOldestMessagesIfQueueIsFull) {
   Listen();
   settings_.max_waiting_messages = 10;
   Connect(server_->port());
@@ -213,7 +213,7 @@
   EXPECT_TRUE(Deliver(Frame()).ok());
 }
 
-TEST_F(PeerTest, PassesOverBodiesOfAnotherVersion) {
+TEST_F(PeerTest, SkipsUnknownMessageBodies) {
   Listen();
   wire::PeerFrame frame = Frame();
   frame.add_bodies();
@@ -222,7 +222,7 @@
   AwaitPing(1);
 }
 
-TEST_F(PeerTest, ReachesANodeThatComesBack) {
+TEST_F(PeerTest, ReconnectsToARestartedNode) {
   Listen();
   const std::uint16_t port = server_->port();
   Connect(port);
@@ -271,10 +271,10 @@
 // takes 300 ms to answer the opening of the connection; a fixed connect timeout
 // of 100 ms ended the attempt, and with it every frame in flight, although the
 // call timeout of the frames was longer.
-TEST_F(PeerTest, AConnectionMayTakeAsLongToOpenAsItsFrame) {
+TEST_F(PeerTest, ConnectingMayTakeAsLongAsTheCallTimeout) {
   // An empty HTTP/2 SETTINGS frame: length, type, flags and stream.
   constexpr std::string_view kSettings("\0\0\0\4\0\0\0\0\0", 9);
-  std::promise<bool> frame_came;
+  std::promise<bool> frame_arrived;
   ScriptedServer slow([&](RawPeer& peer, int connection) {
     peer.ReadUntil("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n");
     if (connection > 0) {
@@ -282,15 +282,15 @@
     }
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
     peer.Send(kSettings);
-    frame_came.set_value(peer.ReadUntil("Deliver").ends_with("Deliver"));
+    frame_arrived.set_value(peer.ReadUntil("Deliver").ends_with("Deliver"));
   });
   Connect(slow.port());
   Send(1, 1);
-  EXPECT_TRUE(frame_came.get_future().get());
+  EXPECT_TRUE(frame_arrived.get_future().get());
   OnControl([&] { client_.reset(); });
 }
 
-TEST_F(PeerTest, TellsWhenItCannotListen) {
+TEST_F(PeerTest, ReportsThatItCannotListen) {
   Listen();
   const auto result = PeerServer::Listen(
       control_.context(),
--- a/tests/transport/platform_clients_test.cc
+++ b/tests/transport/platform_clients_test.cc
@@ -75,7 +75,7 @@
   EXPECT_EQ(path, "/kv/put");
 }
 
-TEST_F(PlatformClientsTest, ABusyStoreDidNothing) {
+TEST_F(PlatformClientsTest, BusyStoreReplyHasRetryDelay) {
   const StoreReply reply = CallStore(
       Serve({429, {}, R"({"retry_after_ms":30})"}), StoreRange{"contract/"});
   ASSERT_TRUE(std::holds_alternative<StoreBusy>(reply));
@@ -84,7 +84,7 @@
 
 // Guards against a wrong conclusion about a write. An outage, a malformed
 // answer and a missing answer all leave open whether it took effect.
-TEST_F(PlatformClientsTest, WhateverIsUnclearIsNoAnswer) {
+TEST_F(PlatformClientsTest, UnclearOutcomesAreReportedAsNoAnswer) {
   const StoreCall put = StorePut{"k", "v", {}, {}};
   for (const HttpResponse& answer :
        {HttpResponse{503, {}, {}}, HttpResponse{200, {}, "{"},
@@ -106,14 +106,15 @@
 // Guards against one timeout for all calls. A watch waits for a change, so a
 // timeout meant for calls that are answered at once would end it as unanswered,
 // and each change would be seen only by the next watch.
-TEST_F(PlatformClientsTest, AWatchMayTakeLongerThanOtherCalls) {
+TEST_F(PlatformClientsTest, WatchesMayTakeLongerThanOtherCalls) {
   std::promise<std::shared_ptr<HttpResponder>> watch_arrived;
   std::promise<std::shared_ptr<HttpResponder>> read_arrived;
-  const Address store = Serve([&](const HttpRequest& request,
-                                  const std::shared_ptr<HttpResponder>& each) {
-    const bool is_watch = request.target.find("watch") != std::string::npos;
-    (is_watch ? watch_arrived : read_arrived).set_value(each);
-  });
+  const Address store =
+      Serve([&](const HttpRequest& request,
+                const std::shared_ptr<HttpResponder>& responder) {
+        const bool is_watch = request.target.find("watch") != std::string::npos;
+        (is_watch ? watch_arrived : read_arrived).set_value(responder);
+      });
   StoreClient client(io_.context(), {store, Duration::Millis(50)});
   std::promise<StoreReply> watched;
   std::promise<StoreReply> read;
@@ -143,7 +144,7 @@
   EXPECT_EQ(ValueOf(read).as_of, list.as_of);
 }
 
-TEST_F(PlatformClientsTest, OrdersTellStaleFromUnclear) {
+TEST_F(PlatformClientsTest, OrdersDistinguishStaleFromUnclear) {
   const auto send = [&](const HttpResponse& answer, bool may_send) {
     return Await<EngineOrderReply>([&](CallDone<EngineOrderReply> done) {
       engines_.SendOrder(
--- a/tests/transport/raw_peer.h
+++ b/tests/transport/raw_peer.h
@@ -46,12 +46,12 @@
     boost::system::error_code error;
     const std::size_t size = boost::asio::read_until(
         socket_, boost::asio::dynamic_buffer(unread_), std::string(end), error);
-    return TakeUnread(error ? unread_.size() : size);
+    return ConsumeUnread(error ? unread_.size() : size);
   }
   std::string ReadToEnd() {
     boost::system::error_code error;
     boost::asio::read(socket_, boost::asio::dynamic_buffer(unread_), error);
-    return TakeUnread(unread_.size());
+    return ConsumeUnread(unread_.size());
   }
   // Reads the head of a message, without its body.
   std::string ReadHead() { return ReadUntil("\r\n\r\n"); }
@@ -70,10 +70,10 @@
   }
 
  private:
-  std::string TakeUnread(std::size_t size) {
-    std::string taken = unread_.substr(0, size);
+  std::string ConsumeUnread(std::size_t size) {
+    std::string consumed = unread_.substr(0, size);
     unread_.erase(0, size);
-    return taken;
+    return consumed;
   }
 
   boost::asio::io_context context_;
--- a/tests/transport/settings_reader_test.cc
+++ b/tests/transport/settings_reader_test.cc
@@ -58,7 +58,7 @@
     return errors.empty() ? SettingErrorKind::kBadDeclaration : errors[0].kind;
   }
 
-  static std::string Shown(const std::vector<SettingError>& errors) {
+  static std::string ToText(const std::vector<SettingError>& errors) {
     std::ostringstream out;
     for (const SettingError& error : errors) {
       out << error << '\n';
@@ -70,9 +70,9 @@
   SettingsReader reader_;
 };
 
-TEST_F(SettingsReaderTest, FillsWhatIsGivenAndKeepsDefaults) {
-  EXPECT_EQ(Shown(Read("node = \"n1\"\nzones = [\"b\", \"c\"]\nmode = 'fast'\n"
-                       "[limits]\nheadroom = 1\nqueue_wait_ms = 40\n")),
+TEST_F(SettingsReaderTest, SetsGivenValuesAndKeepsDefaults) {
+  EXPECT_EQ(ToText(Read("node = \"n1\"\nzones = [\"b\", \"c\"]\nmode = 'fast'\n"
+                        "[limits]\nheadroom = 1\nqueue_wait_ms = 40\n")),
             "");
   EXPECT_EQ(settings_.node, NodeId("n1"));
   EXPECT_EQ(settings_.port, 8080);
@@ -94,7 +94,7 @@
       "[limits]\n"
       "headroom = nan\n"
       "queue_wait_ms = 40\n");
-  EXPECT_EQ(Shown(errors),
+  EXPECT_EQ(ToText(errors),
             "gcw.toml: node: missing; text, 1 to 8 bytes\n"
             "gcw.toml:1: mode = \"slow\": out of range; choice, fast, safe\n"
             "gcw.toml:3: callers.prot = 1: unknown key; "
@@ -146,7 +146,7 @@
   WriteFile("operator.key", "correct-horse\nnot this\n");
   WriteFile("gcw.toml",
             "node = \"n1\"\noperators.key_file = \"operator.key\"\n");
-  EXPECT_EQ(Shown(reader_.ReadFile(folder_ / "gcw.toml")), "");
+  EXPECT_EQ(ToText(reader_.ReadFile(folder_ / "gcw.toml")), "");
   EXPECT_TRUE(settings_.operator_key.Matches("correct-horse"));
 }
 
@@ -155,20 +155,20 @@
 // under an unknown key.
 TEST_F(SecretSettingTest, NoErrorShowsASecret) {
   WriteFile("short.key", "hush");
-  const std::string shown =
-      Shown(Read("node = \"n1\"\noperators.key_file = \"hush-hush\"")) +
-      Shown(Read("node = \"n1\"\noperators.key_file = \"" +
-                 (folder_ / "short.key").string() + "\"")) +
-      Shown(Read("node = \"n1\"\noperators.key = \"hush-hush\"")) +
-      Shown(Read("node = \"n1\"\noperators = {key = \"hush-hush\"}")) +
-      Shown(Read("node = \"n1\"\noperator = {key = \"hush-hush\"}"));
-  EXPECT_THAT(shown, HasSubstr("secret cannot be read"));
-  EXPECT_THAT(shown, HasSubstr("short.key"));
-  EXPECT_THAT(shown, HasSubstr("8 to 64 bytes"));
-  EXPECT_THAT(shown, Not(HasSubstr("hush")));
+  const std::string text =
+      ToText(Read("node = \"n1\"\noperators.key_file = \"hush-hush\"")) +
+      ToText(Read("node = \"n1\"\noperators.key_file = \"" +
+                  (folder_ / "short.key").string() + "\"")) +
+      ToText(Read("node = \"n1\"\noperators.key = \"hush-hush\"")) +
+      ToText(Read("node = \"n1\"\noperators = {key = \"hush-hush\"}")) +
+      ToText(Read("node = \"n1\"\noperator = {key = \"hush-hush\"}"));
+  EXPECT_THAT(text, HasSubstr("secret cannot be read"));
+  EXPECT_THAT(text, HasSubstr("short.key"));
+  EXPECT_THAT(text, HasSubstr("8 to 64 bytes"));
+  EXPECT_THAT(text, Not(HasSubstr("hush")));
 }
 
-TEST_F(SettingsReaderTest, RefusesDeclarationsWithoutUnitOrTwice) {
+TEST_F(SettingsReaderTest, RefusesDeclarationsWithoutUnitOrDuplicated) {
   SettingsReader reader;
   Duration wait;
   Secret key;
--- a/tests/transport/store_belief_test.cc
+++ b/tests/transport/store_belief_test.cc
@@ -20,7 +20,7 @@
       [this](StoreBelief belief) { changes_.push_back(belief); }};
 };
 
-TEST_F(StoreBeliefTest, TellsApartWhatAServiceMayDo) {
+TEST_F(StoreBeliefTest, DistinguishesServiceStates) {
   Observe(StoreWritten{}, 5);
   EXPECT_TRUE(changes_.empty());
   Observe(StoreNoAnswer{}, 50);
@@ -34,7 +34,7 @@
 
 // Guards against a log line for each call if the service refuses every second
 // call: a single answer is not yet a change of its state.
-TEST_F(StoreBeliefTest, AServiceThatRefusesSomeCallsIsNoChangeEachTime) {
+TEST_F(StoreBeliefTest, OccasionalRefusalsAreNoChange) {
   for (int i = 0; i < 100; ++i) {
     Observe(StoreBusy{}, 1);
     Observe(StoreWritten{}, 1);
