--- a/programs/gcw_standin/commands.cc
+++ b/programs/gcw_standin/commands.cc
@@ -11,11 +11,11 @@
 
 #include "programs/gcw_standin/command_line.h"
 #include "programs/gcw_standin/engine_shell.h"
-#include "programs/gcw_standin/platform_shell.h"
-#include "programs/gcw_standin/service_shell.h"
+#include "programs/gcw_standin/platform_http_frontend.h"
+#include "programs/gcw_standin/service_http_frontend.h"
 #include "programs/gcw_standin/store_shell.h"
-#include "programs/gcw_standin/vm_list_shell.h"
-#include "programs/gcw_standin/weights_shell.h"
+#include "programs/gcw_standin/vm_list_http_frontend.h"
+#include "programs/gcw_standin/weight_store_http_frontend.h"
 
 namespace gcw {
 namespace {
@@ -42,25 +42,28 @@
 std::string_view ListenErrorName(ListenErrorKind kind) {
   switch (kind) {
     case ListenErrorKind::kAddressMalformed:
-      return "malformed address";
+      return "not an IP address; give one with --ip";
     case ListenErrorKind::kAddressInUse:
-      return "address in use";
+      return "address already in use; choose another --port, or 0 for a free "
+             "port";
     case ListenErrorKind::kRefused:
-      return "refused by the system";
+      return "refused by the system; check that --ip is an address of this "
+             "machine and that --port is allowed";
   }
-  return "unknown";
+  return "unknown error";
 }
 
-// Serves until a signal. `make_shell(server)` builds what answers.
-template <typename MakeShell>
+// Runs a stand-in until SIGTERM or SIGINT. `make_frontend(server)` creates the
+// object that answers its requests.
+template <typename MakeFrontend>
 int Serve(const std::string& name,
           const CommonOptions& common,
-          MakeShell make_shell) {
+          MakeFrontend make_frontend) {
   boost::asio::io_context context;
   StandinServer server(context, common.faults);
-  auto shell = make_shell(server);
+  auto frontend = make_frontend(server);
   const auto listening =
-      server.Listen(name, common.ip, common.port, shell->MakeHooks());
+      server.Listen(name, common.ip, common.port, frontend->MakeHooks());
   if (!IsOk(listening)) {
     std::cerr << "gcw-standin " << name << ": cannot listen on " << common.ip
               << ':' << common.port << ": "
@@ -89,17 +92,21 @@
 
 Description StoreOptions() {
   Description description("Key-value service");
-  description.add_options()("calls-per-s", Default(2000.0),
-                            "calls a second before 429; 0 for no limit")(
+  description.add_options()(
+      "calls-per-s", Default(2000.0),
+      "calls accepted per second; more are refused with status 429; 0 for "
+      "no limit")(
       "writes-per-s", Default(400.0),
-      "writes a second before 429; 0 for no limit")(
-      "history", Default(std::size_t{10000}), "changes kept for watches")(
+      "writes accepted per second; more are refused with status 429; 0 for no "
+      "limit")("history", Default(std::size_t{10000}),
+               "changes kept for watches; older ones are compacted")(
       "first-revision", Default(std::int64_t{1}),
-      "where the revision counter starts");
+      "first value of the revision counter");
   return description;
 }
 
-// The rows of a file in the shape of `GET /vms`; none without a file.
+// Reads the VM list from a file in the format of `GET /vms`. Returns an empty
+// list if `path` is empty.
 Decoded<VmListSnapshot> ReadVmFile(const std::string& path) {
   if (path.empty()) {
     return VmListSnapshot{};
@@ -113,25 +120,27 @@
   const std::string path = Get<std::string>(parsed, "vms");
   const auto vms = ReadVmFile(path);
   if (!IsOk(vms)) {
-    std::cerr << "gcw-standin vmlist: " << path << ": "
-              << CodecErrorKindName(ErrorOf(vms).kind) << " at "
+    std::cerr << "gcw-standin vmlist: cannot read --vms file " << path
+              << " (expected JSON as returned by GET /vms): "
+              << CodecErrorKindName(ErrorOf(vms).kind) << " in field "
               << ErrorOf(vms).field << '\n';
     return kExitUsage;
   }
   return Serve("vmlist", parsed.common, [&](StandinServer& server) {
-    return std::make_unique<VmListShell>(server, ValueOf(vms).vms);
+    return std::make_unique<VmListHttpFrontend>(server, ValueOf(vms).vms);
   });
 }
 
 Description VmListOptions() {
   Description description("VM list");
-  description.add_options()("vms", Default(std::string()),
-                            "JSON file in the shape of GET /vms");
+  description.add_options()(
+      "vms", Default(std::string()),
+      "JSON file with the initial list, in the format of GET /vms");
   return description;
 }
 
 int RunPlatform(const ParsedCommand& parsed) {
-  PlatformShellSettings settings;
+  PlatformHttpFrontendSettings settings;
   settings.ip = parsed.common.ip;
   settings.domains = Get<int>(parsed, "domains");
   settings.vms_per_domain = Get<int>(parsed, "vms");
@@ -139,17 +148,19 @@
   settings.time_scale = Get<double>(parsed, "time-scale");
   settings.store.history = Get<std::size_t>(parsed, "history");
   return Serve("platform", parsed.common, [&](StandinServer& server) {
-    return std::make_unique<PlatformShell>(server, settings);
+    return std::make_unique<PlatformHttpFrontend>(server, settings);
   });
 }
 
 Description PlatformOptions() {
   Description description("The users' platform: store, operator, endpoints");
-  description.add_options()("domains", Default(1), "fabric domains")(
-      "vms", Default(11), "VMs of each domain")(
-      "plain", Default(2), "processes of the plain service")(
-      "time-scale", Default(0.05), "factor on load and warm times")(
-      "history", Default(std::size_t{10000}), "changes kept for watches");
+  description.add_options()("domains", Default(1), "number of fabric domains")(
+      "vms", Default(11), "number of VMs in each domain")(
+      "plain", Default(2), "number of processes of the plain service")(
+      "time-scale", Default(0.05),
+      "factor by which load and warm-up times are multiplied")(
+      "history", Default(std::size_t{10000}),
+      "changes kept for watches; older ones are compacted");
   return description;
 }
 
@@ -160,14 +171,15 @@
     return kExitUsage;
   }
   return Serve("weights", parsed.common, [&](StandinServer& server) {
-    return std::make_unique<WeightsShell>(server, rate);
+    return std::make_unique<WeightStoreHttpFrontend>(server, rate);
   });
 }
 
 Description WeightsOptions() {
   Description description("Weight store");
-  description.add_options()("bytes-per-s", Default(std::int64_t{2000000000}),
-                            "rate that all fetches share, one after another");
+  description.add_options()(
+      "bytes-per-s", Default(std::int64_t{2000000000}),
+      "bytes per second; fetches are served one at a time");
   return description;
 }
 
@@ -211,23 +223,28 @@
   const Batch::Settings batch;
   Description description("Model engine of one VM");
   description.add_options()("vm", options::value<std::string>()->required(),
-                            "the VM's id")(
+                            "id of the VM")(
       "weights", Default(std::string()),
-      "IP:PORT of the weight store; none if empty")(
+      "IP:PORT of the weight store; if empty, nothing is fetched")(
       "shard-bytes", Default(std::int64_t{1000000000}),
-      "bytes fetched for a load")("load-ms", Default(std::int64_t{0}),
-                                  "time of a load after the fetch")(
-      "ignore-fence", "carry out orders with an old fencing number")(
+      "bytes to fetch for each load")(
+      "load-ms", Default(std::int64_t{0}),
+      "milliseconds that a load takes after the fetch")(
+      "ignore-fence", "carry out orders with a stale fencing token")(
       "member-timeout-ms", Default(std::int64_t{700}),
-      "a member unseen for so long is missing")(
-      "batch-limit", Default(batch.batch_limit), "requests run at once")(
+      "milliseconds without an answer after which a group member counts as "
+      "lost")("batch-limit", Default(batch.batch_limit),
+              "requests that run concurrently")(
       "prefill-tokens-per-s", Default(batch.prefill_tokens_per_second),
-      "prompt tokens computed a second")(
-      "step-ms", Default(batch.step.millis()), "time between tokens")(
+      "prompt tokens computed per second")(
+      "step-ms", Default(batch.step.millis()),
+      "milliseconds between two tokens of a request")(
       "cache-blocks", Default(batch.cache_blocks),
-      "prefix blocks of 64 bytes kept")(
-      "cache-events", Default(std::size_t{4096}), "cache events kept")(
-      "queue-limit", Default(std::int64_t{256}), "waiting requests before 503");
+      "capacity of the prefix cache, in blocks of 64 bytes")(
+      "cache-events", Default(std::size_t{4096}),
+      "cache events kept for readers")(
+      "queue-limit", Default(std::int64_t{256}),
+      "queued requests; more are refused with status 503");
   return description;
 }
 
@@ -236,15 +253,15 @@
       .endpoint = EndpointId(Get<std::string>(parsed, "vm"))};
   const Duration delay = GetMillis(parsed, "delay-ms");
   return Serve("service", parsed.common, [&](StandinServer& server) {
-    return std::make_unique<ServiceShell>(server, settings, delay);
+    return std::make_unique<ServiceHttpFrontend>(server, settings, delay);
   });
 }
 
 Description ServiceOptions() {
   Description description("Plain service");
   description.add_options()("vm", options::value<std::string>()->required(),
-                            "the VM's id")("delay-ms", Default(std::int64_t{5}),
-                                           "time that a call takes");
+                            "id of the VM")(
+      "delay-ms", Default(std::int64_t{5}), "milliseconds that a call takes");
   return description;
 }
 
@@ -270,17 +287,18 @@
      "  gcw-standin engine --vm vm-2 --weights 127.0.0.1:7003 "
      "--ignore-fence\n"},
     {"service", ServiceOptions, RunService,
-     "  gcw-standin service --vm shelf-1 --delay-ms 20 --fault slow_ms=500\n"},
+     "  gcw-standin service --vm vm-3 --delay-ms 20 --fault slow_ms=500\n"},
 };
 
 int PrintUsage(std::ostream& out, int exit_status) {
-  out << "gcw-standin COMMAND [options]\n\nCommands\n";
+  out << "Usage: gcw-standin COMMAND [options]\n\nCommands\n";
   for (const Command& command : kCommands) {
     out << "  " << command.name << '\n';
   }
-  out << "\nEach prints one JSON line with its port once it listens, and ends "
-         "on SIGTERM.\ngcw-standin COMMAND --help tells its options; "
-         "docs/STANDIN.md the faults.\n\nExamples\n";
+  out << "\nEach command prints one JSON line with its address and port once "
+         "it listens,\nand exits on SIGTERM or SIGINT. gcw-standin COMMAND "
+         "--help lists its options;\ndocs/STANDIN.md describes the "
+         "faults.\n\nExamples\n";
   for (const Command& command : kCommands) {
     out << command.examples;
   }
@@ -305,7 +323,7 @@
     }
     return command.run(std::get<ParsedCommand>(parsed));
   }
-  std::cerr << "gcw-standin: no command " << arguments.front() << "\n\n";
+  std::cerr << "gcw-standin: unknown command " << arguments.front() << "\n\n";
   return PrintUsage(std::cerr, kExitUsage);
 }
 
--- /dev/null
+++ b/programs/gcw_standin/platform_http_frontend.h
@@ -0,0 +1,71 @@
+#ifndef PROGRAMS_GCW_STANDIN_PLATFORM_HTTP_FRONTEND_H_
+#define PROGRAMS_GCW_STANDIN_PLATFORM_HTTP_FRONTEND_H_
+
+#include <map>
+#include <memory>
+#include <string>
+
+#include "programs/gcw_standin/platform_documents.h"
+#include "programs/gcw_standin/platform_engine.h"
+#include "programs/gcw_standin/standin_server.h"
+#include "programs/gcw_standin/standin_store.h"
+
+namespace gcw {
+
+struct PlatformHttpFrontendSettings {
+  StandinStore::Settings store;
+  std::string ip = "127.0.0.1";
+  int domains = 1;
+  int vms_per_domain = 11;
+  int plain_processes = 2;
+  double time_scale = 0.05;
+};
+
+// Simulates the users' platform on loopback: its store, the endpoints that
+// register there, and an operator who writes the configuration document. It
+// does not simulate rate limits by kind of call, stale reads, other documents
+// or addresses that are reused. Injected faults apply to the store, not to the
+// endpoints.
+//
+// `POST /standin/kill?vm=ID` stops an endpoint without notice.
+// `POST /standin/configure?max_body_bytes=N` or `?key=KEY` writes the next
+// version of the document. `GET /standin/runs` returns how many requests each
+// endpoint has started.
+class PlatformHttpFrontend {
+ public:
+  PlatformHttpFrontend(StandinServer& server,
+                       PlatformHttpFrontendSettings settings);
+
+  StandinServer::Hooks MakeHooks();
+
+ private:
+  void Handle(Time now,
+              const HttpRequest& request,
+              const std::shared_ptr<HttpResponder>& responder);
+  void HandleTestRequest(const HttpRequest& request, HttpResponder& responder);
+  void Deliver(const std::vector<StoreAnswer>& answers);
+  void AddEngine(const VmRegistration& registration,
+                 std::optional<EngineProfile> engine);
+  void Register(const PlatformEngine& engine);
+  void Remove(const VmId& vm);
+  void WriteNextConfiguration(const HttpRequest& request);
+  void Write(const std::string& key, const std::string& value);
+  bool HasAllMembers(const PlatformEngine& first_member) const;
+
+  StandinServer& server_;
+  PlatformHttpFrontendSettings settings_;
+  StandinStore store_;
+  StandinConfigurationOptions options_;
+  Ticket last_ticket_;
+  struct PendingCall {
+    StoreCall call;
+    std::shared_ptr<HttpResponder> responder;
+  };
+  std::map<Ticket, PendingCall> pending_calls_;
+  std::map<VmId, std::unique_ptr<PlatformEngine>> engines_;
+  std::map<std::string, Revision> revisions_;
+};
+
+}  // namespace gcw
+
+#endif  // PROGRAMS_GCW_STANDIN_PLATFORM_HTTP_FRONTEND_H_
--- a/programs/gcw_standin/rate_limit.h
+++ b/programs/gcw_standin/rate_limit.h
@@ -5,25 +5,26 @@
 
 namespace gcw {
 
-// Token bucket that holds a quarter of a second's worth, and at least one.
+// Token bucket with a capacity of a quarter of a second's calls, but at least
+// one.
 class RateLimit {
  public:
-  // 0 for no limit.
+  // 0 means no limit.
   explicit RateLimit(double per_second);
 
-  bool HasRoom(Time now);
-  // Call only when there is room.
-  void Take();
-  // Until the next call has room.
-  Duration Wait() const;
+  bool HasToken(Time now);
+  // Must only be called if `HasToken` returned true.
+  void TakeToken();
+  // Returns the time until the next call is allowed.
+  Duration TimeUntilToken() const;
 
  private:
   void Refill(Time now);
 
   double per_second_;
   double capacity_;
-  double level_;
-  Time refilled_;
+  double tokens_;
+  Time refilled_at_;
 };
 
 }  // namespace gcw
--- a/programs/gcw_standin/standin_engine.h
+++ b/programs/gcw_standin/standin_engine.h
@@ -13,17 +13,17 @@
 #include "programs/gcw_standin/engine_member.h"
 #include "programs/gcw_standin/execution_counts.h"
 #include "programs/gcw_standin/faults.h"
-#include "programs/gcw_standin/lagging.h"
 #include "programs/gcw_standin/ticket.h"
+#include "programs/gcw_standin/value_history.h"
 #include "protocol/protocol.h"
 
 namespace gcw {
 
-// A chat request with what its headers say.
+// A chat request with the values of its headers.
 struct EngineCall {
   AttemptId attempt;
   ChatRequest chat;
-  // Any generation will do where absent.
+  // If absent, any generation may serve the request.
   std::optional<Generation> generation;
   std::int64_t priority = 0;
   std::int64_t resume_from = 0;
@@ -35,18 +35,18 @@
   Ticket ticket;
   ChatToken token;
 };
-// The answer is whole; `answer` has all its text.
+// The answer is complete. `answer` has the whole text unless it was streamed.
 struct FinishAnswer {
   Ticket ticket;
   ChatAnswer answer;
 };
-// The answer can never be whole.
+// The answer is aborted and cannot be completed.
 struct BreakAnswer {
   Ticket ticket;
 };
 
 enum class NotRunReason {
-  // The group cannot serve, or this is not its first VM.
+  // The group is not ready, or this VM does not have rank 0 in it.
   kNotServing,
   kOtherGeneration,
   kOtherModel,
@@ -54,7 +54,7 @@
   kDeadline,
 };
 
-// Refused without running.
+// The request was rejected without running.
 struct RefuseCall {
   Ticket ticket;
   NotRunReason reason = NotRunReason::kNotServing;
@@ -72,9 +72,9 @@
   std::vector<EngineAction> actions;
 };
 
-// One VM's model engine without I/O: its part in a group, the batch at rank 0,
-// the prefix cache with its events, lagging load reports, and counts of what
-// truly ran.
+// The model engine of one VM, without I/O. It consists of the group membership,
+// the batch (used at rank 0), the prefix cache and its events, delayed load
+// reports, and counts of actual executions.
 class StandinEngine {
  public:
   struct Settings {
@@ -82,17 +82,18 @@
     Batch::Settings batch;
     CacheEventLog::Settings events;
     std::int64_t queue_limit = 256;
-    Duration load_report_period = Duration::Millis(50);
+    Duration load_report_interval = Duration::Millis(50);
   };
 
-  // `faults` outlives the engine and may change at any time.
+  // `faults` must outlive the engine and may change at any time.
   StandinEngine(Settings settings, const Faults& faults);
 
   EngineOrderResult OnOrder(Time now, const EngineOrder& order);
   std::vector<EngineAction> OnChat(Time now, Ticket ticket, EngineCall call);
-  // The caller went away.
-  void Forget(Ticket ticket);
-  // Whether the attempt was still in hand. Its caller's answer breaks.
+  // Drops the request of a caller that has disconnected.
+  void DropRequest(Ticket ticket);
+  // Cancels an attempt and aborts its answer. Returns false if no request of
+  // that attempt is pending.
   bool OnCancel(const AttemptId& attempt, std::vector<EngineAction>& actions);
   std::vector<EngineAction> OnMemberStatus(Time now,
                                            const EngineStatus& status);
@@ -102,12 +103,12 @@
   EngineStatus Status(Time now) const;
   LoadReport Load(Time now) const;
   CacheEventBatch CacheEvents(Time now, std::int64_t after) const;
-  // Loses the cache events so far.
-  void DropCacheEvents() { events_.Drop(); }
+  // Drops all cache events published so far, as the fault `cache_gap` does.
+  void DropCacheEvents() { cache_events_.Drop(); }
   const ExecutionCounts& executions() const { return executions_; }
 
  private:
-  struct Held {
+  struct PendingRequest {
     EngineCall call;
     std::string prompt;
     std::uint64_t prompt_hash = 0;
@@ -116,25 +117,26 @@
   };
 
   std::optional<NotRunReason> FindRefusal(const EngineCall& call) const;
-  BatchRequest MakeBatchRequest(Ticket ticket, const Held& held) const;
+  BatchRequest MakeBatchRequest(Ticket ticket,
+                                const PendingRequest& pending) const;
   void Apply(const BatchEvent& event, std::vector<EngineAction>& actions);
   void ApplyToken(const BatchToken& token, std::vector<EngineAction>& actions);
-  void Finish(Ticket ticket, std::vector<EngineAction>& actions);
+  void FinishRequest(Ticket ticket, std::vector<EngineAction>& actions);
   void Apply(const std::vector<MemberAction>& member_actions,
              std::vector<EngineAction>& actions);
-  void BreakAll(std::vector<EngineAction>& actions);
-  void TakeLoadReport(Time now);
+  void AbortAll(std::vector<EngineAction>& actions);
+  void RecordLoadReport(Time now);
 
   Settings settings_;
   const Faults* faults_;
-  CacheEventLog events_;
+  CacheEventLog cache_events_;
   EngineMember member_;
   Batch batch_;
-  std::map<Ticket, Held> held_;
+  std::map<Ticket, PendingRequest> pending_requests_;
   ExecutionCounts executions_;
-  Lagging<LoadReport> reports_;
-  Time next_report_;
-  // Of the call being handled, for the cache's hook.
+  ValueHistory<LoadReport> load_reports_;
+  Time next_load_report_;
+  // Time of the call in progress, for the hook of the prefix cache.
   Time now_;
 };
 
--- a/programs/gcw_standin/standin_vm_list.h
+++ b/programs/gcw_standin/standin_vm_list.h
@@ -3,12 +3,12 @@
 
 #include <vector>
 
-#include "programs/gcw_standin/lagging.h"
+#include "programs/gcw_standin/value_history.h"
 #include "state/state.h"
 
 namespace gcw {
 
-// The platform's VM list, which tells what held `lag` ago.
+// The VM list of the platform. A read returns the list as it was `lag` ago.
 class StandinVmList {
  public:
   explicit StandinVmList(Time now, std::vector<VmEntry> vms);
@@ -17,7 +17,7 @@
   VmListSnapshot Read(Time now, Duration lag) const;
 
  private:
-  Lagging<std::vector<VmEntry>> lists_;
+  ValueHistory<std::vector<VmEntry>> history_;
 };
 
 }  // namespace gcw
--- a/programs/gcw_standin/store_shell.h
+++ b/programs/gcw_standin/store_shell.h
@@ -10,7 +10,8 @@
 
 namespace gcw {
 
-// Puts a `StandinStore` on HTTP. `GET /counts` tells its calls and writes.
+// Serves a `StandinStore` over HTTP. `GET /counts` returns its counters of
+// calls, writes and refusals.
 class StoreShell {
  public:
   StoreShell(StandinServer& server, StandinStore::Settings settings);
@@ -21,9 +22,9 @@
   void Handle(Time now,
               const HttpRequest& request,
               std::shared_ptr<HttpResponder> responder);
-  void Run(Time now,
-           const StoreCall& call,
-           std::shared_ptr<HttpResponder> responder);
+  void HandleCall(Time now,
+                  const StoreCall& call,
+                  std::shared_ptr<HttpResponder> responder);
   void Deliver(const std::vector<StoreAnswer>& answers);
   void RespondCounts(HttpResponder& responder) const;
 
--- a/programs/gcw_standin/lagging.h
+++ b/programs/gcw_standin/value_history.h
@@ -1,5 +1,5 @@
-#ifndef PROGRAMS_GCW_STANDIN_LAGGING_H_
-#define PROGRAMS_GCW_STANDIN_LAGGING_H_
+#ifndef PROGRAMS_GCW_STANDIN_VALUE_HISTORY_H_
+#define PROGRAMS_GCW_STANDIN_VALUE_HISTORY_H_
 
 #include <cstddef>
 #include <deque>
@@ -9,17 +9,17 @@
 
 namespace gcw {
 
-// Values over time, so that a reader can be given an old one.
+// Keeps past values with their times, so that readers can be given stale ones.
 template <typename Value>
-class Lagging {
+class ValueHistory {
  public:
   struct Entry {
     Time time;
     Value value;
   };
 
-  // `time` never goes back.
-  void Put(Time time, Value value) {
+  // `time` must not be earlier than that of the last entry.
+  void Append(Time time, Value value) {
     entries_.push_back({time, std::move(value)});
     if (entries_.size() > kMaxEntries) {
       entries_.pop_front();
@@ -28,8 +28,8 @@
 
   bool empty() const { return entries_.empty(); }
 
-  // The newest entry put at or before `time`, or the oldest one where all are
-  // newer. There must be one.
+  // Returns the newest entry at or before `time`, or the oldest entry if all
+  // are later. There must be at least one entry.
   const Entry& At(Time time) const {
     for (auto entry = entries_.rbegin(); entry != entries_.rend(); ++entry) {
       if (entry->time <= time) {
@@ -47,4 +47,4 @@
 
 }  // namespace gcw
 
-#endif  // PROGRAMS_GCW_STANDIN_LAGGING_H_
+#endif  // PROGRAMS_GCW_STANDIN_VALUE_HISTORY_H_
--- a/tests/transport/http_client_test.cc
+++ b/tests/transport/http_client_test.cc
@@ -42,13 +42,14 @@
                   [&](Answer result) { answer.set_value(std::move(result)); });
     return answer.get_future().get();
   }
-  // Runs one call against a server that does as the script says.
+  // Sends one request to a server that runs the script.
   Answer FetchFrom(const ScriptedServer::Script& script,
                    HttpRequest request = {"GET", "/", {}, ""}) {
     ScriptedServer server(script);
     return Fetch(server.port(), std::move(request));
   }
-  // A server that answers the request's head with the bytes, then closes.
+  // Sends one request to a server that answers its head with `bytes` and
+  // closes.
   Answer FetchBytes(std::string bytes) {
     return FetchFrom([&](RawPeer& peer, int) {
       peer.ReadHead();
@@ -70,7 +71,7 @@
   HttpClient client_{io_.context()};
 };
 
-TEST_F(HttpClientTest, FetchesWholeAnswers) {
+TEST_F(HttpClientTest, FetchesCompleteAnswers) {
   const Answer sized = FetchBytes(std::string(kOk));
   ASSERT_TRUE(IsOk(sized));
   EXPECT_EQ(ValueOf(sized).body, "ok");
@@ -101,13 +102,13 @@
   EXPECT_THAT(received, ::testing::Not(::testing::HasSubstr("X-E")));
 }
 
-TEST_F(HttpClientTest, ARequestThatCannotBeWrittenIsNotSent) {
+TEST_F(HttpClientTest, DoesNotSendInvalidRequests) {
   ExpectFailure(
       FetchFrom([](RawPeer&, int) {}, {"GET", "/ HTTP/1.1\r\nX: y", {}, ""}),
       HttpFailureKind::kCancelled, HttpProgress::kNothingSent);
 }
 
-TEST_F(HttpClientTest, NothingIsSentWhereNobodyListens) {
+TEST_F(HttpClientTest, SendsNothingIfConnectionIsRefused) {
   std::uint16_t port = 0;
   {
     const ScriptedServer server([](RawPeer&, int) {});
@@ -117,9 +118,10 @@
                 HttpProgress::kNothingSent);
 }
 
-// Symptom: connecting hangs. The peer's accept queue is full, so that the
-// kernel drops what would open the connection.
-TEST_F(HttpClientTest, NothingIsSentWhereConnectingHangs) {
+// Guards against a connection attempt without a timeout. The accept queue of
+// the peer is full, so the kernel drops the packets that would open the
+// connection.
+TEST_F(HttpClientTest, SendsNothingIfConnectingTimesOut) {
   boost::asio::io_context context;
   using Tcp = boost::asio::ip::tcp;
   Tcp::acceptor acceptor(context);
@@ -136,7 +138,7 @@
                 HttpFailureKind::kConnectTimeout, HttpProgress::kNothingSent);
 }
 
-TEST_F(HttpClientTest, NothingIsSentWhereTheLastCheckSaysNo) {
+TEST_F(HttpClientTest, SendsNothingIfBeforeSendReturnsFalse) {
   std::string received;
   std::promise<HttpFailure> failure;
   {
@@ -154,9 +156,9 @@
   EXPECT_EQ(received, "");
 }
 
-// Symptom: a request is said to be not run although it ran. The connection is
-// reset after the request left: nobody knows.
-TEST_F(HttpClientTest, MayHaveRunAfterAResetWithoutAnAnswer) {
+// Guards against reporting a request as not run although it ran. If the
+// connection is reset after the request was sent, the client cannot know.
+TEST_F(HttpClientTest, ReportsMaybeSentAfterResetWithoutAnswer) {
   ExpectFailure(FetchFrom([](RawPeer& peer, int) {
                   peer.ReadHead();
                   peer.Reset();
@@ -169,7 +171,7 @@
                 HttpFailureKind::kConnectionReset, HttpProgress::kMaybeSent);
 }
 
-TEST_F(HttpClientTest, MayHaveRunAfterAResetDuringTheWrite) {
+TEST_F(HttpClientTest, ReportsMaybeSentAfterResetDuringWrite) {
   ExpectFailure(FetchFrom(
                     [](RawPeer& peer, int) {
                       peer.ReadHead();
@@ -179,8 +181,8 @@
                 HttpFailureKind::kConnectionReset, HttpProgress::kMaybeSent);
 }
 
-TEST_F(HttpClientTest, TakesAnAnswerThatComesBeforeTheRequestsEnd) {
-  // Larger than the kernel's buffers, and never read.
+TEST_F(HttpClientTest, AcceptsAnswerBeforeEndOfRequest) {
+  // The body is larger than the kernel's buffers and is never read.
   std::promise<void> answered;
   ScriptedServer server([&](RawPeer& peer, int) {
     peer.ReadHead();
@@ -221,7 +223,7 @@
                std::string(101, 'x'),
            std::string("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                        "zz\r\n"),
-           // Without a length, a cut answer would look whole.
+           // Without a length, a truncated answer would look complete.
            std::string("HTTP/1.1 200 OK\r\n\r\nsome text"),
        }) {
     ExpectFailure(FetchBytes(bytes), HttpFailureKind::kMalformedAnswer,
@@ -229,7 +231,7 @@
   }
 }
 
-TEST_F(HttpClientTest, TellsASilentPeerFromAnOverdueAnswer) {
+TEST_F(HttpClientTest, DistinguishesSilentPeerFromDeadline) {
   options_.progress_timeout = Duration::Millis(50);
   ExpectFailure(FetchFrom([](RawPeer& peer, int) { peer.ReadToEnd(); }),
                 HttpFailureKind::kSilent, HttpProgress::kMaybeSent);
@@ -242,10 +244,10 @@
                 HttpFailureKind::kDeadline, HttpProgress::kAnswerBegun);
 }
 
-TEST_F(HttpClientTest, APausedCallReadsNothingMore) {
+TEST_F(HttpClientTest, PausedCallStopsReading) {
   std::promise<void> begun;
   std::promise<std::string> ended;
-  std::atomic<std::size_t> taken = 0;
+  std::atomic<std::size_t> received = 0;
   std::string body;
   const std::size_t size = 32UL * 1024 * 1024;
   ScriptedServer server([&](RawPeer& peer, int) {
@@ -261,7 +263,7 @@
     call->Pause();
     begun.set_value();
   };
-  handlers.on_body = [&](std::string_view chunk) { taken += chunk.size(); };
+  handlers.on_body = [&](std::string_view chunk) { received += chunk.size(); };
   handlers.on_end = [&] { ended.set_value("end"); };
   handlers.on_failure = [&](HttpFailure) { ended.set_value("failure"); };
   {
@@ -270,10 +272,10 @@
                         options_, handlers);
   }
   begun.get_future().get();
-  EXPECT_LT(taken, size);
+  EXPECT_LT(received, size);
   call->Resume();
   EXPECT_EQ(ended.get_future().get(), "end");
-  EXPECT_EQ(taken, size);
+  EXPECT_EQ(received, size);
 }
 
 // Answers each request on a connection with the connection's number.
@@ -284,7 +286,7 @@
   }
 }
 
-TEST_F(HttpClientTest, ReusesAConnectionOnlyWhereAllowed) {
+TEST_F(HttpClientTest, ReusesConnectionOnlyIfAllowed) {
   {
     ScriptedServer server(AnswerWithNumber);
     EXPECT_EQ(ValueOf(Fetch(server.port())).body, "0");
@@ -298,8 +300,9 @@
   }
 }
 
-// Symptom: a caller gets a piece of another's answer. Bytes that come after an
-// answer, at once or while the connection is idle, would be read as the next.
+// Guards against a caller getting part of another caller's answer. Bytes that
+// arrive after an answer, at once or while the connection is idle, must not be
+// read as the next answer.
 TEST_F(HttpClientTest, ExtraBytesNeverReachTheNextCaller) {
   for (const bool at_once : {true, false}) {
     std::promise<void> first_done;
@@ -341,7 +344,7 @@
   EXPECT_TRUE(IsOk(Fetch(server.port())));
 }
 
-TEST_F(HttpClientTest, EachOfManyCallsGetsItsOwnAnswer) {
+TEST_F(HttpClientTest, ConcurrentCallsGetTheirOwnAnswers) {
   const auto server =
       Serve([](const HttpRequest& request,
                const std::shared_ptr<HttpResponder>& responder) {
@@ -352,7 +355,7 @@
         responder->Finish();
       });
   constexpr int calls = 400;
-  std::atomic<int> own = 0;
+  std::atomic<int> correct = 0;
   std::atomic<int> ended = 0;
   std::promise<void> all_ended;
   for (int i = 0; i < calls; ++i) {
@@ -364,7 +367,7 @@
     client_.Fetch(LoopbackAt(server->port()), {"GET", target, {}, ""}, options_,
                   [&, expected](const Answer& answer) {
                     if (IsOk(answer) && ValueOf(answer).body == expected) {
-                      ++own;
+                      ++correct;
                     }
                     if (++ended == calls) {
                       all_ended.set_value();
@@ -372,11 +375,11 @@
                   });
   }
   all_ended.get_future().get();
-  EXPECT_EQ(own, calls);
+  EXPECT_EQ(correct, calls);
 }
 
-// Calls are cancelled at drawn moments among calls that are not; whatever the
-// moment, the others get their own whole answers and the cancelled ones end
+// Some of the concurrent calls are cancelled at random moments. The others must
+// get their own complete answers, and each cancelled call must end exactly
 // once.
 RC_GTEST_FIXTURE_PROP(HttpClientTest, CancelNeverMixesAnswers, ()) {
   const auto cancel_after =
--- a/tests/transport/json_log_test.cc
+++ b/tests/transport/json_log_test.cc
@@ -38,7 +38,7 @@
     return settings;
   }
 
-  // The only line, which must be one line of JSON.
+  // Returns the only line written, which must be a single line of JSON.
   boost::json::object Line() {
     EXPECT_EQ(lines_.size(), 1U);
     EXPECT_EQ(lines_.at(0).find('\n'), lines_.at(0).size() - 1);
@@ -63,7 +63,7 @@
   EXPECT_EQ(line.at("fields").at("model"), "m\"\n\xef\xbf\xbd");
 }
 
-TEST_F(JsonLogTest, LinesOfLibrariesAreJsonToo) {
+TEST_F(JsonLogTest, LibraryLogLinesAreJson) {
   const JsonLog log(Settings());
   LOG(ERROR) << "from a library: " << 7;
   const boost::json::object line = Line();
@@ -73,7 +73,7 @@
   EXPECT_EQ(line.at("fields").at("file"), "json_log_test.cc");
 }
 
-TEST_F(JsonLogTest, LeavesOutWhatIsBelowTheSeverity) {
+TEST_F(JsonLogTest, DropsEventsBelowMinSeverity) {
   JsonLogSettings settings = Settings();
   settings.min_severity = LogSeverity::kError;
   const JsonLog log(std::move(settings));
@@ -81,7 +81,7 @@
   EXPECT_TRUE(lines_.empty());
 }
 
-TEST_F(JsonLogTest, WritesNothingOnceItIsGone) {
+TEST_F(JsonLogTest, WritesNothingAfterDestruction) {
   { const JsonLog log(Settings()); }
   LogEvent(LogSeverity::kInfo, "after");
   EXPECT_TRUE(lines_.empty());
--- a/tests/transport/metrics_test.cc
+++ b/tests/transport/metrics_test.cc
@@ -52,11 +52,10 @@
                               "gcw_ttft_ms_sum 1055\ngcw_ttft_ms_count 5\n"));
 }
 
-// Symptom: a node's memory grows until it is killed.
-// Sequence: a caller asks for a new model name with each request; each refusal
-// is counted under that name.
-// Cause: label values from outside would be kept for good.
-TEST(MetricsTest, LabelSetsPastTheBoundShareOne) {
+// Guards against unlimited memory growth. Callers choose label values such as
+// model names, and a caller that sends a new name with each request would add a
+// label set for each refusal.
+TEST(MetricsTest, LabelSetsBeyondTheLimitShareOneSeries) {
   Metrics metrics;
   CounterFamily& family =
       metrics.AddCounter({"gcw_refused_total", "Refused.", {"model"}, 2});
@@ -93,7 +92,7 @@
               HasSubstr("gcw_wait_ms_count " + std::to_string(2 * kRounds)));
 }
 
-TEST(MetricsDeathTest, RefusesNamesThatTheFormatRefuses) {
+TEST(MetricsDeathTest, RefusesInvalidAndDuplicateNames) {
   GTEST_FLAG_SET(death_test_style, "threadsafe");
   Metrics metrics;
   metrics.AddGauge({"gcw_a", "A.", {}});
--- a/tests/transport/raw_peer.h
+++ b/tests/transport/raw_peer.h
@@ -21,7 +21,7 @@
 
 namespace gcw {
 
-// A blocking loopback connection that sends and reads bytes as told.
+// A blocking loopback connection for raw bytes.
 class RawPeer {
  public:
   using Tcp = boost::asio::ip::tcp;
@@ -34,25 +34,26 @@
     socket_.assign(Tcp::v4(), accepted);
   }
 
-  // Returns whether everything was taken.
+  // Returns whether all bytes were written.
   bool Send(std::string_view bytes) {
     boost::system::error_code error;
     boost::asio::write(socket_, boost::asio::buffer(bytes), error);
     return !error;
   }
-  // What arrives up to and with `end`, or up to the connection's end.
+  // Returns the bytes up to and including `end`, or up to the end of the
+  // connection.
   std::string ReadUntil(std::string_view end) {
     boost::system::error_code error;
     const std::size_t size = boost::asio::read_until(
         socket_, boost::asio::dynamic_buffer(unread_), std::string(end), error);
-    return TakeUnread(error ? unread_.size() : size);
+    return ConsumeUnread(error ? unread_.size() : size);
   }
   std::string ReadToEnd() {
     boost::system::error_code error;
     boost::asio::read(socket_, boost::asio::dynamic_buffer(unread_), error);
-    return TakeUnread(unread_.size());
+    return ConsumeUnread(unread_.size());
   }
-  // A request head of a test, without its body.
+  // Reads the head of a message, without its body.
   std::string ReadHead() { return ReadUntil("\r\n\r\n"); }
   void CloseSending() {
     boost::system::error_code error;
@@ -69,10 +70,10 @@
   }
 
  private:
-  std::string TakeUnread(std::size_t size) {
-    std::string taken = unread_.substr(0, size);
+  std::string ConsumeUnread(std::size_t size) {
+    std::string consumed = unread_.substr(0, size);
     unread_.erase(0, size);
-    return taken;
+    return consumed;
   }
 
   boost::asio::io_context context_;
@@ -80,8 +81,8 @@
   std::string unread_;
 };
 
-// Accepts on a port of the kernel's choice and runs the script for each
-// connection, on a thread of its own, with the connection's number from 0.
+// Listens on a free port and runs the script for each connection on a separate
+// thread. Connections are numbered from 0.
 class ScriptedServer {
  public:
   using Script = std::function<void(RawPeer&, int connection)>;
