--- a/programs/gcw_load/answer_verdict.cc
+++ b/programs/gcw_load/answer_verdict.cc
@@ -3,7 +3,7 @@
 namespace gcw {
 namespace {
 
-// Engines name the attempt; nodes leave it out.
+// Engines give the attempt; nodes omit it.
 struct WholeAnswer {
   AttemptId attempt;
   std::string text;
--- a/programs/gcw_load/answer_verdict.h
+++ b/programs/gcw_load/answer_verdict.h
@@ -10,44 +10,44 @@
 
 namespace gcw {
 
-// How an answer with status 200 breaks the promise to callers.
+// How an answer with status 200 violates what callers are promised.
 enum class AnswerFault {
-  // An event or body that cannot be read.
+  // An event or the body cannot be decoded.
   kMalformed,
-  // A piece of its own text in the wrong place: lost, twice or out of order.
+  // Part of the expected text is lost, repeated or out of order.
   kOutOfOrder,
-  // Text that no whole answer to this prompt has: another's, or mixed.
+  // Text that is not in the expected answer: another request's, or a mixture.
   kForeignText,
-  // The id of another attempt, or of two requests in one stream.
+  // The id of another attempt, or ids of two requests in one stream.
   kForeignId,
-  // It claims to be whole and has less text than asked for.
+  // The answer is marked complete and has less text than expected.
   kShort,
-  // It ended properly without `data: [DONE]`.
+  // The HTTP response ended properly without `data: [DONE]`.
   kDoneMissing,
-  // Something follows `data: [DONE]`, also a second one.
+  // Anything follows `data: [DONE]`, including a second one.
   kAfterDone,
-  // It told an error and then ended as if it were whole.
+  // The stream reported an error and then went on or ended properly.
   kEndAfterError,
 };
 
 std::string_view AnswerFaultName(AnswerFault fault);
 
-// What an answer must be.
+// What an answer is compared with.
 struct ExpectedAnswer {
-  // Absent where no reference is known; then only the form is checked.
+  // Absent if no reference answer is known; then only the form is checked.
   std::optional<std::string> text;
-  // Empty where the attempt's id is not the caller's choice.
+  // Empty if the caller does not choose the attempt's id.
   AttemptId attempt;
 };
 
-// It is whole and its own.
+// The answer is complete and belongs to the request.
 struct WholeVerdict {};
-// It ended in a way that no caller can take for whole; `type` is the error that
-// it told, or the failure of its connection.
+// The answer ended in a way that no caller can mistake for a complete one.
+// `type` is the error that it reported, or the failure of its connection.
 struct BrokenVerdict {
   std::string type;
 };
-// It looks whole and is not, or holds what is not its own.
+// The answer looks complete and is not, or contains another request's content.
 struct ViolationVerdict {
   AnswerFault fault = AnswerFault::kMalformed;
 };
@@ -55,12 +55,12 @@
 using AnswerVerdict =
     std::variant<WholeVerdict, BrokenVerdict, ViolationVerdict>;
 
-// Checks the body of an answer that was asked for whole and ended properly.
+// Checks the body of a non-streamed answer that ended properly.
 AnswerVerdict CheckWholeAnswer(std::string_view body,
                                const ExpectedAnswer& expected);
 
-// Checks the stand-in service's answer to a call with this key and body. An
-// answer of another service, which echoes nothing, passes without `reference`.
+// Checks that the stand-in service echoes `key`. Without `reference` every
+// answer passes, because other services echo nothing.
 AnswerVerdict CheckServiceAnswer(std::string_view body,
                                  const std::string& key,
                                  bool reference);
--- a/programs/gcw_load/arrival_plan.cc
+++ b/programs/gcw_load/arrival_plan.cc
@@ -15,7 +15,8 @@
     return std::nullopt;
   }
   at_ += -std::log1p(-DrawUnit(random_)) / rate;
-  // Compared as seconds, since the far end of a tiny rate would not fit.
+  // Compared in seconds, because with a tiny rate the time would overflow
+  // microseconds.
   const std::chrono::duration<double> at(at_);
   if (at >= settings_.length) {
     return std::nullopt;
--- a/programs/gcw_load/arrival_plan.h
+++ b/programs/gcw_load/arrival_plan.h
@@ -10,29 +10,29 @@
 namespace gcw {
 
 struct Arrival {
-  // Since the start of the run.
+  // Time since the start of the run.
   std::chrono::microseconds at = {};
   RequestKind kind = RequestKind::kPaidStream;
 };
 
 // Open-loop arrivals: independent Poisson processes, one for each tier and one
 // for reservations, drawn as one process with the sum of the rates. The plan
-// depends on the seed alone, never on how fast answers come.
+// depends on the settings and the seed only, not on response times.
 class ArrivalPlan {
  public:
   struct Settings {
-    // Requests a second.
+    // Rates in requests per second.
     double paid_rate = 0;
     double trial_rate = 0;
     double reservation_rate = 0;
-    // Share of model requests that are asked for whole.
+    // Share of model requests that are not streamed.
     double whole_share = 0;
     std::chrono::microseconds length = {};
   };
 
   ArrivalPlan(Settings settings, Random random);
 
-  // Absent once the plan is over.
+  // Returns the next arrival, absent after the end of the plan.
   std::optional<Arrival> Next();
 
  private:
@@ -40,7 +40,7 @@
 
   Settings settings_;
   Random random_;
-  // In seconds.
+  // Time of the last arrival in seconds.
   double at_ = 0;
 };
 
--- a/programs/gcw_load/chat_exchange.cc
+++ b/programs/gcw_load/chat_exchange.cc
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr int kStatusOk = 200;
-// Until the head arrived.
+// The status until the head arrives.
 constexpr int kNoStatus = 0;
 constexpr std::string_view kTrialPriority = "1";
 constexpr std::string_view kPaidPriority = "0";
@@ -84,7 +84,7 @@
   response_.body += chunk;
 }
 
-// Tokens that arrive in one piece follow each other without a gap.
+// Tokens that arrive in one chunk have a gap of 0 between them.
 void ChatExchange::OnTokens(int count) {
   if (count == 0) {
     return;
--- a/programs/gcw_load/chat_exchange.h
+++ b/programs/gcw_load/chat_exchange.h
@@ -11,8 +11,8 @@
 
 namespace gcw {
 
-// One model request, from its send to its recorded outcome. It holds itself
-// until then.
+// One model request, from its send until its outcome is recorded. Its callbacks
+// keep it alive until then.
 class ChatExchange : public std::enable_shared_from_this<ChatExchange> {
  public:
   ChatExchange(LoadContext& context, PlannedRequest planned);
@@ -36,7 +36,7 @@
   PlannedRequest planned_;
   ExpectedAnswer expected_;
   std::optional<StreamChecker> checker_;
-  // The head, and the body of what is no stream.
+  // The head, and the body unless the answer is streamed.
   HttpResponse response_;
   std::optional<std::chrono::microseconds> first_token_;
   std::vector<std::chrono::microseconds> gaps_;
--- a/programs/gcw_load/entry_book.cc
+++ b/programs/gcw_load/entry_book.cc
@@ -6,7 +6,8 @@
 namespace gcw {
 namespace {
 
-// So that an answer that may not be kept does not make a busy loop.
+// Lower bound of the renewal interval, so that a list with `keep_ms` 0 does not
+// cause a busy loop.
 constexpr Duration kShortestKeep = Duration::Millis(100);
 
 }  // namespace
@@ -36,7 +37,8 @@
   if (total <= 0) {
     return left[DrawBelow(random_, left.size())]->address;
   }
-  // Without those of weight 0, which the sum's rounding could else reach.
+  // Entries of weight 0 are removed, because rounding could otherwise select
+  // one.
   std::erase_if(left,
                 [](const WeightedEntry* entry) { return entry->weight <= 0; });
   double drawn = DrawUnit(random_) * total;
--- a/programs/gcw_load/entry_book.h
+++ b/programs/gcw_load/entry_book.h
@@ -8,20 +8,21 @@
 
 namespace gcw {
 
-// The addresses that a caller may use, chosen by weight. An answer that is due
-// for renewal stays in use until a newer one has come: a caller that threw its
-// only addresses away could not even ask again.
+// The current entry list of a caller, with weighted choice of an address. An
+// expired list stays in use until a newer one arrives: a caller that discarded
+// its only addresses could not ask for new ones.
 class EntryBook {
  public:
   explicit EntryBook(Random random);
 
-  // An answer without any address keeps the one before.
+  // Replaces the list; a list without addresses keeps the previous entries and
+  // only sets the next renewal.
   void Replace(Time now, EntryList list);
-  // When the answer's time is over.
+  // When the list expires and is to be renewed.
   Time renew_at() const { return renew_at_; }
 
-  // Absent where all addresses were tried. Addresses of weight 0 are taken only
-  // when no other is left.
+  // Chooses an address that is not in `tried`, absent if there is none.
+  // Addresses of weight 0 are chosen only if no other is left.
   std::optional<Address> Choose(const std::vector<Address>& tried) const;
 
  private:
--- a/programs/gcw_load/entry_list.h
+++ b/programs/gcw_load/entry_list.h
@@ -14,13 +14,14 @@
   double weight = 0;
 };
 
-// The answer of `GET /v1/entries`.
+// The response of `GET /v1/entries`.
 struct EntryList {
   std::vector<WeightedEntry> entries;
+  // How long the list may be used before it is renewed.
   Duration keep;
 };
 
-// An entry with a negative weight is a fault.
+// Fails on an entry with a negative weight.
 Decoded<EntryList> DecodeEntryList(std::string_view text);
 
 }  // namespace gcw
--- a/programs/gcw_load/entry_source.h
+++ b/programs/gcw_load/entry_source.h
@@ -16,9 +16,9 @@
 
 namespace gcw {
 
-// Keeps the entry book filled: asks one address after the other until one
-// answers, and again each time the answer's time is over. With a direct address
-// there is nothing to ask. It must outlive the context's run.
+// Keeps the entry list current: asks one address after the other until one
+// answers, and again whenever the list expires. With a direct address nothing
+// is asked. Must outlive the run of `context`.
 class EntrySource {
  public:
   EntrySource(boost::asio::io_context& context,
@@ -28,18 +28,20 @@
               std::optional<Address> direct,
               Random random);
 
-  // `first` is told once whether there are addresses to use.
+  // Calls `first` once, with true if there are addresses to use and false if
+  // the first round failed.
   void Start(std::function<void(bool)> first);
 
-  // An address that is not among those tried. From any thread.
+  // Chooses an address that is not in `tried`, absent if there is none.
+  // Thread-safe.
   std::optional<Address> Choose(const std::vector<Address>& tried);
 
  private:
-  // Asks the address at `next_`, the `failed`+1st one of this round.
+  // Asks the address at `next_`, which is number `failed` + 1 of this round.
   void Ask(std::size_t failed);
   void OnAnswer(std::size_t failed,
                 const Result<HttpResponse, HttpFailure>& result);
-  // Returns for how long.
+  // Stores the list and returns the time until its renewal.
   Duration Keep(EntryList list);
   void OnRoundFailed();
   void AskAfter(Duration wait);
@@ -51,9 +53,10 @@
   const std::optional<Address> direct_;
   const Clock clock_ = SystemClock();
   std::mutex mutex_;
-  // Guarded by the mutex.
+  // Guarded by `mutex_`.
   EntryBook book_;
-  // The members below belong to the one question that is open or waits.
+  // The members below are used only by the single request that is in flight or
+  // scheduled.
   boost::asio::steady_timer timer_;
   std::size_t next_ = 0;
   std::function<void(bool)> first_;
--- a/programs/gcw_load/error_answer.cc
+++ b/programs/gcw_load/error_answer.cc
@@ -12,7 +12,8 @@
 constexpr int kServerErrors = 500;
 constexpr int kConflict = 409;
 constexpr int kTooManyRequests = 429;
-// The header's unit is seconds; a day bounds what a broken answer may ask for.
+// Limit of `Retry-After`, in seconds: a malformed response cannot ask for more
+// than a day.
 constexpr std::int64_t kMaxRetrySeconds = 24L * 3600;
 
 std::optional<Duration> ReadRetryAfter(const std::string& text) {
--- a/programs/gcw_load/error_answer.h
+++ b/programs/gcw_load/error_answer.h
@@ -10,35 +10,36 @@
 
 namespace gcw {
 
-// `{"error":{"type","retry_after_ms"}}` as nodes and engines tell it.
+// An error object `{"error":{"type","retry_after_ms"}}` of a node or engine.
 struct ErrorAnswer {
   std::string type;
   std::optional<Duration> retry_after;
 };
 
-// Absent unless the text is an object with an `error` that has a type.
+// Decodes an error object; absent unless it has an `error` with a type.
 std::optional<ErrorAnswer> ReadErrorAnswer(std::string_view text);
 
-// What an answer without success says about the request.
+// What an error response says about the execution of the request.
 enum class FailedAnswerKind {
-  // It was not run and will not be.
+  // The request did not run and will not.
   kNotRun,
-  // It ran, may have run, or ran in part.
+  // The request ran, may have run, or ran in part.
   kUnknown,
 };
 
 struct FailedAnswer {
   FailedAnswerKind kind = FailedAnswerKind::kUnknown;
-  // The error's type, or "status_NNN" where it names none.
+  // The error's type, or "status_NNN" if the response has none.
   std::string type;
-  // From the body, else from `Retry-After`.
+  // Taken from the body, otherwise from the `Retry-After` header.
   std::optional<Duration> retry_after;
-  // The same request will be refused again.
+  // True if the same request would be refused again.
   bool permanent = false;
 };
 
-// Reads an answer whose status is not 2xx. Only an answer that names a type, or
-// a status that speaks of the request itself, is believed not to have run.
+// Classifies a response whose status is not 2xx. The request counts as not run
+// only if the response has an error type or a status below 500, and its status
+// is neither 500 nor 502.
 FailedAnswer ReadFailedAnswer(const HttpResponse& response);
 
 }  // namespace gcw
--- a/programs/gcw_load/key_ledger.h
+++ b/programs/gcw_load/key_ledger.h
@@ -9,29 +9,29 @@
 
 namespace gcw {
 
-// What is known of an idempotency key at the end.
+// Final outcome of an idempotency key.
 enum class KeyOutcome {
-  // The endpoint's answer came: it ran once.
+  // The endpoint's answer arrived: the call ran once.
   kAnswered,
-  // The answer that was kept of an earlier send came: it ran once.
+  // The stored answer of an earlier send arrived: the call ran once.
   kReplayed,
-  // Each send was not run: it did not run.
+  // Every send was refused before it ran: the call did not run.
   kRefused,
-  // It ran at most once, and its answer is lost.
+  // The call ran at most once, and its answer is lost.
   kUnknown,
-  // An answer came that is not whole or not its own.
+  // The answer was not complete or belonged to another call.
   kViolation,
 };
 
 std::string_view KeyOutcomeName(KeyOutcome outcome);
 
-// The keys of a run with their outcomes, in order of their ends.
+// The idempotency keys of a run with their outcomes, in order of completion.
 class KeyLedger {
  public:
   void Add(std::string key, KeyOutcome outcome);
 
   std::int64_t Count(KeyOutcome outcome) const;
-  // One line for each key: the key, a space, the outcome's name.
+  // Writes one line for each key: the key, a space, the outcome's name.
   void Write(std::ostream& out) const;
 
  private:
--- a/programs/gcw_load/latency_histogram.cc
+++ b/programs/gcw_load/latency_histogram.cc
@@ -40,7 +40,7 @@
     seen += counts_.at(bin);
     if (seen >= wanted) {
       const auto edges = counts_.axis().bin(bin);
-      // The middle of a bin may lie beyond the largest value in it.
+      // The middle of a bin may exceed the largest value in it.
       return std::min(std::sqrt(edges.lower() * edges.upper()), ToMillis(max_));
     }
   }
--- a/programs/gcw_load/latency_histogram.h
+++ b/programs/gcw_load/latency_histogram.h
@@ -9,8 +9,9 @@
 
 namespace gcw {
 
-// Latencies from 10 us to 1000 s in bins of equal ratio, 100 to a power of ten,
-// so that a quantile is exact to 2.4 %. What lies outside counts at the edge.
+// Histogram of latencies from 10 us to 1000 s in logarithmic bins, 100 to a
+// power of ten, so that a quantile is exact to 2.4 %. Latencies out of range
+// count at the edge.
 class LatencyHistogram {
  public:
   LatencyHistogram();
@@ -18,7 +19,8 @@
   void Add(std::chrono::microseconds latency);
 
   std::int64_t count() const { return count_; }
-  // In milliseconds; absent without a latency. `share` from 0 to 1.
+  // Both in milliseconds, absent if the histogram is empty. `share` is from 0
+  // to 1.
   std::optional<double> Quantile(double share) const;
   std::optional<double> max_millis() const;
 
--- a/programs/gcw_load/load_command_line.cc
+++ b/programs/gcw_load/load_command_line.cc
@@ -45,7 +45,7 @@
     "Exit codes: 0 done without a violation, 2 wrong command line, 3 no entry\n"
     "answered, 4 a file could not be written, 5 at least one violation.\n";
 
-// A fault of the command line; its text is for people only.
+// An error in the command line, with a message for the user.
 struct UsageError {
   std::string message;
 };
@@ -103,14 +103,14 @@
   return values[name].as<Value>();
 }
 
-// Reads a number that must lie within bounds, both included.
+// Returns a number in [lowest, highest], and throws UsageError otherwise.
 template <typename Value>
 Value GetWithin(const Values& values,
                 const char* name,
                 Value lowest,
                 Value highest) {
   const Value value = Get<Value>(values, name);
-  // Written so that what is no number fails.
+  // Written so that NaN fails.
   if (!(value >= lowest && value <= highest)) {
     throw UsageError{"--" + std::string(name) + " must be from " +
                      std::to_string(lowest) + " to " + std::to_string(highest)};
@@ -209,7 +209,7 @@
   settings.keys_file = Get<std::string>(values, "keys-file");
 }
 
-// What would only make each request fail.
+// Throws UsageError on settings with which every request would fail.
 void CheckWhatIsNeeded(const LoadSettings& settings) {
   const ArrivalPlan::Settings& arrivals = settings.arrivals;
   if (arrivals.paid_rate + arrivals.trial_rate + arrivals.reservation_rate <=
--- a/programs/gcw_load/load_command_line.h
+++ b/programs/gcw_load/load_command_line.h
@@ -9,21 +9,21 @@
 
 namespace gcw {
 
-// Exit statuses of the program.
+// Exit codes of gcw-load.
 enum class LoadExit {
-  // Done without a violation.
+  // The run ended without a violation.
   kDone = 0,
   kUsage = 2,
-  // None of the addresses told which ones to use.
+  // None of the --entries addresses returned an entry list.
   kNoEntry = 3,
-  // The run is done, but a file could not be written.
+  // The run ended, and a file could not be written.
   kFile = 4,
-  // An answer was not whole or not its own.
+  // An answer was not complete or contained another request's content.
   kViolation = 5,
 };
 
-// Reads the command line and the key files. There is nothing to run, and the
-// reason was printed, where an exit status is returned.
+// Parses the command line and reads the key files. If there is nothing to run,
+// prints the help or an error and returns the exit code.
 std::variant<LoadSettings, LoadExit> ReadLoadCommandLine(
     const std::vector<std::string>& arguments);
 
--- a/programs/gcw_load/load_context.h
+++ b/programs/gcw_load/load_context.h
@@ -14,7 +14,7 @@
 
 using LoadClock = std::chrono::steady_clock;
 
-// What the exchanges of a run share; it outlives them.
+// Objects that the exchanges of a run share. Outlives the exchanges.
 struct LoadContext {
   boost::asio::io_context& io;
   HttpClient& client;
@@ -23,13 +23,13 @@
   const LoadSettings& settings;
 };
 
-// One planned request.
+// A request of the arrival plan.
 struct PlannedRequest {
   RequestKind kind = RequestKind::kPaidStream;
   LoadClock::time_point planned;
-  // Differs for each request of this run and of all others.
+  // Unique over all requests of all runs.
   std::string name;
-  // Called once, when the outcome is recorded.
+  // Called once, after the outcome is recorded.
   std::function<void()> on_over;
 };
 
--- a/programs/gcw_load/load_recorder.h
+++ b/programs/gcw_load/load_recorder.h
@@ -8,17 +8,17 @@
 
 namespace gcw {
 
-// Collects what came of requests, from any thread.
+// Collects the outcomes of requests. Record() is thread-safe.
 class LoadRecorder {
  public:
-  // `change(LoadTally&, KeyLedger&)`.
+  // Calls `change(LoadTally&, KeyLedger&)` under the lock.
   template <typename Change>
   void Record(Change change) {
     const std::lock_guard lock(mutex_);
     change(tally_, keys_);
   }
 
-  // Only once the run is over.
+  // May be called only after the end of the run.
   const LoadTally& tally() const { return tally_; }
   const KeyLedger& keys() const { return keys_; }
 
--- a/programs/gcw_load/load_report.cc
+++ b/programs/gcw_load/load_report.cc
@@ -21,7 +21,7 @@
     KeyOutcome::kAnswered, KeyOutcome::kReplayed, KeyOutcome::kRefused,
     KeyOutcome::kUnknown, KeyOutcome::kViolation};
 
-// "12.1/15.0/20.7", or a dash without a latency.
+// Formats quantiles as "12.1/15.0/20.7", or "-" if the histogram is empty.
 std::string TimesOf(const LatencyHistogram& histogram) {
   if (histogram.count() == 0) {
     return "-";
@@ -124,7 +124,7 @@
           {"total_ms", ToJson(kind.total)}};
 }
 
-// "paid_stream".
+// Returns the kind's name in JSON, such as "paid_stream".
 std::string JsonNameOf(RequestKind kind) {
   std::string name(RequestKindName(kind));
   std::replace(name.begin(), name.end(), ' ', '_');
--- a/programs/gcw_load/load_report.h
+++ b/programs/gcw_load/load_report.h
@@ -9,12 +9,12 @@
 
 namespace gcw {
 
-// The result of a run as a table for people; times are in milliseconds.
+// Writes the result of a run as a table for people, with times in milliseconds.
 void WriteLoadTable(const LoadTally& tally,
                     const KeyLedger& keys,
                     std::ostream& out);
 
-// The same as one JSON object.
+// Encodes the result of a run as one JSON object.
 std::string EncodeLoadResult(const LoadTally& tally, const KeyLedger& keys);
 
 }  // namespace gcw
--- a/programs/gcw_load/load_run.cc
+++ b/programs/gcw_load/load_run.cc
@@ -16,7 +16,8 @@
 namespace gcw {
 namespace {
 
-// So that the choice of addresses does not repeat the arrivals' numbers.
+// Offset of the seed for choosing addresses, so that it does not reuse the
+// random numbers of the arrivals.
 constexpr std::uint64_t kChoiceSeedOffset = 0x9e3779b97f4a7c15;
 
 std::string MakeRunName() {
@@ -155,8 +156,8 @@
 void LoadRun::Finish() {
   recorder_.Record(
       [this](LoadTally& tally, KeyLedger&) { tally.ran_for = Since(start_); });
-  // Each request has its outcome. Without this the run would go on until the
-  // last pooled connection has aged out.
+  // Every request has its outcome. Without the stop, run() would return only
+  // after the last pooled connection has expired.
   io_.stop();
 }
 
--- a/programs/gcw_load/load_run.h
+++ b/programs/gcw_load/load_run.h
@@ -16,12 +16,12 @@
 namespace gcw {
 
 // One run: asks for addresses, sends the planned requests at their times, and
-// waits for the open ones, each of which has a time-out.
+// waits for the requests in flight, each of which has a timeout.
 class LoadRun {
  public:
   explicit LoadRun(LoadSettings settings);
 
-  // Returns when all is over. Called once.
+  // Returns when every request has its outcome. Must be called only once.
   LoadExit Run();
 
   const LoadTally& tally() const { return recorder_.tally(); }
@@ -29,7 +29,7 @@
 
  private:
   void OnFirstEntries(bool found);
-  // Waits for the next arrival of the plan.
+  // Schedules the next arrival of the plan.
   void PlanNext();
   void OnDue();
   void Send(const Arrival& arrival);
@@ -40,7 +40,7 @@
 
   const LoadSettings settings_;
   boost::asio::io_context io_;
-  // Arrivals and signals.
+  // Serializes arrivals and signals.
   boost::asio::strand<boost::asio::io_context::executor_type> strand_;
   boost::asio::steady_timer timer_;
   boost::asio::signal_set signals_;
@@ -50,14 +50,14 @@
   LoadContext context_;
   ArrivalPlan plan_;
   std::optional<Arrival> next_;
-  // Tells this run's names from those of all others, also with the same seed.
+  // Random, so that request names differ between runs with the same seed.
   const std::string run_name_;
   PromptMaker prompts_;
   std::int64_t last_number_ = 0;
   LoadClock::time_point start_;
   bool arrivals_ended_ = false;
   bool no_entry_ = false;
-  // The open requests, and one for the arrivals.
+  // Requests in flight, plus 1 until the arrivals end.
   std::atomic<std::int64_t> open_ = 1;
 };
 
--- a/programs/gcw_load/load_settings.h
+++ b/programs/gcw_load/load_settings.h
@@ -13,14 +13,14 @@
 
 namespace gcw {
 
-// What one run does.
+// Settings of a run.
 struct LoadSettings {
-  // Asked for the addresses to use; empty with `direct`.
+  // Addresses asked for the entry list; empty if `direct` is set.
   std::vector<Address> entries;
-  // Takes all requests, without asking for addresses.
+  // Address that gets all requests; no entry list is asked for.
   std::optional<Address> direct;
-  // Of the group of an engine that is called directly; the headers between
-  // nodes and engines are sent only then.
+  // Generation of the group of an engine that is called directly. Only if it is
+  // set, the headers that nodes send to engines are sent.
   std::optional<Generation> generation;
   Secret paid_key;
   Secret trial_key;
@@ -30,15 +30,15 @@
   std::string service;
   TokenCount max_tokens;
   PromptMaker::Settings prompts;
-  // Of one send.
+  // Limit for one send.
   Duration timeout;
   int resends = 3;
-  // Requests open at once; more are skipped and counted.
+  // Limit of concurrent requests; further arrivals are skipped and counted.
   std::int64_t most_open = 5000;
-  // Answers are compared with those of the stand-ins.
+  // Whether answers are compared with those of the stand-ins.
   bool reference = true;
   int threads = 1;
-  // Not written where empty.
+  // Output files; not written if the name is empty.
   std::string json_file;
   std::string keys_file;
 };
--- a/programs/gcw_load/load_tally.h
+++ b/programs/gcw_load/load_tally.h
@@ -12,39 +12,42 @@
 
 namespace gcw {
 
-// Numbers by type, such as "queue_full".
+// Counts by error or violation type, such as "queue_full".
 using TypeCounts = std::map<std::string, std::int64_t, std::less<>>;
 
 std::int64_t SumOf(const TypeCounts& counts);
 
-// What came of the requests of one kind. Each request that was sent ends in one
-// of answered, refused, unknown, broken and violations.
+// Outcomes of the requests of one kind. Each request that was sent counts in
+// exactly one of answered, refused, unknown, broken and violations.
 struct KindTally {
   std::int64_t sent = 0;
-  // Whole, and its own.
+  // The answer is complete and belongs to the request.
   std::int64_t answered = 0;
-  // Not run; by the connection's failure where nothing was sent.
+  // The request did not run. If nothing was sent, the type is the failure of
+  // the connection.
   TypeCounts refused;
-  // It may have run, and no answer began.
+  // The request may have run, and no answer began.
   TypeCounts unknown;
-  // An answer began and ended so that nobody takes it for whole.
+  // An answer began and ended in a way that no caller can mistake for complete.
   TypeCounts broken;
-  // Status 200, yet not whole or not its own.
+  // Status 200, but the answer was not complete or contained another request's
+  // content.
   TypeCounts violations;
-  // Not sent, since too many were open.
+  // Arrivals not sent because too many requests were in flight.
   std::int64_t skipped = 0;
-  // Sends that took another address before anything was sent.
+  // Sends that moved to another address because nothing had been sent.
   std::int64_t moved = 0;
-  // Sends of a reservation after its first.
+  // Sends of a reservation after the first one.
   std::int64_t resent = 0;
-  // From the planned arrival, so that a late generator does not flatter the
-  // system. Of whole answers only.
+  // Latencies of complete answers only. `first_token` and `total` are measured
+  // from the planned arrival, so that a late generator does not hide delays of
+  // the system.
   LatencyHistogram first_token;
   LatencyHistogram between_tokens;
   LatencyHistogram total;
 };
 
-// What came of all requests of a run. Not for several threads at once.
+// Outcomes of all requests of a run. Not thread-safe.
 struct LoadTally {
   KindTally& of(RequestKind kind) {
     return kinds[static_cast<std::size_t>(kind)];
@@ -57,7 +60,7 @@
   std::array<KindTally, kRequestKinds.size()> kinds;
   std::int64_t entries_asked = 0;
   std::int64_t entries_failed = 0;
-  // How long after its planned arrival a request was sent.
+  // Delay between the planned arrival and the send of each request.
   LatencyHistogram lateness;
   std::chrono::microseconds ran_for = {};
 };
--- a/programs/gcw_load/main.cc
+++ b/programs/gcw_load/main.cc
@@ -1,4 +1,4 @@
-// Load generator: open-loop arrivals by tier, with a check of each answer.
+// gcw-load: load generator with open-loop arrivals that checks each answer.
 
 #include <fstream>
 #include <iostream>
@@ -11,7 +11,8 @@
 
 namespace {
 
-// Writes by `write(std::ostream&)`; whether it came to be in the file.
+// Writes the file with `write(std::ostream&)` unless `path` is empty. Returns
+// false and prints an error if the file cannot be written.
 template <typename Write>
 bool WriteFile(const std::string& path, Write write) {
   if (path.empty()) {
--- a/programs/gcw_load/prompt_maker.h
+++ b/programs/gcw_load/prompt_maker.h
@@ -7,16 +7,16 @@
 
 namespace gcw {
 
-// Makes prompts that begin alike and go on differently, so that engines find
-// the first part in their caches and no two answers are the same.
+// Generates prompts with a common prefix and a unique rest, so that engines
+// find the prefix in their caches and no two answers are the same.
 class PromptMaker {
  public:
   struct Settings {
-    // Of the whole prompt; a prompt is longer where its own part does not fit.
+    // Length of a prompt; a prompt is longer if its unique part does not fit.
     std::size_t bytes = 256;
-    // Alike in all prompts.
+    // Length of the prefix that all prompts have in common.
     std::size_t shared_prefix_bytes = 0;
-    // Keeps the prompts of this run apart from those of others.
+    // Name of the run, which makes its prompts differ from those of other runs.
     std::string run;
   };
 
--- a/programs/gcw_load/request_kind.h
+++ b/programs/gcw_load/request_kind.h
@@ -14,7 +14,7 @@
   kReservation,
 };
 
-// In the order of the report.
+// All kinds, in the order of the report.
 inline constexpr std::array kRequestKinds = {
     RequestKind::kPaidStream, RequestKind::kPaidWhole,
     RequestKind::kTrialStream, RequestKind::kTrialWhole,
--- a/programs/gcw_load/request_sender.cc
+++ b/programs/gcw_load/request_sender.cc
@@ -5,14 +5,16 @@
 namespace gcw {
 namespace {
 
-// The node answers its own time-out first, so that a late answer tells why.
+// Added to the timeout that is sent to the node, so that the node's own timeout
+// answer, which gives the reason, arrives first.
 constexpr Duration kGrace = Duration::Seconds(2);
 
 HttpCallOptions CallOptions(const LoadSettings& settings, RequestKind kind) {
   const Duration limit = settings.timeout + kGrace;
   return {.progress_timeout = limit,
           .deadline = limit,
-          // A pooled connection may have died unseen.
+          // A pooled connection may be dead, and a reservation must not be
+          // repeated automatically.
           .reuse_connection = kind != RequestKind::kReservation};
 }
 
--- a/programs/gcw_load/request_sender.h
+++ b/programs/gcw_load/request_sender.h
@@ -9,14 +9,15 @@
 
 namespace gcw {
 
-// Sends a request to an address of the entry book. Where nothing was sent it
-// takes another one at once, until all were tried; nothing is repeated once a
-// byte may have left. It must be held by a shared pointer.
+// Sends a request to an address of the entry list. If an attempt fails before
+// anything was sent, tries the next address at once until all were tried. Never
+// repeats a request of which a byte may have left. Must be held by a shared
+// pointer.
 class RequestSender : public std::enable_shared_from_this<RequestSender> {
  public:
   RequestSender(LoadContext& context, RequestKind kind);
 
-  // `handlers` get the outcome of the last try only.
+  // `handlers` see only the last attempt.
   void Send(HttpRequest request, HttpCallHandlers handlers);
 
  private:
@@ -32,7 +33,7 @@
   HttpFailure last_failure_;
 };
 
-// Headers that all requests of the kind carry.
+// Returns the headers that all requests of the kind carry.
 std::vector<HttpHeader> CallerHeaders(const LoadSettings& settings,
                                       RequestKind kind);
 
--- a/programs/gcw_load/resend_policy.cc
+++ b/programs/gcw_load/resend_policy.cc
@@ -6,8 +6,8 @@
 
 std::optional<Duration> ResendPolicy::OnFailedSend(const FailedAnswer& failed) {
   ++sends_;
-  // A refusal speaks of its own send. Since the key is fresh, one that is in
-  // progress was sent earlier by us.
+  // A refusal concerns only its own send. The key is used by this run alone, so
+  // `once_in_progress` means that an earlier send of this run is running.
   if (failed.kind == FailedAnswerKind::kUnknown ||
       failed.type == "once_in_progress") {
     may_have_run_ = true;
--- a/programs/gcw_load/resend_policy.h
+++ b/programs/gcw_load/resend_policy.h
@@ -8,26 +8,27 @@
 
 namespace gcw {
 
-// Follows the sends of one idempotency key: whether it is sent again and what
-// is known of it in the end.
+// Decides whether one idempotency key is sent again, and determines its outcome
+// when it is given up.
 class ResendPolicy {
  public:
   struct Settings {
-    // Sends after the first.
+    // Limit of sends after the first one.
     int resends = 3;
-    // Between sends where the answer names no time.
+    // Delay between sends if the response has no retry time.
     Duration pause = Duration::Millis(200);
-    // A time to come back that is longer ends the key.
+    // The key is given up if the response asks for a longer delay.
     Duration longest_wait = Duration::Seconds(30);
   };
 
   explicit ResendPolicy(Settings settings);
 
-  // A send ended without success. Returns how long to wait before the next one,
-  // absent where the key is given up.
+  // Records a failed send. Returns the delay before the next one, absent if the
+  // key is given up.
   std::optional<Duration> OnFailedSend(const FailedAnswer& failed);
 
-  // Of a key that is given up: refused only if no send may have run.
+  // The outcome of a key that is given up: refused only if no send may have
+  // run.
   KeyOutcome outcome() const;
 
  private:
--- a/programs/gcw_load/reservation_exchange.cc
+++ b/programs/gcw_load/reservation_exchange.cc
@@ -13,8 +13,8 @@
   return status >= 200 && status < 300;
 }
 
-// A failure of the connection as an answer: only where nothing was sent it is
-// known that nothing ran.
+// Converts a connection failure. The call is known not to have run only if
+// nothing was sent.
 FailedAnswer ReadFailure(HttpFailure failure) {
   FailedAnswer failed;
   failed.kind = failure.progress == HttpProgress::kNothingSent
--- a/programs/gcw_load/reservation_exchange.h
+++ b/programs/gcw_load/reservation_exchange.h
@@ -12,7 +12,7 @@
 namespace gcw {
 
 // One call that may run at most once, with all its sends under one idempotency
-// key. It holds itself until its outcome is recorded.
+// key. Its callbacks keep it alive until its outcome is recorded.
 class ReservationExchange
     : public std::enable_shared_from_this<ReservationExchange> {
  public:
@@ -28,7 +28,7 @@
   void OnFailure(HttpFailure failure);
   void OnAnswer();
   void OnFailedSend(const FailedAnswer& failed);
-  // `change(KindTally&)` counts the outcome.
+  // Records the key's outcome; `change(KindTally&)` counts it.
   template <typename Change>
   void Record(KeyOutcome outcome, Change change);
 
@@ -36,7 +36,7 @@
   PlannedRequest planned_;
   ResendPolicy policy_;
   boost::asio::steady_timer timer_;
-  // Of the present send.
+  // The response to the current send.
   HttpResponse response_;
 };
 
--- a/programs/gcw_load/stream_checker.cc
+++ b/programs/gcw_load/stream_checker.cc
@@ -58,7 +58,7 @@
   if (line.ends_with('\r')) {
     line.remove_suffix(1);
   }
-  // Empty lines end events; lines with a colon first are comments.
+  // Empty lines end events; lines that start with a colon are comments.
   if (line.empty() || line.starts_with(':')) {
     return 0;
   }
--- a/programs/gcw_load/stream_checker.h
+++ b/programs/gcw_load/stream_checker.h
@@ -11,17 +11,18 @@
 
 namespace gcw {
 
-// Checks one streamed answer as its pieces arrive.
+// Checks one streamed answer while it arrives.
 class StreamChecker {
  public:
   explicit StreamChecker(ExpectedAnswer expected);
 
-  // Takes a piece, which may end anywhere. Returns how many tokens it ended.
+  // Processes a chunk, which may end anywhere. Returns the number of tokens
+  // that it completed.
   int OnBytes(std::string_view bytes);
 
-  // The answer ended by the rules of HTTP.
+  // Returns the verdict if the HTTP response ended properly.
   AnswerVerdict OnEnd() const;
-  // The connection broke, with this failure.
+  // Returns the verdict if the connection failed with `failure`.
   AnswerVerdict OnFailure(std::string_view failure) const;
 
  private:
@@ -33,15 +34,15 @@
   void Accuse(AnswerFault fault);
 
   ExpectedAnswer expected_;
-  // The line that has begun.
+  // The incomplete last line.
   std::string line_;
-  // Of the events with text.
+  // Number of events with text, each of which is one token.
   std::int64_t tokens_ = 0;
   std::size_t text_size_ = 0;
   RequestId request_;
   bool done_ = false;
   std::optional<std::string> error_type_;
-  // The first one found.
+  // The first fault found.
   std::optional<AnswerFault> fault_;
 };
 
--- a/programs/gcw_load/stream_event.cc
+++ b/programs/gcw_load/stream_event.cc
@@ -22,7 +22,7 @@
   if (reader.IsPresent("index")) {
     event.index = reader.Count("index");
   }
-  // An event that only tells usage has no choice.
+  // An event that carries only usage has no choice.
   for (const std::string& text : reader.List("choices", ReadChoice)) {
     event.text += text;
   }
--- a/programs/gcw_load/stream_event.h
+++ b/programs/gcw_load/stream_event.h
@@ -9,13 +9,13 @@
 
 namespace gcw {
 
-// One event of a streamed answer. Engines name attempt and index, nodes the
-// request's id.
+// One event of a streamed answer. Engines give the attempt and the index, nodes
+// the request's id.
 struct StreamEvent {
   AttemptId attempt;
   RequestId request;
   std::optional<std::int64_t> index;
-  // Empty in events that only tell a role or a finish reason.
+  // Empty in events that carry only a role or a finish reason.
   std::string text;
 };
 
--- a/programs/gcwctl/answer_fields.h
+++ b/programs/gcwctl/answer_fields.h
@@ -8,7 +8,8 @@
 
 namespace gcw {
 
-// Fields of an operators' answer; empty where one is absent or of another type.
+// Returns a field of an operator API response. The text is empty if the field
+// is absent; the list also if the field has another type.
 std::string FieldText(const boost::json::object& object, std::string_view name);
 boost::json::array FieldList(const boost::json::object& object,
                              std::string_view name);
--- a/programs/gcwctl/command_line.h
+++ b/programs/gcwctl/command_line.h
@@ -9,35 +9,36 @@
 
 namespace gcw {
 
-// What the operator typed.
+// The parsed command line.
 struct CommandLine {
-  // Tried in order until one answers.
+  // Operator addresses of nodes, tried in this order until a node answers.
   std::vector<Address> nodes;
   std::string credential_file;
   bool json = false;
   bool help = false;
   Duration timeout = Duration::Seconds(15);
   std::optional<std::int64_t> expected;
-  // Given again to learn the outcome of an earlier try.
+  // Idempotency id of a change. Repeating a command with the same id reports
+  // the outcome of the earlier attempt.
   std::string change;
   std::string trace_file;
   // Logs to read events from instead of asking nodes; "-" is standard input.
   std::vector<std::string> log_files;
   std::string domain;
   std::int64_t limit = 5000;
-  // The verb and what it is about: {"contract", "create", "team.toml"}.
+  // Verb and arguments, such as {"contract", "create", "team.toml"}.
   std::vector<std::string> words;
 };
 
-// Why the command line cannot be followed, for people.
+// A command line that cannot be parsed, with a message for the user.
 struct UsageError {
   std::string message;
 };
 
 Result<CommandLine, UsageError> ParseCommandLine(int argc, char** argv);
 
-// The help of one verb, with examples; of all of them where `verb` is empty or
-// unknown.
+// Returns the help of one verb, with examples, or the general help if `verb` is
+// empty or unknown.
 std::string HelpFor(const std::string& verb);
 
 }  // namespace gcw
--- a/programs/gcwctl/commands.cc
+++ b/programs/gcwctl/commands.cc
@@ -156,7 +156,7 @@
   if (action != "drain" || Word(2).empty() || line_.domain.empty()) {
     return Usage();
   }
-  // The node that keeps the domain is found by asking each.
+  // Which node controls the domain is found by trying each node in turn.
   std::vector<json::object> nodes;
   ExitCode failure = ExitCode::kUnreachable;
   if (!FindNodes(nodes, failure)) {
--- a/programs/gcwctl/commands.h
+++ b/programs/gcwctl/commands.h
@@ -20,8 +20,8 @@
   kOutcomeUnknown = 6,
 };
 
-// Carries out one command and prints its result to `out`, or what to do about
-// its failure to `err`.
+// Runs one command. Prints the result to `out`, and errors with what to do
+// about them to `err`.
 class Commands {
  public:
   Commands(CommandLine line,
@@ -32,7 +32,8 @@
   ExitCode Run();
 
  private:
-  // A family of settings that operators write.
+  // A kind of setting that operators write: its verb, and its name in API
+  // paths.
   struct Family {
     std::string name;
     std::string list;
@@ -56,23 +57,27 @@
   ExitCode ShowTimeline();
   ExitCode ShowWhy();
 
-  // The answer of the first node that gives one; reports failures.
+  // Calls the nodes in order until one answers. Returns false, prints errors
+  // and sets `failure` if none does.
   bool Call(const std::string& method,
             const std::string& target,
             const std::string& body,
             OperatorAnswer& answer,
             ExitCode& failure);
-  // A page; reports failures.
+  // Fetches a page with status 200. Returns false, prints errors and sets
+  // `failure` otherwise.
   bool Get(const std::string& target,
            OperatorAnswer& answer,
            ExitCode& failure);
   ExitCode ReportRefusal(const OperatorAnswer& answer);
-  // Operators' addresses of all nodes that the first one knows.
+  // Lists all nodes known to the first node that answers.
   bool FindNodes(std::vector<boost::json::object>& nodes, ExitCode& failure);
+  // Reads events from logs if any are named, and from all nodes otherwise. A
+  // node that gives none is reported and left out.
   bool CollectEvents(std::vector<TimelineEvent>& events,
                      TimelineDecoder& decoder,
                      ExitCode& failure);
-  // The same from logs.
+  // Reads events from the logs named on the command line.
   bool ReadEvents(std::vector<TimelineEvent>& events,
                   TimelineDecoder& decoder,
                   ExitCode& failure);
--- a/programs/gcwctl/commands_events.cc
+++ b/programs/gcwctl/commands_events.cc
@@ -1,4 +1,4 @@
-// Commands that read the time line.
+// Commands that read events: timeline and why.
 
 #include "programs/gcwctl/commands.h"
 
@@ -20,7 +20,7 @@
 namespace json = boost::json;
 
 constexpr int kStatusOk = 200;
-// The relation of events that no other names as its cause.
+// Relation of context events, which no other event names as its cause.
 constexpr std::string_view kAround = "around";
 
 struct ExplainedRow {
--- a/programs/gcwctl/commands_settings.cc
+++ b/programs/gcwctl/commands_settings.cc
@@ -20,7 +20,8 @@
 
 constexpr int kStatusOk = 200;
 
-// A change id of this run, unlikely to be that of another.
+// Makes a change id from the time and the process id, so that another run is
+// unlikely to use the same one.
 std::string NewChangeId() {
   return "gcwctl-" + std::to_string(SystemClock()().millis()) + "-" +
          std::to_string(getpid());
--- a/programs/gcwctl/event_context.cc
+++ b/programs/gcwctl/event_context.cc
@@ -43,7 +43,7 @@
   }
 }
 
-// What a subject's own events say of where to look.
+// Selects context events by what the subject's own events name.
 class ContextQuestion {
  public:
   explicit ContextQuestion(const Explanation& explanation) {
@@ -72,7 +72,7 @@
       return false;
     }
     const EventKind kind = event.draft.kind;
-    // Other requests at the same VM are too many to help.
+    // Other requests on the same VM are excluded: they are too many to help.
     const bool is_request =
         event.draft.kind == EventKind::kRequestFinished ||
         event.draft.kind == EventKind::kRequestRetried ||
--- a/programs/gcwctl/event_context.h
+++ b/programs/gcwctl/event_context.h
@@ -8,19 +8,19 @@
 namespace gcw {
 
 struct EventContextSettings {
-  // How long before a subject's first event something may have led to it: a
-  // repair that needs a load takes some twenty seconds.
+  // How long before the subject's first event other events count as context. A
+  // repair that loads a model takes about 20 s.
   Duration before = Duration::Seconds(30);
-  // How long after its last event.
+  // How long after the subject's last event other events count as context.
   Duration after = Duration::Seconds(2);
 };
 
-// What happened on any node around an explained subject and may have led to it,
-// though no event names it as a cause: to the VMs and groups that its events
-// name; where it was refused for want of an endpoint, to all groups; where its
-// answer depended on the configuration, to the configuration and to nodes'
-// reach of the key-value service. In order of time, without the explained
-// events.
+// Returns events of any node close in time to the explained subject that may
+// have led to it although no event names them as a cause: events about the VMs
+// and groups that the subject's events name; about all groups, if the subject
+// was refused because no endpoint was available; and about the configuration
+// and the reachability of the key-value service, if its answer depended on the
+// configuration. Keeps the order of `events` and leaves out the explained ones.
 std::vector<TimelineEvent> FindContext(const std::vector<TimelineEvent>& events,
                                        const Explanation& explanation,
                                        const EventContextSettings& settings);
--- a/programs/gcwctl/event_log_reader.cc
+++ b/programs/gcwctl/event_log_reader.cc
@@ -10,7 +10,7 @@
 
 namespace json = boost::json;
 
-// Fields of a line that are parts of the event rather than of its fields; see
+// Log fields that belong to the event itself rather than to its `fields`; see
 // docs/reference/json_log.md.
 constexpr std::string_view kId = "id";
 constexpr std::string_view kSubject = "subject";
--- a/programs/gcwctl/event_log_reader.h
+++ b/programs/gcwctl/event_log_reader.h
@@ -9,19 +9,20 @@
 
 namespace gcw {
 
-// Reads events from the logs of nodes: all that is left of one that ended.
+// Reads events from the logs of nodes. After a node has ended, its log is the
+// only source of its events.
 class EventLogReader {
  public:
-  // The decoder outlives the events.
+  // `decoder` must outlive the events.
   explicit EventLogReader(TimelineDecoder* decoder) : decoder_(decoder) {}
 
-  // Takes every line that holds an event. What stands before a line's JSON, as
-  // collectors of logs write it, is ignored.
+  // Returns the event of every line that holds one. Any prefix before the JSON
+  // of a line, such as log collectors add, is ignored.
   std::vector<TimelineEvent> Read(std::istream& in);
 
-  // Lines of other kinds: start, stop, lines left out.
+  // Number of lines without an event, such as start, stop and omitted lines.
   std::int64_t other_lines() const { return other_lines_; }
-  // Lines that hold an event that cannot be read, or no JSON.
+  // Number of lines without JSON, or with an event that cannot be decoded.
   std::int64_t malformed_lines() const { return malformed_lines_; }
 
  private:
--- a/programs/gcwctl/main.cc
+++ b/programs/gcwctl/main.cc
@@ -1,4 +1,4 @@
-// The operators' command line.
+// gcwctl: command-line client of the operator API.
 
 #include <fstream>
 #include <iostream>
@@ -29,7 +29,7 @@
   }
   std::ifstream file(line.credential_file);
   std::string credential;
-  // Logs are read without asking a node.
+  // Reading logs needs no credential.
   if (!std::getline(file, credential) && line.log_files.empty()) {
     std::cerr << "cannot read the credential; give --credential-file FILE or "
                  "set GCW_CREDENTIAL_FILE\n";
--- a/programs/gcwctl/operator_client.h
+++ b/programs/gcwctl/operator_client.h
@@ -11,9 +11,10 @@
 
 enum class OperatorCallErrorKind {
   kAddressMalformed,
-  // Nothing was sent.
+  // No connection; nothing was sent.
   kUnreachable,
-  // Sent, and no whole answer came: a change may have been made.
+  // The request was sent and no complete response arrived. A change may have
+  // been made.
   kNoAnswer,
   kAnswerMalformed,
 };
@@ -27,7 +28,7 @@
   boost::json::object body;
 };
 
-// Makes one call at a time to a node's operators' port and waits for it.
+// Blocking client of a node's operator port.
 class OperatorClient {
  public:
   OperatorClient(Address node, Secret credential, Duration timeout);
@@ -44,7 +45,7 @@
   Duration timeout_;
 };
 
-// A text as it stands in a query.
+// Percent-encodes a query parameter.
 std::string EscapeQuery(std::string_view text);
 
 }  // namespace gcw
--- a/programs/gcwctl/setting_files.cc
+++ b/programs/gcwctl/setting_files.cc
@@ -25,7 +25,7 @@
   return error;
 }
 
-// The digest of the key in a file, which ends at the first line break.
+// Returns the digest of a file's first line, which is the key.
 std::optional<KeyDigest> DigestKeyFile(const std::filesystem::path& path) {
   std::ifstream in(path);
   std::string key;
@@ -35,7 +35,7 @@
   return DigestOfKey(key);
 }
 
-// What a contract's file says beside the contract's own fields.
+// A contract and those settings of its file that are converted after parsing.
 struct RawContract {
   Contract contract;
   std::vector<std::string> models;
@@ -114,7 +114,7 @@
   return target;
 }
 
-// The array of tables `targets`, which the settings reader has no type for.
+// Reads the array of tables `targets`, which SettingsReader does not support.
 std::vector<SettingError> ReadTargets(const std::string& path,
                                       const toml::table& file,
                                       WantedModel& model) {
--- a/programs/gcwctl/setting_files.h
+++ b/programs/gcwctl/setting_files.h
@@ -9,7 +9,7 @@
 
 namespace gcw {
 
-// What an operator's TOML file says, as the node's API takes it.
+// The content of an operator's TOML file in the form that the node's API takes.
 struct SettingDocument {
   std::string id;
   // JSON.
@@ -18,11 +18,11 @@
 
 using ReadDocument = std::variant<SettingDocument, std::vector<SettingError>>;
 
-// A contract. Callers' keys are read from the files that `key_files` names, and
-// only their digests go on; `key_digests` names digests directly.
+// Reads a contract. Callers' keys are read from the files that `key_files`
+// names, and only their digests are sent; `key_digests` gives digests directly.
 ReadDocument ReadContractFile(const std::string& path);
 
-// A model to be served.
+// Reads a model to be served.
 ReadDocument ReadModelFile(const std::string& path);
 
 }  // namespace gcw
--- a/programs/gcwctl/table.h
+++ b/programs/gcwctl/table.h
@@ -10,11 +10,11 @@
 
 namespace gcw {
 
-// A value as people read it: texts without quotes, lists joined by spaces,
-// objects as `name=value`.
+// Formats a value for people: strings without quotes, lists joined by spaces,
+// objects as `name=value`, null as `-`.
 std::string PlainText(const boost::json::value& value);
 
-// One row for each object; `columns` are the names of its fields.
+// Prints one row for each object; `columns` names the fields shown.
 void PrintTable(const boost::json::array& rows,
                 const std::vector<std::string>& columns,
                 std::ostream& out);
