--- a/programs/gcw_load/error_answer.h
+++ b/programs/gcw_load/error_answer.h
@@ -39,7 +39,7 @@
 
 // Classifies a response whose status is not 2xx. The request counts as not run
 // only if the response has an error type or a status below 500, and its status
-// is neither 500 nor 502.
+// is neither 500 nor 502, which report an unknown outcome.
 FailedAnswer ReadFailedAnswer(const HttpResponse& response);
 
 }  // namespace gcw
--- a/programs/gcw_load/load_command_line.cc
+++ b/programs/gcw_load/load_command_line.cc
@@ -34,16 +34,21 @@
     "    --service reservations --reservations-per-s 20 --keys-file keys.txt\n"
     "  gcw-load --direct 127.0.0.1:9001 --generation 3 --model notes \\\n"
     "    --paid-per-s 50 --json engine.json\n\n"
-    "A line of the keys file is an idempotency key and what is known of it:\n"
-    "answered or replayed (ran once), refused (did not run), unknown (ran at\n"
-    "most once), violation.\n\n"
-    "Broken answers began and ended with an error or with their connection, "
-    "so\n"
-    "that nobody takes them for whole. Violations look whole and are not, or\n"
-    "hold what is not their own.\n\n"
-    "SIGINT and SIGTERM end the arrivals; the open requests are waited for.\n\n"
-    "Exit codes: 0 done without a violation, 2 wrong command line, 3 no entry\n"
-    "answered, 4 a file could not be written, 5 at least one violation.\n";
+    "Each line of the keys file has an idempotency key and its outcome: "
+    "answered\n"
+    "or replayed (the call ran once), refused (it did not run), unknown (it "
+    "ran\n"
+    "at most once), violation.\n\n"
+    "A broken answer began and ended with an error or a closed connection, so\n"
+    "that no caller mistakes it for a complete one. A violation looks "
+    "complete\n"
+    "and is not, or contains content of another request.\n\n"
+    "SIGINT and SIGTERM stop new requests; requests in flight are "
+    "completed.\n\n"
+    "Exit codes: 0 success without violations, 2 invalid command line, 3 no\n"
+    "--entries address answered, 4 a file could not be written, 5 at least "
+    "one\n"
+    "violation.\n";
 
 // An error in the command line, with a message for the user.
 struct UsageError {
@@ -63,38 +68,41 @@
   };
   description.add_options()("help,h", "show this help");
   add("entries", options::value<std::string>(),
-      "ADDR[,ADDR]: asked for the addresses to use");
+      "ADDR[,ADDR]: nodes that are asked for the entry list");
   add("direct", options::value<std::string>(),
-      "ADDR: a node or an engine that takes all requests");
+      "ADDR: node or engine that gets all requests");
   add("generation", options::value<std::int64_t>(),
-      "generation of the engine at --direct; sends an engine's headers");
+      "generation of the engine's group at --direct; adds the headers that "
+      "nodes send to engines");
   add("key-file", options::value<std::vector<std::string>>()->composing(),
-      "NAME=FILE: key of the tier `paid` or `trial`; repeatable");
-  add("paid-per-s", Default(0.0), "paid model requests a second");
-  add("trial-per-s", Default(0.0), "trial model requests a second");
+      "NAME=FILE: key file of the tier `paid` or `trial`; repeatable");
+  add("paid-per-s", Default(0.0), "paid model requests per second");
+  add("trial-per-s", Default(0.0), "trial model requests per second");
   add("reservations-per-s", Default(0.0),
-      "service calls a second that may run at most once, with the paid key");
-  add("seconds", Default(10.0), "length of the arrivals");
-  add("seed", Default(std::uint64_t{1}), "of arrivals and choices");
-  add("model", Default(std::string()), "model to ask for");
+      "at-most-once service calls per second, with the paid key");
+  add("seconds", Default(10.0), "duration of the arrivals in seconds");
+  add("seed", Default(std::uint64_t{1}),
+      "random seed of the arrivals and of the choice of addresses");
+  add("model", Default(std::string()), "model to request");
   add("service", Default(std::string("reservations")),
       "plain service that takes reservations");
-  add("max-tokens", Default(std::int64_t{16}), "tokens of an answer");
-  add("prompt-bytes", Default(std::size_t{256}), "length of a prompt");
+  add("max-tokens", Default(std::int64_t{16}), "maximum tokens of an answer");
+  add("prompt-bytes", Default(std::size_t{256}), "prompt length in bytes");
   add("shared-prefix-bytes", Default(std::size_t{0}),
-      "first part of the prompt that is alike in all");
+      "length of the prefix that all prompts have in common");
   add("whole-share", options::value<double>()->default_value(0.2, "0.2"),
-      "share of model requests asked for whole, not as a stream");
-  add("timeout-ms", Default(std::int64_t{30000}), "time-out of a send");
-  add("resends", Default(3), "further sends of a reservation, with its key");
+      "share of model requests that are not streamed");
+  add("timeout-ms", Default(std::int64_t{30000}), "timeout of each send");
+  add("resends", Default(3),
+      "maximum resends of a reservation, with the same idempotency key");
   add("most-open", Default(std::int64_t{5000}),
-      "requests open at once; more are skipped and counted");
-  description.add_options()("no-reference",
-                            "do not compare with the stand-ins' answers");
-  add("threads", Default(1), "threads that run the exchanges");
-  add("json", Default(std::string()), "file for the report as JSON");
+      "maximum concurrent requests; further arrivals are skipped and counted");
+  description.add_options()(
+      "no-reference", "do not compare answers with those of the stand-ins");
+  add("threads", Default(1), "worker threads");
+  add("json", Default(std::string()), "output file for the JSON report");
   add("keys-file", Default(std::string()),
-      "file for the reservations' keys and their outcomes");
+      "output file for the reservations' idempotency keys and outcomes");
   return description;
 }
 
@@ -121,7 +129,8 @@
 Address ReadAddress(const std::string& text) {
   Address address(text);
   if (!ParseAddress(address)) {
-    throw UsageError{"not an address as 127.0.0.1:8080: " + text};
+    throw UsageError{
+        "invalid address, expected IP:PORT such as 127.0.0.1:8080: " + text};
   }
   return address;
 }
@@ -131,7 +140,7 @@
   std::string key((std::istreambuf_iterator<char>(file)), {});
   boost::algorithm::trim(key);
   if (key.empty()) {
-    throw UsageError{"no key in the file " + path};
+    throw UsageError{"cannot read a key from file " + path};
   }
   return Secret(std::move(key));
 }
@@ -145,7 +154,7 @@
     const std::size_t equals = setting.find('=');
     const std::string name = setting.substr(0, equals);
     if (equals == std::string::npos || (name != "paid" && name != "trial")) {
-      throw UsageError{"--key-file takes paid=FILE or trial=FILE"};
+      throw UsageError{"--key-file must be paid=FILE or trial=FILE"};
     }
     Secret& key = name == "paid" ? settings.paid_key : settings.trial_key;
     key = ReadKey(setting.substr(equals + 1));
@@ -154,7 +163,7 @@
 
 void ReadTargets(const Values& values, LoadSettings& settings) {
   if (values.count("entries") + values.count("direct") != 1) {
-    throw UsageError{"either --entries or --direct is needed"};
+    throw UsageError{"exactly one of --entries and --direct is required"};
   }
   if (values.count("direct") > 0) {
     settings.direct = ReadAddress(Get<std::string>(values, "direct"));
@@ -170,7 +179,7 @@
     return;
   }
   if (!settings.direct) {
-    throw UsageError{"--generation goes with --direct"};
+    throw UsageError{"--generation requires --direct"};
   }
   settings.generation = Generation(Get<std::int64_t>(values, "generation"));
 }
@@ -219,17 +228,19 @@
         "--reservations-per-s must be positive"};
   }
   if (arrivals.paid_rate + arrivals.trial_rate > 0 && settings.model.empty()) {
-    throw UsageError{"--model is needed for model requests"};
+    throw UsageError{"--model is required with --paid-per-s or --trial-per-s"};
   }
   if (settings.direct) {
     return;
   }
   if (arrivals.paid_rate + arrivals.reservation_rate > 0 &&
       settings.paid_key.empty()) {
-    throw UsageError{"--key-file paid=FILE is needed"};
+    throw UsageError{
+        "--key-file paid=FILE is required with --paid-per-s or "
+        "--reservations-per-s"};
   }
   if (arrivals.trial_rate > 0 && settings.trial_key.empty()) {
-    throw UsageError{"--key-file trial=FILE is needed"};
+    throw UsageError{"--key-file trial=FILE is required with --trial-per-s"};
   }
 }
 
--- a/programs/gcw_load/load_report.cc
+++ b/programs/gcw_load/load_report.cc
@@ -150,17 +150,17 @@
     WriteTypes(name, "broken", counts.broken, out);
     WriteTypes(name, "VIOLATIONS", counts.violations, out);
     if (counts.moved + counts.resent > 0) {
-      out << name << ": to another address " << counts.moved << ", sent again "
-          << counts.resent << '\n';
+      out << name << ": moved to another address " << counts.moved
+          << ", resent " << counts.resent << '\n';
     }
   }
   if (WasUsed(tally.of(RequestKind::kReservation))) {
     WriteKeys(keys, out);
   }
-  out << "entries asked " << tally.entries_asked << ", without answer "
-      << tally.entries_failed << "; sent late p50/p95/p99 ms "
-      << TimesOf(tally.lateness) << "; ran for " << tally.ran_for.count() / 1000
-      << " ms\n";
+  out << "entry lists requested " << tally.entries_asked << ", failed "
+      << tally.entries_failed << "; send delay p50/p95/p99 ms "
+      << TimesOf(tally.lateness) << "; run time "
+      << tally.ran_for.count() / 1000 << " ms\n";
 }
 
 std::string EncodeLoadResult(const LoadTally& tally, const KeyLedger& keys) {
--- a/programs/gcw_load/main.cc
+++ b/programs/gcw_load/main.cc
@@ -38,7 +38,9 @@
   gcw::LoadRun run(settings);
   const gcw::LoadExit exit = run.Run();
   if (exit == gcw::LoadExit::kNoEntry) {
-    std::cerr << "gcw-load: no address told which ones to use\n";
+    std::cerr << "gcw-load: none of the --entries addresses returned an entry "
+                 "list; check "
+                 "that a node is running there\n";
     return static_cast<int>(exit);
   }
   gcw::WriteLoadTable(run.tally(), run.keys(), std::cout);
--- a/programs/gcw_load/request_sender.cc
+++ b/programs/gcw_load/request_sender.cc
@@ -13,8 +13,8 @@
   const Duration limit = settings.timeout + kGrace;
   return {.progress_timeout = limit,
           .deadline = limit,
-          // A pooled connection may be dead, and a reservation must not be
-          // repeated automatically.
+          // A pooled connection may be dead, and a reservation may not be
+          // repeated.
           .reuse_connection = kind != RequestKind::kReservation};
 }
 
--- a/programs/gcwctl/command_line.cc
+++ b/programs/gcwctl/command_line.cc
@@ -15,22 +15,24 @@
 constexpr std::string_view kUsage =
     "gcwctl [OPTIONS] VERB ...\n\n"
     "Options:\n"
-    "  --node ADDRESS[,ADDRESS]  operators' address of a node (GCW_NODE);\n"
-    "                            the next is tried where one does not answer\n"
-    "  --credential-file FILE    operators' credential (GCW_CREDENTIAL_FILE)\n"
+    "  --node ADDRESS[,ADDRESS]  operator addresses of nodes (GCW_NODE), "
+    "tried\n"
+    "                            in this order until one answers\n"
+    "  --credential-file FILE    operator credential (GCW_CREDENTIAL_FILE)\n"
     "  --json                    print JSON instead of a table\n"
-    "  --timeout-ms N            longest wait for an answer, 15000\n"
-    "  --help                    with a verb: its help\n\n"
+    "  --timeout-ms N            response timeout, 15000 by default\n"
+    "  --change-id ID            repeat a change whose outcome is unknown\n"
+    "  --help                    this help; with a verb, its help\n\n"
     "Verbs:\n"
     "  contract create|show|list|change|withdraw\n"
     "  model    create|show|list|change|withdraw\n"
     "  status   node list|drain   group list|show|drain   limits\n"
     "  change show REVISION   timeline   why SUBJECT\n\n"
-    "Exit codes: 0 done, 2 wrong command line or file, 3 no node answered,\n"
-    "4 conflict: look at the current value and change from there, 5 refused "
-    "by\n"
-    "the node, 6 outcome unknown: repeat with the --change-id that was "
-    "printed.\n";
+    "Exit codes: 0 success, 2 invalid command line or file, 3 no node "
+    "answered,\n"
+    "4 conflict: repeat the change with the current revision, 5 refused by "
+    "the\n"
+    "node, 6 outcome unknown: repeat with the --change-id that was printed.\n";
 
 const std::map<std::string, std::string>& VerbHelp() {
   static const auto& help = *new std::map<std::string, std::string>{
@@ -39,9 +41,10 @@
        "gcwctl contract show ID | list\n"
        "gcwctl contract change FILE --expected REVISION\n"
        "gcwctl contract withdraw ID --expected REVISION\n\n"
-       "FILE is TOML; see docs/CONTRACTS.md. The revision is the one that\n"
-       "`show` prints; a change that another operator made since is a "
-       "conflict.\n"
+       "FILE is TOML; see docs/CONTRACTS.md. REVISION is the one that `show`\n"
+       "prints. If another operator has changed the contract since, the "
+       "command\n"
+       "fails with a conflict.\n"
        "\nExamples:\n"
        "  gcwctl contract create branch-notes.toml\n"
        "  gcwctl contract change branch-notes.toml --expected 117\n"},
@@ -50,48 +53,57 @@
        "gcwctl model show ID | list\n"
        "gcwctl model change FILE --expected REVISION\n"
        "gcwctl model withdraw ID --expected REVISION\n\n"
-       "Which models are served, by how many replica groups of how many VMs "
-       "in\n"
-       "each data centre. Groups come to be and are repaired by themselves.\n\n"
+       "Sets which models are served, by how many replica groups of how many "
+       "VMs\n"
+       "in each data centre. Groups are created and repaired automatically.\n\n"
        "Example:\n"
        "  gcwctl model create notes.toml\n"},
       {"status",
-       "gcwctl status\n\nReadiness, store, configuration, queues and roles of "
-       "one node.\n\nExample:\n  gcwctl --node 127.0.0.1:8082 status\n"},
+       "gcwctl status\n\nPrints readiness, store, configuration, queues and "
+       "roles "
+       "of one node.\n\nExample:\n  gcwctl --node 127.0.0.1:8082 status\n"},
       {"node",
        "gcwctl node list\ngcwctl node drain ID\n\n"
-       "A drained node leaves the answers to callers at once, serves until "
-       "they\n"
-       "have moved on and its requests have ended, and stops.\n\n"
+       "A draining node is removed from callers' entry lists at once, serves "
+       "until\n"
+       "callers have moved to other nodes and its requests have ended, and "
+       "stops."
+       "\n\n"
        "Example:\n  gcwctl node drain lj-1-a\n"},
       {"group",
        "gcwctl group list\ngcwctl group show ID\n"
        "gcwctl group drain ID --domain DOMAIN\n\n"
        "Example:\n  gcwctl group drain lj-1-f1-12-3 --domain lj-1-f1\n"},
       {"limits",
-       "gcwctl limits\n\nThis node's share of each active contract; `floor` "
-       "where no owner\ngranted one lately.\n\nExample:\n  gcwctl limits\n"},
+       "gcwctl limits\n\nPrints this node's share of each active contract. "
+       "`is_floor` is true if no\nowner granted a share "
+       "recently.\n\nExample:\n  gcwctl limits\n"},
       {"change",
-       "gcwctl change show REVISION\n\nOn which nodes the revision is in "
+       "gcwctl change show REVISION\n\nPrints on which nodes the revision is "
+       "in "
        "force.\n\nExample:\n  gcwctl change show 117\n"},
       {"timeline",
        "gcwctl timeline [--limit N] [--trace FILE] [--logs FILE ...]\n\n"
-       "The newest events of all nodes as one list, newest first; --trace\n"
-       "writes a trace-event file that common viewers open. With --logs the\n"
-       "events are read from logs, `-` for standard input.\n\n"
+       "Prints the latest events of all nodes as one list, newest first. "
+       "--trace\n"
+       "also writes them as a trace-event file for common viewers. With "
+       "--logs,\n"
+       "events are read from log files instead of nodes; `-` is standard input."
+       "\n\n"
        "Examples:\n  gcwctl timeline --trace repair.json\n"
        "  gcwctl timeline --limit 50 --logs gw-1.log gw-2.log\n"},
       {"why",
        "gcwctl why SUBJECT [--logs FILE ...]\n\n"
-       "What led to the events about a request, group, contract, VM or node, "
-       "and\n"
-       "what followed, over all nodes, newest first. Rows of relation "
-       "`around`\n"
-       "are what happened meanwhile to the VMs, groups or configuration that "
-       "it\n"
-       "depended on. With --logs the events are read from logs, `-` for "
-       "standard\n"
-       "input: those of a node that has ended, too.\n\n"
+       "Prints the causes and consequences of the events about a request, "
+       "group,\n"
+       "contract, VM or node, over all nodes, newest first. Rows with "
+       "relation\n"
+       "`around` are events of about the same time about VMs, groups or the\n"
+       "configuration that the subject depended on. With --logs, events are "
+       "read\n"
+       "from log files instead of nodes, also of nodes that have ended; `-` "
+       "is\n"
+       "standard input.\n\n"
        "Examples:\n  gcwctl why lj-1-f1-12-3\n"
        "  gcwctl why 9c41d07be2a35f68 --logs gw-1.log gw-2.log\n"}};
   return help;
--- a/programs/gcwctl/commands.cc
+++ b/programs/gcwctl/commands.cc
@@ -23,13 +23,13 @@
 std::string_view Explain(OperatorCallErrorKind kind) {
   switch (kind) {
     case OperatorCallErrorKind::kAddressMalformed:
-      return "the address is not IP:PORT";
+      return "malformed address, expected IP:PORT";
     case OperatorCallErrorKind::kUnreachable:
-      return "it cannot be reached; nothing was sent";
+      return "connection failed; nothing was sent";
     case OperatorCallErrorKind::kNoAnswer:
-      return "it did not answer; the command may have taken effect";
+      return "no response; the command may have taken effect";
     case OperatorCallErrorKind::kAnswerMalformed:
-      return "its answer cannot be read; is this the operators' port?";
+      return "malformed response; check that this is the operator port";
   }
   return "unknown";
 }
@@ -141,7 +141,7 @@
     out_ << id << " is draining\n";
     return ExitCode::kDone;
   }
-  err_ << "no node is called " << id << "; see `gcwctl node list`\n";
+  err_ << "no node with id " << id << "; see `gcwctl node list`\n";
   return ExitCode::kRefused;
 }
 
@@ -173,7 +173,8 @@
       return ExitCode::kDone;
     }
   }
-  err_ << "no node that keeps " << line_.domain << " answered\n";
+  err_ << "no node accepted the drain in domain " << line_.domain
+       << "; check group and domain with `gcwctl group list`\n";
   return ExitCode::kRefused;
 }
 
@@ -194,7 +195,7 @@
     }
   }
   if (!id.empty() && rows.empty()) {
-    err_ << "no group is called " << id << "; see `gcwctl group list`\n";
+    err_ << "no group with id " << id << "; see `gcwctl group list`\n";
     return ExitCode::kRefused;
   }
   PrintTable(rows,
@@ -251,7 +252,7 @@
     }
   }
   if (line_.nodes.empty()) {
-    err_ << "--node ADDRESS is missing, or set GCW_NODE\n";
+    err_ << "no node address; use --node ADDRESS or set GCW_NODE\n";
     failure = ExitCode::kUsage;
   }
   return false;
--- a/programs/gcwctl/commands_events.cc
+++ b/programs/gcwctl/commands_events.cc
@@ -41,7 +41,7 @@
     std::ofstream trace(line_.trace_file);
     trace << ExportTrace(events);
     if (!trace.flush()) {
-      err_ << line_.trace_file << " cannot be written\n";
+      err_ << line_.trace_file << ": cannot write the trace file\n";
       return ExitCode::kRefused;
     }
   }
@@ -73,8 +73,8 @@
   }
   const Explanation explanation = ExplainSubject(events, Word(1));
   if (explanation.events.empty()) {
-    err_ << "no event is about " << Word(1)
-         << "; it may be too old, see docs/OPERATORS.md\n";
+    err_ << "no events found for " << Word(1)
+         << "; they may be too old, see docs/OPERATORS.md\n";
     return ExitCode::kRefused;
   }
   std::vector<ExplainedRow> explained;
@@ -122,13 +122,15 @@
         ClientFor(address).Call(
             "GET", "/v1/timeline?limit=" + std::to_string(line_.limit));
     if (!IsOk(answer) || ValueOf(answer).status != kStatusOk) {
-      err_ << id << " gave no events; the list is without its part\n";
+      err_ << id
+           << ": no events received from this node; the list is incomplete\n";
       continue;
     }
     Result<EventPage, TimelineError> page =
         decoder.DecodePage(json::serialize(ValueOf(answer).body));
     if (!IsOk(page)) {
-      err_ << id << " gave events that cannot be read\n";
+      err_ << id
+           << ": malformed events from this node; the list is incomplete\n";
       continue;
     }
     timelines.push_back(std::move(ValueOf(page).events));
@@ -149,7 +151,7 @@
     }
     std::ifstream file(name);
     if (!file) {
-      err_ << name << " cannot be read\n";
+      err_ << name << ": cannot read the log file\n";
       failure = ExitCode::kUsage;
       return false;
     }
@@ -157,7 +159,7 @@
   }
   if (reader.malformed_lines() > 0) {
     err_ << reader.malformed_lines()
-         << " lines cannot be read; the list is without them\n";
+         << " malformed log lines skipped; the list is incomplete\n";
   }
   for (std::vector<TimelineEvent>& timeline : timelines) {
     std::stable_sort(timeline.begin(), timeline.end(),
--- a/programs/gcwctl/commands_settings.cc
+++ b/programs/gcwctl/commands_settings.cc
@@ -51,8 +51,8 @@
 
 ExitCode Commands::WriteSetting(const Family& family, bool create) {
   if (!create && !line_.expected) {
-    err_ << "--expected REVISION is missing; `gcwctl " << family.name
-         << " show ID` prints the current one\n";
+    err_ << "--expected REVISION is required; `gcwctl " << family.name
+         << " show ID` prints the current revision\n";
     return ExitCode::kUsage;
   }
   const ReadDocument read = family.name == "contract"
@@ -71,8 +71,8 @@
 
 ExitCode Commands::Withdraw(const Family& family) {
   if (!line_.expected) {
-    err_ << "--expected REVISION is missing; `gcwctl " << family.name
-         << " show ID` prints the current one\n";
+    err_ << "--expected REVISION is required; `gcwctl " << family.name
+         << " show ID` prints the current revision\n";
     return ExitCode::kUsage;
   }
   return SendChange("DELETE", "/v1/" + family.list + "/" + Word(2),
@@ -93,14 +93,16 @@
                              body, answer, failure);
   if (!answered) {
     if (failure == ExitCode::kOutcomeUnknown) {
-      err_ << "repeat with --change-id " << change << " to learn the outcome\n";
+      err_ << "repeat the command with --change-id " << change
+           << " to learn its outcome\n";
     }
     return failure;
   }
   if (answer.status != kStatusOk) {
     const ExitCode refused = ReportRefusal(answer);
     if (refused == ExitCode::kOutcomeUnknown) {
-      err_ << "repeat with --change-id " << change << " to learn the outcome\n";
+      err_ << "repeat the command with --change-id " << change
+           << " to learn its outcome\n";
     }
     return refused;
   }
--- a/programs/gcwctl/main.cc
+++ b/programs/gcwctl/main.cc
@@ -31,8 +31,9 @@
   std::string credential;
   // Reading logs needs no credential.
   if (!std::getline(file, credential) && line.log_files.empty()) {
-    std::cerr << "cannot read the credential; give --credential-file FILE or "
-                 "set GCW_CREDENTIAL_FILE\n";
+    std::cerr
+        << "cannot read the operator credential; use --credential-file FILE or "
+           "set GCW_CREDENTIAL_FILE\n";
     return Exit(gcw::ExitCode::kUsage);
   }
   gcw::Commands commands(std::move(line), gcw::Secret(std::move(credential)),
--- a/programs/gcwctl/setting_files.cc
+++ b/programs/gcwctl/setting_files.cc
@@ -51,28 +51,31 @@
   reader.Add("id", &contract.id, kIdText, "Name of the contract.",
              SettingNeed::kRequired);
   reader.Add("customer", &contract.customer, TextRange{1, 256},
-             "Whom the contract is with.", SettingNeed::kRequired);
+             "Customer of the contract.", SettingNeed::kRequired);
   reader.AddChoice<Tier>("tier", &contract.tier,
                          {{"paid", Tier::kPaid}, {"trial", Tier::kTrial}},
-                         "Paid goes before trial.", SettingNeed::kRequired);
+                         "Paid requests have priority over trial requests.",
+                         SettingNeed::kRequired);
   reader.Add("rank", &contract.rank, IntegerRange{0, ContractBuilder::kMaxRank},
-             "Within the tier; a lower number is served first.");
-  reader.Add("models", &raw.models, ListRange{}, "Models that it may run.");
+             "Priority within the tier; lower numbers are served first.");
+  reader.Add("models", &raw.models, ListRange{},
+             "Models that the contract may use.");
   reader.Add("services", &raw.services, ListRange{},
-             "Plain services that it may call.");
+             "Plain services that the contract may call.");
   reader.Add("requests_per_second", &contract.requests_per_second,
              NumberRange{0, ContractBuilder::kMaxRequestsPerSecond},
-             "Over all nodes.", SettingNeed::kRequired);
+             "Maximum, over all nodes.", SettingNeed::kRequired);
   reader.Add("tokens_per_second", &contract.tokens_per_second,
              NumberRange{0, ContractBuilder::kMaxTokensPerSecond},
-             "Prompt and generated, over all nodes.");
+             "Maximum of prompt and generated tokens, over all nodes.");
   reader.Add("concurrency", &contract.concurrency,
              IntegerRange{1, ContractBuilder::kMaxConcurrency},
-             "Requests at once, over all nodes.", SettingNeed::kRequired);
+             "Maximum concurrent requests, over all nodes.",
+             SettingNeed::kRequired);
   reader.Add("valid_from_ms", &raw.valid_from_ms, IntegerRange{0},
-             "Unix milliseconds.");
+             "Start of validity in Unix milliseconds.");
   reader.Add("valid_until_ms", &raw.valid_until_ms, IntegerRange{0},
-             "Unix milliseconds; 0 for no end.");
+             "End of validity in Unix milliseconds; 0 for no end.");
   reader.Add("key_files", &raw.key_files, ListRange{},
              "Files with callers' keys.");
   reader.Add("key_digests", &raw.key_digests, ListRange{},
