--- a/programs/gcwctl/command_line.cc
+++ b/programs/gcwctl/command_line.cc
@@ -73,6 +73,7 @@
       {"group",
        "gcwctl group list\ngcwctl group show ID\n"
        "gcwctl group drain ID --domain DOMAIN\n\n"
+       "DOMAIN is the fabric domain of the group, which `list` prints.\n\n"
        "Example:\n  gcwctl group drain lj-1-f1-12-3 --domain lj-1-f1\n"},
       {"limits",
        "gcwctl limits\n\nPrints this node's share of each active contract. "
--- a/tests/programs/event_log_reader_test.cc
+++ b/tests/programs/event_log_reader_test.cc
@@ -47,8 +47,8 @@
   EXPECT_EQ(reader_.malformed_lines(), 3);
 }
 
-// A refusal names no group; what the groups of that time went through explains
-// it, while another request's retries do not.
+// A refusal for lack of capacity names no group. Its context contains the group
+// events of that time and no events of other requests.
 TEST_F(EventLogReaderTest, ARefusalForWantOfRoomIsExplainedByTheGroups) {
   const auto events = Read(
       Line("n1", "group_closed", 1000, "old") +
--- a/tests/programs/gateway_explained_test.cc
+++ b/tests/programs/gateway_explained_test.cc
@@ -1,4 +1,4 @@
-// Failures that callers complain of, and what the logs say of them.
+// Tests that the logs explain failures that callers report.
 
 #include <gtest/gtest.h>
 
@@ -14,7 +14,7 @@
 
 class GatewayExplainedTest : public GatewayPathTest {
  protected:
-  // All events that both nodes have logged by now.
+  // Returns all events that both nodes have logged so far.
   const std::vector<TimelineEvent>& ReadLogs() {
     std::vector<std::vector<TimelineEvent>> timelines = {std::move(events_)};
     for (const char* node : {"gw-1", "gw-2"}) {
@@ -32,7 +32,7 @@
         [&](const TimelineEvent& event) { return event.draft.kind == kind; });
   }
 
-  // The newest event of that kind; its subject is the request's id.
+  // Returns the latest event of the kind; its subject is the request's id.
   const TimelineEvent& Newest(EventKind kind) {
     const auto found = std::find_if(
         events_.rbegin(), events_.rend(),
@@ -75,9 +75,9 @@
   std::vector<TimelineEvent> events_;
 };
 
-// A request is refused while the only group of its model is repaired: its own
-// line says that no endpoint was there, those of the group why and for how
-// long.
+// A request is refused while the only group of its model is being repaired. The
+// request's event says that no endpoint was available; the group's events say
+// why and for how long.
 TEST_F(GatewayExplainedTest, ARefusalDuringARepair) {
   ASSERT_TRUE(ServesBothModels());
   KillVms(0, 2);
@@ -96,8 +96,8 @@
   EXPECT_TRUE(Contains(context, EventKind::kGroupPlanned));
 }
 
-// All VMs of a model go while streams run: the callers' answers are cut, and
-// nobody can say what became of them. The line names the VM.
+// All VMs of a model are lost while answers stream, so that the outcome of the
+// requests is unknown. Their events name the VM.
 TEST_F(GatewayExplainedTest, AnOutcomeUnknownAfterALoss) {
   ASSERT_TRUE(ServesBothModels());
   std::vector<std::thread> callers;
@@ -111,7 +111,7 @@
       }
     });
   }
-  // Streams run by then, however slowly the callers begin.
+  // Ensures that streams are running, even if the callers start slowly.
   EXPECT_TRUE(fleet_.Until([&] { return answered >= 4; }));
   KillVms(0, 11);
   const bool logged = fleet_.Until(
@@ -134,9 +134,10 @@
   }));
 }
 
-// A key is added while the nodes are cut off from the store: its requests get
-// 401 by the older configuration, whose version the line names, and the lines
-// around it say since when the store was away and when the newer one came.
+// A key is added while the nodes cannot reach the store, so that requests with
+// the key get 401 from an older configuration. The request's event gives its
+// version; the events around it say when the store became unreachable and when
+// the newer configuration was applied.
 TEST_F(GatewayExplainedTest, AnAnswerByAnOlderConfiguration) {
   ASSERT_TRUE(ServesBothModels());
   SetFault("refuse", true);
--- a/tests/programs/gateway_path_test.cc
+++ b/tests/programs/gateway_path_test.cc
@@ -31,9 +31,9 @@
   }));
 }
 
-// Symptom: streams of a group end cut, and its requests hang. Sequence: a VM of
-// the only large group dies without a word while streams run. Cause: a group
-// that lost a VM stands still and says nothing.
+// Guards against cut streams and hanging requests after a VM of the only large
+// group is killed while streams run: a group that lost a VM stalls without
+// reporting an error.
 TEST_F(GatewayPathTest, AGroupThatLostAVmIsRepairedAndServesAgain) {
   ASSERT_TRUE(ServesBothModels());
   std::vector<std::thread> callers;
@@ -44,7 +44,7 @@
     callers.emplace_back([&] {
       while (!stop) {
         const HttpResponse answer = Ask(first_.callers, "small");
-        // Whole, or plainly not: never a cut one that looks whole.
+        // Complete, or recognizably incomplete.
         wrong += answer.status == 200 && answer.body != WholeStream() ? 1 : 0;
       }
     });
@@ -59,8 +59,8 @@
   EXPECT_EQ(wrong, 0);
 }
 
-// Symptom: a reservation runs twice. Sequence: the only process that may take
-// it is killed while others are sent. Cause: a second send after a lost answer.
+// Guards against running a reservation twice by resending it after a lost
+// answer. The only process that serves reservations is killed between sends.
 TEST_F(GatewayPathTest, WhatMayRunOnceRunsOnceForEachAnswer) {
   ASSERT_TRUE(ServesBothModels());
   int sent = 0;
@@ -77,8 +77,8 @@
   EXPECT_GE(answered, 20);
 }
 
-// Symptom: nothing is served while the store is away. Cause: a node that treats
-// what it last knew as nothing.
+// Guards against a node that stops serving while the store is unreachable
+// because it discards the last known configuration.
 TEST_F(GatewayPathTest, ServesOnWhileTheStoreIsAway) {
   ASSERT_TRUE(ServesBothModels());
   SetFault("silent", true);
@@ -89,9 +89,8 @@
   EXPECT_TRUE(ServesBothModels());
 }
 
-// Symptom: a request that operators allow no longer, or allow by now, is judged
-// by other bounds than theirs. Sequence: they lower the bound of bodies, then
-// raise it. Cause: the server's bounds were those of its start.
+// Guards against a server that keeps the body limit of its start after
+// operators lower and then raise it.
 TEST_F(GatewayPathTest, CallersAreHeldToTheOperatorsLimits) {
   ASSERT_TRUE(ServesBothModels());
   const std::string body(5000, 'b');
@@ -107,8 +106,8 @@
   }));
 }
 
-// Symptom: the process ends by itself when its settings file changes. Cause:
-// nothing handled SIGHUP.
+// Guards against a settings reload that ends the process because SIGHUP is not
+// handled.
 TEST_F(GatewayPathTest, AReloadIsNoEnd) {
   ASSERT_TRUE(ServesBothModels());
   fleet_.Signal("gw-1", SIGHUP);
@@ -118,8 +117,8 @@
   EXPECT_EQ(Ask(first_.callers, "large").status, 200);
 }
 
-// Symptom: callers lose answers when a node is stopped. Sequence: SIGTERM while
-// callers still use the addresses that they keep. Cause: it ended at once.
+// Guards against lost answers after SIGTERM: callers still use the addresses
+// that they have cached, so a node must not end at once.
 TEST_F(GatewayPathTest, APlannedStopLeavesTheAddressesAndServesOnMeanwhile) {
   ASSERT_TRUE(ServesBothModels());
   fleet_.Signal("gw-1", SIGTERM);
--- a/tests/programs/gateway_settings_test.cc
+++ b/tests/programs/gateway_settings_test.cc
@@ -50,8 +50,8 @@
   EXPECT_EQ(settings->core.mirror.known_within, Duration::Millis(2500));
 }
 
-// Symptom: no node starts on a platform with a bound of its own. Cause: the
-// check of settings took it for a fault of the file.
+// Guards against nodes that do not start on a platform that sets its own bound,
+// because the settings check reports the bound as an error in the file.
 TEST_F(GatewaySettingsTest, StartsWithWhateverBoundsThePlatformSets) {
   for (const char* bound : {"0", "900", "3000", "120000"}) {
     EXPECT_TRUE(
--- a/tests/programs/load_answer_test.cc
+++ b/tests/programs/load_answer_test.cc
@@ -16,13 +16,14 @@
 const ExpectedAnswer kExpected{ReferenceAnswer(kPrompt, TokenCount(kTokens)),
                                AttemptId()};
 
-// An event as an engine writes it.
+// Returns a token event in an engine's form.
 std::string Token(std::string_view prompt, int index) {
   return EncodeChatTokenEvent(
       {AttemptId("attempt"), index, ReferenceToken(prompt, index)});
 }
 
-// An event as a node writes it: with the request's id and without index.
+// Returns a token event in a node's form: with the request's id and without an
+// index.
 std::string NodeToken(int index, const std::string& id) {
   return R"(data: {"id":")" + id +
          R"(","choices":[{"index":0,"delta":{"content":")" +
@@ -37,7 +38,7 @@
   return Token(kPrompt, 0) + Token(kPrompt, 1) + Token(kPrompt, 2) + kEnd;
 }
 
-// "whole", "broken <type>" or the fault.
+// Returns "whole", "broken <type>" or the fault's name.
 std::string NameOf(const AnswerVerdict& verdict) {
   return std::visit(
       Overloaded{
@@ -83,7 +84,8 @@
   for (std::size_t size = 0; size < stream.size(); ++size) {
     const std::string part = stream.substr(0, size);
     EXPECT_EQ(Cut(part), "broken truncated");
-    // The last line feed only ends the event's empty line.
+    // The stream is complete without its last line feed, which ends only the
+    // event's empty line.
     if (size < stream.size() - 1) {
       EXPECT_NE(Ended(part), "whole") << size;
     }
--- a/tests/programs/load_plan_test.cc
+++ b/tests/programs/load_plan_test.cc
@@ -39,7 +39,7 @@
     last = arrival.at;
   }
   EXPECT_LT(last, seconds(100));
-  // Five standard deviations of a Poisson number.
+  // The tolerance is five standard deviations of a Poisson distribution.
   const auto near = [](double mean) {
     return testing::DoubleNear(mean, 5 * std::sqrt(mean));
   };
--- a/tests/programs/load_run_test.cc
+++ b/tests/programs/load_run_test.cc
@@ -12,11 +12,11 @@
 namespace gcw {
 namespace {
 
-// Nothing listens there.
+// An address without a listener.
 const Address kDead("127.0.0.1:1");
 
 // A node that answers at once. The first send of each reservation runs, but its
-// answer is lost.
+// outcome is reported as unknown.
 class FakeNode {
  public:
   FakeNode() {
@@ -37,7 +37,7 @@
   }
   std::size_t keys() const { return keys_.size(); }
 
-  // Leaves the end marker away, yet ends by the rules of HTTP.
+  // Omits `data: [DONE]` but ends the HTTP response properly.
   std::atomic<bool> leaves_done_out = false;
 
  private:
--- a/tests/programs/node_settings_test.cc
+++ b/tests/programs/node_settings_test.cc
@@ -47,11 +47,10 @@
   EXPECT_TRUE(ErrorsWith("").empty());
 }
 
-// Symptom: no replica group ever comes up, and nothing is logged.
-// Sequence: a node starts with a lease of 3 s, becomes a keeper and writes the
-// record of a group; it never sends the load orders.
-// Cause: an order leaves only while the lease outlives the order's own time-out
-// and margin, which with these settings it never does.
+// Guards against settings with which no replica group ever starts and nothing
+// is logged. An order is sent only while the lease outlives the order's timeout
+// and margin; with a lease of 3 s, a node became a keeper and wrote the record
+// of a group, but never sent the load orders.
 TEST_F(NodeSettingsTest, RefusesALeaseTooShortForOrders) {
   const std::vector<SettingError> errors = ErrorsWith(
       "lease.time_to_live_ms = 3000\nlease.renew_interval_ms = 800\n"
@@ -60,10 +59,10 @@
   EXPECT_EQ(errors[0].key, "lease.time_to_live_ms");
 }
 
-// Symptom: the node ends about a second after its start, again and again, with
-// its secret in the log. Sequence: the secret's file has bytes that no header
-// may have; the settings' check passes; the first call to a peer ends the
-// process. Cause: only the secret's length was checked.
+// Guards against a node that crashes about a second after each start with its
+// secret in the log: the secret contains bytes that are not allowed in a
+// header, the settings check tests only its length, and the first call to a
+// peer ends the process.
 TEST_F(NodeSettingsTest, RefusesASecretThatIsNoHeaderText) {
   Write("secret", "a-secret-\x01-\xc3\xa9-of-this-test");
   const std::vector<SettingError> errors = ErrorsWith("");
--- a/tests/programs/standin_engine_test.cc
+++ b/tests/programs/standin_engine_test.cc
@@ -66,7 +66,7 @@
     RunUntil(At(0));
   }
 
-  // Steps of 10 ms up to `end`, all actions together.
+  // Ticks every 10 ms up to `end` and returns all actions.
   std::vector<EngineAction> RunUntil(Time end) {
     std::vector<EngineAction> all;
     for (; now_ <= end; now_ = now_ + Duration::Millis(10)) {
@@ -140,7 +140,8 @@
       }
     }
   };
-  // 52 tokens at 10 a step, then 4 that are not in a whole block.
+  // The first prefill has 52 tokens at 10 per step; the second only the 4
+  // tokens outside of full cached blocks.
   EXPECT_EQ(first_token_after(At(1000), Ticket(1)), Duration::Millis(60));
   EXPECT_EQ(first_token_after(At(2000), Ticket(2)), Duration::Millis(10));
   EXPECT_EQ(engine_.CacheEvents(At(3000), 0).events.size(), 3U);
@@ -166,9 +167,9 @@
   EXPECT_EQ(engine_.CacheEvents(At(900), 0).first, 2);
 }
 
-// Symptom: a group answers although one of its VMs is gone. Sequence: both
-// members load, the group serves, the second member stops answering. Cause:
-// only rank 0 can know, and must break what runs and refuse what comes.
+// Guards against a group that goes on answering after its second member has
+// stopped responding. Only rank 0 can detect this; it must break running
+// answers and refuse new ones.
 TEST_F(StandinEngineTest, AMissingMemberBreaksAnswersAndEndsServing) {
   Load(2);
   const auto refused = engine_.OnChat(At(0), Ticket(1), Call("early", 9));
--- a/tests/programs/standin_parts_test.cc
+++ b/tests/programs/standin_parts_test.cc
@@ -61,7 +61,7 @@
   EXPECT_EQ(QueryNumber("/p", "after"), std::nullopt);
 }
 
-// Keeps what reaches the caller.
+// Records what reaches the caller.
 class RecordingResponder : public HttpResponder {
  public:
   void Respond(HttpResponse) override { sent += "respond "; }
@@ -78,9 +78,9 @@
   std::function<void()> caller_gone;
 };
 
-// Symptom: a stream whose middle is missing looks whole. Sequence: the exchange
-// goes silent during a stream, and the fault is switched off before its end.
-// Cause: were the rest passed on, the caller would get an answer with a hole.
+// Guards against a stream that looks complete although its middle is missing:
+// if the `silent` fault is switched off during a stream that it has silenced,
+// the rest of the stream must not be passed on.
 TEST(FaultyResponderTest, ASilencedExchangeStaysSilent) {
   Faults faults;
   FaultyResponder::Silenced silenced;
--- a/tests/programs/standin_shell_test.cc
+++ b/tests/programs/standin_shell_test.cc
@@ -9,7 +9,7 @@
 namespace gcw {
 namespace {
 
-// Runs a stand-in and its caller on one thread over loopback.
+// Runs a stand-in and its caller over loopback on one thread.
 class StandinShellTest : public testing::Test {
  protected:
   ~StandinShellTest() override { server_.Close(); }
@@ -44,7 +44,7 @@
     return *std::move(outcome);
   }
 
-  // Status and body, or the name of the failure.
+  // Returns the status and body, or the name of the failure.
   std::string Text(const std::string& target, const std::string& body) {
     const auto result = Fetch(target, body);
     if (!IsOk(result)) {
@@ -56,16 +56,16 @@
 
   boost::asio::io_context context_;
   StandinServer server_{context_, Faults{}};
-  // Outlive the connections, which the destructor closes.
+  // The shells must outlive the connections, which the destructor closes.
   std::unique_ptr<StoreShell> store_;
   std::unique_ptr<EngineShell> engine_;
   HttpClient client_{context_};
   Address address_;
 };
 
-// Symptom: a writer takes its write for failed and writes again. Sequence: the
-// store carries the write out, then the connection closes without an answer.
-// Cause: a lost answer tells nothing about the write.
+// Guards against a writer that treats a lost answer as a failed write and
+// writes again: the store applies the write, then the connection closes without
+// an answer.
 TEST_F(StandinShellTest, AWriteWhoseAnswerIsLostTakesEffect) {
   ListenAsStore();
   Text("/faults", R"({"name":"lose_answer","value":1})");
--- a/tests/programs/standin_store_test.cc
+++ b/tests/programs/standin_store_test.cc
@@ -9,7 +9,7 @@
   return Time::FromMillis(millis);
 }
 
-// Drives a store in virtual time.
+// Runs a store in virtual time.
 class StandinStoreTest : public testing::Test {
  protected:
   StoreReply Call(Time now, const StoreCall& call) {
@@ -21,7 +21,7 @@
     return StoreNoAnswer{};
   }
 
-  // Returns the revision.
+  // Writes a key and returns its new revision.
   Revision Put(Time now,
                const std::string& key,
                Revision expected,
@@ -91,9 +91,9 @@
   EXPECT_FALSE(reply.compacted);
 }
 
-// Symptom: a node never learns of a change. Sequence: more changes than the
-// history holds pass while it does not watch. Cause: the changes between were
-// compacted away, so the reply must send it to read the range again.
+// Guards against a node that misses changes: if more changes are made between
+// two watches than the history holds, they are compacted, and the reply must
+// tell the node to read the range again.
 TEST_F(StandinStoreTest, AWatchBehindTheHistoryIsToldSo) {
   const Revision start = Put(At(0), "a", Revision());
   Revision last = start;
--- a/tests/programs/whole_path_test.cc
+++ b/tests/programs/whole_path_test.cc
@@ -21,13 +21,14 @@
 constexpr const char* kDomain = "lj-1-f1";
 constexpr int kStatusOk = 200;
 
-// What came back of one call, also where it ended early.
+// The response to a call, possibly incomplete, and the failure that ended it.
 struct Received {
   HttpResponse answer{0, {}, {}};
   std::optional<HttpFailure> failure;
 };
 
-// Sends the request and collects what comes back. `on_body` sees each piece.
+// Sends the request and collects the response. `on_body` is called after each
+// chunk.
 Received Exchange(
     const Address& address,
     HttpRequest request,
@@ -76,11 +77,11 @@
 
 enum class Outcome {
   kWhole,
-  // The caller was told of an error, by a status or in the stream.
+  // The answer reports an error, by its status or in the stream.
   kToldError,
-  // It ended without a word.
+  // The answer ended without an error.
   kCut,
-  // It looked whole and was not.
+  // The answer looked complete and was not.
   kWrong,
 };
 
@@ -120,8 +121,8 @@
       << static_cast<int>(outcome);
 }
 
-// One fabric domain of three engines, which serve one group of two, one plain
-// service, and as many nodes as a test starts.
+// Fixture with one fabric domain of three engines, which serve one group of
+// two, one plain service, and the nodes that a test starts.
 class WholePathTest : public testing::Test {
  protected:
   using Node = ProcessFleet::NodeAddresses;
@@ -182,7 +183,7 @@
             "[log]\nevents = true\n");
   }
 
-  // Status 0 where no answer came.
+  // Calls the operator API. The status is 0 if the call failed.
   static OperatorAnswer Operate(const Node& node,
                                 const std::string& method,
                                 const std::string& target,
@@ -224,7 +225,8 @@
                .status == kStatusOk;
   }
 
-  // Model and contract are in force and the group serves, seen by this node.
+  // Writes model and contract, and waits until they are in force on this node
+  // and it answers requests.
   void WaitUntilServing(const Node& node) {
     ASSERT_TRUE(fleet_.Until([&] { return PutModel(node); }));
     ASSERT_TRUE(fleet_.Until([&] { return PutContract(node); }));
@@ -237,8 +239,8 @@
                                                    EncodeChatRequest(chat))));
   }
 
-  // Asks in both ways until both are answered. Whatever comes before must be a
-  // told error.
+  // Sends streamed and non-streamed requests until one of each is answered.
+  // Every earlier answer must report an error.
   bool AnswersSoon(const Node& node) {
     return fleet_.Until([&] {
       const Outcome streamed = AskNext(node, true);
@@ -255,7 +257,7 @@
     return outcome;
   }
 
-  // The group's record as the node sees it, empty while there is none.
+  // Returns the group's record on this node, empty if there is none.
   static json::object Group(const Node& node) {
     const json::object page = Operate(node, "GET", "/v1/groups").body;
     const json::value* groups = page.if_contains("groups");
@@ -289,7 +291,7 @@
     return revision == nullptr ? 0 : revision->as_int64();
   }
 
-  // Lowers the contract's concurrency, always with the same change id.
+  // Lowers the contract's concurrency. Every call uses the same change id.
   static int PutSecondContract(const Node& node, std::int64_t expected) {
     Contract contract = CallerContract();
     contract.concurrency = 50;
@@ -300,8 +302,8 @@
         .status;
   }
 
-  // By the node's own time line, how often the group was closed. Fails where a
-  // request went to it while it was.
+  // Counts in the node's timeline how often the group was closed. Fails if a
+  // request was sent to it while it was closed.
   static int CountClosings(const Node& node, const std::string& group) {
     const json::object page =
         Operate(node, "GET", "/v1/timeline?limit=5000").body;
@@ -323,7 +325,7 @@
     return closings;
   }
 
-  // Switches a fault of a stand-in.
+  // Switches a fault of a stand-in on or off.
   static void SetFault(const Address& standin,
                        const std::string& name,
                        bool value) {
@@ -342,7 +344,7 @@
   int questions_ = 0;
 };
 
-// An answer that comes while the test goes on.
+// A request whose answer is received on another thread while the test goes on.
 class LongAnswer {
  public:
   LongAnswer(const Address& node, const ChatRequest& chat)
@@ -360,8 +362,8 @@
   std::future<Received> received_;
 };
 
-// Sends the reservation with one key until it is answered; refused sends were
-// not run, so that sending again is right.
+// A reservation that is sent with one idempotency key until it is answered.
+// Refused sends did not run, so the reservation may be sent again.
 class Reservation {
  public:
   explicit Reservation(const ProcessFleet& fleet) : fleet_(fleet) {}
@@ -382,13 +384,11 @@
   const ProcessFleet& fleet_;
 };
 
-// Symptom: a fleet whose parts pass their own tests serves nobody, a caller
-// gets another's text, or one reservation is made twice.
-// Sequence of events: two nodes start on an empty store, operators put a model
-// and a contract, callers ask through both nodes, and a reservation is sent
-// again through the other node.
-// Cause: a part that is not wired to the next, or each node remembering for
-// itself which keys have run.
+// Two nodes start on an empty store and get a model and a contract; then
+// callers use both nodes. Guards against parts that pass their own tests but
+// are not connected, a caller that gets another caller's text, and a
+// reservation that runs again on the other node because each node remembers
+// only its own keys.
 TEST_F(WholePathTest, ServesStreamsWholeAnswersAndReservationsOnce) {
   const Node first = StartNode("n1");
   const Node second = StartNode("n2");
@@ -411,13 +411,10 @@
       << counts.answer.body;
 }
 
-// Symptom: requests hang or are cut, or a half answer passes for a whole one,
-// after a VM of a group died; or the group stays down though a VM is free.
-// Sequence of events: the group serves, one long answer is under way, the VM
-// of the second member is killed, callers go on asking.
-// Cause: an incomplete group that still gets requests, an engine's broken
-// stream that is closed as if it were whole, or a keeper that does not replace
-// the lost VM.
+// The VM of a group's second member is killed during a long answer. Guards
+// against an incomplete group that still gets requests, so that they hang or
+// are cut, a broken stream that is closed as if it were complete, and a keeper
+// that does not replace the lost VM although another is free.
 TEST_F(WholePathTest, AGroupThatLostAVmGetsNothingAndIsRepaired) {
   const Node node = StartNode("n1");
   ASSERT_NO_FATAL_FAILURE(WaitUntilServing(node));
@@ -438,8 +435,8 @@
   EXPECT_GT(CountClosings(node, group), closings);
 }
 
-// Symptom: the node ends when its settings file changes. Sequence: SIGHUP.
-// Cause: nothing took the signal, and its default ends the process.
+// Guards against a settings reload that ends the node: without a handler,
+// SIGHUP ends the process.
 TEST_F(WholePathTest, AReloadIsNoEnd) {
   StartNode("n1");
   fleet_.Signal("n1", SIGHUP);
@@ -451,13 +448,11 @@
   EXPECT_FALSE(fleet_.HasEnded("n1"));
 }
 
-// Symptom: callers are refused while the key-value service is down, or a
-// contract change that was refused comes into force, or never can again.
-// Sequence of events: the service answers nothing until the node's lease has
-// lapsed, callers go on asking, an operator changes a contract and sends the
-// same change again after the outage.
-// Cause: serving that hangs on the node's lease, or a change that is taken for
-// made, or for lost, without a word from the service.
+// The key-value service answers nothing until the node's lease has expired; an
+// operator changes a contract and repeats the change after the outage. Guards
+// against serving that depends on the node's lease, and against a change that
+// is taken as applied or as lost without an answer of the service, so that a
+// refused change comes into force or can never be made.
 TEST_F(WholePathTest, ANodeServesOnThroughAStoreOutage) {
   const Node node = StartNode("n1");
   ASSERT_NO_FATAL_FAILURE(WaitUntilServing(node));
@@ -480,12 +475,11 @@
   EXPECT_TRUE(AnswersSoon(node));
 }
 
-// Symptom: an answer that was under way stops in the middle and its connection
-// closes, or stays open, without a word.
-// Sequence of events: an answer streams from a group, the VM of its first
-// member stops without closing its connections.
-// Cause: a connection that is silent looks like a slow one until its progress
-// is watched; a caller that is given up then must be told.
+// The VM of a group's first member is stopped during an answer without closing
+// its connections. Guards against an answer that ends or hangs without an
+// error: a silent connection is distinguished from a slow one only by a
+// progress timeout, after which the caller must get an error if the answer
+// cannot be resumed.
 TEST_F(WholePathTest, AnAnswerFromAStoppedVmGoesOnElsewhereOrIsToldBroken) {
   const Node node = StartNode("n1");
   ASSERT_NO_FATAL_FAILURE(WaitUntilServing(node));
