--- a/programs/gcw_load/answer_verdict.cc
+++ b/programs/gcw_load/answer_verdict.cc
@@ -63,7 +63,7 @@
     return ViolationVerdict{AnswerFault::kForeignId};
   }
   if (!expected.text || answer.text == *expected.text) {
-    return WholeVerdict{};
+    return CompleteVerdict{};
   }
   return ViolationVerdict{expected.text->starts_with(answer.text)
                               ? AnswerFault::kShort
@@ -74,7 +74,7 @@
                                  const std::string& key,
                                  bool reference) {
   if (!reference) {
-    return WholeVerdict{};
+    return CompleteVerdict{};
   }
   const auto echoed =
       DecodeJson(body, [](JsonReader& reader) { return reader.String("key"); });
@@ -84,7 +84,7 @@
   if (ValueOf(echoed) != key) {
     return ViolationVerdict{AnswerFault::kForeignText};
   }
-  return WholeVerdict{};
+  return CompleteVerdict{};
 }
 
 }  // namespace gcw
--- a/programs/gcw_load/answer_verdict.h
+++ b/programs/gcw_load/answer_verdict.h
@@ -41,7 +41,7 @@
 };
 
 // The answer is complete and belongs to the request.
-struct WholeVerdict {};
+struct CompleteVerdict {};
 // The answer ended in a way that no caller can mistake for a complete one.
 // `type` is the error that it reported, or the failure of its connection.
 struct BrokenVerdict {
@@ -53,7 +53,7 @@
 };
 
 using AnswerVerdict =
-    std::variant<WholeVerdict, BrokenVerdict, ViolationVerdict>;
+    std::variant<CompleteVerdict, BrokenVerdict, ViolationVerdict>;
 
 // Checks the body of a non-streamed answer that ended properly.
 AnswerVerdict CheckWholeAnswer(std::string_view body,
--- a/programs/gcw_load/arrival_plan.cc
+++ b/programs/gcw_load/arrival_plan.cc
@@ -14,10 +14,10 @@
   if (rate <= 0) {
     return std::nullopt;
   }
-  at_ += -std::log1p(-DrawUnit(random_)) / rate;
+  last_arrival_ += -std::log1p(-DrawUnit(random_)) / rate;
   // Compared in seconds, because with a tiny rate the time would overflow
   // microseconds.
-  const std::chrono::duration<double> at(at_);
+  const std::chrono::duration<double> at(last_arrival_);
   if (at >= settings_.length) {
     return std::nullopt;
   }
--- a/programs/gcw_load/arrival_plan.h
+++ b/programs/gcw_load/arrival_plan.h
@@ -41,7 +41,7 @@
   Settings settings_;
   Random random_;
   // Time of the last arrival in seconds.
-  double at_ = 0;
+  double last_arrival_ = 0;
 };
 
 }  // namespace gcw
--- a/programs/gcw_load/chat_exchange.cc
+++ b/programs/gcw_load/chat_exchange.cc
@@ -21,26 +21,26 @@
 }
 
 void ChatExchange::Start(const std::string& prompt) {
-  const ChatRequest chat = MakeChat(prompt);
+  const ChatRequest chat = MakeChatRequest(prompt);
   if (context_.settings.reference) {
     expected_.text = ReferenceAnswer(PromptOf(chat), chat.max_tokens);
   }
   if (context_.settings.generation) {
     expected_.attempt = AttemptId(planned_.name);
   }
-  if (streams()) {
+  if (is_streamed()) {
     checker_.emplace(expected_);
   }
   std::make_shared<RequestSender>(context_, planned_.kind)
       ->Send(MakeRequest(chat), MakeHandlers());
 }
 
-ChatRequest ChatExchange::MakeChat(const std::string& prompt) const {
+ChatRequest ChatExchange::MakeChatRequest(const std::string& prompt) const {
   ChatRequest chat;
   chat.model = context_.settings.model;
   chat.messages = {{"user", prompt}};
   chat.max_tokens = context_.settings.max_tokens;
-  chat.stream = streams();
+  chat.stream = is_streamed();
   return chat;
 }
 
@@ -77,7 +77,7 @@
 }
 
 void ChatExchange::OnBody(std::string_view chunk) {
-  if (streams() && response_.status == kStatusOk) {
+  if (is_streamed() && response_.status == kStatusOk) {
     OnTokens(checker_->OnBytes(chunk));
     return;
   }
@@ -92,10 +92,11 @@
   const LoadClock::time_point now = LoadClock::now();
   for (int i = 0; i < count; ++i) {
     if (!first_token_) {
-      first_token_ = Since(planned_.planned);
+      first_token_ = ElapsedSince(planned_.planned_at);
     } else {
-      gaps_.push_back(std::chrono::duration_cast<std::chrono::microseconds>(
-          now - last_token_));
+      token_gaps_.push_back(
+          std::chrono::duration_cast<std::chrono::microseconds>(now -
+                                                                last_token_));
     }
     last_token_ = now;
   }
@@ -109,8 +110,8 @@
                failed.type);
     return;
   }
-  RecordVerdict(streams() ? checker_->OnEnd()
-                          : CheckWholeAnswer(response_.body, expected_));
+  RecordVerdict(is_streamed() ? checker_->OnEnd()
+                              : CheckWholeAnswer(response_.body, expected_));
 }
 
 void ChatExchange::OnFailure(HttpFailure failure) {
@@ -119,7 +120,7 @@
     RecordType(&KindTally::refused, name);
   } else if (response_.status != kStatusOk) {
     RecordType(&KindTally::unknown, name);
-  } else if (streams()) {
+  } else if (is_streamed()) {
     RecordVerdict(checker_->OnFailure(name));
   } else {
     RecordType(&KindTally::broken, name);
@@ -127,7 +128,7 @@
 }
 
 void ChatExchange::RecordVerdict(const AnswerVerdict& verdict) {
-  std::visit(Overloaded{[this](const WholeVerdict&) { RecordWhole(); },
+  std::visit(Overloaded{[this](const CompleteVerdict&) { RecordComplete(); },
                         [this](const BrokenVerdict& broken) {
                           RecordType(&KindTally::broken, broken.type);
                         },
@@ -138,8 +139,8 @@
              verdict);
 }
 
-void ChatExchange::RecordWhole() {
-  const auto total = Since(planned_.planned);
+void ChatExchange::RecordComplete() {
+  const auto total = ElapsedSince(planned_.planned_at);
   context_.recorder.Record([this, total](LoadTally& tally, KeyLedger&) {
     KindTally& counts = tally.of(planned_.kind);
     ++counts.answered;
@@ -147,11 +148,11 @@
     if (first_token_) {
       counts.first_token.Add(*first_token_);
     }
-    for (const std::chrono::microseconds gap : gaps_) {
+    for (const std::chrono::microseconds gap : token_gaps_) {
       counts.between_tokens.Add(gap);
     }
   });
-  planned_.on_over();
+  planned_.on_done();
 }
 
 void ChatExchange::RecordType(TypeCounts KindTally::*counts,
@@ -159,10 +160,10 @@
   context_.recorder.Record([&](LoadTally& tally, KeyLedger&) {
     ++(tally.of(planned_.kind).*counts)[std::string(type)];
   });
-  planned_.on_over();
+  planned_.on_done();
 }
 
-bool ChatExchange::streams() const {
+bool ChatExchange::is_streamed() const {
   return IsStream(planned_.kind);
 }
 
--- a/programs/gcw_load/chat_exchange.h
+++ b/programs/gcw_load/chat_exchange.h
@@ -20,7 +20,7 @@
   void Start(const std::string& prompt);
 
  private:
-  ChatRequest MakeChat(const std::string& prompt) const;
+  ChatRequest MakeChatRequest(const std::string& prompt) const;
   HttpRequest MakeRequest(const ChatRequest& chat) const;
   HttpCallHandlers MakeHandlers();
   void OnBody(std::string_view chunk);
@@ -28,9 +28,9 @@
   void OnEnd();
   void OnFailure(HttpFailure failure);
   void RecordVerdict(const AnswerVerdict& verdict);
-  void RecordWhole();
+  void RecordComplete();
   void RecordType(TypeCounts KindTally::*counts, std::string_view type);
-  bool streams() const;
+  bool is_streamed() const;
 
   LoadContext& context_;
   PlannedRequest planned_;
@@ -39,7 +39,7 @@
   // The head, and the body unless the answer is streamed.
   HttpResponse response_;
   std::optional<std::chrono::microseconds> first_token_;
-  std::vector<std::chrono::microseconds> gaps_;
+  std::vector<std::chrono::microseconds> token_gaps_;
   LoadClock::time_point last_token_;
 };
 
--- a/programs/gcw_load/entry_list.cc
+++ b/programs/gcw_load/entry_list.cc
@@ -19,7 +19,7 @@
   return DecodeJson(text, [](JsonReader& reader) {
     EntryList list;
     list.entries = reader.List("entries", ReadEntry);
-    list.keep = reader.DurationMillis("keep_ms");
+    list.ttl = reader.DurationMillis("keep_ms");
     return list;
   });
 }
--- a/programs/gcw_load/entry_list.h
+++ b/programs/gcw_load/entry_list.h
@@ -18,7 +18,7 @@
 struct EntryList {
   std::vector<WeightedEntry> entries;
   // How long the list may be used before it is renewed.
-  Duration keep;
+  Duration ttl;
 };
 
 // Fails on an entry with a negative weight.
--- a/programs/gcw_load/entry_book.h
+++ b/programs/gcw_load/entry_selector.h
@@ -1,5 +1,5 @@
-#ifndef PROGRAMS_GCW_LOAD_ENTRY_BOOK_H_
-#define PROGRAMS_GCW_LOAD_ENTRY_BOOK_H_
+#ifndef PROGRAMS_GCW_LOAD_ENTRY_SELECTOR_H_
+#define PROGRAMS_GCW_LOAD_ENTRY_SELECTOR_H_
 
 #include <optional>
 #include <vector>
@@ -11,9 +11,9 @@
 // The current entry list of a caller, with weighted choice of an address. An
 // expired list stays in use until a newer one arrives: a caller that discarded
 // its only addresses could not ask for new ones.
-class EntryBook {
+class EntrySelector {
  public:
-  explicit EntryBook(Random random);
+  explicit EntrySelector(Random random);
 
   // Replaces the list; a list without addresses keeps the previous entries and
   // only sets the next renewal.
@@ -33,4 +33,4 @@
 
 }  // namespace gcw
 
-#endif  // PROGRAMS_GCW_LOAD_ENTRY_BOOK_H_
+#endif  // PROGRAMS_GCW_LOAD_ENTRY_SELECTOR_H_
--- a/programs/gcw_load/entry_source.cc
+++ b/programs/gcw_load/entry_source.cc
@@ -7,9 +7,9 @@
 namespace {
 
 constexpr int kStatusOk = 200;
-constexpr Duration kPauseAfterFailure = Duration::Millis(500);
+constexpr Duration kRetryDelay = Duration::Millis(500);
 
-HttpCallOptions AskOptions() {
+HttpCallOptions EntryCallOptions() {
   return {.progress_timeout = Duration::Seconds(2),
           .deadline = Duration::Seconds(2)};
 }
@@ -26,16 +26,16 @@
       recorder_(recorder),
       addresses_(std::move(addresses)),
       direct_(std::move(direct)),
-      book_(std::move(random)),
+      selector_(std::move(random)),
       timer_(context) {}
 
-void EntrySource::Start(std::function<void(bool)> first) {
-  first_ = std::move(first);
+void EntrySource::Start(std::function<void(bool)> on_first_result) {
+  on_first_result_ = std::move(on_first_result);
   if (direct_) {
-    TellFirst(true);
+    NotifyFirst(true);
     return;
   }
-  Ask(0);
+  RequestEntries(0);
 }
 
 std::optional<Address> EntrySource::Choose(const std::vector<Address>& tried) {
@@ -43,16 +43,16 @@
     return tried.empty() ? direct_ : std::nullopt;
   }
   const std::lock_guard lock(mutex_);
-  return book_.Choose(tried);
+  return selector_.Choose(tried);
 }
 
-void EntrySource::Ask(std::size_t failed) {
+void EntrySource::RequestEntries(std::size_t failed) {
   recorder_.Record([](LoadTally& tally, KeyLedger&) { ++tally.entries_asked; });
   HttpRequest request;
   request.method = "GET";
   request.target = "/v1/entries";
   client_.Fetch(
-      addresses_[next_], std::move(request), AskOptions(),
+      addresses_[next_address_], std::move(request), EntryCallOptions(),
       [this, failed](const Result<HttpResponse, HttpFailure>& result) {
         OnAnswer(failed, result);
       });
@@ -68,47 +68,47 @@
     }
   }
   if (list) {
-    AskAfter(Keep(*std::move(list)));
-    TellFirst(true);
+    ScheduleRequest(StoreEntries(*std::move(list)));
+    NotifyFirst(true);
     return;
   }
   recorder_.Record(
       [](LoadTally& tally, KeyLedger&) { ++tally.entries_failed; });
-  next_ = (next_ + 1) % addresses_.size();
+  next_address_ = (next_address_ + 1) % addresses_.size();
   if (failed + 1 < addresses_.size()) {
-    Ask(failed + 1);
+    RequestEntries(failed + 1);
     return;
   }
   OnRoundFailed();
 }
 
-Duration EntrySource::Keep(EntryList list) {
+Duration EntrySource::StoreEntries(EntryList list) {
   const std::lock_guard lock(mutex_);
   const Time now = clock_();
-  book_.Replace(now, std::move(list));
-  return book_.renew_at() - now;
+  selector_.Replace(now, std::move(list));
+  return selector_.renew_at() - now;
 }
 
 void EntrySource::OnRoundFailed() {
-  if (first_) {
-    TellFirst(false);
+  if (on_first_result_) {
+    NotifyFirst(false);
     return;
   }
-  AskAfter(kPauseAfterFailure);
+  ScheduleRequest(kRetryDelay);
 }
 
-void EntrySource::AskAfter(Duration wait) {
+void EntrySource::ScheduleRequest(Duration wait) {
   timer_.expires_after(std::chrono::milliseconds(wait.millis()));
   timer_.async_wait([this](const boost::system::error_code& error) {
     if (!error) {
-      Ask(0);
+      RequestEntries(0);
     }
   });
 }
 
-void EntrySource::TellFirst(bool found) {
-  if (const auto first = std::exchange(first_, nullptr)) {
-    first(found);
+void EntrySource::NotifyFirst(bool found) {
+  if (const auto on_first_result = std::exchange(on_first_result_, nullptr)) {
+    on_first_result(found);
   }
 }
 
--- a/programs/gcw_load/entry_source.h
+++ b/programs/gcw_load/entry_source.h
@@ -10,7 +10,7 @@
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
 
-#include "programs/gcw_load/entry_book.h"
+#include "programs/gcw_load/entry_selector.h"
 #include "programs/gcw_load/load_recorder.h"
 #include "transport/transport.h"
 
@@ -28,24 +28,25 @@
               std::optional<Address> direct,
               Random random);
 
-  // Calls `first` once, with true if there are addresses to use and false if
-  // the first round failed.
-  void Start(std::function<void(bool)> first);
+  // Calls `on_first_result` once, with true if there are addresses to use and
+  // false if the first round failed.
+  void Start(std::function<void(bool)> on_first_result);
 
   // Chooses an address that is not in `tried`, absent if there is none.
   // Thread-safe.
   std::optional<Address> Choose(const std::vector<Address>& tried);
 
  private:
-  // Asks the address at `next_`, which is number `failed` + 1 of this round.
-  void Ask(std::size_t failed);
+  // Asks the address at `next_address_`, which is number `failed` + 1 of this
+  // round.
+  void RequestEntries(std::size_t failed);
   void OnAnswer(std::size_t failed,
                 const Result<HttpResponse, HttpFailure>& result);
   // Stores the list and returns the time until its renewal.
-  Duration Keep(EntryList list);
+  Duration StoreEntries(EntryList list);
   void OnRoundFailed();
-  void AskAfter(Duration wait);
-  void TellFirst(bool found);
+  void ScheduleRequest(Duration wait);
+  void NotifyFirst(bool found);
 
   HttpClient& client_;
   LoadRecorder& recorder_;
@@ -54,12 +55,12 @@
   const Clock clock_ = SystemClock();
   std::mutex mutex_;
   // Guarded by `mutex_`.
-  EntryBook book_;
+  EntrySelector selector_;
   // The members below are used only by the single request that is in flight or
   // scheduled.
   boost::asio::steady_timer timer_;
-  std::size_t next_ = 0;
-  std::function<void(bool)> first_;
+  std::size_t next_address_ = 0;
+  std::function<void(bool)> on_first_result_;
 };
 
 }  // namespace gcw
--- a/programs/gcw_load/error_answer.cc
+++ b/programs/gcw_load/error_answer.cc
@@ -9,7 +9,7 @@
 
 constexpr int kInternalError = 500;
 constexpr int kBadGateway = 502;
-constexpr int kServerErrors = 500;
+constexpr int kMinServerError = 500;
 constexpr int kConflict = 409;
 constexpr int kTooManyRequests = 429;
 // Limit of `Retry-After`, in seconds: a malformed response cannot ask for more
@@ -31,7 +31,7 @@
   if (type == "ran_earlier") {
     return true;
   }
-  return status < kServerErrors && status != kConflict &&
+  return status < kMinServerError && status != kConflict &&
          status != kTooManyRequests;
 }
 
@@ -72,10 +72,10 @@
   } else {
     failed.type = "status_" + std::to_string(response.status);
   }
-  const bool told_unknown =
+  const bool is_outcome_unknown =
       response.status == kInternalError || response.status == kBadGateway;
-  const bool speaks_of_request = error || response.status < kServerErrors;
-  if (!told_unknown && speaks_of_request) {
+  const bool concerns_request = error || response.status < kMinServerError;
+  if (!is_outcome_unknown && concerns_request) {
     failed.kind = FailedAnswerKind::kNotRun;
   }
   failed.permanent = IsPermanent(response.status, failed.type);
--- a/programs/gcw_load/latency_histogram.cc
+++ b/programs/gcw_load/latency_histogram.cc
@@ -6,8 +6,8 @@
 namespace gcw {
 namespace {
 
-constexpr double kLowestMillis = 0.01;
-constexpr double kHighestMillis = 1e6;
+constexpr double kMinMillis = 0.01;
+constexpr double kMaxMillis = 1e6;
 constexpr unsigned kBins = 800;
 constexpr double kMicrosPerMilli = 1000;
 
@@ -19,7 +19,7 @@
 
 LatencyHistogram::LatencyHistogram()
     : counts_(boost::histogram::make_histogram(
-          Axis(kBins, kLowestMillis, kHighestMillis))) {}
+          Axis(kBins, kMinMillis, kMaxMillis))) {}
 
 void LatencyHistogram::Add(std::chrono::microseconds latency) {
   counts_(ToMillis(latency));
@@ -31,14 +31,14 @@
   if (count_ == 0) {
     return std::nullopt;
   }
-  const double wanted = std::max(1.0, std::ceil(share * double(count_)));
-  double seen = counts_.at(-1);
-  if (seen >= wanted) {
-    return kLowestMillis;
+  const double target_count = std::max(1.0, std::ceil(share * double(count_)));
+  double cumulative_count = counts_.at(-1);
+  if (cumulative_count >= target_count) {
+    return kMinMillis;
   }
   for (int bin = 0; bin < counts_.axis().size(); ++bin) {
-    seen += counts_.at(bin);
-    if (seen >= wanted) {
+    cumulative_count += counts_.at(bin);
+    if (cumulative_count >= target_count) {
       const auto edges = counts_.axis().bin(bin);
       // The middle of a bin may exceed the largest value in it.
       return std::min(std::sqrt(edges.lower() * edges.upper()), ToMillis(max_));
--- a/programs/gcw_load/load_command_line.cc
+++ b/programs/gcw_load/load_command_line.cc
@@ -20,10 +20,10 @@
 
 using Values = options::variables_map;
 
-constexpr int kMostThreads = 64;
-constexpr double kLongestSeconds = 7.0 * 24 * 3600;
-constexpr double kHighestRate = 1e6;
-constexpr std::size_t kMostPromptBytes = 3UL * 1024 * 1024;
+constexpr int kMaxThreads = 64;
+constexpr double kMaxSeconds = 7.0 * 24 * 3600;
+constexpr double kMaxRate = 1e6;
+constexpr std::size_t kMaxPromptBytes = 3UL * 1024 * 1024;
 
 constexpr std::string_view kExamples =
     "Examples:\n"
@@ -60,7 +60,7 @@
   return options::value<Value>()->default_value(value);
 }
 
-options::options_description Description() {
+options::options_description MakeOptions() {
   options::options_description description("gcw-load");
   const auto add = [&description](const char* name, const auto* value,
                                   const char* text) {
@@ -111,17 +111,14 @@
   return values[name].as<Value>();
 }
 
-// Returns a number in [lowest, highest], and throws UsageError otherwise.
+// Returns a number in [min, max], and throws UsageError otherwise.
 template <typename Value>
-Value GetWithin(const Values& values,
-                const char* name,
-                Value lowest,
-                Value highest) {
+Value GetInRange(const Values& values, const char* name, Value min, Value max) {
   const Value value = Get<Value>(values, name);
   // Written so that NaN fails.
-  if (!(value >= lowest && value <= highest)) {
+  if (!(value >= min && value <= max)) {
     throw UsageError{"--" + std::string(name) + " must be from " +
-                     std::to_string(lowest) + " to " + std::to_string(highest)};
+                     std::to_string(min) + " to " + std::to_string(max)};
   }
   return value;
 }
@@ -186,13 +183,13 @@
 
 void ReadArrivals(const Values& values, LoadSettings& settings) {
   ArrivalPlan::Settings& arrivals = settings.arrivals;
-  arrivals.paid_rate = GetWithin(values, "paid-per-s", 0.0, kHighestRate);
-  arrivals.trial_rate = GetWithin(values, "trial-per-s", 0.0, kHighestRate);
+  arrivals.paid_rate = GetInRange(values, "paid-per-s", 0.0, kMaxRate);
+  arrivals.trial_rate = GetInRange(values, "trial-per-s", 0.0, kMaxRate);
   arrivals.reservation_rate =
-      GetWithin(values, "reservations-per-s", 0.0, kHighestRate);
-  arrivals.whole_share = GetWithin(values, "whole-share", 0.0, 1.0);
+      GetInRange(values, "reservations-per-s", 0.0, kMaxRate);
+  arrivals.whole_share = GetInRange(values, "whole-share", 0.0, 1.0);
   const std::chrono::duration<double> length(
-      GetWithin(values, "seconds", 0.0, kLongestSeconds));
+      GetInRange(values, "seconds", 0.0, kMaxSeconds));
   arrivals.length =
       std::chrono::duration_cast<std::chrono::microseconds>(length);
   settings.seed = Get<std::uint64_t>(values, "seed");
@@ -201,25 +198,25 @@
 void ReadRequests(const Values& values, LoadSettings& settings) {
   settings.model = ModelId(Get<std::string>(values, "model"));
   settings.service = Get<std::string>(values, "service");
-  settings.max_tokens = TokenCount(GetWithin<std::int64_t>(
+  settings.max_tokens = TokenCount(GetInRange<std::int64_t>(
       values, "max-tokens", 1, ChatRequest::kMaxMaxTokens));
   settings.prompts.bytes =
-      GetWithin<std::size_t>(values, "prompt-bytes", 0, kMostPromptBytes);
-  settings.prompts.shared_prefix_bytes = GetWithin<std::size_t>(
-      values, "shared-prefix-bytes", 0, kMostPromptBytes);
-  settings.timeout = Duration::Millis(GetWithin<std::int64_t>(
+      GetInRange<std::size_t>(values, "prompt-bytes", 0, kMaxPromptBytes);
+  settings.prompts.shared_prefix_bytes = GetInRange<std::size_t>(
+      values, "shared-prefix-bytes", 0, kMaxPromptBytes);
+  settings.timeout = Duration::Millis(GetInRange<std::int64_t>(
       values, "timeout-ms", 1, Duration::Seconds(24L * 3600).millis()));
-  settings.resends = GetWithin(values, "resends", 0, 1000);
-  settings.most_open =
-      GetWithin<std::int64_t>(values, "most-open", 1, 1'000'000);
+  settings.max_resends = GetInRange(values, "resends", 0, 1000);
+  settings.max_in_flight =
+      GetInRange<std::int64_t>(values, "most-open", 1, 1'000'000);
   settings.reference = values.count("no-reference") == 0;
-  settings.threads = GetWithin(values, "threads", 1, kMostThreads);
+  settings.threads = GetInRange(values, "threads", 1, kMaxThreads);
   settings.json_file = Get<std::string>(values, "json");
   settings.keys_file = Get<std::string>(values, "keys-file");
 }
 
 // Throws UsageError on settings with which every request would fail.
-void CheckWhatIsNeeded(const LoadSettings& settings) {
+void CheckRequiredOptions(const LoadSettings& settings) {
   const ArrivalPlan::Settings& arrivals = settings.arrivals;
   if (arrivals.paid_rate + arrivals.trial_rate + arrivals.reservation_rate <=
       0) {
@@ -246,10 +243,10 @@
 
 }  // namespace
 
-std::variant<LoadSettings, LoadExit> ReadLoadCommandLine(
+std::variant<LoadSettings, LoadExitCode> ReadLoadCommandLine(
     const std::vector<std::string>& arguments) {
-  const options::options_description description = Description();
-  std::string fault;
+  const options::options_description description = MakeOptions();
+  std::string error_message;
   try {
     Values values;
     options::store(
@@ -257,22 +254,22 @@
         values);
     if (values.count("help") > 0) {
       std::cout << description << '\n' << kExamples;
-      return LoadExit::kDone;
+      return LoadExitCode::kDone;
     }
     LoadSettings settings;
     ReadTargets(values, settings);
     ReadKeys(values, settings);
     ReadArrivals(values, settings);
     ReadRequests(values, settings);
-    CheckWhatIsNeeded(settings);
+    CheckRequiredOptions(settings);
     return settings;
   } catch (const options::error& error) {
-    fault = error.what();
+    error_message = error.what();
   } catch (const UsageError& error) {
-    fault = error.message;
+    error_message = error.message;
   }
-  std::cerr << "gcw-load: " << fault << "; see gcw-load --help\n";
-  return LoadExit::kUsage;
+  std::cerr << "gcw-load: " << error_message << "; see gcw-load --help\n";
+  return LoadExitCode::kUsage;
 }
 
 }  // namespace gcw
--- a/programs/gcw_load/load_command_line.h
+++ b/programs/gcw_load/load_command_line.h
@@ -10,7 +10,7 @@
 namespace gcw {
 
 // Exit codes of gcw-load.
-enum class LoadExit {
+enum class LoadExitCode {
   // The run ended without a violation.
   kDone = 0,
   kUsage = 2,
@@ -24,7 +24,7 @@
 
 // Parses the command line and reads the key files. If there is nothing to run,
 // prints the help or an error and returns the exit code.
-std::variant<LoadSettings, LoadExit> ReadLoadCommandLine(
+std::variant<LoadSettings, LoadExitCode> ReadLoadCommandLine(
     const std::vector<std::string>& arguments);
 
 }  // namespace gcw
--- a/programs/gcw_load/load_context.h
+++ b/programs/gcw_load/load_context.h
@@ -26,14 +26,14 @@
 // A request of the arrival plan.
 struct PlannedRequest {
   RequestKind kind = RequestKind::kPaidStream;
-  LoadClock::time_point planned;
+  LoadClock::time_point planned_at;
   // Unique over all requests of all runs.
   std::string name;
   // Called once, after the outcome is recorded.
-  std::function<void()> on_over;
+  std::function<void()> on_done;
 };
 
-inline std::chrono::microseconds Since(LoadClock::time_point start) {
+inline std::chrono::microseconds ElapsedSince(LoadClock::time_point start) {
   return std::chrono::duration_cast<std::chrono::microseconds>(
       LoadClock::now() - start);
 }
--- a/programs/gcw_load/load_report.cc
+++ b/programs/gcw_load/load_report.cc
@@ -13,34 +13,34 @@
 
 constexpr int kNameWidth = 13;
 constexpr int kCountWidth = 11;
-constexpr int kTimesWidth = 25;
-constexpr std::array kShares = {0.5, 0.95, 0.99};
-constexpr std::array kShareNames = {"p50", "p95", "p99"};
+constexpr int kQuantilesWidth = 25;
+constexpr std::array kQuantiles = {0.5, 0.95, 0.99};
+constexpr std::array kQuantileNames = {"p50", "p95", "p99"};
 
 constexpr std::array kKeyOutcomes = {
     KeyOutcome::kAnswered, KeyOutcome::kReplayed, KeyOutcome::kRefused,
     KeyOutcome::kUnknown, KeyOutcome::kViolation};
 
 // Formats quantiles as "12.1/15.0/20.7", or "-" if the histogram is empty.
-std::string TimesOf(const LatencyHistogram& histogram) {
+std::string FormatQuantiles(const LatencyHistogram& histogram) {
   if (histogram.count() == 0) {
     return "-";
   }
   std::ostringstream text;
   text << std::fixed << std::setprecision(1);
   std::string_view separator;
-  for (const double share : kShares) {
-    text << separator << *histogram.Quantile(share);
+  for (const double quantile : kQuantiles) {
+    text << separator << *histogram.Quantile(quantile);
     separator = "/";
   }
   return text.str();
 }
 
-bool WasUsed(const KindTally& kind) {
+bool HasRequests(const KindTally& kind) {
   return kind.sent + kind.skipped > 0;
 }
 
-void WriteHeading(std::ostream& out) {
+void WriteHeader(std::ostream& out) {
   out << std::left << std::setw(kNameWidth) << "kind" << std::right;
   for (const char* name : {"sent", "answered", "refused", "unknown", "broken",
                            "violations", "skipped"}) {
@@ -48,7 +48,7 @@
   }
   for (const char* name :
        {"first p50/p95/p99 ms", "between p50/p95/p99", "total p50/p95/p99"}) {
-    out << std::setw(kTimesWidth) << name;
+    out << std::setw(kQuantilesWidth) << name;
   }
   out << '\n';
 }
@@ -62,7 +62,7 @@
   }
   for (const LatencyHistogram* histogram :
        {&kind.first_token, &kind.between_tokens, &kind.total}) {
-    out << std::setw(kTimesWidth) << TimesOf(*histogram);
+    out << std::setw(kQuantilesWidth) << FormatQuantiles(*histogram);
   }
   out << '\n';
 }
@@ -102,8 +102,8 @@
   if (histogram.count() == 0) {
     return object;
   }
-  for (std::size_t i = 0; i < kShares.size(); ++i) {
-    object[kShareNames[i]] = *histogram.Quantile(kShares[i]);
+  for (std::size_t i = 0; i < kQuantiles.size(); ++i) {
+    object[kQuantileNames[i]] = *histogram.Quantile(kQuantiles[i]);
   }
   object["max"] = *histogram.max_millis();
   return object;
@@ -136,9 +136,9 @@
 void WriteLoadTable(const LoadTally& tally,
                     const KeyLedger& keys,
                     std::ostream& out) {
-  WriteHeading(out);
+  WriteHeader(out);
   for (const RequestKind kind : kRequestKinds) {
-    if (WasUsed(tally.of(kind))) {
+    if (HasRequests(tally.of(kind))) {
       WriteRow(RequestKindName(kind), tally.of(kind), out);
     }
   }
@@ -154,12 +154,12 @@
           << ", resent " << counts.resent << '\n';
     }
   }
-  if (WasUsed(tally.of(RequestKind::kReservation))) {
+  if (HasRequests(tally.of(RequestKind::kReservation))) {
     WriteKeys(keys, out);
   }
   out << "entry lists requested " << tally.entries_asked << ", failed "
       << tally.entries_failed << "; send delay p50/p95/p99 ms "
-      << TimesOf(tally.lateness) << "; run time "
+      << FormatQuantiles(tally.lateness) << "; run time "
       << tally.ran_for.count() / 1000 << " ms\n";
 }
 
--- a/programs/gcw_load/load_run.cc
+++ b/programs/gcw_load/load_run.cc
@@ -26,8 +26,8 @@
   return HexOf(high << 32 | device());
 }
 
-PromptMaker::Settings WithRun(PromptMaker::Settings settings,
-                              const std::string& run) {
+PromptMaker::Settings WithRunName(PromptMaker::Settings settings,
+                                  const std::string& run) {
   settings.run = run;
   return settings;
 }
@@ -50,81 +50,82 @@
       context_{io_, client_, entries_, recorder_, settings_},
       plan_(settings_.arrivals, SeededRandom(settings_.seed)),
       run_name_(MakeRunName()),
-      prompts_(WithRun(settings_.prompts, run_name_)) {}
+      prompts_(WithRunName(settings_.prompts, run_name_)) {}
 
-LoadExit LoadRun::Run() {
+LoadExitCode LoadRun::Run() {
   signals_.async_wait([this](const boost::system::error_code& error, int) {
     if (!error) {
-      EndArrivals();
+      StopArrivals();
     }
   });
   entries_.Start([this](bool found) {
     boost::asio::post(strand_, [this, found] { OnFirstEntries(found); });
   });
-  std::vector<std::jthread> others;
+  std::vector<std::jthread> workers;
   for (int i = 1; i < settings_.threads; ++i) {
-    others.emplace_back([this] { io_.run(); });
+    workers.emplace_back([this] { io_.run(); });
   }
   io_.run();
-  others.clear();
+  workers.clear();
   if (no_entry_) {
-    return LoadExit::kNoEntry;
+    return LoadExitCode::kNoEntry;
   }
-  return tally().violations() > 0 ? LoadExit::kViolation : LoadExit::kDone;
+  return tally().violations() > 0 ? LoadExitCode::kViolation
+                                  : LoadExitCode::kDone;
 }
 
 void LoadRun::OnFirstEntries(bool found) {
   start_ = LoadClock::now();
   no_entry_ = !found;
   if (!found) {
-    EndArrivals();
+    StopArrivals();
     return;
   }
-  PlanNext();
+  ScheduleNext();
 }
 
-void LoadRun::PlanNext() {
-  if (arrivals_ended_) {
+void LoadRun::ScheduleNext() {
+  if (arrivals_stopped_) {
     return;
   }
-  next_ = plan_.Next();
-  if (!next_) {
-    EndArrivals();
+  next_arrival_ = plan_.Next();
+  if (!next_arrival_) {
+    StopArrivals();
     return;
   }
-  timer_.expires_at(start_ + next_->at);
+  timer_.expires_at(start_ + next_arrival_->at);
   timer_.async_wait([this](const boost::system::error_code& error) {
     if (!error) {
-      OnDue();
+      OnArrival();
     }
   });
 }
 
-void LoadRun::OnDue() {
-  if (arrivals_ended_) {
+void LoadRun::OnArrival() {
+  if (arrivals_stopped_) {
     return;
   }
-  Send(*next_);
-  PlanNext();
+  Send(*next_arrival_);
+  ScheduleNext();
 }
 
 void LoadRun::Send(const Arrival& arrival) {
-  if (open_ > settings_.most_open) {
+  if (in_flight_ > settings_.max_in_flight) {
     recorder_.Record([&](LoadTally& tally, KeyLedger&) {
       ++tally.of(arrival.kind).skipped;
     });
     return;
   }
-  ++open_;
+  ++in_flight_;
   const std::int64_t number = ++last_number_;
   PlannedRequest planned;
   planned.kind = arrival.kind;
-  planned.planned = start_ + arrival.at;
+  planned.planned_at = start_ + arrival.at;
   planned.name = run_name_ + '-' + std::to_string(number);
-  planned.on_over = [this] { Release(); };
+  planned.on_done = [this] { DecrementInFlight(); };
   recorder_.Record([&](LoadTally& tally, KeyLedger&) {
     ++tally.of(arrival.kind).sent;
-    tally.lateness.Add(Since(planned.planned));
+    tally.lateness.Add(ElapsedSince(planned.planned_at));
   });
   StartExchange(std::move(planned), number);
 }
@@ -139,23 +140,24 @@
       ->Start(prompts_.Make(number));
 }
 
-void LoadRun::EndArrivals() {
-  if (std::exchange(arrivals_ended_, true)) {
+void LoadRun::StopArrivals() {
+  if (std::exchange(arrivals_stopped_, true)) {
     return;
   }
   timer_.cancel();
-  Release();
+  DecrementInFlight();
 }
 
-void LoadRun::Release() {
-  if (--open_ == 0) {
+void LoadRun::DecrementInFlight() {
+  if (--in_flight_ == 0) {
     boost::asio::post(strand_, [this] { Finish(); });
   }
 }
 
 void LoadRun::Finish() {
-  recorder_.Record(
-      [this](LoadTally& tally, KeyLedger&) { tally.ran_for = Since(start_); });
+  recorder_.Record([this](LoadTally& tally, KeyLedger&) {
+    tally.ran_for = ElapsedSince(start_);
+  });
   // Every request has its outcome. Without the stop, run() would return only
   // after the last pooled connection has expired.
   io_.stop();
--- a/programs/gcw_load/load_run.h
+++ b/programs/gcw_load/load_run.h
@@ -22,7 +22,7 @@
   explicit LoadRun(LoadSettings settings);
 
   // Returns when every request has its outcome. Must be called only once.
-  LoadExit Run();
+  LoadExitCode Run();
 
   const LoadTally& tally() const { return recorder_.tally(); }
   const KeyLedger& keys() const { return recorder_.keys(); }
@@ -30,12 +30,12 @@
  private:
   void OnFirstEntries(bool found);
   // Schedules the next arrival of the plan.
-  void PlanNext();
-  void OnDue();
+  void ScheduleNext();
+  void OnArrival();
   void Send(const Arrival& arrival);
   void StartExchange(PlannedRequest planned, std::int64_t number);
-  void EndArrivals();
-  void Release();
+  void StopArrivals();
+  void DecrementInFlight();
   void Finish();
 
   const LoadSettings settings_;
@@ -49,16 +49,16 @@
   EntrySource entries_;
   LoadContext context_;
   ArrivalPlan plan_;
-  std::optional<Arrival> next_;
+  std::optional<Arrival> next_arrival_;
   // Random, so that request names differ between runs with the same seed.
   const std::string run_name_;
   PromptMaker prompts_;
   std::int64_t last_number_ = 0;
   LoadClock::time_point start_;
-  bool arrivals_ended_ = false;
+  bool arrivals_stopped_ = false;
   bool no_entry_ = false;
   // Requests in flight, plus 1 until the arrivals end.
-  std::atomic<std::int64_t> open_ = 1;
+  std::atomic<std::int64_t> in_flight_ = 1;
 };
 
 }  // namespace gcw
--- a/programs/gcw_load/load_settings.h
+++ b/programs/gcw_load/load_settings.h
@@ -32,9 +32,9 @@
   PromptMaker::Settings prompts;
   // Limit for one send.
   Duration timeout;
-  int resends = 3;
+  int max_resends = 3;
   // Limit of concurrent requests; further arrivals are skipped and counted.
-  std::int64_t most_open = 5000;
+  std::int64_t max_in_flight = 5000;
   // Whether answers are compared with those of the stand-ins.
   bool reference = true;
   int threads = 1;
--- a/programs/gcw_load/main.cc
+++ b/programs/gcw_load/main.cc
@@ -31,13 +31,13 @@
 
 int main(int argc, char** argv) {
   auto read = gcw::ReadLoadCommandLine({argv + 1, argv + argc});
-  if (const auto* ended = std::get_if<gcw::LoadExit>(&read)) {
+  if (const auto* ended = std::get_if<gcw::LoadExitCode>(&read)) {
     return static_cast<int>(*ended);
   }
   const gcw::LoadSettings& settings = std::get<gcw::LoadSettings>(read);
   gcw::LoadRun run(settings);
-  const gcw::LoadExit exit = run.Run();
-  if (exit == gcw::LoadExit::kNoEntry) {
+  const gcw::LoadExitCode exit = run.Run();
+  if (exit == gcw::LoadExitCode::kNoEntry) {
     std::cerr << "gcw-load: none of the --entries addresses returned an entry "
                  "list; check "
                  "that a node is running there\n";
@@ -50,8 +50,8 @@
       });
   const bool keys_written = WriteFile(
       settings.keys_file, [&](std::ostream& out) { run.keys().Write(out); });
-  if (exit == gcw::LoadExit::kDone && !(json_written && keys_written)) {
-    return static_cast<int>(gcw::LoadExit::kFile);
+  if (exit == gcw::LoadExitCode::kDone && !(json_written && keys_written)) {
+    return static_cast<int>(gcw::LoadExitCode::kFile);
   }
   return static_cast<int>(exit);
 }
--- a/programs/gcw_load/request_sender.cc
+++ b/programs/gcw_load/request_sender.cc
@@ -7,10 +7,10 @@
 
 // Added to the timeout that is sent to the node, so that the node's own timeout
 // answer, which gives the reason, arrives first.
-constexpr Duration kGrace = Duration::Seconds(2);
+constexpr Duration kGracePeriod = Duration::Seconds(2);
 
 HttpCallOptions CallOptions(const LoadSettings& settings, RequestKind kind) {
-  const Duration limit = settings.timeout + kGrace;
+  const Duration limit = settings.timeout + kGracePeriod;
   return {.progress_timeout = limit,
           .deadline = limit,
           // A pooled connection may be dead, and a reservation may not be
--- a/programs/gcw_load/resend_policy.cc
+++ b/programs/gcw_load/resend_policy.cc
@@ -12,9 +12,9 @@
       failed.type == "once_in_progress") {
     may_have_run_ = true;
   }
-  const Duration wait = failed.retry_after.value_or(settings_.pause);
-  if (failed.permanent || sends_ > settings_.resends ||
-      wait > settings_.longest_wait) {
+  const Duration wait = failed.retry_after.value_or(settings_.retry_delay);
+  if (failed.permanent || sends_ > settings_.max_resends ||
+      wait > settings_.max_retry_delay) {
     return std::nullopt;
   }
   return wait;
--- a/programs/gcw_load/resend_policy.h
+++ b/programs/gcw_load/resend_policy.h
@@ -14,11 +14,11 @@
  public:
   struct Settings {
     // Limit of sends after the first one.
-    int resends = 3;
+    int max_resends = 3;
     // Delay between sends if the response has no retry time.
-    Duration pause = Duration::Millis(200);
+    Duration retry_delay = Duration::Millis(200);
     // The key is given up if the response asks for a longer delay.
-    Duration longest_wait = Duration::Seconds(30);
+    Duration max_retry_delay = Duration::Seconds(30);
   };
 
   explicit ResendPolicy(Settings settings);
--- a/programs/gcw_load/reservation_exchange.cc
+++ b/programs/gcw_load/reservation_exchange.cc
@@ -15,7 +15,7 @@
 
 // Converts a connection failure. The call is known not to have run only if
 // nothing was sent.
-FailedAnswer ReadFailure(HttpFailure failure) {
+FailedAnswer ConvertFailure(HttpFailure failure) {
   FailedAnswer failed;
   failed.kind = failure.progress == HttpProgress::kNothingSent
                     ? FailedAnswerKind::kNotRun
@@ -30,8 +30,8 @@
                                          PlannedRequest planned)
     : context_(context),
       planned_(std::move(planned)),
-      policy_({.resends = context.settings.resends,
-               .longest_wait = context.settings.timeout}),
+      policy_({.max_resends = context.settings.max_resends,
+               .max_retry_delay = context.settings.timeout}),
       timer_(context.io) {}
 
 void ReservationExchange::Start() {
@@ -81,7 +81,7 @@
 }
 
 void ReservationExchange::OnFailure(HttpFailure failure) {
-  OnFailedSend(ReadFailure(failure));
+  OnFailedSend(ConvertFailure(failure));
 }
 
 void ReservationExchange::OnAnswer() {
@@ -97,7 +97,7 @@
   Record(replayed ? KeyOutcome::kReplayed : KeyOutcome::kAnswered,
          [this](KindTally& counts) {
            ++counts.answered;
-           counts.total.Add(Since(planned_.planned));
+           counts.total.Add(ElapsedSince(planned_.planned_at));
          });
 }
 
@@ -125,7 +125,7 @@
     change(tally.of(planned_.kind));
     keys.Add(planned_.name, outcome);
   });
-  planned_.on_over();
+  planned_.on_done();
 }
 
 }  // namespace gcw
--- a/programs/gcw_load/stream_checker.cc
+++ b/programs/gcw_load/stream_checker.cc
@@ -44,7 +44,7 @@
   if (!line_.empty()) {
     return ViolationVerdict{AnswerFault::kAfterDone};
   }
-  return WholeVerdict{};
+  return CompleteVerdict{};
 }
 
 AnswerVerdict StreamChecker::OnFailure(std::string_view failure) const {
@@ -63,7 +63,7 @@
     return 0;
   }
   if (!line.starts_with(kData)) {
-    Accuse(AnswerFault::kMalformed);
+    ReportFault(AnswerFault::kMalformed);
     return 0;
   }
   line.remove_prefix(kData.size());
@@ -75,11 +75,11 @@
 
 int StreamChecker::OnEvent(std::string_view data) {
   if (done_) {
-    Accuse(AnswerFault::kAfterDone);
+    ReportFault(AnswerFault::kAfterDone);
     return 0;
   }
   if (error_type_) {
-    Accuse(AnswerFault::kEndAfterError);
+    ReportFault(AnswerFault::kEndAfterError);
     return 0;
   }
   if (data == kDone) {
@@ -92,7 +92,7 @@
   }
   const auto event = DecodeStreamEvent(data);
   if (!IsOk(event)) {
-    Accuse(AnswerFault::kMalformed);
+    ReportFault(AnswerFault::kMalformed);
     return 0;
   }
   CheckIds(ValueOf(event));
@@ -100,7 +100,7 @@
     return 0;
   }
   if (ValueOf(event).index.value_or(tokens_) != tokens_) {
-    Accuse(AnswerFault::kOutOfOrder);
+    ReportFault(AnswerFault::kOutOfOrder);
   }
   CheckText(ValueOf(event).text);
   ++tokens_;
@@ -110,19 +110,19 @@
 void StreamChecker::OnDone() {
   done_ = true;
   if (expected_.text && text_size_ < expected_.text->size()) {
-    Accuse(AnswerFault::kShort);
+    ReportFault(AnswerFault::kShort);
   }
 }
 
 void StreamChecker::CheckIds(const StreamEvent& event) {
   if (!expected_.attempt.empty() && event.attempt != expected_.attempt) {
-    Accuse(AnswerFault::kForeignId);
+    ReportFault(AnswerFault::kForeignId);
   }
   if (request_.empty()) {
     request_ = event.request;
   }
   if (event.request != request_) {
-    Accuse(AnswerFault::kForeignId);
+    ReportFault(AnswerFault::kForeignId);
   }
 }
 
@@ -130,14 +130,14 @@
   if (expected_.text &&
       expected_.text->compare(std::min(text_size_, expected_.text->size()),
                               text.size(), text) != 0) {
-    Accuse(expected_.text->find(text) == std::string::npos
-               ? AnswerFault::kForeignText
-               : AnswerFault::kOutOfOrder);
+    ReportFault(expected_.text->find(text) == std::string::npos
+                    ? AnswerFault::kForeignText
+                    : AnswerFault::kOutOfOrder);
   }
   text_size_ += text.size();
 }
 
-void StreamChecker::Accuse(AnswerFault fault) {
+void StreamChecker::ReportFault(AnswerFault fault) {
   if (!fault_) {
     fault_ = fault;
   }
--- a/programs/gcw_load/stream_checker.h
+++ b/programs/gcw_load/stream_checker.h
@@ -31,7 +31,7 @@
   void OnDone();
   void CheckIds(const StreamEvent& event);
   void CheckText(const std::string& text);
-  void Accuse(AnswerFault fault);
+  void ReportFault(AnswerFault fault);
 
   ExpectedAnswer expected_;
   // The incomplete last line.
--- a/programs/gcwctl/command_line.cc
+++ b/programs/gcwctl/command_line.cc
@@ -110,7 +110,7 @@
   return help;
 }
 
-std::string FromEnvironment(const char* name) {
+std::string ReadEnvironment(const char* name) {
   const char* value = std::getenv(name);
   return value == nullptr ? "" : value;
 }
@@ -152,24 +152,24 @@
                                 : std::move(default_value);
 }
 
-CommandLine Take(const options::variables_map& values) {
+CommandLine MakeCommandLine(const options::variables_map& values) {
   CommandLine line;
-  line.nodes = SplitAddresses(Get(values, "node", FromEnvironment("GCW_NODE")));
+  line.nodes = SplitAddresses(Get(values, "node", ReadEnvironment("GCW_NODE")));
   line.credential_file =
-      Get(values, "credential-file", FromEnvironment("GCW_CREDENTIAL_FILE"));
+      Get(values, "credential-file", ReadEnvironment("GCW_CREDENTIAL_FILE"));
   line.json = values.count("json") > 0;
   line.help = values.count("help") > 0;
   line.timeout =
       Duration::Millis(Get(values, "timeout-ms", line.timeout.millis()));
   if (values.count("expected") > 0) {
-    line.expected = values["expected"].as<std::int64_t>();
+    line.expected_revision = values["expected"].as<std::int64_t>();
   }
-  line.change = Get(values, "change-id", std::string());
+  line.change_id = Get(values, "change-id", std::string());
   line.trace_file = Get(values, "trace", std::string());
   line.log_files = Get(values, "logs", std::vector<std::string>());
   line.domain = Get(values, "domain", std::string());
   line.limit = Get(values, "limit", line.limit);
-  line.words = Get(values, "words", std::vector<std::string>());
+  line.arguments = Get(values, "words", std::vector<std::string>());
   return line;
 }
 
@@ -188,7 +188,7 @@
   } catch (const options::error& error) {
     return UsageError{error.what()};
   }
-  return Take(values);
+  return MakeCommandLine(values);
 }
 
 std::string HelpFor(const std::string& verb) {
--- a/programs/gcwctl/command_line.h
+++ b/programs/gcwctl/command_line.h
@@ -17,17 +17,17 @@
   bool json = false;
   bool help = false;
   Duration timeout = Duration::Seconds(15);
-  std::optional<std::int64_t> expected;
+  std::optional<std::int64_t> expected_revision;
   // Idempotency id of a change. Repeating a command with the same id reports
   // the outcome of the earlier attempt.
-  std::string change;
+  std::string change_id;
   std::string trace_file;
   // Logs to read events from instead of asking nodes; "-" is standard input.
   std::vector<std::string> log_files;
   std::string domain;
   std::int64_t limit = 5000;
   // Verb and arguments, such as {"contract", "create", "team.toml"}.
-  std::vector<std::string> words;
+  std::vector<std::string> arguments;
 };
 
 // A command line that cannot be parsed, with a message for the user.
--- a/programs/gcwctl/commands.cc
+++ b/programs/gcwctl/commands.cc
@@ -20,7 +20,7 @@
 constexpr int kStatusAccepted = 202;
 constexpr int kStatusConflict = 409;
 
-std::string_view Explain(OperatorCallErrorKind kind) {
+std::string_view DescribeError(OperatorCallErrorKind kind) {
   switch (kind) {
     case OperatorCallErrorKind::kAddressMalformed:
       return "malformed address, expected IP:PORT";
@@ -46,12 +46,12 @@
       err_(err) {}
 
 ExitCode Commands::Run() {
-  const std::string verb = Word(0);
+  const std::string verb = Argument(0);
   if (verb == "contract") {
-    return RunFamily({"contract", "contracts"});
+    return RunSettingCommand({"contract", "contracts"});
   }
   if (verb == "model") {
-    return RunFamily({"model", "models"});
+    return RunSettingCommand({"model", "models"});
   }
   if (verb == "status") {
     return ShowPage("/v1/status");
@@ -74,13 +74,13 @@
   if (verb == "why") {
     return ShowWhy();
   }
-  return Usage();
+  return PrintUsage();
 }
 
 ExitCode Commands::ShowPage(const std::string& target) {
   OperatorAnswer answer;
   ExitCode failure = ExitCode::kUnreachable;
-  if (!Get(target, answer, failure)) {
+  if (!FetchPage(target, answer, failure)) {
     return failure;
   }
   if (line_.json) {
@@ -95,15 +95,15 @@
 }
 
 ExitCode Commands::RunNode() {
-  if (Word(1) == "drain" && !Word(2).empty()) {
-    return DrainNode(Word(2));
+  if (Argument(1) == "drain" && !Argument(2).empty()) {
+    return DrainNode(Argument(2));
   }
-  if (Word(1) != "list") {
-    return Usage();
+  if (Argument(1) != "list") {
+    return PrintUsage();
   }
   OperatorAnswer answer;
   ExitCode failure = ExitCode::kUnreachable;
-  if (!Get("/v1/nodes", answer, failure)) {
+  if (!FetchPage("/v1/nodes", answer, failure)) {
     return failure;
   }
   if (line_.json) {
@@ -128,11 +128,11 @@
       continue;
     }
     OperatorClient client =
-        ClientFor(Address(FieldText(node, "operator_address")));
+        MakeClient(Address(FieldText(node, "operator_address")));
     const Result<OperatorAnswer, OperatorCallError> answer =
         client.Call("POST", "/v1/drain");
     if (!IsOk(answer)) {
-      err_ << id << ": " << Explain(ErrorOf(answer).kind) << '\n';
+      err_ << id << ": " << DescribeError(ErrorOf(answer).kind) << '\n';
       return ExitCode::kUnreachable;
     }
     if (ValueOf(answer).status != kStatusAccepted) {
@@ -146,15 +146,15 @@
 }
 
 ExitCode Commands::RunGroup() {
-  const std::string action = Word(1);
+  const std::string action = Argument(1);
   if (action == "list") {
     return ShowGroups("");
   }
-  if (action == "show" && !Word(2).empty()) {
-    return ShowGroups(Word(2));
+  if (action == "show" && !Argument(2).empty()) {
+    return ShowGroups(Argument(2));
   }
-  if (action != "drain" || Word(2).empty() || line_.domain.empty()) {
-    return Usage();
+  if (action != "drain" || Argument(2).empty() || line_.domain.empty()) {
+    return PrintUsage();
   }
   // Which node controls the domain is found by trying each node in turn.
   std::vector<json::object> nodes;
@@ -164,12 +164,12 @@
   }
   for (const json::object& node : nodes) {
     OperatorClient client =
-        ClientFor(Address(FieldText(node, "operator_address")));
+        MakeClient(Address(FieldText(node, "operator_address")));
     const Result<OperatorAnswer, OperatorCallError> answer = client.Call(
         "POST", "/v1/groups/drain?domain=" + EscapeQuery(line_.domain) +
-                    "&group=" + EscapeQuery(Word(2)));
+                    "&group=" + EscapeQuery(Argument(2)));
     if (IsOk(answer) && ValueOf(answer).status == kStatusAccepted) {
-      out_ << Word(2) << " is draining\n";
+      out_ << Argument(2) << " is draining\n";
       return ExitCode::kDone;
     }
   }
@@ -181,7 +181,7 @@
 ExitCode Commands::ShowGroups(const std::string& id) {
   OperatorAnswer answer;
   ExitCode failure = ExitCode::kUnreachable;
-  if (!Get("/v1/groups", answer, failure)) {
+  if (!FetchPage("/v1/groups", answer, failure)) {
     return failure;
   }
   if (line_.json) {
@@ -214,7 +214,7 @@
 ExitCode Commands::ShowLimits() {
   OperatorAnswer answer;
   ExitCode failure = ExitCode::kUnreachable;
-  if (!Get("/v1/limits", answer, failure)) {
+  if (!FetchPage("/v1/limits", answer, failure)) {
     return failure;
   }
   if (line_.json) {
@@ -227,10 +227,10 @@
 }
 
 ExitCode Commands::ShowChange() {
-  if (Word(1) != "show" || Word(2).empty()) {
-    return Usage();
+  if (Argument(1) != "show" || Argument(2).empty()) {
+    return PrintUsage();
   }
-  return ShowPage("/v1/changes/" + Word(2));
+  return ShowPage("/v1/changes/" + Argument(2));
 }
 
 bool Commands::Call(const std::string& method,
@@ -240,13 +240,13 @@
                     ExitCode& failure) {
   for (const Address& node : line_.nodes) {
     Result<OperatorAnswer, OperatorCallError> called =
-        ClientFor(node).Call(method, target, body);
+        MakeClient(node).Call(method, target, body);
     if (IsOk(called)) {
       answer = std::move(ValueOf(called));
       return true;
     }
     const OperatorCallErrorKind kind = ErrorOf(called).kind;
-    err_ << node << ": " << Explain(kind) << '\n';
+    err_ << node << ": " << DescribeError(kind) << '\n';
     if (kind == OperatorCallErrorKind::kNoAnswer) {
       failure = ExitCode::kOutcomeUnknown;
     }
@@ -258,9 +258,9 @@
   return false;
 }
 
-bool Commands::Get(const std::string& target,
-                   OperatorAnswer& answer,
-                   ExitCode& failure) {
+bool Commands::FetchPage(const std::string& target,
+                         OperatorAnswer& answer,
+                         ExitCode& failure) {
   if (!Call("GET", target, "", answer, failure)) {
     if (failure == ExitCode::kOutcomeUnknown) {
       failure = ExitCode::kUnreachable;
@@ -295,7 +295,7 @@
 
 bool Commands::FindNodes(std::vector<json::object>& nodes, ExitCode& failure) {
   OperatorAnswer answer;
-  if (!Get("/v1/nodes", answer, failure)) {
+  if (!FetchPage("/v1/nodes", answer, failure)) {
     return false;
   }
   for (const json::value& node : FieldList(answer.body, "nodes")) {
@@ -306,16 +306,16 @@
   return true;
 }
 
-ExitCode Commands::Usage() {
-  err_ << HelpFor(Word(0));
+ExitCode Commands::PrintUsage() {
+  err_ << HelpFor(Argument(0));
   return ExitCode::kUsage;
 }
 
-std::string Commands::Word(std::size_t index) const {
-  return index < line_.words.size() ? line_.words[index] : "";
+std::string Commands::Argument(std::size_t index) const {
+  return index < line_.arguments.size() ? line_.arguments[index] : "";
 }
 
-OperatorClient Commands::ClientFor(const Address& node) const {
+OperatorClient Commands::MakeClient(const Address& node) const {
   return OperatorClient(node, credential_, line_.timeout);
 }
 
--- a/programs/gcwctl/commands.h
+++ b/programs/gcwctl/commands.h
@@ -34,19 +34,19 @@
  private:
   // A kind of setting that operators write: its verb, and its name in API
   // paths.
-  struct Family {
+  struct SettingType {
     std::string name;
-    std::string list;
+    std::string collection;
   };
 
-  ExitCode RunFamily(const Family& family);
-  ExitCode WriteSetting(const Family& family, bool create);
-  ExitCode Withdraw(const Family& family);
+  ExitCode RunSettingCommand(const SettingType& setting_type);
+  ExitCode WriteSetting(const SettingType& setting_type, bool create);
+  ExitCode Withdraw(const SettingType& setting_type);
   ExitCode SendChange(const std::string& method,
                       const std::string& path,
                       std::int64_t expected,
                       const std::string& body);
-  ExitCode ListSettings(const Family& family);
+  ExitCode ListSettings(const SettingType& setting_type);
   ExitCode ShowPage(const std::string& target);
   ExitCode RunNode();
   ExitCode DrainNode(const std::string& id);
@@ -66,9 +66,9 @@
             ExitCode& failure);
   // Fetches a page with status 200. Returns false, prints errors and sets
   // `failure` otherwise.
-  bool Get(const std::string& target,
-           OperatorAnswer& answer,
-           ExitCode& failure);
+  bool FetchPage(const std::string& target,
+                 OperatorAnswer& answer,
+                 ExitCode& failure);
   ExitCode ReportRefusal(const OperatorAnswer& answer);
   // Lists all nodes known to the first node that answers.
   bool FindNodes(std::vector<boost::json::object>& nodes, ExitCode& failure);
@@ -78,12 +78,12 @@
                      TimelineDecoder& decoder,
                      ExitCode& failure);
   // Reads events from the logs named on the command line.
-  bool ReadEvents(std::vector<TimelineEvent>& events,
-                  TimelineDecoder& decoder,
-                  ExitCode& failure);
-  ExitCode Usage();
-  std::string Word(std::size_t index) const;
-  OperatorClient ClientFor(const Address& node) const;
+  bool ReadEventLogs(std::vector<TimelineEvent>& events,
+                     TimelineDecoder& decoder,
+                     ExitCode& failure);
+  ExitCode PrintUsage();
+  std::string Argument(std::size_t index) const;
+  OperatorClient MakeClient(const Address& node) const;
 
   CommandLine line_;
   Secret credential_;
--- a/programs/gcwctl/commands_events.cc
+++ b/programs/gcwctl/commands_events.cc
@@ -23,7 +23,7 @@
 // Relation of context events, which no other event names as its cause.
 constexpr std::string_view kAround = "around";
 
-struct ExplainedRow {
+struct RelatedEvent {
   std::string_view relation;
   TimelineEvent event;
 };
@@ -62,8 +62,8 @@
 }
 
 ExitCode Commands::ShowWhy() {
-  if (Word(1).empty()) {
-    return Usage();
+  if (Argument(1).empty()) {
+    return PrintUsage();
   }
   TimelineDecoder decoder;
   std::vector<TimelineEvent> events;
@@ -71,13 +71,13 @@
   if (!CollectEvents(events, decoder, failure)) {
     return failure;
   }
-  const Explanation explanation = ExplainSubject(events, Word(1));
+  const Explanation explanation = ExplainSubject(events, Argument(1));
   if (explanation.events.empty()) {
-    err_ << "no events found for " << Word(1)
+    err_ << "no events found for " << Argument(1)
          << "; they may be too old, see docs/OPERATORS.md\n";
     return ExitCode::kRefused;
   }
-  std::vector<ExplainedRow> explained;
+  std::vector<RelatedEvent> explained;
   for (const ExplainedEvent& event : explanation.events) {
     explained.push_back({EventRelationName(event.relation), event.event});
   }
@@ -85,11 +85,11 @@
     explained.push_back({kAround, std::move(event)});
   }
   std::stable_sort(explained.begin(), explained.end(),
-                   [](const ExplainedRow& a, const ExplainedRow& b) {
+                   [](const RelatedEvent& a, const RelatedEvent& b) {
                      return b.event.time < a.event.time;
                    });
   json::array rows;
-  for (const ExplainedRow& event : explained) {
+  for (const RelatedEvent& event : explained) {
     json::object row = EventToJson(event.event);
     row["relation"] = event.relation;
     rows.emplace_back(std::move(row));
@@ -108,7 +108,7 @@
                              TimelineDecoder& decoder,
                              ExitCode& failure) {
   if (!line_.log_files.empty()) {
-    return ReadEvents(events, decoder, failure);
+    return ReadEventLogs(events, decoder, failure);
   }
   std::vector<json::object> nodes;
   if (!FindNodes(nodes, failure)) {
@@ -119,7 +119,7 @@
     const std::string id = FieldText(node, "node");
     const Address address(FieldText(node, "operator_address"));
     const Result<OperatorAnswer, OperatorCallError> answer =
-        ClientFor(address).Call(
+        MakeClient(address).Call(
             "GET", "/v1/timeline?limit=" + std::to_string(line_.limit));
     if (!IsOk(answer) || ValueOf(answer).status != kStatusOk) {
       err_ << id
@@ -139,9 +139,9 @@
   return true;
 }
 
-bool Commands::ReadEvents(std::vector<TimelineEvent>& events,
-                          TimelineDecoder& decoder,
-                          ExitCode& failure) {
+bool Commands::ReadEventLogs(std::vector<TimelineEvent>& events,
+                             TimelineDecoder& decoder,
+                             ExitCode& failure) {
   EventLogReader reader(&decoder);
   std::vector<std::vector<TimelineEvent>> timelines;
   for (const std::string& name : line_.log_files) {
--- a/programs/gcwctl/commands_settings.cc
+++ b/programs/gcwctl/commands_settings.cc
@@ -29,35 +29,35 @@
 
 }  // namespace
 
-ExitCode Commands::RunFamily(const Family& family) {
-  const std::string action = Word(1);
+ExitCode Commands::RunSettingCommand(const SettingType& setting_type) {
+  const std::string action = Argument(1);
   if (action == "list") {
-    return ListSettings(family);
+    return ListSettings(setting_type);
   }
-  if (Word(2).empty()) {
-    return Usage();
+  if (Argument(2).empty()) {
+    return PrintUsage();
   }
   if (action == "show") {
-    return ShowPage("/v1/" + family.list + "/" + Word(2));
+    return ShowPage("/v1/" + setting_type.collection + "/" + Argument(2));
   }
   if (action == "create" || action == "change") {
-    return WriteSetting(family, action == "create");
+    return WriteSetting(setting_type, action == "create");
   }
   if (action == "withdraw") {
-    return Withdraw(family);
+    return Withdraw(setting_type);
   }
-  return Usage();
+  return PrintUsage();
 }
 
-ExitCode Commands::WriteSetting(const Family& family, bool create) {
-  if (!create && !line_.expected) {
-    err_ << "--expected REVISION is required; `gcwctl " << family.name
+ExitCode Commands::WriteSetting(const SettingType& setting_type, bool create) {
+  if (!create && !line_.expected_revision) {
+    err_ << "--expected REVISION is required; `gcwctl " << setting_type.name
          << " show ID` prints the current revision\n";
     return ExitCode::kUsage;
   }
-  const ReadDocument read = family.name == "contract"
-                                ? ReadContractFile(Word(2))
-                                : ReadModelFile(Word(2));
+  const ReadDocument read = setting_type.name == "contract"
+                                ? ReadContractFile(Argument(2))
+                                : ReadModelFile(Argument(2));
   if (const auto* errors = std::get_if<std::vector<SettingError>>(&read)) {
     for (const SettingError& error : *errors) {
       err_ << error << '\n';
@@ -65,18 +65,19 @@
     return ExitCode::kUsage;
   }
   const auto& document = std::get<SettingDocument>(read);
-  return SendChange("PUT", "/v1/" + family.list + "/" + document.id,
-                    line_.expected.value_or(0), document.text);
+  return SendChange("PUT", "/v1/" + setting_type.collection + "/" + document.id,
+                    line_.expected_revision.value_or(0), document.text);
 }
 
-ExitCode Commands::Withdraw(const Family& family) {
-  if (!line_.expected) {
-    err_ << "--expected REVISION is required; `gcwctl " << family.name
+ExitCode Commands::Withdraw(const SettingType& setting_type) {
+  if (!line_.expected_revision) {
+    err_ << "--expected REVISION is required; `gcwctl " << setting_type.name
          << " show ID` prints the current revision\n";
     return ExitCode::kUsage;
   }
-  return SendChange("DELETE", "/v1/" + family.list + "/" + Word(2),
-                    *line_.expected, "");
+  return SendChange("DELETE",
+                    "/v1/" + setting_type.collection + "/" + Argument(2),
+                    *line_.expected_revision, "");
 }
 
 ExitCode Commands::SendChange(const std::string& method,
@@ -84,7 +85,7 @@
                               std::int64_t expected,
                               const std::string& body) {
   const std::string change =
-      line_.change.empty() ? NewChangeId() : line_.change;
+      line_.change_id.empty() ? NewChangeId() : line_.change_id;
   OperatorAnswer answer;
   ExitCode failure = ExitCode::kUnreachable;
   const bool answered = Call(method,
@@ -115,10 +116,10 @@
   return ExitCode::kDone;
 }
 
-ExitCode Commands::ListSettings(const Family& family) {
+ExitCode Commands::ListSettings(const SettingType& setting_type) {
   OperatorAnswer answer;
   ExitCode failure = ExitCode::kUnreachable;
-  if (!Get("/v1/" + family.list, answer, failure)) {
+  if (!FetchPage("/v1/" + setting_type.collection, answer, failure)) {
     return failure;
   }
   if (line_.json) {
@@ -126,7 +127,8 @@
     return ExitCode::kDone;
   }
   json::array rows;
-  for (const json::value& item : FieldList(answer.body, family.list)) {
+  for (const json::value& item :
+       FieldList(answer.body, setting_type.collection)) {
     json::object row = item.get_object();
     if (row["value"].is_object()) {
       for (const auto& field : json::object(row["value"].get_object())) {
@@ -136,7 +138,7 @@
     rows.emplace_back(std::move(row));
   }
   const std::vector<std::string> columns =
-      family.name == "contract"
+      setting_type.name == "contract"
           ? std::vector<std::string>{"id",
                                      "tier",
                                      "rank",
--- a/programs/gcwctl/event_context.cc
+++ b/programs/gcwctl/event_context.cc
@@ -44,31 +44,35 @@
 }
 
 // Selects context events by what the subject's own events name.
-class ContextQuestion {
+class ContextFilter {
  public:
-  explicit ContextQuestion(const Explanation& explanation) {
+  explicit ContextFilter(const Explanation& explanation) {
     for (const ExplainedEvent& explained : explanation.events) {
       const TimelineEvent& event = explained.event;
-      own_.insert(event.id);
-      first_ = own_.size() == 1 ? event.time.physical
-                                : std::min(first_, event.time.physical);
-      last_ = std::max(last_, event.time.physical);
+      subject_events_.insert(event.id);
+      first_time_ = subject_events_.size() == 1
+                        ? event.time.physical
+                        : std::min(first_time_, event.time.physical);
+      last_time_ = std::max(last_time_, event.time.physical);
       for (const char* name : {"vm", "group"}) {
-        named_.insert(TextField(event, name));
+        related_ids_.insert(TextField(event, name));
       }
       const std::string reason = TextField(event, "reason");
-      groups_ = groups_ || reason == "no_capacity" || reason == "no_endpoint";
-      configuration_ = configuration_ || reason == "unknown_key" ||
-                       reason == "unknown_service" || reason == "not_ready";
+      includes_groups_ = includes_groups_ || reason == "no_capacity" ||
+                         reason == "no_endpoint";
+      includes_configuration_ =
+          includes_configuration_ || reason == "unknown_key" ||
+          reason == "unknown_service" || reason == "not_ready";
     }
-    named_.erase("");
+    related_ids_.erase("");
   }
 
-  bool IsAnsweredBy(const TimelineEvent& event,
-                    const EventContextSettings& settings) const {
+  bool Matches(const TimelineEvent& event,
+               const EventContextSettings& settings) const {
     const Time at = event.time.physical;
-    if (own_.contains(event.id) || at + settings.before < first_ ||
-        at > last_ + settings.after) {
+    if (subject_events_.contains(event.id) ||
+        at + settings.lookback < first_time_ ||
+        at > last_time_ + settings.lookahead) {
       return false;
     }
     const EventKind kind = event.draft.kind;
@@ -78,20 +82,21 @@
         event.draft.kind == EventKind::kRequestRetried ||
         event.draft.kind == EventKind::kRequestRefused ||
         event.draft.kind == EventKind::kRequestOutcomeUnknown;
-    return (!is_request && (named_.contains(event.draft.subject) ||
-                            named_.contains(TextField(event, "vm")) ||
-                            named_.contains(TextField(event, "group")))) ||
-           (groups_ && IsAboutGroups(kind)) ||
-           (configuration_ && IsAboutConfiguration(kind));
+    return (!is_request &&
+            (related_ids_.contains(event.draft.subject) ||
+             related_ids_.contains(TextField(event, "vm")) ||
+             related_ids_.contains(TextField(event, "group")))) ||
+           (includes_groups_ && IsAboutGroups(kind)) ||
+           (includes_configuration_ && IsAboutConfiguration(kind));
   }
 
  private:
-  std::set<EventId> own_;
-  std::set<std::string> named_;
-  Time first_;
-  Time last_;
-  bool groups_ = false;
-  bool configuration_ = false;
+  std::set<EventId> subject_events_;
+  std::set<std::string> related_ids_;
+  Time first_time_;
+  Time last_time_;
+  bool includes_groups_ = false;
+  bool includes_configuration_ = false;
 };
 
 }  // namespace
@@ -102,10 +107,10 @@
   if (explanation.events.empty()) {
     return {};
   }
-  const ContextQuestion question(explanation);
+  const ContextFilter filter(explanation);
   std::vector<TimelineEvent> context;
   for (const TimelineEvent& event : events) {
-    if (question.IsAnsweredBy(event, settings)) {
+    if (filter.Matches(event, settings)) {
       context.push_back(event);
     }
   }
--- a/programs/gcwctl/event_context.h
+++ b/programs/gcwctl/event_context.h
@@ -10,9 +10,9 @@
 struct EventContextSettings {
   // How long before the subject's first event other events count as context. A
   // repair that loads a model takes about 20 s.
-  Duration before = Duration::Seconds(30);
+  Duration lookback = Duration::Seconds(30);
   // How long after the subject's last event other events count as context.
-  Duration after = Duration::Seconds(2);
+  Duration lookahead = Duration::Seconds(2);
 };
 
 // Returns events of any node close in time to the explained subject that may
--- a/programs/gcwctl/event_log_reader.cc
+++ b/programs/gcwctl/event_log_reader.cc
@@ -22,7 +22,7 @@
   return object.if_contains(name);
 }
 
-json::value Take(json::object& fields, std::string_view name) {
+json::value Extract(json::object& fields, std::string_view name) {
   const auto found = fields.find(name);
   if (found == fields.end()) {
     return nullptr;
@@ -59,22 +59,23 @@
   const json::object& object = parsed.get_object();
   const json::value* node = Find(object, "node");
   const json::value* event = Find(object, "event");
-  const json::value* written = Find(object, "fields");
-  if (node == nullptr || event == nullptr || written == nullptr ||
-      !written->is_object() ||
-      Find(written->get_object(), kHybridTime) == nullptr) {
+  const json::value* logged_fields = Find(object, "fields");
+  if (node == nullptr || event == nullptr || logged_fields == nullptr ||
+      !logged_fields->is_object() ||
+      Find(logged_fields->get_object(), kHybridTime) == nullptr) {
     ++other_lines_;
     return;
   }
-  json::object fields = written->get_object();
-  json::object shaped{{"node", *node}, {"event", *event}};
-  shaped["id"] = Take(fields, kId);
-  shaped["subject"] = Take(fields, kSubject);
-  shaped["cause"] = Take(fields, kCause);
-  shaped["time_ms"] = Take(fields, kHybridTime);
-  shaped["logical"] = Take(fields, kHybridLogical);
-  shaped["fields"] = std::move(fields);
-  Result<TimelineEvent, TimelineError> decoded = decoder_->DecodeEvent(shaped);
+  json::object fields = logged_fields->get_object();
+  json::object event_json{{"node", *node}, {"event", *event}};
+  event_json["id"] = Extract(fields, kId);
+  event_json["subject"] = Extract(fields, kSubject);
+  event_json["cause"] = Extract(fields, kCause);
+  event_json["time_ms"] = Extract(fields, kHybridTime);
+  event_json["logical"] = Extract(fields, kHybridLogical);
+  event_json["fields"] = std::move(fields);
+  Result<TimelineEvent, TimelineError> decoded =
+      decoder_->DecodeEvent(event_json);
   if (!IsOk(decoded)) {
     ++malformed_lines_;
     return;
--- a/programs/gcwctl/main.cc
+++ b/programs/gcwctl/main.cc
@@ -22,8 +22,8 @@
     return Exit(gcw::ExitCode::kUsage);
   }
   gcw::CommandLine& line = gcw::ValueOf(parsed);
-  const std::string verb = line.words.empty() ? "" : line.words.front();
-  if (line.help || line.words.empty()) {
+  const std::string verb = line.arguments.empty() ? "" : line.arguments.front();
+  if (line.help || line.arguments.empty()) {
     (line.help ? std::cout : std::cerr) << gcw::HelpFor(verb);
     return Exit(line.help ? gcw::ExitCode::kDone : gcw::ExitCode::kUsage);
   }
--- a/programs/gcwctl/operator_client.cc
+++ b/programs/gcwctl/operator_client.cc
@@ -10,7 +10,7 @@
 namespace gcw {
 namespace {
 
-using Fetched = Result<HttpResponse, HttpFailure>;
+using FetchResult = Result<HttpResponse, HttpFailure>;
 
 OperatorCallError ErrorOfFailure(const HttpFailure& failure) {
   return OperatorCallError{failure.progress == HttpProgress::kNothingSent
@@ -43,9 +43,9 @@
   options.deadline = timeout_;
   boost::asio::io_context context;
   HttpClient client(context);
-  std::optional<Fetched> fetched;
-  client.Fetch(node_, std::move(request), options, [&](Fetched done) {
-    fetched = std::move(done);
+  std::optional<FetchResult> fetched;
+  client.Fetch(node_, std::move(request), options, [&](FetchResult result) {
+    fetched = std::move(result);
     context.stop();
   });
   context.run();
--- a/programs/gcwctl/setting_files.cc
+++ b/programs/gcwctl/setting_files.cc
@@ -13,10 +13,10 @@
 constexpr std::size_t kMinKeyLength = 8;
 constexpr TextRange kIdText{1, 64};
 
-SettingError Fault(SettingErrorKind kind,
-                   const std::string& path,
-                   std::string key,
-                   std::string allowed) {
+SettingError MakeError(SettingErrorKind kind,
+                       const std::string& path,
+                       std::string key,
+                       std::string allowed) {
   SettingError error;
   error.kind = kind;
   error.file = path;
@@ -82,7 +82,7 @@
              "SHA-256 digests of callers' keys.");
 }
 
-std::vector<SettingError> TakeKeys(const std::string& path, RawContract& raw) {
+std::vector<SettingError> ReadKeys(const std::string& path, RawContract& raw) {
   std::vector<SettingError> errors;
   const std::filesystem::path folder =
       std::filesystem::path(path).parent_path();
@@ -90,10 +90,10 @@
     if (const std::optional<KeyDigest> digest = DigestKeyFile(folder / file)) {
       raw.contract.keys.insert(*digest);
     } else {
-      errors.push_back(Fault(SettingErrorKind::kSecretUnreadable, path,
-                             "key_files",
-                             "readable files whose first line has at least 8 "
-                             "characters"));
+      errors.push_back(
+          MakeError(SettingErrorKind::kSecretUnreadable, path, "key_files",
+                    "readable files whose first line has at least 8 "
+                    "characters"));
     }
   }
   for (const std::string& digest : raw.key_digests) {
@@ -124,8 +124,8 @@
   std::vector<SettingError> errors;
   const toml::array* targets = file["targets"].as_array();
   if (targets == nullptr) {
-    errors.push_back(Fault(SettingErrorKind::kMissing, path, "targets",
-                           "[[targets]] with zone, wanted and most"));
+    errors.push_back(MakeError(SettingErrorKind::kMissing, path, "targets",
+                               "[[targets]] with zone, wanted and most"));
     return errors;
   }
   for (const toml::node& node : *targets) {
@@ -136,8 +136,9 @@
         table == nullptr ? std::nullopt : (*table)["zone"].value<std::string>();
     if (!target || !zone ||
         !model.targets.emplace(ZoneId(*zone), *target).second) {
-      errors.push_back(Fault(SettingErrorKind::kOutOfRange, path, "targets",
-                             "each zone once, wanted >= 0, most >= wanted"));
+      errors.push_back(
+          MakeError(SettingErrorKind::kOutOfRange, path, "targets",
+                    "each zone once, wanted >= 0, most >= wanted"));
     }
   }
   return errors;
@@ -149,22 +150,23 @@
   std::vector<SettingError> errors = ReadTargets(path, file, model);
   const std::string name = file["model"].value_or(std::string());
   if (name.empty()) {
-    errors.push_back(Fault(SettingErrorKind::kMissing, path, "model", "text"));
+    errors.push_back(
+        MakeError(SettingErrorKind::kMissing, path, "model", "text"));
   }
   model.model = ModelId(name);
   model.vms_per_group = file["vms_per_group"].value_or(std::int64_t{0});
   if (model.vms_per_group < 1) {
-    errors.push_back(Fault(SettingErrorKind::kOutOfRange, path, "vms_per_group",
-                           "at least 1"));
+    errors.push_back(MakeError(SettingErrorKind::kOutOfRange, path,
+                               "vms_per_group", "at least 1"));
   }
   model.rank = Rank(file["rank"].value_or(std::int64_t{0}));
   for (const auto& [key, value] : file) {
     const std::string_view text = key.str();
     if (text != "model" && text != "vms_per_group" && text != "rank" &&
         text != "targets") {
-      errors.push_back(Fault(SettingErrorKind::kUnknownKey, path,
-                             std::string(text),
-                             "model, vms_per_group, rank, targets"));
+      errors.push_back(MakeError(SettingErrorKind::kUnknownKey, path,
+                                 std::string(text),
+                                 "model, vms_per_group, rank, targets"));
     }
   }
   return errors;
@@ -178,7 +180,7 @@
   DeclareContract(raw, reader);
   std::vector<SettingError> errors = reader.ReadFile(path);
   if (errors.empty()) {
-    errors = TakeKeys(path, raw);
+    errors = ReadKeys(path, raw);
   }
   if (!errors.empty()) {
     return errors;
@@ -194,9 +196,9 @@
     raw.contract.valid_until = Time::FromMillis(raw.valid_until_ms);
   }
   if (const std::optional<ContractError> fault = FindFault(raw.contract)) {
-    return std::vector<SettingError>{
-        Fault(SettingErrorKind::kOutOfRange, path, std::string(fault->field),
-              std::string(ContractErrorKindName(fault->kind)))};
+    return std::vector<SettingError>{MakeError(
+        SettingErrorKind::kOutOfRange, path, std::string(fault->field),
+        std::string(ContractErrorKindName(fault->kind)))};
   }
   return SettingDocument{raw.contract.id.value(), EncodeContract(raw.contract)};
 }
@@ -206,8 +208,8 @@
   try {
     file = toml::parse_file(path);
   } catch (const toml::parse_error& error) {
-    SettingError fault = Fault(SettingErrorKind::kSyntax, path, "",
-                               std::string(error.description()));
+    SettingError fault = MakeError(SettingErrorKind::kSyntax, path, "",
+                                   std::string(error.description()));
     fault.line = static_cast<int>(error.source().begin.line);
     return std::vector<SettingError>{std::move(fault)};
   }
--- a/programs/gcwctl/table.cc
+++ b/programs/gcwctl/table.cc
@@ -8,7 +8,7 @@
 namespace gcw {
 namespace {
 
-constexpr std::size_t kGap = 2;
+constexpr std::size_t kColumnGap = 2;
 
 template <typename Items, typename Write>
 std::string Join(const Items& items, Write write) {
@@ -62,7 +62,8 @@
   }
   for (const std::vector<std::string>& line : cells) {
     for (std::size_t column = 0; column + 1 < line.size(); ++column) {
-      out << std::left << std::setw(static_cast<int>(widths[column] + kGap))
+      out << std::left
+          << std::setw(static_cast<int>(widths[column] + kColumnGap))
           << line[column];
     }
     out << line.back() << '\n';
--- a/tests/programs/event_log_reader_test.cc
+++ b/tests/programs/event_log_reader_test.cc
@@ -32,7 +32,7 @@
   EventLogReader reader_{&decoder_};
 };
 
-TEST_F(EventLogReaderTest, TakesEventsAndCountsTheRest) {
+TEST_F(EventLogReaderTest, ReadsEventsAndCountsOtherLines) {
   const auto events =
       Read(Line("n1", "group_closed", 5, "g1", R"("reason":"stands_still",)") +
            R"({"time_ms":1,"node":"n1","event":"node_started","fields":{}})"
@@ -49,7 +49,7 @@
 
 // A refusal for lack of capacity names no group. Its context contains the group
 // events of that time and no events of other requests.
-TEST_F(EventLogReaderTest, ARefusalForWantOfRoomIsExplainedByTheGroups) {
+TEST_F(EventLogReaderTest, CapacityRefusalIsExplainedByGroupEvents) {
   const auto events = Read(
       Line("n1", "group_closed", 1000, "old") +
       Line("n2", "group_closed", 50000, "g1", R"("reason":"member_silent",)") +
@@ -63,7 +63,7 @@
   EXPECT_EQ(context[1].draft.subject, "g2");
 }
 
-TEST_F(EventLogReaderTest, ALostAnswerIsExplainedByItsVm) {
+TEST_F(EventLogReaderTest, LostAnswerIsExplainedByVmEvents) {
   const auto events =
       Read(Line("n1", "connection_silent", 900, "v1", R"("group":"g1",)") +
            Line("n1", "connection_silent", 900, "v2", R"("group":"g2",)") +
@@ -76,7 +76,7 @@
   EXPECT_EQ(context[1].draft.kind, EventKind::kVmLost);
 }
 
-TEST_F(EventLogReaderTest, AnUnknownKeyIsExplainedByTheConfigurations) {
+TEST_F(EventLogReaderTest, UnknownKeyIsExplainedByConfigurationEvents) {
   const auto events = Read(
       Line("n1", "store_unreachable", 900, "n1") +
       Line("n2", "configuration_applied", 1000, "config") +
--- a/tests/programs/gateway_explained_test.cc
+++ b/tests/programs/gateway_explained_test.cc
@@ -78,7 +78,7 @@
 // A request is refused while the only group of its model is being repaired. The
 // request's event says that no endpoint was available; the group's events say
 // why and for how long.
-TEST_F(GatewayExplainedTest, ARefusalDuringARepair) {
+TEST_F(GatewayExplainedTest, ExplainsRefusalDuringRepair) {
   ASSERT_TRUE(ServesBothModels());
   KillVms(0, 2);
   ASSERT_TRUE(fleet_.Until(
@@ -98,7 +98,7 @@
 
 // All VMs of a model are lost while answers stream, so that the outcome of the
 // requests is unknown. Their events name the VM.
-TEST_F(GatewayExplainedTest, AnOutcomeUnknownAfterALoss) {
+TEST_F(GatewayExplainedTest, ExplainsUnknownOutcomeAfterVmLoss) {
   ASSERT_TRUE(ServesBothModels());
   std::vector<std::thread> callers;
   std::atomic<int> answered = 0;
@@ -138,7 +138,7 @@
 // the key get 401 from an older configuration. The request's event gives its
 // version; the events around it say when the store became unreachable and when
 // the newer configuration was applied.
-TEST_F(GatewayExplainedTest, AnAnswerByAnOlderConfiguration) {
+TEST_F(GatewayExplainedTest, ExplainsAnswerFromOlderConfiguration) {
   ASSERT_TRUE(ServesBothModels());
   SetFault("refuse", true);
   ASSERT_TRUE(
--- a/tests/programs/gateway_path_test.cc
+++ b/tests/programs/gateway_path_test.cc
@@ -34,7 +34,7 @@
 // Guards against cut streams and hanging requests after a VM of the only large
 // group is killed while streams run: a group that lost a VM stalls without
 // reporting an error.
-TEST_F(GatewayPathTest, AGroupThatLostAVmIsRepairedAndServesAgain) {
+TEST_F(GatewayPathTest, RepairsGroupAfterVmLoss) {
   ASSERT_TRUE(ServesBothModels());
   std::vector<std::thread> callers;
   std::atomic<int> wrong = 0;
@@ -61,7 +61,7 @@
 
 // Guards against running a reservation twice by resending it after a lost
 // answer. The only process that serves reservations is killed between sends.
-TEST_F(GatewayPathTest, WhatMayRunOnceRunsOnceForEachAnswer) {
+TEST_F(GatewayPathTest, ReservationsRunAtMostOncePerSend) {
   ASSERT_TRUE(ServesBothModels());
   int sent = 0;
   int answered = 0;
@@ -79,7 +79,7 @@
 
 // Guards against a node that stops serving while the store is unreachable
 // because it discards the last known configuration.
-TEST_F(GatewayPathTest, ServesOnWhileTheStoreIsAway) {
+TEST_F(GatewayPathTest, ServesWhileStoreIsUnreachable) {
   ASSERT_TRUE(ServesBothModels());
   SetFault("silent", true);
   std::this_thread::sleep_for(std::chrono::seconds(3));
@@ -91,7 +91,7 @@
 
 // Guards against a server that keeps the body limit of its start after
 // operators lower and then raise it.
-TEST_F(GatewayPathTest, CallersAreHeldToTheOperatorsLimits) {
+TEST_F(GatewayPathTest, AppliesChangedBodyLimit) {
   ASSERT_TRUE(ServesBothModels());
   const std::string body(5000, 'b');
   EXPECT_EQ(Ask(first_.callers, "safe", "standin-key", body).status, 200);
@@ -108,7 +108,7 @@
 
 // Guards against a settings reload that ends the process because SIGHUP is not
 // handled.
-TEST_F(GatewayPathTest, AReloadIsNoEnd) {
+TEST_F(GatewayPathTest, SurvivesReload) {
   ASSERT_TRUE(ServesBothModels());
   fleet_.Signal("gw-1", SIGHUP);
   fleet_.Signal("gw-1", SIGHUP);
@@ -119,7 +119,7 @@
 
 // Guards against lost answers after SIGTERM: callers still use the addresses
 // that they have cached, so a node must not end at once.
-TEST_F(GatewayPathTest, APlannedStopLeavesTheAddressesAndServesOnMeanwhile) {
+TEST_F(GatewayPathTest, LeavesEntryListAndDrainsOnSigterm) {
   ASSERT_TRUE(ServesBothModels());
   fleet_.Signal("gw-1", SIGTERM);
   ASSERT_TRUE(fleet_.Until(
--- a/tests/programs/gateway_settings_test.cc
+++ b/tests/programs/gateway_settings_test.cc
@@ -37,11 +37,11 @@
   std::filesystem::path file_;
 };
 
-TEST_F(GatewaySettingsTest, DefaultsAreSound) {
+TEST_F(GatewaySettingsTest, DefaultsAreValid) {
   EXPECT_TRUE(ErrorsWith("").empty());
 }
 
-TEST_F(GatewaySettingsTest, TheShorterBoundHoldsForTheCopyOfTheStore) {
+TEST_F(GatewaySettingsTest, UsesShorterBoundForStoreMirror) {
   const auto read = Read(
       "store.leaving_known_within_ms = 3000\n"
       "store.configuration_known_within_ms = 2500\n");
@@ -52,7 +52,7 @@
 
 // Guards against nodes that do not start on a platform that sets its own bound,
 // because the settings check reports the bound as an error in the file.
-TEST_F(GatewaySettingsTest, StartsWithWhateverBoundsThePlatformSets) {
+TEST_F(GatewaySettingsTest, AcceptsAnyPlatformBounds) {
   for (const char* bound : {"0", "900", "3000", "120000"}) {
     EXPECT_TRUE(
         ErrorsWith(std::string("store.leaving_known_within_ms = ") + bound +
@@ -62,13 +62,13 @@
   }
 }
 
-TEST_F(GatewaySettingsTest, RefusesALeaseThatOneLostRenewalEnds) {
+TEST_F(GatewaySettingsTest, RejectsLeaseThatExpiresAfterOneLostRenewal) {
   const auto errors = ErrorsWith("lease.time_to_live_ms = 1000\n");
   ASSERT_EQ(errors.size(), 1U);
   EXPECT_EQ(errors[0].key, "lease.time_to_live_ms");
 }
 
-TEST_F(GatewaySettingsTest, RefusesWhatIsNoAddressAndWhatIsUnknown) {
+TEST_F(GatewaySettingsTest, RejectsMalformedAddressAndUnknownKey) {
   EXPECT_FALSE(ErrorsWith("peers.seeds = [\"here\"]\n").empty());
   EXPECT_FALSE(ErrorsWith("store.adress = \"127.0.0.1:5\"\n").empty());
 }
--- a/tests/programs/load_answer_test.cc
+++ b/tests/programs/load_answer_test.cc
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::string_view kPrompt = "user:a question\n";
-constexpr std::string_view kOther = "user:another question\n";
+constexpr std::string_view kOtherPrompt = "user:another question\n";
 constexpr int kTokens = 3;
 
 const ExpectedAnswer kExpected{ReferenceAnswer(kPrompt, TokenCount(kTokens)),
@@ -34,7 +34,7 @@
 const std::string kError =
     "data: {\"error\":{\"type\":\"answer_broken\",\"message\":\"m\"}}\n\n";
 
-std::string Whole() {
+std::string CompleteStream() {
   return Token(kPrompt, 0) + Token(kPrompt, 1) + Token(kPrompt, 2) + kEnd;
 }
 
@@ -42,7 +42,7 @@
 std::string NameOf(const AnswerVerdict& verdict) {
   return std::visit(
       Overloaded{
-          [](const WholeVerdict&) { return std::string("whole"); },
+          [](const CompleteVerdict&) { return std::string("whole"); },
           [](const BrokenVerdict& broken) { return "broken " + broken.type; },
           [](const ViolationVerdict& violation) {
             return std::string(AnswerFaultName(violation.fault));
@@ -50,21 +50,21 @@
       verdict);
 }
 
-std::string Ended(const std::string& stream,
-                  const ExpectedAnswer& expected = kExpected) {
+std::string VerdictOnEnd(const std::string& stream,
+                         const ExpectedAnswer& expected = kExpected) {
   StreamChecker checker(expected);
   checker.OnBytes(stream);
   return NameOf(checker.OnEnd());
 }
 
-std::string Cut(const std::string& stream) {
+std::string VerdictOnFailure(const std::string& stream) {
   StreamChecker checker(kExpected);
   checker.OnBytes(stream);
   return NameOf(checker.OnFailure("truncated"));
 }
 
-TEST(StreamCheckerTest, TakesAWholeStreamInAnyPieces) {
-  const std::string stream = ": comment\n\n" + Whole();
+TEST(StreamCheckerTest, AcceptsCompleteStreamInAnyChunks) {
+  const std::string stream = ": comment\n\n" + CompleteStream();
   for (std::size_t size = 1; size <= stream.size(); ++size) {
     StreamChecker checker(kExpected);
     int tokens = 0;
@@ -74,61 +74,65 @@
     EXPECT_EQ(tokens, kTokens);
     EXPECT_EQ(NameOf(checker.OnEnd()), "whole");
   }
-  EXPECT_EQ(
-      Ended(NodeToken(0, "r") + NodeToken(1, "r") + NodeToken(2, "r") + kEnd),
-      "whole");
+  EXPECT_EQ(VerdictOnEnd(NodeToken(0, "r") + NodeToken(1, "r") +
+                         NodeToken(2, "r") + kEnd),
+            "whole");
 }
 
-TEST(StreamCheckerTest, ACutStreamIsBrokenAndNeverWhole) {
-  const std::string stream = Whole();
+TEST(StreamCheckerTest, CutStreamIsBrokenAndNeverComplete) {
+  const std::string stream = CompleteStream();
   for (std::size_t size = 0; size < stream.size(); ++size) {
     const std::string part = stream.substr(0, size);
-    EXPECT_EQ(Cut(part), "broken truncated");
+    EXPECT_EQ(VerdictOnFailure(part), "broken truncated");
     // The stream is complete without its last line feed, which ends only the
     // event's empty line.
     if (size < stream.size() - 1) {
-      EXPECT_NE(Ended(part), "whole") << size;
+      EXPECT_NE(VerdictOnEnd(part), "whole") << size;
     }
   }
-  EXPECT_EQ(Cut(Token(kPrompt, 0) + kError), "broken answer_broken");
+  EXPECT_EQ(VerdictOnFailure(Token(kPrompt, 0) + kError),
+            "broken answer_broken");
 }
 
-TEST(StreamCheckerTest, WhatOnlyLooksWholeIsAViolation) {
+TEST(StreamCheckerTest, StreamThatOnlyLooksCompleteIsViolation) {
   const std::string first = Token(kPrompt, 0);
   const std::string second = Token(kPrompt, 1);
-  EXPECT_EQ(Ended(""), "done_missing");
-  EXPECT_EQ(Ended(first + second + Token(kPrompt, 2)), "done_missing");
-  EXPECT_EQ(Ended(first + second + kEnd), "short");
-  EXPECT_EQ(Ended(first + kError), "end_after_error");
-  EXPECT_EQ(Ended(first + kError + kEnd), "end_after_error");
-  EXPECT_EQ(Ended(Whole() + kEnd), "after_done");
-  EXPECT_EQ(Ended(Whole() + "d"), "after_done");
-  EXPECT_EQ(Ended("data: no JSON\n\n" + Whole()), "malformed");
+  EXPECT_EQ(VerdictOnEnd(""), "done_missing");
+  EXPECT_EQ(VerdictOnEnd(first + second + Token(kPrompt, 2)), "done_missing");
+  EXPECT_EQ(VerdictOnEnd(first + second + kEnd), "short");
+  EXPECT_EQ(VerdictOnEnd(first + kError), "end_after_error");
+  EXPECT_EQ(VerdictOnEnd(first + kError + kEnd), "end_after_error");
+  EXPECT_EQ(VerdictOnEnd(CompleteStream() + kEnd), "after_done");
+  EXPECT_EQ(VerdictOnEnd(CompleteStream() + "d"), "after_done");
+  EXPECT_EQ(VerdictOnEnd("data: no JSON\n\n" + CompleteStream()), "malformed");
 }
 
-TEST(StreamCheckerTest, ForeignAndMixedStreamsAreViolationsAlsoWhenCut) {
+TEST(StreamCheckerTest, ForeignAndMixedStreamsAreViolationsEvenIfCut) {
   const std::string first = Token(kPrompt, 0);
   const std::string second = Token(kPrompt, 1);
-  EXPECT_EQ(Cut(Token(kOther, 0)), "foreign_text");
-  EXPECT_EQ(Cut(first + Token(kOther, 1)), "foreign_text");
-  EXPECT_EQ(Cut(first + first), "out_of_order");
-  EXPECT_EQ(Cut(second), "out_of_order");
-  EXPECT_EQ(Cut(NodeToken(0, "r") + NodeToken(0, "r")), "out_of_order");
-  EXPECT_EQ(Cut(NodeToken(0, "r") + NodeToken(1, "s")), "foreign_id");
-  EXPECT_EQ(Ended(first + second + Token(kPrompt, 2) + Token(kPrompt, 3)),
-            "foreign_text");
+  EXPECT_EQ(VerdictOnFailure(Token(kOtherPrompt, 0)), "foreign_text");
+  EXPECT_EQ(VerdictOnFailure(first + Token(kOtherPrompt, 1)), "foreign_text");
+  EXPECT_EQ(VerdictOnFailure(first + first), "out_of_order");
+  EXPECT_EQ(VerdictOnFailure(second), "out_of_order");
+  EXPECT_EQ(VerdictOnFailure(NodeToken(0, "r") + NodeToken(0, "r")),
+            "out_of_order");
+  EXPECT_EQ(VerdictOnFailure(NodeToken(0, "r") + NodeToken(1, "s")),
+            "foreign_id");
+  EXPECT_EQ(
+      VerdictOnEnd(first + second + Token(kPrompt, 2) + Token(kPrompt, 3)),
+      "foreign_text");
   ExpectedAnswer of_attempt = kExpected;
   of_attempt.attempt = AttemptId("another");
-  EXPECT_EQ(Ended(Whole(), of_attempt), "foreign_id");
+  EXPECT_EQ(VerdictOnEnd(CompleteStream(), of_attempt), "foreign_id");
 }
 
-TEST(StreamCheckerTest, WithoutReferenceTheFormIsChecked) {
-  EXPECT_EQ(Ended(Token(kOther, 0) + kEnd, {}), "whole");
-  EXPECT_EQ(Ended(Token(kOther, 0), {}), "done_missing");
-  EXPECT_EQ(Ended(Token(kOther, 1) + kEnd, {}), "out_of_order");
+TEST(StreamCheckerTest, ChecksFormWithoutReference) {
+  EXPECT_EQ(VerdictOnEnd(Token(kOtherPrompt, 0) + kEnd, {}), "whole");
+  EXPECT_EQ(VerdictOnEnd(Token(kOtherPrompt, 0), {}), "done_missing");
+  EXPECT_EQ(VerdictOnEnd(Token(kOtherPrompt, 1) + kEnd, {}), "out_of_order");
 }
 
-TEST(WholeAnswerTest, MustBeItsOwn) {
+TEST(WholeAnswerTest, MustBelongToRequest) {
   ChatAnswer answer;
   answer.text = *kExpected.text;
   EXPECT_EQ(NameOf(CheckWholeAnswer(EncodeChatAnswer(answer), kExpected)),
@@ -136,7 +140,7 @@
   answer.text = ReferenceAnswer(kPrompt, TokenCount(1));
   EXPECT_EQ(NameOf(CheckWholeAnswer(EncodeChatAnswer(answer), kExpected)),
             "short");
-  answer.text = ReferenceAnswer(kOther, TokenCount(kTokens));
+  answer.text = ReferenceAnswer(kOtherPrompt, TokenCount(kTokens));
   EXPECT_EQ(NameOf(CheckWholeAnswer(EncodeChatAnswer(answer), kExpected)),
             "foreign_text");
   EXPECT_EQ(NameOf(CheckWholeAnswer("{}", kExpected)), "malformed");
@@ -153,7 +157,7 @@
   return R"({"error":{"type":")" + type + R"("}})";
 }
 
-TEST(FailedAnswerTest, IsNotRunOnlyWhereThatWasTold) {
+TEST(FailedAnswerTest, IsNotRunOnlyIfReported) {
   const FailedAnswer full =
       Failed(429, R"({"error":{"type":"queue_full","retry_after_ms":150}})");
   EXPECT_EQ(full.kind, FailedAnswerKind::kNotRun);
@@ -177,7 +181,7 @@
 }
 
 TEST(ResendPolicyTest, OneUnknownSendMakesTheKeyUnknown) {
-  ResendPolicy policy({.resends = 2});
+  ResendPolicy policy({.max_resends = 2});
   const auto refused = SendThat(FailedAnswerKind::kNotRun, "no_capacity");
   EXPECT_TRUE(policy.OnFailedSend(refused));
   EXPECT_EQ(policy.outcome(), KeyOutcome::kRefused);
@@ -187,8 +191,8 @@
   EXPECT_EQ(policy.outcome(), KeyOutcome::kUnknown);
 }
 
-TEST(ResendPolicyTest, HonoursRetryAfterAndGivesUpWhereItMust) {
-  ResendPolicy policy({.longest_wait = Duration::Seconds(5)});
+TEST(ResendPolicyTest, HonoursRetryAfterAndGivesUp) {
+  ResendPolicy policy({.max_retry_delay = Duration::Seconds(5)});
   auto failed = SendThat(FailedAnswerKind::kNotRun, "once_in_progress");
   failed.retry_after = Duration::Seconds(3);
   EXPECT_EQ(policy.OnFailedSend(failed), Duration::Seconds(3));
--- a/tests/programs/load_plan_test.cc
+++ b/tests/programs/load_plan_test.cc
@@ -6,7 +6,7 @@
 #include <gtest/gtest.h>
 
 #include "programs/gcw_load/arrival_plan.h"
-#include "programs/gcw_load/entry_book.h"
+#include "programs/gcw_load/entry_selector.h"
 #include "programs/gcw_load/load_command_line.h"
 #include "programs/gcw_load/prompt_maker.h"
 
@@ -24,7 +24,7 @@
   return arrivals;
 }
 
-TEST(ArrivalPlanTest, EachKindComesAtItsRate) {
+TEST(ArrivalPlanTest, EachKindArrivesAtItsRate) {
   const std::vector<Arrival> arrivals = AllOf({.paid_rate = 100,
                                                .trial_rate = 200,
                                                .reservation_rate = 50,
@@ -61,7 +61,7 @@
   EXPECT_NE(AllOf(settings, 2).front().at, first.front().at);
 }
 
-TEST(ArrivalPlanTest, TinyAndNoRatesEnd) {
+TEST(ArrivalPlanTest, EndsAtTinyAndZeroRates) {
   EXPECT_TRUE(AllOf({.length = seconds(10)}, 1).empty());
   EXPECT_TRUE(AllOf({.paid_rate = 1e-300, .length = seconds(10)}, 1).empty());
 }
@@ -82,8 +82,8 @@
   return Time::FromMillis(millis);
 }
 
-TEST(EntryBookTest, ChoosesByWeightAmongThoseNotTried) {
-  EntryBook book(SeededRandom(3));
+TEST(EntrySelectorTest, ChoosesUntriedAddressByWeight) {
+  EntrySelector book(SeededRandom(3));
   EXPECT_EQ(book.Choose({}), std::nullopt);
   book.Replace(At(0),
                {{{Address("a"), 3}, {Address("b"), 1}, {Address("c"), 0}},
@@ -101,8 +101,8 @@
             std::nullopt);
 }
 
-TEST(EntryBookTest, AnswersExpireAndEmptyOnesKeepTheLast) {
-  EntryBook book(SeededRandom(3));
+TEST(EntrySelectorTest, ListsExpireAndEmptyListsKeepEntries) {
+  EntrySelector book(SeededRandom(3));
   book.Replace(At(1000), {{{Address("a"), 1}}, Duration::Seconds(2)});
   EXPECT_EQ(book.renew_at(), At(3000));
   book.Replace(At(3000), {{}, Duration()});
@@ -112,28 +112,29 @@
   EXPECT_EQ(book.Choose({}), Address("b"));
 }
 
-TEST(EntryListTest, IsReadAsNodesWriteIt) {
+TEST(EntryListTest, DecodesNodeFormat) {
   const auto list = DecodeEntryList(
       R"({"entries":[{"address":"127.0.0.1:1","zone":"z","region":"r",)"
       R"("weight":0.5}],"keep_ms":2000})");
   ASSERT_TRUE(IsOk(list));
   EXPECT_EQ(ValueOf(list).entries.front().address, Address("127.0.0.1:1"));
   EXPECT_EQ(ValueOf(list).entries.front().weight, 0.5);
-  EXPECT_EQ(ValueOf(list).keep, Duration::Seconds(2));
+  EXPECT_EQ(ValueOf(list).ttl, Duration::Seconds(2));
   EXPECT_FALSE(IsOk(DecodeEntryList(
       R"({"entries":[{"address":"a","weight":-1}],"keep_ms":1})")));
 }
 
-LoadExit ExitOf(const std::vector<std::string>& arguments) {
+LoadExitCode ExitOf(const std::vector<std::string>& arguments) {
   const auto read = ReadLoadCommandLine(arguments);
-  return std::holds_alternative<LoadExit>(read) ? std::get<LoadExit>(read)
-                                                : LoadExit::kDone;
+  return std::holds_alternative<LoadExitCode>(read)
+             ? std::get<LoadExitCode>(read)
+             : LoadExitCode::kDone;
 }
 
-TEST(LoadCommandLineTest, RefusesWhatCannotRun) {
-  const std::vector<std::string> sound{
+TEST(LoadCommandLineTest, RejectsInvalidArguments) {
+  const std::vector<std::string> valid_arguments{
       "--direct", "127.0.0.1:1", "--paid-per-s", "5", "--model", "notes"};
-  EXPECT_EQ(ExitOf(sound), LoadExit::kDone);
+  EXPECT_EQ(ExitOf(valid_arguments), LoadExitCode::kDone);
   const std::vector<std::vector<std::string>> faults{
       {"--entries", "127.0.0.1:2"},
       {"--whole-share", "1.5"},
@@ -143,15 +144,15 @@
       {"--threads", "0"},
       {"--unknown"}};
   for (const std::vector<std::string>& fault : faults) {
-    std::vector<std::string> arguments = sound;
+    std::vector<std::string> arguments = valid_arguments;
     arguments.insert(arguments.end(), fault.begin(), fault.end());
-    EXPECT_EQ(ExitOf(arguments), LoadExit::kUsage) << fault.front();
+    EXPECT_EQ(ExitOf(arguments), LoadExitCode::kUsage) << fault.front();
   }
   EXPECT_EQ(ExitOf({"--entries", "127.0.0.1:1", "--paid-per-s", "5", "--model",
                     "notes"}),
-            LoadExit::kUsage);
+            LoadExitCode::kUsage);
   EXPECT_EQ(ExitOf({"--direct", "127.0.0.1:1", "--model", "notes"}),
-            LoadExit::kUsage);
+            LoadExitCode::kUsage);
 }
 
 }  // namespace
--- a/tests/programs/load_report_test.cc
+++ b/tests/programs/load_report_test.cc
@@ -24,7 +24,7 @@
   EXPECT_EQ(histogram.max_millis(), 1000);
 }
 
-TEST(LatencyHistogramTest, KeepsWhatLiesOutside) {
+TEST(LatencyHistogramTest, CountsOutOfRangeLatencies) {
   LatencyHistogram histogram;
   histogram.Add(std::chrono::microseconds(0));
   histogram.Add(std::chrono::hours(1));
@@ -33,7 +33,7 @@
   EXPECT_EQ(*histogram.Quantile(1), 3600e3);
 }
 
-TEST(LoadReportTest, TellsOutcomesByType) {
+TEST(LoadReportTest, ReportsOutcomesByType) {
   LoadTally tally;
   KindTally& trial = tally.of(RequestKind::kTrialStream);
   trial.sent = 5;
--- a/tests/programs/load_run_test.cc
+++ b/tests/programs/load_run_test.cc
@@ -13,7 +13,7 @@
 namespace {
 
 // An address without a listener.
-const Address kDead("127.0.0.1:1");
+const Address kUnreachableAddress("127.0.0.1:1");
 
 // A node that answers at once. The first send of each reservation runs, but its
 // outcome is reported as unknown.
@@ -38,7 +38,7 @@
   std::size_t keys() const { return keys_.size(); }
 
   // Omits `data: [DONE]` but ends the HTTP response properly.
-  std::atomic<bool> leaves_done_out = false;
+  std::atomic<bool> omits_done = false;
 
  private:
   void Handle(const HttpRequest& request, HttpResponder& responder) {
@@ -53,7 +53,7 @@
 
   std::string EntriesBody() const {
     return R"({"entries":[{"address":")" + address().value() +
-           R"(","weight":1},{"address":")" + kDead.value() +
+           R"(","weight":1},{"address":")" + kUnreachableAddress.value() +
            R"(","weight":1}],"keep_ms":50})";
   }
 
@@ -70,7 +70,7 @@
       responder.Write(
           EncodeChatTokenEvent({AttemptId("a"), i, ReferenceToken(prompt, i)}));
     }
-    if (!leaves_done_out) {
+    if (!omits_done) {
       responder.Write(std::string(kChatStreamEnd));
     }
     responder.Finish();
@@ -94,7 +94,7 @@
 
 LoadSettings Settings(const Address& node) {
   LoadSettings settings;
-  settings.entries = {kDead, node};
+  settings.entries = {kUnreachableAddress, node};
   settings.arrivals = {.paid_rate = 200,
                        .trial_rate = 200,
                        .whole_share = 0.5,
@@ -107,10 +107,10 @@
   return settings;
 }
 
-TEST(LoadRunTest, TakesAnotherAddressWhereNothingWasSent) {
+TEST(LoadRunTest, UsesAnotherAddressIfNothingWasSent) {
   FakeNode node;
   LoadRun run(Settings(node.address()));
-  EXPECT_EQ(run.Run(), LoadExit::kDone);
+  EXPECT_EQ(run.Run(), LoadExitCode::kDone);
   std::int64_t sent = 0;
   std::int64_t moved = 0;
   for (const KindTally& kind : run.tally().kinds) {
@@ -126,13 +126,13 @@
             4 * run.tally().of(RequestKind::kPaidStream).sent);
 }
 
-TEST(LoadRunTest, SendsReservationsAgainWithTheirKey) {
+TEST(LoadRunTest, ResendsReservationsWithTheirKey) {
   FakeNode node;
   LoadSettings settings = Settings(node.address());
   settings.arrivals.paid_rate = settings.arrivals.trial_rate = 0;
   settings.arrivals.reservation_rate = 200;
   LoadRun run(settings);
-  EXPECT_EQ(run.Run(), LoadExit::kDone);
+  EXPECT_EQ(run.Run(), LoadExitCode::kDone);
   const KindTally& counts = run.tally().of(RequestKind::kReservation);
   EXPECT_GT(counts.sent, 0);
   EXPECT_EQ(counts.resent, counts.sent);
@@ -140,29 +140,29 @@
   EXPECT_EQ(node.keys(), static_cast<std::size_t>(counts.sent));
 }
 
-TEST(LoadRunTest, AStreamWithoutItsEndIsAViolation) {
+TEST(LoadRunTest, StreamWithoutDoneIsViolation) {
   FakeNode node;
-  node.leaves_done_out = true;
+  node.omits_done = true;
   LoadRun run(Settings(node.address()));
-  EXPECT_EQ(run.Run(), LoadExit::kViolation);
+  EXPECT_EQ(run.Run(), LoadExitCode::kViolation);
   const KindTally& counts = run.tally().of(RequestKind::kTrialStream);
   EXPECT_EQ(counts.violations.at("done_missing"), counts.sent);
 }
 
-TEST(LoadRunTest, SkipsWhatIsTooMuchAtOnce) {
+TEST(LoadRunTest, SkipsArrivalsAboveLimit) {
   FakeNode node;
   LoadSettings settings = Settings(node.address());
-  settings.most_open = 1;
+  settings.max_in_flight = 1;
   settings.arrivals.paid_rate = 20000;
   LoadRun run(settings);
-  EXPECT_EQ(run.Run(), LoadExit::kDone);
+  EXPECT_EQ(run.Run(), LoadExitCode::kDone);
   EXPECT_GT(run.tally().of(RequestKind::kPaidStream).skipped, 0);
 }
 
-TEST(LoadRunTest, EndsWhereNoEntryAnswers) {
-  LoadSettings settings = Settings(kDead);
+TEST(LoadRunTest, EndsIfNoEntryAnswers) {
+  LoadSettings settings = Settings(kUnreachableAddress);
   LoadRun run(settings);
-  EXPECT_EQ(run.Run(), LoadExit::kNoEntry);
+  EXPECT_EQ(run.Run(), LoadExitCode::kNoEntry);
   EXPECT_EQ(run.tally().entries_failed, 2);
 }
 
--- a/tests/programs/node_settings_test.cc
+++ b/tests/programs/node_settings_test.cc
@@ -43,7 +43,7 @@
   std::filesystem::path folder_;
 };
 
-TEST_F(NodeSettingsTest, DefaultsAreSound) {
+TEST_F(NodeSettingsTest, DefaultsAreValid) {
   EXPECT_TRUE(ErrorsWith("").empty());
 }
 
@@ -51,7 +51,7 @@
 // is logged. An order is sent only while the lease outlives the order's timeout
 // and margin; with a lease of 3 s, a node became a keeper and wrote the record
 // of a group, but never sent the load orders.
-TEST_F(NodeSettingsTest, RefusesALeaseTooShortForOrders) {
+TEST_F(NodeSettingsTest, RejectsLeaseTooShortForOrders) {
   const std::vector<SettingError> errors = ErrorsWith(
       "lease.time_to_live_ms = 3000\nlease.renew_interval_ms = 800\n"
       "lease.margin_ms = 800\norders.takeover_wait_ms = 3000\n");
@@ -63,7 +63,7 @@
 // secret in the log: the secret contains bytes that are not allowed in a
 // header, the settings check tests only its length, and the first call to a
 // peer ends the process.
-TEST_F(NodeSettingsTest, RefusesASecretThatIsNoHeaderText) {
+TEST_F(NodeSettingsTest, RejectsSecretInvalidInHeader) {
   Write("secret", "a-secret-\x01-\xc3\xa9-of-this-test");
   const std::vector<SettingError> errors = ErrorsWith("");
   ASSERT_EQ(errors.size(), 1U);
@@ -71,7 +71,7 @@
   EXPECT_EQ(errors[0].value, "(withheld)");
 }
 
-TEST_F(NodeSettingsTest, RefusesAMalformedSeedAndDistance) {
+TEST_F(NodeSettingsTest, RejectsMalformedSeedAndDistance) {
   const std::vector<SettingError> errors = ErrorsWith(
       "peers.seeds = [\"no-address\"]\nzones.distances = [\"z2=far\"]\n");
   EXPECT_EQ(errors.size(), 2U);
--- a/tests/programs/standin_engine_test.cc
+++ b/tests/programs/standin_engine_test.cc
@@ -105,7 +105,7 @@
   EXPECT_EQ(engine_.executions().OfName("hello"), 1);
 }
 
-TEST_F(StandinEngineTest, AResumedStreamGoesOnAfterTheCallersTokens) {
+TEST_F(StandinEngineTest, ResumedStreamContinuesAfterGivenTokens) {
   Load(1);
   EngineCall call = Call("hello", 4);
   call.resume_from = 2;
@@ -116,7 +116,7 @@
   EXPECT_EQ(tokens[0].token.text, ReferenceToken("user:hello\n", 2));
 }
 
-TEST_F(StandinEngineTest, PriorityGoesFirstAndTheBatchIsBounded) {
+TEST_F(StandinEngineTest, RunsByPriorityInBoundedBatch) {
   Load(1);
   for (int i = 1; i <= 4; ++i) {
     EngineCall call = Call("p" + std::to_string(i), 1);
@@ -129,7 +129,7 @@
   EXPECT_EQ(ends[3].ticket, Ticket(3));
 }
 
-TEST_F(StandinEngineTest, ACachedPrefixShortensThePrefillAndIsEvicted) {
+TEST_F(StandinEngineTest, CachedPrefixShortensPrefillAndIsEvicted) {
   Load(1);
   const std::string prompt(200, 'x');
   const auto first_token_after = [&](Time start, Ticket ticket) {
@@ -154,7 +154,7 @@
   EXPECT_EQ(events.events.at(1).kind, CacheEventKind::kEvicted);
 }
 
-TEST_F(StandinEngineTest, CacheEventsComeLateAndWithGaps) {
+TEST_F(StandinEngineTest, CacheEventsLagAndHaveGaps) {
   Load(1);
   engine_.OnChat(At(10), Ticket(1), Call(std::string(64, 'x'), 1));
   RunUntil(At(100));
@@ -170,7 +170,7 @@
 // Guards against a group that goes on answering after its second member has
 // stopped responding. Only rank 0 can detect this; it must break running
 // answers and refuse new ones.
-TEST_F(StandinEngineTest, AMissingMemberBreaksAnswersAndEndsServing) {
+TEST_F(StandinEngineTest, MissingMemberBreaksAnswersAndEndsServing) {
   Load(2);
   const auto refused = engine_.OnChat(At(0), Ticket(1), Call("early", 9));
   EXPECT_EQ(Only<RefuseCall>(refused).size(), 1U);
@@ -187,7 +187,7 @@
       1U);
 }
 
-TEST_F(StandinEngineTest, AMemberOfAnotherGenerationFailsTheGroup) {
+TEST_F(StandinEngineTest, MemberOfAnotherGenerationFailsGroup) {
   Load(2);
   engine_.OnMemberStatus(At(10), MemberStatus(1));
   RunUntil(At(20));
@@ -210,7 +210,7 @@
   EXPECT_EQ(engine_.Status(At(0)).state, EngineState::kIdle);
 }
 
-TEST_F(StandinEngineTest, DrainingRunsWhatItHasAndTakesNothingNew) {
+TEST_F(StandinEngineTest, DrainingFinishesRunningAndRefusesNewRequests) {
   Load(1);
   engine_.OnChat(At(10), Ticket(1), Call("kept", 3));
   engine_.OnOrder(At(10), Order(EngineOrderKind::kDrain, 1, 1, 1));
--- a/tests/programs/standin_parts_test.cc
+++ b/tests/programs/standin_parts_test.cc
@@ -13,7 +13,7 @@
   return Time::FromMillis(millis);
 }
 
-TEST(StandinVmListTest, ReadersSeeAnOldList) {
+TEST(StandinVmListTest, ReadersSeeStaleList) {
   StandinVmList list(At(0), {});
   VmEntry vm;
   vm.id = VmId("vm");
@@ -24,7 +24,7 @@
   EXPECT_EQ(late.as_of, At(1000));
 }
 
-TEST(StandinWeightsTest, FetchesTakeTheirTurn) {
+TEST(StandinWeightsTest, FetchesAreQueued) {
   StandinWeights weights(1000);
   EXPECT_EQ(weights.Enqueue(At(0), 500), At(500));
   EXPECT_EQ(weights.Enqueue(At(100), 500), At(1000));
@@ -81,7 +81,7 @@
 // Guards against a stream that looks complete although its middle is missing:
 // if the `silent` fault is switched off during a stream that it has silenced,
 // the rest of the stream must not be passed on.
-TEST(FaultyResponderTest, ASilencedExchangeStaysSilent) {
+TEST(FaultyResponderTest, SilencedExchangeStaysSilent) {
   Faults faults;
   FaultyResponder::Silenced silenced;
   const auto inner = std::make_shared<RecordingResponder>();
@@ -112,7 +112,7 @@
   EXPECT_EQ(fresh->sent, "respond ");
 }
 
-TEST(FaultyResponderTest, ALostAnswerClosesTheConnection) {
+TEST(FaultyResponderTest, LostAnswerClosesConnection) {
   const Faults faults;
   FaultyResponder::Silenced silenced;
   const auto inner = std::make_shared<RecordingResponder>();
--- a/tests/programs/standin_shell_test.cc
+++ b/tests/programs/standin_shell_test.cc
@@ -66,7 +66,7 @@
 // Guards against a writer that treats a lost answer as a failed write and
 // writes again: the store applies the write, then the connection closes without
 // an answer.
-TEST_F(StandinShellTest, AWriteWhoseAnswerIsLostTakesEffect) {
+TEST_F(StandinShellTest, WriteWithLostAnswerTakesEffect) {
   ListenAsStore();
   Text("/faults", R"({"name":"lose_answer","value":1})");
   const StoreCallMessage put =
@@ -85,7 +85,7 @@
   EXPECT_TRUE(Text("/kv/range", R"({"prefix":""})").starts_with("503 "));
 }
 
-TEST_F(StandinShellTest, ASilentStandinKeepsTheConnectionOpen) {
+TEST_F(StandinShellTest, SilentStandinKeepsConnectionOpen) {
   ListenAsStore();
   Text("/faults", R"({"name":"silent","value":true})");
   const auto result = Fetch("/kv/range", R"({"prefix":""})",
@@ -94,7 +94,7 @@
   EXPECT_EQ(ErrorOf(result).kind, HttpFailureKind::kSilent);
 }
 
-TEST_F(StandinShellTest, AnEngineStreamsTokensAndRefusesBeforeItServes) {
+TEST_F(StandinShellTest, EngineStreamsTokensAndRefusesBeforeServing) {
   EngineShell::Settings settings;
   settings.engine.member.vm = VmId("vm");
   engine_ = std::make_unique<EngineShell>(server_, settings);
--- a/tests/programs/standin_store_test.cc
+++ b/tests/programs/standin_store_test.cc
@@ -39,7 +39,7 @@
   Ticket ticket_;
 };
 
-TEST_F(StandinStoreTest, AWriteNeedsTheExpectedRevision) {
+TEST_F(StandinStoreTest, WriteRequiresExpectedRevision) {
   const Revision first = Put(At(0), "a", Revision());
   const StoreReply absent = Call(At(0), StorePut{"a", "w", Revision(), {}});
   EXPECT_EQ(std::get<StoreConflict>(absent).current->revision, first);
@@ -50,7 +50,7 @@
   EXPECT_TRUE(std::holds_alternative<StoreConflict>(stale));
 }
 
-TEST_F(StandinStoreTest, KeysGoWithTheirLease) {
+TEST_F(StandinStoreTest, KeysExpireWithTheirLease) {
   const auto lease = std::get<StoreLeaseReply>(
       Call(At(0), StoreLeaseGrant{Duration::Millis(100)}));
   Put(At(0), "role/a", Revision(), lease.lease);
@@ -63,7 +63,7 @@
   EXPECT_TRUE(std::holds_alternative<StoreLeaseUnknown>(put));
 }
 
-TEST_F(StandinStoreTest, AWatchWakesOnItsPrefixOnly) {
+TEST_F(StandinStoreTest, WatchWakesOnlyOnItsPrefix) {
   const Revision start = Put(At(0), "a/1", Revision());
   const StoreWatch watch{"a/", start, Duration::Millis(50)};
   EXPECT_TRUE(store_.OnCall(At(0), Ticket(900), watch).empty());
@@ -79,7 +79,7 @@
   EXPECT_EQ(reply.deleted[0].revision, reply.revision);
 }
 
-TEST_F(StandinStoreTest, AWatchEndsEmptyAfterItsWait) {
+TEST_F(StandinStoreTest, WatchReturnsEmptyAfterTimeout) {
   const Revision start = Put(At(0), "a", Revision());
   store_.OnCall(At(0), Ticket(900),
                 StoreWatch{"a", start, Duration::Millis(50)});
@@ -94,7 +94,7 @@
 // Guards against a node that misses changes: if more changes are made between
 // two watches than the history holds, they are compacted, and the reply must
 // tell the node to read the range again.
-TEST_F(StandinStoreTest, AWatchBehindTheHistoryIsToldSo) {
+TEST_F(StandinStoreTest, WatchBehindHistoryReportsCompaction) {
   const Revision start = Put(At(0), "a", Revision());
   Revision last = start;
   for (int i = 0; i < 6; ++i) {
@@ -107,7 +107,7 @@
   EXPECT_TRUE(std::get<StoreWatchReply>(ahead).compacted);
 }
 
-TEST_F(StandinStoreTest, CallsAboveTheRateAreRefusedWithoutActing) {
+TEST_F(StandinStoreTest, CallsAboveRateAreRefusedWithoutEffect) {
   StandinStore store({.writes_per_second = 4});
   const StorePut put{"a", "v", Revision(), LeaseId()};
   EXPECT_EQ(store.OnCall(At(0), Ticket(1), put).size(), 1U);
--- a/tests/programs/whole_path_test.cc
+++ b/tests/programs/whole_path_test.cc
@@ -76,34 +76,35 @@
 }
 
 enum class Outcome {
-  kWhole,
+  kComplete,
   // The answer reports an error, by its status or in the stream.
-  kToldError,
+  kErrorReported,
   // The answer ended without an error.
   kCut,
   // The answer looked complete and was not.
   kWrong,
 };
 
-Outcome JudgeVerdict(const AnswerVerdict& verdict, const std::string& body) {
-  if (std::holds_alternative<WholeVerdict>(verdict)) {
-    return Outcome::kWhole;
+Outcome ClassifyVerdict(const AnswerVerdict& verdict, const std::string& body) {
+  if (std::holds_alternative<CompleteVerdict>(verdict)) {
+    return Outcome::kComplete;
   }
   if (std::holds_alternative<ViolationVerdict>(verdict)) {
     return Outcome::kWrong;
   }
-  const bool told = body.find("data: {\"error\"") != std::string::npos;
-  return told ? Outcome::kToldError : Outcome::kCut;
+  const bool error_reported =
+      body.find("data: {\"error\"") != std::string::npos;
+  return error_reported ? Outcome::kErrorReported : Outcome::kCut;
 }
 
-Outcome Judge(const ChatRequest& chat, const Received& received) {
+Outcome ClassifyAnswer(const ChatRequest& chat, const Received& received) {
   const HttpResponse& answer = received.answer;
   const ExpectedAnswer expected{
       ReferenceAnswer(PromptOf(chat), chat.max_tokens), AttemptId()};
   if (answer.status == kStatusOk && chat.stream) {
     StreamChecker checker(expected);
     checker.OnBytes(answer.body);
-    return JudgeVerdict(
+    return ClassifyVerdict(
         received.failure ? checker.OnFailure("cut") : checker.OnEnd(),
         answer.body);
   }
@@ -111,13 +112,15 @@
     return Outcome::kCut;
   }
   if (answer.status == kStatusOk) {
-    return JudgeVerdict(CheckWholeAnswer(answer.body, expected), answer.body);
+    return ClassifyVerdict(CheckWholeAnswer(answer.body, expected),
+                           answer.body);
   }
-  return ReadErrorAnswer(answer.body) ? Outcome::kToldError : Outcome::kCut;
+  return ReadErrorAnswer(answer.body) ? Outcome::kErrorReported : Outcome::kCut;
 }
 
-void ExpectWholeOrTold(Outcome outcome) {
-  EXPECT_TRUE(outcome == Outcome::kWhole || outcome == Outcome::kToldError)
+void ExpectCompleteOrError(Outcome outcome) {
+  EXPECT_TRUE(outcome == Outcome::kComplete ||
+              outcome == Outcome::kErrorReported)
       << static_cast<int>(outcome);
 }
 
@@ -134,12 +137,12 @@
     for (const std::string vm : {"v1", "v2", "v3"}) {
       list.vms.push_back(StartEngine(vm));
     }
-    desk_ = fleet_.StartStandin("desk", {"service", "--vm", "desk"});
+    reservations_ = fleet_.StartStandin("desk", {"service", "--vm", "desk"});
     VmEntry desk;
     desk.id = VmId("desk");
     desk.purpose = VmPurpose::kPlainService;
     desk.zone = ZoneId("lj-1");
-    desk.address = desk_;
+    desk.address = reservations_;
     desk.service = ServiceId("reservations");
     list.vms.push_back(desk);
     fleet_.folder().Write("vms.json", EncodeVmList(list));
@@ -184,10 +187,10 @@
   }
 
   // Calls the operator API. The status is 0 if the call failed.
-  static OperatorAnswer Operate(const Node& node,
-                                const std::string& method,
-                                const std::string& target,
-                                const std::string& body = "") {
+  static OperatorAnswer CallOperatorApi(const Node& node,
+                                        const std::string& method,
+                                        const std::string& target,
+                                        const std::string& body = "") {
     OperatorClient client(node.operators,
                           Secret(ProcessFleet::kOperatorCredential),
                           Duration::Seconds(20));
@@ -214,14 +217,16 @@
     model.model = ModelId("notes");
     model.vms_per_group = 2;
     model.targets[ZoneId("lj-1")] = {1, 1};
-    return Operate(node, "PUT", "/v1/models/notes?expected=0&change=model",
-                   EncodeWantedModel(model))
+    return CallOperatorApi(node, "PUT",
+                           "/v1/models/notes?expected=0&change=model",
+                           EncodeWantedModel(model))
                .status == kStatusOk;
   }
 
   static bool PutContract(const Node& node) {
-    return Operate(node, "PUT", "/v1/contracts/team?expected=0&change=contract",
-                   EncodeContract(CallerContract()))
+    return CallOperatorApi(node, "PUT",
+                           "/v1/contracts/team?expected=0&change=contract",
+                           EncodeContract(CallerContract()))
                .status == kStatusOk;
   }
 
@@ -230,36 +235,36 @@
   void WaitUntilServing(const Node& node) {
     ASSERT_TRUE(fleet_.Until([&] { return PutModel(node); }));
     ASSERT_TRUE(fleet_.Until([&] { return PutContract(node); }));
-    ASSERT_TRUE(AnswersSoon(node));
+    ASSERT_TRUE(AnswersEventually(node));
   }
 
-  static Outcome Ask(const Node& node, const ChatRequest& chat) {
-    return Judge(
+  static Outcome SendChat(const Node& node, const ChatRequest& chat) {
+    return ClassifyAnswer(
         chat, Exchange(node.callers, CallerRequest("POST", kModelPath,
                                                    EncodeChatRequest(chat))));
   }
 
   // Sends streamed and non-streamed requests until one of each is answered.
   // Every earlier answer must report an error.
-  bool AnswersSoon(const Node& node) {
+  bool AnswersEventually(const Node& node) {
     return fleet_.Until([&] {
-      const Outcome streamed = AskNext(node, true);
-      const Outcome whole = AskNext(node, false);
-      return streamed == Outcome::kWhole && whole == Outcome::kWhole;
+      const Outcome streamed = SendNextChat(node, true);
+      const Outcome whole = SendNextChat(node, false);
+      return streamed == Outcome::kComplete && whole == Outcome::kComplete;
     });
   }
 
-  Outcome AskNext(const Node& node, bool stream) {
+  Outcome SendNextChat(const Node& node, bool stream) {
     const ChatRequest chat =
         Chat("question " + std::to_string(++questions_), stream);
-    const Outcome outcome = Ask(node, chat);
-    ExpectWholeOrTold(outcome);
+    const Outcome outcome = SendChat(node, chat);
+    ExpectCompleteOrError(outcome);
     return outcome;
   }
 
   // Returns the group's record on this node, empty if there is none.
   static json::object Group(const Node& node) {
-    const json::object page = Operate(node, "GET", "/v1/groups").body;
+    const json::object page = CallOperatorApi(node, "GET", "/v1/groups").body;
     const json::value* groups = page.if_contains("groups");
     if (groups == nullptr || groups->as_array().empty()) {
       return {};
@@ -280,13 +285,14 @@
   }
 
   static bool HoldsRoles(const Node& node) {
-    const json::object page = Operate(node, "GET", "/v1/status").body;
+    const json::object page = CallOperatorApi(node, "GET", "/v1/status").body;
     const json::value* roles = page.if_contains("roles");
     return roles != nullptr && !roles->as_array().empty();
   }
 
   static std::int64_t ContractRevision(const Node& node) {
-    const json::object page = Operate(node, "GET", "/v1/contracts/team").body;
+    const json::object page =
+        CallOperatorApi(node, "GET", "/v1/contracts/team").body;
     const json::value* revision = page.if_contains("revision");
     return revision == nullptr ? 0 : revision->as_int64();
   }
@@ -295,10 +301,10 @@
   static int PutSecondContract(const Node& node, std::int64_t expected) {
     Contract contract = CallerContract();
     contract.concurrency = 50;
-    return Operate(node, "PUT",
-                   "/v1/contracts/team?change=second&expected=" +
-                       std::to_string(expected),
-                   EncodeContract(contract))
+    return CallOperatorApi(node, "PUT",
+                           "/v1/contracts/team?change=second&expected=" +
+                               std::to_string(expected),
+                           EncodeContract(contract))
         .status;
   }
 
@@ -306,7 +312,7 @@
   // request was sent to it while it was closed.
   static int CountClosings(const Node& node, const std::string& group) {
     const json::object page =
-        Operate(node, "GET", "/v1/timeline?limit=5000").body;
+        CallOperatorApi(node, "GET", "/v1/timeline?limit=5000").body;
     int closings = 0;
     bool is_open = false;
     for (const json::value& event : page.at("events").as_array()) {
@@ -339,7 +345,7 @@
   ProcessFleet fleet_;
   Address store_;
   Address weights_;
-  Address desk_;
+  Address reservations_;
   Address vm_list_;
   int questions_ = 0;
 };
@@ -393,7 +399,7 @@
   const Node first = StartNode("n1");
   const Node second = StartNode("n2");
   ASSERT_NO_FATAL_FAILURE(WaitUntilServing(first));
-  ASSERT_TRUE(AnswersSoon(second));
+  ASSERT_TRUE(AnswersEventually(second));
   const ChatRequest chat = Chat("hello", false);
   const Received refused = Exchange(
       first.callers, CallerRequest("POST", kModelPath, EncodeChatRequest(chat),
@@ -406,7 +412,7 @@
   const HttpResponse two = reservation.SendUntilAnswered(second.callers);
   EXPECT_EQ(one.body, two.body);
   const Received counts =
-      Exchange(desk_, CallerRequest("GET", "/executions", ""));
+      Exchange(reservations_, CallerRequest("GET", "/executions", ""));
   EXPECT_EQ(json::parse(counts.answer.body).at("total"), 1)
       << counts.answer.body;
 }
@@ -415,7 +421,7 @@
 // against an incomplete group that still gets requests, so that they hang or
 // are cut, a broken stream that is closed as if it were complete, and a keeper
 // that does not replace the lost VM although another is free.
-TEST_F(WholePathTest, AGroupThatLostAVmGetsNothingAndIsRepaired) {
+TEST_F(WholePathTest, GroupWithLostVmGetsNoRequestsAndIsRepaired) {
   const Node node = StartNode("n1");
   ASSERT_NO_FATAL_FAILURE(WaitUntilServing(node));
   const std::string lost = Member(node, 1);
@@ -426,18 +432,18 @@
   ASSERT_TRUE(fleet_.Until([&] { return answer.has_begun(); }));
   fleet_.Signal(lost, SIGKILL);
   EXPECT_TRUE(fleet_.Until([&] {
-    AskNext(node, true);
-    AskNext(node, false);
+    SendNextChat(node, true);
+    SendNextChat(node, false);
     return !HasMember(node, lost) && !Group(node).empty();
   }));
-  EXPECT_TRUE(AnswersSoon(node));
-  ExpectWholeOrTold(Judge(chat, answer.Wait()));
+  EXPECT_TRUE(AnswersEventually(node));
+  ExpectCompleteOrError(ClassifyAnswer(chat, answer.Wait()));
   EXPECT_GT(CountClosings(node, group), closings);
 }
 
 // Guards against a settings reload that ends the node: without a handler,
 // SIGHUP ends the process.
-TEST_F(WholePathTest, AReloadIsNoEnd) {
+TEST_F(WholePathTest, SurvivesReload) {
   StartNode("n1");
   fleet_.Signal("n1", SIGHUP);
   EXPECT_TRUE(fleet_.Until([&] {
@@ -453,26 +459,26 @@
 // against serving that depends on the node's lease, and against a change that
 // is taken as applied or as lost without an answer of the service, so that a
 // refused change comes into force or can never be made.
-TEST_F(WholePathTest, ANodeServesOnThroughAStoreOutage) {
+TEST_F(WholePathTest, ServesDuringStoreOutage) {
   const Node node = StartNode("n1");
   ASSERT_NO_FATAL_FAILURE(WaitUntilServing(node));
   ASSERT_TRUE(fleet_.Until([&] { return HoldsRoles(node); }));
   SetFault(store_, "outage", true);
   ASSERT_TRUE(fleet_.Until([&] {
-    AskNext(node, true);
+    SendNextChat(node, true);
     return !HoldsRoles(node);
   }));
-  EXPECT_TRUE(AnswersSoon(node));
+  EXPECT_TRUE(AnswersEventually(node));
   const std::int64_t revision = ContractRevision(node);
   EXPECT_EQ(PutSecondContract(node, revision), 503);
   EXPECT_EQ(ContractRevision(node), revision);
-  EXPECT_TRUE(AnswersSoon(node));
+  EXPECT_TRUE(AnswersEventually(node));
 
   SetFault(store_, "outage", false);
   EXPECT_TRUE(fleet_.Until(
       [&] { return PutSecondContract(node, revision) == kStatusOk; }));
   EXPECT_TRUE(fleet_.Until([&] { return ContractRevision(node) > revision; }));
-  EXPECT_TRUE(AnswersSoon(node));
+  EXPECT_TRUE(AnswersEventually(node));
 }
 
 // The VM of a group's first member is stopped during an answer without closing
@@ -480,7 +486,7 @@
 // error: a silent connection is distinguished from a slow one only by a
 // progress timeout, after which the caller must get an error if the answer
 // cannot be resumed.
-TEST_F(WholePathTest, AnAnswerFromAStoppedVmGoesOnElsewhereOrIsToldBroken) {
+TEST_F(WholePathTest, AnswerFromStoppedVmIsResumedOrReportsError) {
   const Node node = StartNode("n1");
   ASSERT_NO_FATAL_FAILURE(WaitUntilServing(node));
   const std::string stopped = Member(node, 0);
@@ -488,8 +494,8 @@
   LongAnswer answer(node.callers, chat);
   ASSERT_TRUE(fleet_.Until([&] { return answer.has_begun(); }));
   fleet_.Signal(stopped, SIGSTOP);
-  ExpectWholeOrTold(Judge(chat, answer.Wait()));
-  EXPECT_TRUE(AnswersSoon(node));
+  ExpectCompleteOrError(ClassifyAnswer(chat, answer.Wait()));
+  EXPECT_TRUE(AnswersEventually(node));
 }
 
 }  // namespace
