--- a/programs/gcw_load/arrival_plan.cc
+++ b/programs/gcw_load/arrival_plan.cc
@@ -14,9 +14,10 @@
   if (rate <= 0) {
     return std::nullopt;
   }
-  at_ += -std::log1p(-DrawUnit(random_)) / rate;
-  // Compared as seconds, since the far end of a tiny rate would not fit.
-  const std::chrono::duration<double> at(at_);
+  last_arrival_ += -std::log1p(-DrawUnit(random_)) / rate;
+  // Compared in seconds, because with a tiny rate the time would overflow
+  // microseconds.
+  const std::chrono::duration<double> at(last_arrival_);
   if (at >= settings_.length) {
     return std::nullopt;
   }
--- a/programs/gcw_load/entry_source.h
+++ b/programs/gcw_load/entry_source.h
@@ -10,15 +10,15 @@
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
 
-#include "programs/gcw_load/entry_book.h"
+#include "programs/gcw_load/entry_selector.h"
 #include "programs/gcw_load/load_recorder.h"
 #include "transport/transport.h"
 
 namespace gcw {
 
-// Keeps the entry book filled: asks one address after the other until one
-// answers, and again each time the answer's time is over. With a direct address
-// there is nothing to ask. It must outlive the context's run.
+// Keeps the entry list current: asks one address after the other until one
+// answers, and again whenever the list expires. With a direct address nothing
+// is asked. Must outlive the run of `context`.
 class EntrySource {
  public:
   EntrySource(boost::asio::io_context& context,
@@ -28,22 +28,25 @@
               std::optional<Address> direct,
               Random random);
 
-  // `first` is told once whether there are addresses to use.
-  void Start(std::function<void(bool)> first);
+  // Calls `on_first_result` once, with true if there are addresses to use and
+  // false if the first round failed.
+  void Start(std::function<void(bool)> on_first_result);
 
-  // An address that is not among those tried. From any thread.
+  // Chooses an address that is not in `tried`, absent if there is none.
+  // Thread-safe.
   std::optional<Address> Choose(const std::vector<Address>& tried);
 
  private:
-  // Asks the address at `next_`, the `failed`+1st one of this round.
-  void Ask(std::size_t failed);
+  // Asks the address at `next_address_`, which is number `failed` + 1 of this
+  // round.
+  void RequestEntries(std::size_t failed);
   void OnAnswer(std::size_t failed,
                 const Result<HttpResponse, HttpFailure>& result);
-  // Returns for how long.
-  Duration Keep(EntryList list);
+  // Stores the list and returns the time until its renewal.
+  Duration StoreEntries(EntryList list);
   void OnRoundFailed();
-  void AskAfter(Duration wait);
-  void TellFirst(bool found);
+  void ScheduleRequest(Duration wait);
+  void NotifyFirst(bool found);
 
   HttpClient& client_;
   LoadRecorder& recorder_;
@@ -51,12 +54,13 @@
   const std::optional<Address> direct_;
   const Clock clock_ = SystemClock();
   std::mutex mutex_;
-  // Guarded by the mutex.
-  EntryBook book_;
-  // The members below belong to the one question that is open or waits.
+  // Guarded by `mutex_`.
+  EntrySelector selector_;
+  // The members below are used only by the single request that is in flight or
+  // scheduled.
   boost::asio::steady_timer timer_;
-  std::size_t next_ = 0;
-  std::function<void(bool)> first_;
+  std::size_t next_address_ = 0;
+  std::function<void(bool)> on_first_result_;
 };
 
 }  // namespace gcw
--- a/programs/gcw_load/load_command_line.cc
+++ b/programs/gcw_load/load_command_line.cc
@@ -20,10 +20,10 @@
 
 using Values = options::variables_map;
 
-constexpr int kMostThreads = 64;
-constexpr double kLongestSeconds = 7.0 * 24 * 3600;
-constexpr double kHighestRate = 1e6;
-constexpr std::size_t kMostPromptBytes = 3UL * 1024 * 1024;
+constexpr int kMaxThreads = 64;
+constexpr double kMaxSeconds = 7.0 * 24 * 3600;
+constexpr double kMaxRate = 1e6;
+constexpr std::size_t kMaxPromptBytes = 3UL * 1024 * 1024;
 
 constexpr std::string_view kExamples =
     "Examples:\n"
@@ -34,18 +34,23 @@
     "    --service reservations --reservations-per-s 20 --keys-file keys.txt\n"
     "  gcw-load --direct 127.0.0.1:9001 --generation 3 --model notes \\\n"
     "    --paid-per-s 50 --json engine.json\n\n"
-    "A line of the keys file is an idempotency key and what is known of it:\n"
-    "answered or replayed (ran once), refused (did not run), unknown (ran at\n"
-    "most once), violation.\n\n"
-    "Broken answers began and ended with an error or with their connection, "
-    "so\n"
-    "that nobody takes them for whole. Violations look whole and are not, or\n"
-    "hold what is not their own.\n\n"
-    "SIGINT and SIGTERM end the arrivals; the open requests are waited for.\n\n"
-    "Exit codes: 0 done without a violation, 2 wrong command line, 3 no entry\n"
-    "answered, 4 a file could not be written, 5 at least one violation.\n";
+    "Each line of the keys file has an idempotency key and its outcome: "
+    "answered\n"
+    "or replayed (the call ran once), refused (it did not run), unknown (it "
+    "ran\n"
+    "at most once), violation.\n\n"
+    "A broken answer began and ended with an error or a closed connection, so\n"
+    "that no caller mistakes it for a complete one. A violation looks "
+    "complete\n"
+    "and is not, or contains content of another request.\n\n"
+    "SIGINT and SIGTERM stop new requests; requests in flight are "
+    "completed.\n\n"
+    "Exit codes: 0 success without violations, 2 invalid command line, 3 no\n"
+    "--entries address answered, 4 a file could not be written, 5 at least "
+    "one\n"
+    "violation.\n";
 
-// A fault of the command line; its text is for people only.
+// An error in the command line, with a message for the user.
 struct UsageError {
   std::string message;
 };
@@ -55,7 +60,7 @@
   return options::value<Value>()->default_value(value);
 }
 
-options::options_description Description() {
+options::options_description MakeOptions() {
   options::options_description description("gcw-load");
   const auto add = [&description](const char* name, const auto* value,
                                   const char* text) {
@@ -63,38 +68,41 @@
   };
   description.add_options()("help,h", "show this help");
   add("entries", options::value<std::string>(),
-      "ADDR[,ADDR]: asked for the addresses to use");
+      "ADDR[,ADDR]: nodes that are asked for the entry list");
   add("direct", options::value<std::string>(),
-      "ADDR: a node or an engine that takes all requests");
+      "ADDR: node or engine that gets all requests");
   add("generation", options::value<std::int64_t>(),
-      "generation of the engine at --direct; sends an engine's headers");
+      "generation of the engine's group at --direct; adds the headers that "
+      "nodes send to engines");
   add("key-file", options::value<std::vector<std::string>>()->composing(),
-      "NAME=FILE: key of the tier `paid` or `trial`; repeatable");
-  add("paid-per-s", Default(0.0), "paid model requests a second");
-  add("trial-per-s", Default(0.0), "trial model requests a second");
+      "NAME=FILE: key file of the tier `paid` or `trial`; repeatable");
+  add("paid-per-s", Default(0.0), "paid model requests per second");
+  add("trial-per-s", Default(0.0), "trial model requests per second");
   add("reservations-per-s", Default(0.0),
-      "service calls a second that may run at most once, with the paid key");
-  add("seconds", Default(10.0), "length of the arrivals");
-  add("seed", Default(std::uint64_t{1}), "of arrivals and choices");
-  add("model", Default(std::string()), "model to ask for");
+      "at-most-once service calls per second, with the paid key");
+  add("seconds", Default(10.0), "duration of the arrivals in seconds");
+  add("seed", Default(std::uint64_t{1}),
+      "random seed of the arrivals and of the choice of addresses");
+  add("model", Default(std::string()), "model to request");
   add("service", Default(std::string("reservations")),
       "plain service that takes reservations");
-  add("max-tokens", Default(std::int64_t{16}), "tokens of an answer");
-  add("prompt-bytes", Default(std::size_t{256}), "length of a prompt");
+  add("max-tokens", Default(std::int64_t{16}), "maximum tokens of an answer");
+  add("prompt-bytes", Default(std::size_t{256}), "prompt length in bytes");
   add("shared-prefix-bytes", Default(std::size_t{0}),
-      "first part of the prompt that is alike in all");
+      "length of the prefix that all prompts have in common");
   add("whole-share", options::value<double>()->default_value(0.2, "0.2"),
-      "share of model requests asked for whole, not as a stream");
-  add("timeout-ms", Default(std::int64_t{30000}), "time-out of a send");
-  add("resends", Default(3), "further sends of a reservation, with its key");
+      "share of model requests that are not streamed");
+  add("timeout-ms", Default(std::int64_t{30000}), "timeout of each send");
+  add("resends", Default(3),
+      "maximum resends of a reservation, with the same idempotency key");
   add("most-open", Default(std::int64_t{5000}),
-      "requests open at once; more are skipped and counted");
-  description.add_options()("no-reference",
-                            "do not compare with the stand-ins' answers");
-  add("threads", Default(1), "threads that run the exchanges");
-  add("json", Default(std::string()), "file for the report as JSON");
+      "maximum concurrent requests; further arrivals are skipped and counted");
+  description.add_options()(
+      "no-reference", "do not compare answers with those of the stand-ins");
+  add("threads", Default(1), "worker threads");
+  add("json", Default(std::string()), "output file for the JSON report");
   add("keys-file", Default(std::string()),
-      "file for the reservations' keys and their outcomes");
+      "output file for the reservations' idempotency keys and outcomes");
   return description;
 }
 
@@ -103,17 +111,14 @@
   return values[name].as<Value>();
 }
 
-// Reads a number that must lie within bounds, both included.
+// Returns a number in [min, max], and throws UsageError otherwise.
 template <typename Value>
-Value GetWithin(const Values& values,
-                const char* name,
-                Value lowest,
-                Value highest) {
+Value GetInRange(const Values& values, const char* name, Value min, Value max) {
   const Value value = Get<Value>(values, name);
-  // Written so that what is no number fails.
-  if (!(value >= lowest && value <= highest)) {
+  // Written so that NaN fails.
+  if (!(value >= min && value <= max)) {
     throw UsageError{"--" + std::string(name) + " must be from " +
-                     std::to_string(lowest) + " to " + std::to_string(highest)};
+                     std::to_string(min) + " to " + std::to_string(max)};
   }
   return value;
 }
@@ -121,7 +126,8 @@
 Address ReadAddress(const std::string& text) {
   Address address(text);
   if (!ParseAddress(address)) {
-    throw UsageError{"not an address as 127.0.0.1:8080: " + text};
+    throw UsageError{
+        "invalid address, expected IP:PORT such as 127.0.0.1:8080: " + text};
   }
   return address;
 }
@@ -131,7 +137,7 @@
   std::string key((std::istreambuf_iterator<char>(file)), {});
   boost::algorithm::trim(key);
   if (key.empty()) {
-    throw UsageError{"no key in the file " + path};
+    throw UsageError{"cannot read a key from file " + path};
   }
   return Secret(std::move(key));
 }
@@ -145,7 +151,7 @@
     const std::size_t equals = setting.find('=');
     const std::string name = setting.substr(0, equals);
     if (equals == std::string::npos || (name != "paid" && name != "trial")) {
-      throw UsageError{"--key-file takes paid=FILE or trial=FILE"};
+      throw UsageError{"--key-file must be paid=FILE or trial=FILE"};
     }
     Secret& key = name == "paid" ? settings.paid_key : settings.trial_key;
     key = ReadKey(setting.substr(equals + 1));
@@ -154,7 +160,7 @@
 
 void ReadTargets(const Values& values, LoadSettings& settings) {
   if (values.count("entries") + values.count("direct") != 1) {
-    throw UsageError{"either --entries or --direct is needed"};
+    throw UsageError{"exactly one of --entries and --direct is required"};
   }
   if (values.count("direct") > 0) {
     settings.direct = ReadAddress(Get<std::string>(values, "direct"));
@@ -170,20 +176,20 @@
     return;
   }
   if (!settings.direct) {
-    throw UsageError{"--generation goes with --direct"};
+    throw UsageError{"--generation requires --direct"};
   }
   settings.generation = Generation(Get<std::int64_t>(values, "generation"));
 }
 
 void ReadArrivals(const Values& values, LoadSettings& settings) {
   ArrivalPlan::Settings& arrivals = settings.arrivals;
-  arrivals.paid_rate = GetWithin(values, "paid-per-s", 0.0, kHighestRate);
-  arrivals.trial_rate = GetWithin(values, "trial-per-s", 0.0, kHighestRate);
+  arrivals.paid_rate = GetInRange(values, "paid-per-s", 0.0, kMaxRate);
+  arrivals.trial_rate = GetInRange(values, "trial-per-s", 0.0, kMaxRate);
   arrivals.reservation_rate =
-      GetWithin(values, "reservations-per-s", 0.0, kHighestRate);
-  arrivals.whole_share = GetWithin(values, "whole-share", 0.0, 1.0);
+      GetInRange(values, "reservations-per-s", 0.0, kMaxRate);
+  arrivals.whole_share = GetInRange(values, "whole-share", 0.0, 1.0);
   const std::chrono::duration<double> length(
-      GetWithin(values, "seconds", 0.0, kLongestSeconds));
+      GetInRange(values, "seconds", 0.0, kMaxSeconds));
   arrivals.length =
       std::chrono::duration_cast<std::chrono::microseconds>(length);
   settings.seed = Get<std::uint64_t>(values, "seed");
@@ -192,25 +198,25 @@
 void ReadRequests(const Values& values, LoadSettings& settings) {
   settings.model = ModelId(Get<std::string>(values, "model"));
   settings.service = Get<std::string>(values, "service");
-  settings.max_tokens = TokenCount(GetWithin<std::int64_t>(
+  settings.max_tokens = TokenCount(GetInRange<std::int64_t>(
       values, "max-tokens", 1, ChatRequest::kMaxMaxTokens));
   settings.prompts.bytes =
-      GetWithin<std::size_t>(values, "prompt-bytes", 0, kMostPromptBytes);
-  settings.prompts.shared_prefix_bytes = GetWithin<std::size_t>(
-      values, "shared-prefix-bytes", 0, kMostPromptBytes);
-  settings.timeout = Duration::Millis(GetWithin<std::int64_t>(
+      GetInRange<std::size_t>(values, "prompt-bytes", 0, kMaxPromptBytes);
+  settings.prompts.shared_prefix_bytes = GetInRange<std::size_t>(
+      values, "shared-prefix-bytes", 0, kMaxPromptBytes);
+  settings.timeout = Duration::Millis(GetInRange<std::int64_t>(
       values, "timeout-ms", 1, Duration::Seconds(24L * 3600).millis()));
-  settings.resends = GetWithin(values, "resends", 0, 1000);
-  settings.most_open =
-      GetWithin<std::int64_t>(values, "most-open", 1, 1'000'000);
+  settings.max_resends = GetInRange(values, "resends", 0, 1000);
+  settings.max_in_flight =
+      GetInRange<std::int64_t>(values, "most-open", 1, 1'000'000);
   settings.reference = values.count("no-reference") == 0;
-  settings.threads = GetWithin(values, "threads", 1, kMostThreads);
+  settings.threads = GetInRange(values, "threads", 1, kMaxThreads);
   settings.json_file = Get<std::string>(values, "json");
   settings.keys_file = Get<std::string>(values, "keys-file");
 }
 
-// What would only make each request fail.
-void CheckWhatIsNeeded(const LoadSettings& settings) {
+// Throws UsageError on settings with which every request would fail.
+void CheckRequiredOptions(const LoadSettings& settings) {
   const ArrivalPlan::Settings& arrivals = settings.arrivals;
   if (arrivals.paid_rate + arrivals.trial_rate + arrivals.reservation_rate <=
       0) {
@@ -219,26 +225,28 @@
         "--reservations-per-s must be positive"};
   }
   if (arrivals.paid_rate + arrivals.trial_rate > 0 && settings.model.empty()) {
-    throw UsageError{"--model is needed for model requests"};
+    throw UsageError{"--model is required with --paid-per-s or --trial-per-s"};
   }
   if (settings.direct) {
     return;
   }
   if (arrivals.paid_rate + arrivals.reservation_rate > 0 &&
       settings.paid_key.empty()) {
-    throw UsageError{"--key-file paid=FILE is needed"};
+    throw UsageError{
+        "--key-file paid=FILE is required with --paid-per-s or "
+        "--reservations-per-s"};
   }
   if (arrivals.trial_rate > 0 && settings.trial_key.empty()) {
-    throw UsageError{"--key-file trial=FILE is needed"};
+    throw UsageError{"--key-file trial=FILE is required with --trial-per-s"};
   }
 }
 
 }  // namespace
 
-std::variant<LoadSettings, LoadExit> ReadLoadCommandLine(
+std::variant<LoadSettings, LoadExitCode> ReadLoadCommandLine(
     const std::vector<std::string>& arguments) {
-  const options::options_description description = Description();
-  std::string fault;
+  const options::options_description description = MakeOptions();
+  std::string error_message;
   try {
     Values values;
     options::store(
@@ -246,22 +254,22 @@
         values);
     if (values.count("help") > 0) {
       std::cout << description << '\n' << kExamples;
-      return LoadExit::kDone;
+      return LoadExitCode::kDone;
     }
     LoadSettings settings;
     ReadTargets(values, settings);
     ReadKeys(values, settings);
     ReadArrivals(values, settings);
     ReadRequests(values, settings);
-    CheckWhatIsNeeded(settings);
+    CheckRequiredOptions(settings);
     return settings;
   } catch (const options::error& error) {
-    fault = error.what();
+    error_message = error.what();
   } catch (const UsageError& error) {
-    fault = error.message;
+    error_message = error.message;
   }
-  std::cerr << "gcw-load: " << fault << "; see gcw-load --help\n";
-  return LoadExit::kUsage;
+  std::cerr << "gcw-load: " << error_message << "; see gcw-load --help\n";
+  return LoadExitCode::kUsage;
 }
 
 }  // namespace gcw
--- a/programs/gcw_load/load_run.h
+++ b/programs/gcw_load/load_run.h
@@ -16,31 +16,31 @@
 namespace gcw {
 
 // One run: asks for addresses, sends the planned requests at their times, and
-// waits for the open ones, each of which has a time-out.
+// waits for the requests in flight, each of which has a timeout.
 class LoadRun {
  public:
   explicit LoadRun(LoadSettings settings);
 
-  // Returns when all is over. Called once.
-  LoadExit Run();
+  // Returns when every request has its outcome. Must be called only once.
+  LoadExitCode Run();
 
   const LoadTally& tally() const { return recorder_.tally(); }
   const KeyLedger& keys() const { return recorder_.keys(); }
 
  private:
   void OnFirstEntries(bool found);
-  // Waits for the next arrival of the plan.
-  void PlanNext();
-  void OnDue();
+  // Schedules the next arrival of the plan.
+  void ScheduleNext();
+  void OnArrival();
   void Send(const Arrival& arrival);
   void StartExchange(PlannedRequest planned, std::int64_t number);
-  void EndArrivals();
-  void Release();
+  void StopArrivals();
+  void DecrementInFlight();
   void Finish();
 
   const LoadSettings settings_;
   boost::asio::io_context io_;
-  // Arrivals and signals.
+  // Serializes arrivals and signals.
   boost::asio::strand<boost::asio::io_context::executor_type> strand_;
   boost::asio::steady_timer timer_;
   boost::asio::signal_set signals_;
@@ -49,16 +49,16 @@
   EntrySource entries_;
   LoadContext context_;
   ArrivalPlan plan_;
-  std::optional<Arrival> next_;
-  // Tells this run's names from those of all others, also with the same seed.
+  std::optional<Arrival> next_arrival_;
+  // Random, so that request names differ between runs with the same seed.
   const std::string run_name_;
   PromptMaker prompts_;
   std::int64_t last_number_ = 0;
   LoadClock::time_point start_;
-  bool arrivals_ended_ = false;
+  bool arrivals_stopped_ = false;
   bool no_entry_ = false;
-  // The open requests, and one for the arrivals.
-  std::atomic<std::int64_t> open_ = 1;
+  // Requests in flight, plus 1 until the arrivals end.
+  std::atomic<std::int64_t> in_flight_ = 1;
 };
 
 }  // namespace gcw
--- a/programs/gcw_load/main.cc
+++ b/programs/gcw_load/main.cc
@@ -1,4 +1,4 @@
-// Load generator: open-loop arrivals by tier, with a check of each answer.
+// gcw-load: load generator with open-loop arrivals that checks each answer.
 
 #include <fstream>
 #include <iostream>
@@ -11,7 +11,8 @@
 
 namespace {
 
-// Writes by `write(std::ostream&)`; whether it came to be in the file.
+// Writes the file with `write(std::ostream&)` unless `path` is empty. Returns
+// false and prints an error if the file cannot be written.
 template <typename Write>
 bool WriteFile(const std::string& path, Write write) {
   if (path.empty()) {
@@ -30,14 +31,16 @@
 
 int main(int argc, char** argv) {
   auto read = gcw::ReadLoadCommandLine({argv + 1, argv + argc});
-  if (const auto* ended = std::get_if<gcw::LoadExit>(&read)) {
+  if (const auto* ended = std::get_if<gcw::LoadExitCode>(&read)) {
     return static_cast<int>(*ended);
   }
   const gcw::LoadSettings& settings = std::get<gcw::LoadSettings>(read);
   gcw::LoadRun run(settings);
-  const gcw::LoadExit exit = run.Run();
-  if (exit == gcw::LoadExit::kNoEntry) {
-    std::cerr << "gcw-load: no address told which ones to use\n";
+  const gcw::LoadExitCode exit = run.Run();
+  if (exit == gcw::LoadExitCode::kNoEntry) {
+    std::cerr << "gcw-load: none of the --entries addresses returned an entry "
+                 "list; check "
+                 "that a node is running there\n";
     return static_cast<int>(exit);
   }
   gcw::WriteLoadTable(run.tally(), run.keys(), std::cout);
@@ -47,8 +50,8 @@
       });
   const bool keys_written = WriteFile(
       settings.keys_file, [&](std::ostream& out) { run.keys().Write(out); });
-  if (exit == gcw::LoadExit::kDone && !(json_written && keys_written)) {
-    return static_cast<int>(gcw::LoadExit::kFile);
+  if (exit == gcw::LoadExitCode::kDone && !(json_written && keys_written)) {
+    return static_cast<int>(gcw::LoadExitCode::kFile);
   }
   return static_cast<int>(exit);
 }
--- a/programs/gcw_load/request_sender.cc
+++ b/programs/gcw_load/request_sender.cc
@@ -5,14 +5,16 @@
 namespace gcw {
 namespace {
 
-// The node answers its own time-out first, so that a late answer tells why.
-constexpr Duration kGrace = Duration::Seconds(2);
+// Added to the timeout that is sent to the node, so that the node's own timeout
+// answer, which gives the reason, arrives first.
+constexpr Duration kGracePeriod = Duration::Seconds(2);
 
 HttpCallOptions CallOptions(const LoadSettings& settings, RequestKind kind) {
-  const Duration limit = settings.timeout + kGrace;
+  const Duration limit = settings.timeout + kGracePeriod;
   return {.progress_timeout = limit,
           .deadline = limit,
-          // A pooled connection may have died unseen.
+          // A pooled connection may be dead, and a reservation may not be
+          // repeated.
           .reuse_connection = kind != RequestKind::kReservation};
 }
 
--- a/programs/gcwctl/commands_events.cc
+++ b/programs/gcwctl/commands_events.cc
@@ -1,4 +1,4 @@
-// Commands that read the time line.
+// Commands that read events: timeline and why.
 
 #include "programs/gcwctl/commands.h"
 
@@ -20,10 +20,10 @@
 namespace json = boost::json;
 
 constexpr int kStatusOk = 200;
-// The relation of events that no other names as its cause.
+// Relation of context events, which no other event names as its cause.
 constexpr std::string_view kAround = "around";
 
-struct ExplainedRow {
+struct RelatedEvent {
   std::string_view relation;
   TimelineEvent event;
 };
@@ -41,7 +41,7 @@
     std::ofstream trace(line_.trace_file);
     trace << ExportTrace(events);
     if (!trace.flush()) {
-      err_ << line_.trace_file << " cannot be written\n";
+      err_ << line_.trace_file << ": cannot write the trace file\n";
       return ExitCode::kRefused;
     }
   }
@@ -62,8 +62,8 @@
 }
 
 ExitCode Commands::ShowWhy() {
-  if (Word(1).empty()) {
-    return Usage();
+  if (Argument(1).empty()) {
+    return PrintUsage();
   }
   TimelineDecoder decoder;
   std::vector<TimelineEvent> events;
@@ -71,13 +71,13 @@
   if (!CollectEvents(events, decoder, failure)) {
     return failure;
   }
-  const Explanation explanation = ExplainSubject(events, Word(1));
+  const Explanation explanation = ExplainSubject(events, Argument(1));
   if (explanation.events.empty()) {
-    err_ << "no event is about " << Word(1)
-         << "; it may be too old, see docs/OPERATORS.md\n";
+    err_ << "no events found for " << Argument(1)
+         << "; they may be too old, see docs/OPERATORS.md\n";
     return ExitCode::kRefused;
   }
-  std::vector<ExplainedRow> explained;
+  std::vector<RelatedEvent> explained;
   for (const ExplainedEvent& event : explanation.events) {
     explained.push_back({EventRelationName(event.relation), event.event});
   }
@@ -85,11 +85,11 @@
     explained.push_back({kAround, std::move(event)});
   }
   std::stable_sort(explained.begin(), explained.end(),
-                   [](const ExplainedRow& a, const ExplainedRow& b) {
+                   [](const RelatedEvent& a, const RelatedEvent& b) {
                      return b.event.time < a.event.time;
                    });
   json::array rows;
-  for (const ExplainedRow& event : explained) {
+  for (const RelatedEvent& event : explained) {
     json::object row = EventToJson(event.event);
     row["relation"] = event.relation;
     rows.emplace_back(std::move(row));
@@ -108,7 +108,7 @@
                              TimelineDecoder& decoder,
                              ExitCode& failure) {
   if (!line_.log_files.empty()) {
-    return ReadEvents(events, decoder, failure);
+    return ReadEventLogs(events, decoder, failure);
   }
   std::vector<json::object> nodes;
   if (!FindNodes(nodes, failure)) {
@@ -119,16 +119,18 @@
     const std::string id = FieldText(node, "node");
     const Address address(FieldText(node, "operator_address"));
     const Result<OperatorAnswer, OperatorCallError> answer =
-        ClientFor(address).Call(
+        MakeClient(address).Call(
             "GET", "/v1/timeline?limit=" + std::to_string(line_.limit));
     if (!IsOk(answer) || ValueOf(answer).status != kStatusOk) {
-      err_ << id << " gave no events; the list is without its part\n";
+      err_ << id
+           << ": no events received from this node; the list is incomplete\n";
       continue;
     }
     Result<EventPage, TimelineError> page =
         decoder.DecodePage(json::serialize(ValueOf(answer).body));
     if (!IsOk(page)) {
-      err_ << id << " gave events that cannot be read\n";
+      err_ << id
+           << ": malformed events from this node; the list is incomplete\n";
       continue;
     }
     timelines.push_back(std::move(ValueOf(page).events));
@@ -137,9 +139,9 @@
   return true;
 }
 
-bool Commands::ReadEvents(std::vector<TimelineEvent>& events,
-                          TimelineDecoder& decoder,
-                          ExitCode& failure) {
+bool Commands::ReadEventLogs(std::vector<TimelineEvent>& events,
+                             TimelineDecoder& decoder,
+                             ExitCode& failure) {
   EventLogReader reader(&decoder);
   std::vector<std::vector<TimelineEvent>> timelines;
   for (const std::string& name : line_.log_files) {
@@ -149,7 +151,7 @@
     }
     std::ifstream file(name);
     if (!file) {
-      err_ << name << " cannot be read\n";
+      err_ << name << ": cannot read the log file\n";
       failure = ExitCode::kUsage;
       return false;
     }
@@ -157,7 +159,7 @@
   }
   if (reader.malformed_lines() > 0) {
     err_ << reader.malformed_lines()
-         << " lines cannot be read; the list is without them\n";
+         << " malformed log lines skipped; the list is incomplete\n";
   }
   for (std::vector<TimelineEvent>& timeline : timelines) {
     std::stable_sort(timeline.begin(), timeline.end(),
--- a/programs/gcwctl/main.cc
+++ b/programs/gcwctl/main.cc
@@ -1,4 +1,4 @@
-// The operators' command line.
+// gcwctl: command-line client of the operator API.
 
 #include <fstream>
 #include <iostream>
@@ -22,17 +22,18 @@
     return Exit(gcw::ExitCode::kUsage);
   }
   gcw::CommandLine& line = gcw::ValueOf(parsed);
-  const std::string verb = line.words.empty() ? "" : line.words.front();
-  if (line.help || line.words.empty()) {
+  const std::string verb = line.arguments.empty() ? "" : line.arguments.front();
+  if (line.help || line.arguments.empty()) {
     (line.help ? std::cout : std::cerr) << gcw::HelpFor(verb);
     return Exit(line.help ? gcw::ExitCode::kDone : gcw::ExitCode::kUsage);
   }
   std::ifstream file(line.credential_file);
   std::string credential;
-  // Logs are read without asking a node.
+  // Reading logs needs no credential.
   if (!std::getline(file, credential) && line.log_files.empty()) {
-    std::cerr << "cannot read the credential; give --credential-file FILE or "
-                 "set GCW_CREDENTIAL_FILE\n";
+    std::cerr
+        << "cannot read the operator credential; use --credential-file FILE or "
+           "set GCW_CREDENTIAL_FILE\n";
     return Exit(gcw::ExitCode::kUsage);
   }
   gcw::Commands commands(std::move(line), gcw::Secret(std::move(credential)),
--- a/programs/gcwctl/setting_files.cc
+++ b/programs/gcwctl/setting_files.cc
@@ -13,10 +13,10 @@
 constexpr std::size_t kMinKeyLength = 8;
 constexpr TextRange kIdText{1, 64};
 
-SettingError Fault(SettingErrorKind kind,
-                   const std::string& path,
-                   std::string key,
-                   std::string allowed) {
+SettingError MakeError(SettingErrorKind kind,
+                       const std::string& path,
+                       std::string key,
+                       std::string allowed) {
   SettingError error;
   error.kind = kind;
   error.file = path;
@@ -25,7 +25,7 @@
   return error;
 }
 
-// The digest of the key in a file, which ends at the first line break.
+// Returns the digest of a file's first line, which is the key.
 std::optional<KeyDigest> DigestKeyFile(const std::filesystem::path& path) {
   std::ifstream in(path);
   std::string key;
@@ -35,7 +35,7 @@
   return DigestOfKey(key);
 }
 
-// What a contract's file says beside the contract's own fields.
+// A contract and those settings of its file that are converted after parsing.
 struct RawContract {
   Contract contract;
   std::vector<std::string> models;
@@ -51,35 +51,38 @@
   reader.Add("id", &contract.id, kIdText, "Name of the contract.",
              SettingNeed::kRequired);
   reader.Add("customer", &contract.customer, TextRange{1, 256},
-             "Whom the contract is with.", SettingNeed::kRequired);
+             "Customer of the contract.", SettingNeed::kRequired);
   reader.AddChoice<Tier>("tier", &contract.tier,
                          {{"paid", Tier::kPaid}, {"trial", Tier::kTrial}},
-                         "Paid goes before trial.", SettingNeed::kRequired);
+                         "Paid requests have priority over trial requests.",
+                         SettingNeed::kRequired);
   reader.Add("rank", &contract.rank, IntegerRange{0, ContractBuilder::kMaxRank},
-             "Within the tier; a lower number is served first.");
-  reader.Add("models", &raw.models, ListRange{}, "Models that it may run.");
+             "Priority within the tier; lower numbers are served first.");
+  reader.Add("models", &raw.models, ListRange{},
+             "Models that the contract may use.");
   reader.Add("services", &raw.services, ListRange{},
-             "Plain services that it may call.");
+             "Plain services that the contract may call.");
   reader.Add("requests_per_second", &contract.requests_per_second,
              NumberRange{0, ContractBuilder::kMaxRequestsPerSecond},
-             "Over all nodes.", SettingNeed::kRequired);
+             "Maximum, over all nodes.", SettingNeed::kRequired);
   reader.Add("tokens_per_second", &contract.tokens_per_second,
              NumberRange{0, ContractBuilder::kMaxTokensPerSecond},
-             "Prompt and generated, over all nodes.");
+             "Maximum of prompt and generated tokens, over all nodes.");
   reader.Add("concurrency", &contract.concurrency,
              IntegerRange{1, ContractBuilder::kMaxConcurrency},
-             "Requests at once, over all nodes.", SettingNeed::kRequired);
+             "Maximum concurrent requests, over all nodes.",
+             SettingNeed::kRequired);
   reader.Add("valid_from_ms", &raw.valid_from_ms, IntegerRange{0},
-             "Unix milliseconds.");
+             "Start of validity in Unix milliseconds.");
   reader.Add("valid_until_ms", &raw.valid_until_ms, IntegerRange{0},
-             "Unix milliseconds; 0 for no end.");
+             "End of validity in Unix milliseconds; 0 for no end.");
   reader.Add("key_files", &raw.key_files, ListRange{},
              "Files with callers' keys.");
   reader.Add("key_digests", &raw.key_digests, ListRange{},
              "SHA-256 digests of callers' keys.");
 }
 
-std::vector<SettingError> TakeKeys(const std::string& path, RawContract& raw) {
+std::vector<SettingError> ReadKeys(const std::string& path, RawContract& raw) {
   std::vector<SettingError> errors;
   const std::filesystem::path folder =
       std::filesystem::path(path).parent_path();
@@ -87,10 +90,10 @@
     if (const std::optional<KeyDigest> digest = DigestKeyFile(folder / file)) {
       raw.contract.keys.insert(*digest);
     } else {
-      errors.push_back(Fault(SettingErrorKind::kSecretUnreadable, path,
-                             "key_files",
-                             "readable files whose first line has at least 8 "
-                             "characters"));
+      errors.push_back(
+          MakeError(SettingErrorKind::kSecretUnreadable, path, "key_files",
+                    "readable files whose first line has at least 8 "
+                    "characters"));
     }
   }
   for (const std::string& digest : raw.key_digests) {
@@ -114,15 +117,15 @@
   return target;
 }
 
-// The array of tables `targets`, which the settings reader has no type for.
+// Reads the array of tables `targets`, which SettingsReader does not support.
 std::vector<SettingError> ReadTargets(const std::string& path,
                                       const toml::table& file,
                                       WantedModel& model) {
   std::vector<SettingError> errors;
   const toml::array* targets = file["targets"].as_array();
   if (targets == nullptr) {
-    errors.push_back(Fault(SettingErrorKind::kMissing, path, "targets",
-                           "[[targets]] with zone, wanted and most"));
+    errors.push_back(MakeError(SettingErrorKind::kMissing, path, "targets",
+                               "[[targets]] with zone, wanted and most"));
     return errors;
   }
   for (const toml::node& node : *targets) {
@@ -133,8 +136,9 @@
         table == nullptr ? std::nullopt : (*table)["zone"].value<std::string>();
     if (!target || !zone ||
         !model.targets.emplace(ZoneId(*zone), *target).second) {
-      errors.push_back(Fault(SettingErrorKind::kOutOfRange, path, "targets",
-                             "each zone once, wanted >= 0, most >= wanted"));
+      errors.push_back(
+          MakeError(SettingErrorKind::kOutOfRange, path, "targets",
+                    "each zone once, wanted >= 0, most >= wanted"));
     }
   }
   return errors;
@@ -146,22 +150,23 @@
   std::vector<SettingError> errors = ReadTargets(path, file, model);
   const std::string name = file["model"].value_or(std::string());
   if (name.empty()) {
-    errors.push_back(Fault(SettingErrorKind::kMissing, path, "model", "text"));
+    errors.push_back(
+        MakeError(SettingErrorKind::kMissing, path, "model", "text"));
   }
   model.model = ModelId(name);
   model.vms_per_group = file["vms_per_group"].value_or(std::int64_t{0});
   if (model.vms_per_group < 1) {
-    errors.push_back(Fault(SettingErrorKind::kOutOfRange, path, "vms_per_group",
-                           "at least 1"));
+    errors.push_back(MakeError(SettingErrorKind::kOutOfRange, path,
+                               "vms_per_group", "at least 1"));
   }
   model.rank = Rank(file["rank"].value_or(std::int64_t{0}));
   for (const auto& [key, value] : file) {
     const std::string_view text = key.str();
     if (text != "model" && text != "vms_per_group" && text != "rank" &&
         text != "targets") {
-      errors.push_back(Fault(SettingErrorKind::kUnknownKey, path,
-                             std::string(text),
-                             "model, vms_per_group, rank, targets"));
+      errors.push_back(MakeError(SettingErrorKind::kUnknownKey, path,
+                                 std::string(text),
+                                 "model, vms_per_group, rank, targets"));
     }
   }
   return errors;
@@ -175,7 +180,7 @@
   DeclareContract(raw, reader);
   std::vector<SettingError> errors = reader.ReadFile(path);
   if (errors.empty()) {
-    errors = TakeKeys(path, raw);
+    errors = ReadKeys(path, raw);
   }
   if (!errors.empty()) {
     return errors;
@@ -191,9 +196,9 @@
     raw.contract.valid_until = Time::FromMillis(raw.valid_until_ms);
   }
   if (const std::optional<ContractError> fault = FindFault(raw.contract)) {
-    return std::vector<SettingError>{
-        Fault(SettingErrorKind::kOutOfRange, path, std::string(fault->field),
-              std::string(ContractErrorKindName(fault->kind)))};
+    return std::vector<SettingError>{MakeError(
+        SettingErrorKind::kOutOfRange, path, std::string(fault->field),
+        std::string(ContractErrorKindName(fault->kind)))};
   }
   return SettingDocument{raw.contract.id.value(), EncodeContract(raw.contract)};
 }
@@ -203,8 +208,8 @@
   try {
     file = toml::parse_file(path);
   } catch (const toml::parse_error& error) {
-    SettingError fault = Fault(SettingErrorKind::kSyntax, path, "",
-                               std::string(error.description()));
+    SettingError fault = MakeError(SettingErrorKind::kSyntax, path, "",
+                                   std::string(error.description()));
     fault.line = static_cast<int>(error.source().begin.line);
     return std::vector<SettingError>{std::move(fault)};
   }
--- a/tests/programs/standin_engine_test.cc
+++ b/tests/programs/standin_engine_test.cc
@@ -66,7 +66,7 @@
     RunUntil(At(0));
   }
 
-  // Steps of 10 ms up to `end`, all actions together.
+  // Ticks every 10 ms up to `end` and returns all actions.
   std::vector<EngineAction> RunUntil(Time end) {
     std::vector<EngineAction> all;
     for (; now_ <= end; now_ = now_ + Duration::Millis(10)) {
@@ -105,7 +105,7 @@
   EXPECT_EQ(engine_.executions().OfName("hello"), 1);
 }
 
-TEST_F(StandinEngineTest, AResumedStreamGoesOnAfterTheCallersTokens) {
+TEST_F(StandinEngineTest, ResumedStreamContinuesAfterGivenTokens) {
   Load(1);
   EngineCall call = Call("hello", 4);
   call.resume_from = 2;
@@ -116,7 +116,7 @@
   EXPECT_EQ(tokens[0].token.text, ReferenceToken("user:hello\n", 2));
 }
 
-TEST_F(StandinEngineTest, PriorityGoesFirstAndTheBatchIsBounded) {
+TEST_F(StandinEngineTest, RunsByPriorityInBoundedBatch) {
   Load(1);
   for (int i = 1; i <= 4; ++i) {
     EngineCall call = Call("p" + std::to_string(i), 1);
@@ -129,7 +129,7 @@
   EXPECT_EQ(ends[3].ticket, Ticket(3));
 }
 
-TEST_F(StandinEngineTest, ACachedPrefixShortensThePrefillAndIsEvicted) {
+TEST_F(StandinEngineTest, CachedPrefixShortensPrefillAndIsEvicted) {
   Load(1);
   const std::string prompt(200, 'x');
   const auto first_token_after = [&](Time start, Ticket ticket) {
@@ -140,7 +140,8 @@
       }
     }
   };
-  // 52 tokens at 10 a step, then 4 that are not in a whole block.
+  // The first prefill has 52 tokens at 10 per step; the second only the 4
+  // tokens outside of full cached blocks.
   EXPECT_EQ(first_token_after(At(1000), Ticket(1)), Duration::Millis(60));
   EXPECT_EQ(first_token_after(At(2000), Ticket(2)), Duration::Millis(10));
   EXPECT_EQ(engine_.CacheEvents(At(3000), 0).events.size(), 3U);
@@ -153,7 +154,7 @@
   EXPECT_EQ(events.events.at(1).kind, CacheEventKind::kEvicted);
 }
 
-TEST_F(StandinEngineTest, CacheEventsComeLateAndWithGaps) {
+TEST_F(StandinEngineTest, CacheEventsLagAndHaveGaps) {
   Load(1);
   engine_.OnChat(At(10), Ticket(1), Call(std::string(64, 'x'), 1));
   RunUntil(At(100));
@@ -166,10 +167,10 @@
   EXPECT_EQ(engine_.CacheEvents(At(900), 0).first, 2);
 }
 
-// Symptom: a group answers although one of its VMs is gone. Sequence: both
-// members load, the group serves, the second member stops answering. Cause:
-// only rank 0 can know, and must break what runs and refuse what comes.
-TEST_F(StandinEngineTest, AMissingMemberBreaksAnswersAndEndsServing) {
+// Guards against a group that goes on answering after its second member has
+// stopped responding. Only rank 0 can detect this; it must break running
+// answers and refuse new ones.
+TEST_F(StandinEngineTest, MissingMemberBreaksAnswersAndEndsServing) {
   Load(2);
   const auto refused = engine_.OnChat(At(0), Ticket(1), Call("early", 9));
   EXPECT_EQ(Only<RefuseCall>(refused).size(), 1U);
@@ -186,7 +187,7 @@
       1U);
 }
 
-TEST_F(StandinEngineTest, AMemberOfAnotherGenerationFailsTheGroup) {
+TEST_F(StandinEngineTest, MemberOfAnotherGenerationFailsGroup) {
   Load(2);
   engine_.OnMemberStatus(At(10), MemberStatus(1));
   RunUntil(At(20));
@@ -209,7 +210,7 @@
   EXPECT_EQ(engine_.Status(At(0)).state, EngineState::kIdle);
 }
 
-TEST_F(StandinEngineTest, DrainingRunsWhatItHasAndTakesNothingNew) {
+TEST_F(StandinEngineTest, DrainingFinishesRunningAndRefusesNewRequests) {
   Load(1);
   engine_.OnChat(At(10), Ticket(1), Call("kept", 3));
   engine_.OnOrder(At(10), Order(EngineOrderKind::kDrain, 1, 1, 1));
--- a/tests/programs/standin_parts_test.cc
+++ b/tests/programs/standin_parts_test.cc
@@ -13,7 +13,7 @@
   return Time::FromMillis(millis);
 }
 
-TEST(StandinVmListTest, ReadersSeeAnOldList) {
+TEST(StandinVmListTest, ReadersSeeStaleList) {
   StandinVmList list(At(0), {});
   VmEntry vm;
   vm.id = VmId("vm");
@@ -24,7 +24,7 @@
   EXPECT_EQ(late.as_of, At(1000));
 }
 
-TEST(StandinWeightsTest, FetchesTakeTheirTurn) {
+TEST(StandinWeightsTest, FetchesAreQueued) {
   StandinWeights weights(1000);
   EXPECT_EQ(weights.Enqueue(At(0), 500), At(500));
   EXPECT_EQ(weights.Enqueue(At(100), 500), At(1000));
@@ -61,7 +61,7 @@
   EXPECT_EQ(QueryNumber("/p", "after"), std::nullopt);
 }
 
-// Keeps what reaches the caller.
+// Records what reaches the caller.
 class RecordingResponder : public HttpResponder {
  public:
   void Respond(HttpResponse) override { sent += "respond "; }
@@ -78,10 +78,10 @@
   std::function<void()> caller_gone;
 };
 
-// Symptom: a stream whose middle is missing looks whole. Sequence: the exchange
-// goes silent during a stream, and the fault is switched off before its end.
-// Cause: were the rest passed on, the caller would get an answer with a hole.
-TEST(FaultyResponderTest, ASilencedExchangeStaysSilent) {
+// Guards against a stream that looks complete although its middle is missing:
+// if the `silent` fault is switched off during a stream that it has silenced,
+// the rest of the stream must not be passed on.
+TEST(FaultyResponderTest, SilencedExchangeStaysSilent) {
   Faults faults;
   FaultyResponder::Silenced silenced;
   const auto inner = std::make_shared<RecordingResponder>();
@@ -112,7 +112,7 @@
   EXPECT_EQ(fresh->sent, "respond ");
 }
 
-TEST(FaultyResponderTest, ALostAnswerClosesTheConnection) {
+TEST(FaultyResponderTest, LostAnswerClosesConnection) {
   const Faults faults;
   FaultyResponder::Silenced silenced;
   const auto inner = std::make_shared<RecordingResponder>();
--- a/tests/programs/whole_path_test.cc
+++ b/tests/programs/whole_path_test.cc
@@ -21,13 +21,14 @@
 constexpr const char* kDomain = "lj-1-f1";
 constexpr int kStatusOk = 200;
 
-// What came back of one call, also where it ended early.
+// The response to a call, possibly incomplete, and the failure that ended it.
 struct Received {
   HttpResponse answer{0, {}, {}};
   std::optional<HttpFailure> failure;
 };
 
-// Sends the request and collects what comes back. `on_body` sees each piece.
+// Sends the request and collects the response. `on_body` is called after each
+// chunk.
 Received Exchange(
     const Address& address,
     HttpRequest request,
@@ -75,34 +76,35 @@
 }
 
 enum class Outcome {
-  kWhole,
-  // The caller was told of an error, by a status or in the stream.
-  kToldError,
-  // It ended without a word.
+  kComplete,
+  // The answer reports an error, by its status or in the stream.
+  kErrorReported,
+  // The answer ended without an error.
   kCut,
-  // It looked whole and was not.
+  // The answer looked complete and was not.
   kWrong,
 };
 
-Outcome JudgeVerdict(const AnswerVerdict& verdict, const std::string& body) {
-  if (std::holds_alternative<WholeVerdict>(verdict)) {
-    return Outcome::kWhole;
+Outcome ClassifyVerdict(const AnswerVerdict& verdict, const std::string& body) {
+  if (std::holds_alternative<CompleteVerdict>(verdict)) {
+    return Outcome::kComplete;
   }
   if (std::holds_alternative<ViolationVerdict>(verdict)) {
     return Outcome::kWrong;
   }
-  const bool told = body.find("data: {\"error\"") != std::string::npos;
-  return told ? Outcome::kToldError : Outcome::kCut;
+  const bool error_reported =
+      body.find("data: {\"error\"") != std::string::npos;
+  return error_reported ? Outcome::kErrorReported : Outcome::kCut;
 }
 
-Outcome Judge(const ChatRequest& chat, const Received& received) {
+Outcome ClassifyAnswer(const ChatRequest& chat, const Received& received) {
   const HttpResponse& answer = received.answer;
   const ExpectedAnswer expected{
       ReferenceAnswer(PromptOf(chat), chat.max_tokens), AttemptId()};
   if (answer.status == kStatusOk && chat.stream) {
     StreamChecker checker(expected);
     checker.OnBytes(answer.body);
-    return JudgeVerdict(
+    return ClassifyVerdict(
         received.failure ? checker.OnFailure("cut") : checker.OnEnd(),
         answer.body);
   }
@@ -110,18 +112,20 @@
     return Outcome::kCut;
   }
   if (answer.status == kStatusOk) {
-    return JudgeVerdict(CheckWholeAnswer(answer.body, expected), answer.body);
+    return ClassifyVerdict(CheckWholeAnswer(answer.body, expected),
+                           answer.body);
   }
-  return ReadErrorAnswer(answer.body) ? Outcome::kToldError : Outcome::kCut;
+  return ReadErrorAnswer(answer.body) ? Outcome::kErrorReported : Outcome::kCut;
 }
 
-void ExpectWholeOrTold(Outcome outcome) {
-  EXPECT_TRUE(outcome == Outcome::kWhole || outcome == Outcome::kToldError)
+void ExpectCompleteOrError(Outcome outcome) {
+  EXPECT_TRUE(outcome == Outcome::kComplete ||
+              outcome == Outcome::kErrorReported)
       << static_cast<int>(outcome);
 }
 
-// One fabric domain of three engines, which serve one group of two, one plain
-// service, and as many nodes as a test starts.
+// Fixture with one fabric domain of three engines, which serve one group of
+// two, one plain service, and the nodes that a test starts.
 class WholePathTest : public testing::Test {
  protected:
   using Node = ProcessFleet::NodeAddresses;
@@ -133,12 +137,12 @@
     for (const std::string vm : {"v1", "v2", "v3"}) {
       list.vms.push_back(StartEngine(vm));
     }
-    desk_ = fleet_.StartStandin("desk", {"service", "--vm", "desk"});
+    reservations_ = fleet_.StartStandin("desk", {"service", "--vm", "desk"});
     VmEntry desk;
     desk.id = VmId("desk");
     desk.purpose = VmPurpose::kPlainService;
     desk.zone = ZoneId("lj-1");
-    desk.address = desk_;
+    desk.address = reservations_;
     desk.service = ServiceId("reservations");
     list.vms.push_back(desk);
     fleet_.folder().Write("vms.json", EncodeVmList(list));
@@ -182,11 +186,11 @@
             "[log]\nevents = true\n");
   }
 
-  // Status 0 where no answer came.
-  static OperatorAnswer Operate(const Node& node,
-                                const std::string& method,
-                                const std::string& target,
-                                const std::string& body = "") {
+  // Calls the operator API. The status is 0 if the call failed.
+  static OperatorAnswer CallOperatorApi(const Node& node,
+                                        const std::string& method,
+                                        const std::string& target,
+                                        const std::string& body = "") {
     OperatorClient client(node.operators,
                           Secret(ProcessFleet::kOperatorCredential),
                           Duration::Seconds(20));
@@ -213,51 +217,54 @@
     model.model = ModelId("notes");
     model.vms_per_group = 2;
     model.targets[ZoneId("lj-1")] = {1, 1};
-    return Operate(node, "PUT", "/v1/models/notes?expected=0&change=model",
-                   EncodeWantedModel(model))
+    return CallOperatorApi(node, "PUT",
+                           "/v1/models/notes?expected=0&change=model",
+                           EncodeWantedModel(model))
                .status == kStatusOk;
   }
 
   static bool PutContract(const Node& node) {
-    return Operate(node, "PUT", "/v1/contracts/team?expected=0&change=contract",
-                   EncodeContract(CallerContract()))
+    return CallOperatorApi(node, "PUT",
+                           "/v1/contracts/team?expected=0&change=contract",
+                           EncodeContract(CallerContract()))
                .status == kStatusOk;
   }
 
-  // Model and contract are in force and the group serves, seen by this node.
+  // Writes model and contract, and waits until they are in force on this node
+  // and it answers requests.
   void WaitUntilServing(const Node& node) {
     ASSERT_TRUE(fleet_.Until([&] { return PutModel(node); }));
     ASSERT_TRUE(fleet_.Until([&] { return PutContract(node); }));
-    ASSERT_TRUE(AnswersSoon(node));
+    ASSERT_TRUE(AnswersEventually(node));
   }
 
-  static Outcome Ask(const Node& node, const ChatRequest& chat) {
-    return Judge(
+  static Outcome SendChat(const Node& node, const ChatRequest& chat) {
+    return ClassifyAnswer(
         chat, Exchange(node.callers, CallerRequest("POST", kModelPath,
                                                    EncodeChatRequest(chat))));
   }
 
-  // Asks in both ways until both are answered. Whatever comes before must be a
-  // told error.
-  bool AnswersSoon(const Node& node) {
+  // Sends streamed and non-streamed requests until one of each is answered.
+  // Every earlier answer must report an error.
+  bool AnswersEventually(const Node& node) {
     return fleet_.Until([&] {
-      const Outcome streamed = AskNext(node, true);
-      const Outcome whole = AskNext(node, false);
-      return streamed == Outcome::kWhole && whole == Outcome::kWhole;
+      const Outcome streamed = SendNextChat(node, true);
+      const Outcome whole = SendNextChat(node, false);
+      return streamed == Outcome::kComplete && whole == Outcome::kComplete;
     });
   }
 
-  Outcome AskNext(const Node& node, bool stream) {
+  Outcome SendNextChat(const Node& node, bool stream) {
     const ChatRequest chat =
         Chat("question " + std::to_string(++questions_), stream);
-    const Outcome outcome = Ask(node, chat);
-    ExpectWholeOrTold(outcome);
+    const Outcome outcome = SendChat(node, chat);
+    ExpectCompleteOrError(outcome);
     return outcome;
   }
 
-  // The group's record as the node sees it, empty while there is none.
+  // Returns the group's record on this node, empty if there is none.
   static json::object Group(const Node& node) {
-    const json::object page = Operate(node, "GET", "/v1/groups").body;
+    const json::object page = CallOperatorApi(node, "GET", "/v1/groups").body;
     const json::value* groups = page.if_contains("groups");
     if (groups == nullptr || groups->as_array().empty()) {
       return {};
@@ -278,33 +285,34 @@
   }
 
   static bool HoldsRoles(const Node& node) {
-    const json::object page = Operate(node, "GET", "/v1/status").body;
+    const json::object page = CallOperatorApi(node, "GET", "/v1/status").body;
     const json::value* roles = page.if_contains("roles");
     return roles != nullptr && !roles->as_array().empty();
   }
 
   static std::int64_t ContractRevision(const Node& node) {
-    const json::object page = Operate(node, "GET", "/v1/contracts/team").body;
+    const json::object page =
+        CallOperatorApi(node, "GET", "/v1/contracts/team").body;
     const json::value* revision = page.if_contains("revision");
     return revision == nullptr ? 0 : revision->as_int64();
   }
 
-  // Lowers the contract's concurrency, always with the same change id.
+  // Lowers the contract's concurrency. Every call uses the same change id.
   static int PutSecondContract(const Node& node, std::int64_t expected) {
     Contract contract = CallerContract();
     contract.concurrency = 50;
-    return Operate(node, "PUT",
-                   "/v1/contracts/team?change=second&expected=" +
-                       std::to_string(expected),
-                   EncodeContract(contract))
+    return CallOperatorApi(node, "PUT",
+                           "/v1/contracts/team?change=second&expected=" +
+                               std::to_string(expected),
+                           EncodeContract(contract))
         .status;
   }
 
-  // By the node's own time line, how often the group was closed. Fails where a
-  // request went to it while it was.
+  // Counts in the node's timeline how often the group was closed. Fails if a
+  // request was sent to it while it was closed.
   static int CountClosings(const Node& node, const std::string& group) {
     const json::object page =
-        Operate(node, "GET", "/v1/timeline?limit=5000").body;
+        CallOperatorApi(node, "GET", "/v1/timeline?limit=5000").body;
     int closings = 0;
     bool is_open = false;
     for (const json::value& event : page.at("events").as_array()) {
@@ -323,7 +331,7 @@
     return closings;
   }
 
-  // Switches a fault of a stand-in.
+  // Switches a fault of a stand-in on or off.
   static void SetFault(const Address& standin,
                        const std::string& name,
                        bool value) {
@@ -337,12 +345,12 @@
   ProcessFleet fleet_;
   Address store_;
   Address weights_;
-  Address desk_;
+  Address reservations_;
   Address vm_list_;
   int questions_ = 0;
 };
 
-// An answer that comes while the test goes on.
+// A request whose answer is received on another thread while the test goes on.
 class LongAnswer {
  public:
   LongAnswer(const Address& node, const ChatRequest& chat)
@@ -360,8 +368,8 @@
   std::future<Received> received_;
 };
 
-// Sends the reservation with one key until it is answered; refused sends were
-// not run, so that sending again is right.
+// A reservation that is sent with one idempotency key until it is answered.
+// Refused sends did not run, so the reservation may be sent again.
 class Reservation {
  public:
   explicit Reservation(const ProcessFleet& fleet) : fleet_(fleet) {}
@@ -382,18 +390,16 @@
   const ProcessFleet& fleet_;
 };
 
-// Symptom: a fleet whose parts pass their own tests serves nobody, a caller
-// gets another's text, or one reservation is made twice.
-// Sequence of events: two nodes start on an empty store, operators put a model
-// and a contract, callers ask through both nodes, and a reservation is sent
-// again through the other node.
-// Cause: a part that is not wired to the next, or each node remembering for
-// itself which keys have run.
+// Two nodes start on an empty store and get a model and a contract; then
+// callers use both nodes. Guards against parts that pass their own tests but
+// are not connected, a caller that gets another caller's text, and a
+// reservation that runs again on the other node because each node remembers
+// only its own keys.
 TEST_F(WholePathTest, ServesStreamsWholeAnswersAndReservationsOnce) {
   const Node first = StartNode("n1");
   const Node second = StartNode("n2");
   ASSERT_NO_FATAL_FAILURE(WaitUntilServing(first));
-  ASSERT_TRUE(AnswersSoon(second));
+  ASSERT_TRUE(AnswersEventually(second));
   const ChatRequest chat = Chat("hello", false);
   const Received refused = Exchange(
       first.callers, CallerRequest("POST", kModelPath, EncodeChatRequest(chat),
@@ -406,19 +412,16 @@
   const HttpResponse two = reservation.SendUntilAnswered(second.callers);
   EXPECT_EQ(one.body, two.body);
   const Received counts =
-      Exchange(desk_, CallerRequest("GET", "/executions", ""));
+      Exchange(reservations_, CallerRequest("GET", "/executions", ""));
   EXPECT_EQ(json::parse(counts.answer.body).at("total"), 1)
       << counts.answer.body;
 }
 
-// Symptom: requests hang or are cut, or a half answer passes for a whole one,
-// after a VM of a group died; or the group stays down though a VM is free.
-// Sequence of events: the group serves, one long answer is under way, the VM
-// of the second member is killed, callers go on asking.
-// Cause: an incomplete group that still gets requests, an engine's broken
-// stream that is closed as if it were whole, or a keeper that does not replace
-// the lost VM.
-TEST_F(WholePathTest, AGroupThatLostAVmGetsNothingAndIsRepaired) {
+// The VM of a group's second member is killed during a long answer. Guards
+// against an incomplete group that still gets requests, so that they hang or
+// are cut, a broken stream that is closed as if it were complete, and a keeper
+// that does not replace the lost VM although another is free.
+TEST_F(WholePathTest, GroupWithLostVmGetsNoRequestsAndIsRepaired) {
   const Node node = StartNode("n1");
   ASSERT_NO_FATAL_FAILURE(WaitUntilServing(node));
   const std::string lost = Member(node, 1);
@@ -429,18 +432,18 @@
   ASSERT_TRUE(fleet_.Until([&] { return answer.has_begun(); }));
   fleet_.Signal(lost, SIGKILL);
   EXPECT_TRUE(fleet_.Until([&] {
-    AskNext(node, true);
-    AskNext(node, false);
+    SendNextChat(node, true);
+    SendNextChat(node, false);
     return !HasMember(node, lost) && !Group(node).empty();
   }));
-  EXPECT_TRUE(AnswersSoon(node));
-  ExpectWholeOrTold(Judge(chat, answer.Wait()));
+  EXPECT_TRUE(AnswersEventually(node));
+  ExpectCompleteOrError(ClassifyAnswer(chat, answer.Wait()));
   EXPECT_GT(CountClosings(node, group), closings);
 }
 
-// Symptom: the node ends when its settings file changes. Sequence: SIGHUP.
-// Cause: nothing took the signal, and its default ends the process.
-TEST_F(WholePathTest, AReloadIsNoEnd) {
+// Guards against a settings reload that ends the node: without a handler,
+// SIGHUP ends the process.
+TEST_F(WholePathTest, SurvivesReload) {
   StartNode("n1");
   fleet_.Signal("n1", SIGHUP);
   EXPECT_TRUE(fleet_.Until([&] {
@@ -451,42 +454,39 @@
   EXPECT_FALSE(fleet_.HasEnded("n1"));
 }
 
-// Symptom: callers are refused while the key-value service is down, or a
-// contract change that was refused comes into force, or never can again.
-// Sequence of events: the service answers nothing until the node's lease has
-// lapsed, callers go on asking, an operator changes a contract and sends the
-// same change again after the outage.
-// Cause: serving that hangs on the node's lease, or a change that is taken for
-// made, or for lost, without a word from the service.
-TEST_F(WholePathTest, ANodeServesOnThroughAStoreOutage) {
+// The key-value service answers nothing until the node's lease has expired; an
+// operator changes a contract and repeats the change after the outage. Guards
+// against serving that depends on the node's lease, and against a change that
+// is taken as applied or as lost without an answer of the service, so that a
+// refused change comes into force or can never be made.
+TEST_F(WholePathTest, ServesDuringStoreOutage) {
   const Node node = StartNode("n1");
   ASSERT_NO_FATAL_FAILURE(WaitUntilServing(node));
   ASSERT_TRUE(fleet_.Until([&] { return HoldsRoles(node); }));
   SetFault(store_, "outage", true);
   ASSERT_TRUE(fleet_.Until([&] {
-    AskNext(node, true);
+    SendNextChat(node, true);
     return !HoldsRoles(node);
   }));
-  EXPECT_TRUE(AnswersSoon(node));
+  EXPECT_TRUE(AnswersEventually(node));
   const std::int64_t revision = ContractRevision(node);
   EXPECT_EQ(PutSecondContract(node, revision), 503);
   EXPECT_EQ(ContractRevision(node), revision);
-  EXPECT_TRUE(AnswersSoon(node));
+  EXPECT_TRUE(AnswersEventually(node));
 
   SetFault(store_, "outage", false);
   EXPECT_TRUE(fleet_.Until(
       [&] { return PutSecondContract(node, revision) == kStatusOk; }));
   EXPECT_TRUE(fleet_.Until([&] { return ContractRevision(node) > revision; }));
-  EXPECT_TRUE(AnswersSoon(node));
+  EXPECT_TRUE(AnswersEventually(node));
 }
 
-// Symptom: an answer that was under way stops in the middle and its connection
-// closes, or stays open, without a word.
-// Sequence of events: an answer streams from a group, the VM of its first
-// member stops without closing its connections.
-// Cause: a connection that is silent looks like a slow one until its progress
-// is watched; a caller that is given up then must be told.
-TEST_F(WholePathTest, AnAnswerFromAStoppedVmGoesOnElsewhereOrIsToldBroken) {
+// The VM of a group's first member is stopped during an answer without closing
+// its connections. Guards against an answer that ends or hangs without an
+// error: a silent connection is distinguished from a slow one only by a
+// progress timeout, after which the caller must get an error if the answer
+// cannot be resumed.
+TEST_F(WholePathTest, AnswerFromStoppedVmIsResumedOrReportsError) {
   const Node node = StartNode("n1");
   ASSERT_NO_FATAL_FAILURE(WaitUntilServing(node));
   const std::string stopped = Member(node, 0);
@@ -494,8 +494,8 @@
   LongAnswer answer(node.callers, chat);
   ASSERT_TRUE(fleet_.Until([&] { return answer.has_begun(); }));
   fleet_.Signal(stopped, SIGSTOP);
-  ExpectWholeOrTold(Judge(chat, answer.Wait()));
-  EXPECT_TRUE(AnswersSoon(node));
+  ExpectCompleteOrError(ClassifyAnswer(chat, answer.Wait()));
+  EXPECT_TRUE(AnswersEventually(node));
 }
 
 }  // namespace
