--- a/bench/allocation_count.h
+++ b/bench/allocation_count.h
@@ -5,8 +5,8 @@
 
 namespace gcw::bench {
 
-// Allocations of this process so far. A program that calls this has its
-// `operator new` replaced by one that counts.
+// Returns the number of allocations of this process so far. Linking this
+// function replaces the program's `operator new` with a counting one.
 std::int64_t AllocationCount();
 
 }  // namespace gcw::bench
--- a/bench/bench_report.h
+++ b/bench/bench_report.h
@@ -8,19 +8,20 @@
 
 namespace gcw::bench {
 
-// What every benchmark in virtual time takes on its command line.
+// Command-line options shared by all benchmarks that run in virtual time.
 struct BenchOptions {
-  // One run for each; policies are tuned on the default seeds only.
+  // The benchmark runs once per seed. Policies are tuned on the default seeds
+  // only.
   std::vector<std::uint64_t> seeds;
-  // Empty where no JSON is asked for.
+  // Path of the JSON output; empty if none was requested.
   std::string json_file;
 };
 
-// Reads `--seed N`, `--seeds N,N,...`, `--final` (the seeds reserved for final
-// figures) and `--json FILE`. Exits the process on a wrong command line.
+// Parses `--seed N`, `--seeds N,N,...`, `--final` (the seeds reserved for final
+// figures) and `--json FILE`. Exits the process if the command line is invalid.
 BenchOptions ParseBenchOptions(int argc, char** argv);
 
-// A figure over several seeds.
+// Mean and range of a figure over several seeds.
 struct Spread {
   double mean = 0;
   double lowest = 0;
@@ -29,20 +30,20 @@
 
 Spread SpreadOf(const std::vector<double>& values);
 
-// "12.3 [11.9, 12.8]".
+// Formats as "12.3 [11.9, 12.8]": mean, lowest and highest.
 std::string FormatSpread(const Spread& spread, int decimals);
 std::string FormatNumber(double value, int decimals);
 
-// Collects a benchmark's table for people and its figures for CI.
+// Collects a benchmark's human-readable table and its figures for CI.
 class BenchReport {
  public:
   BenchReport(std::string name, std::vector<std::string> columns);
 
   void AddRow(std::vector<std::string> cells);
-  // Names a figure that CI may hold against a bound.
+  // Records a figure that CI may check against a bound.
   void SetFigure(std::string name, double value);
-  // Prints the table and writes the JSON file where one is asked for. Returns
-  // the exit status of the process.
+  // Prints the table and writes the JSON file if one was requested. Returns the
+  // exit status of the process.
   int Finish(const BenchOptions& options) const;
 
  private:
--- a/bench/block_cache.h
+++ b/bench/block_cache.h
@@ -11,19 +11,19 @@
 
 namespace gcw::bench {
 
-// A model engine's prefix cache: blocks in order of use, of which the least
-// recently used make room for new ones.
+// An LRU model of an engine's prefix cache: storing a block in a full cache
+// evicts the least recently used one.
 class BlockCache {
  public:
-  // Called with each block that enters (`stored`) or leaves.
+  // Called for each block that is stored (`stored` is true) or evicted.
   using ChangeHook = std::function<void(bool stored, PrefixBlock)>;
 
   BlockCache(std::size_t capacity, ChangeHook on_change);
 
-  // How many leading blocks are held.
+  // Returns how many leading blocks of `blocks` are cached.
   std::size_t MatchedBlocks(const std::vector<PrefixBlock>& blocks) const;
-  // Uses or stores all blocks; the first ones count as used last, so that a
-  // chain is evicted from its end.
+  // Marks all blocks as used and stores the missing ones. The first blocks
+  // become the most recently used, so that a chain is evicted from its end.
   void Touch(const std::vector<PrefixBlock>& blocks);
   void Clear();
   std::size_t size() const { return places_.size(); }
--- a/bench/endpoint_model.h
+++ b/bench/endpoint_model.h
@@ -13,15 +13,15 @@
 
 namespace gcw::bench {
 
-// How fast a modelled engine is and how much it holds.
+// Speed and capacity of a modelled engine.
 struct EngineSettings {
   EndpointId id;
   Generation generation{1};
-  // Most requests in one batch.
+  // Maximum number of requests in one batch.
   std::int64_t batch_limit = 64;
-  // Shared by all prompts in the batch.
+  // Prefill rate, shared by all prompts in the batch.
   double prefill_tokens_per_second = 20000;
-  // Most prompt tokens computed within one step.
+  // Maximum number of prompt tokens computed within one step.
   std::int64_t prefill_chunk_tokens = 512;
   // A step that generates one token for each of n requests takes base + n *
   // per_request.
@@ -31,23 +31,24 @@
   std::size_t cache_blocks = 6144;
 };
 
-// One request as the engine sees it. Each hook may be empty; at most one of
-// `on_finished` and `on_failed` is called, and none after `Cancel`.
+// A request as the engine sees it. Each hook may be empty. At most one of
+// `on_finished` and `on_failed` is called, and no hook is called after
+// `Cancel`.
 struct EngineRequest {
   std::uint64_t id = 0;
-  // 0 is served first.
+  // Priority 0 is served first.
   std::int64_t priority = 0;
   std::int64_t prompt_tokens = 0;
   std::vector<PrefixBlock> prefix_blocks;
   std::int64_t generated_tokens = 0;
-  // Gets the number of prompt tokens found in the cache.
+  // Receives the number of prompt tokens found in the cache.
   std::function<void(std::int64_t cached_tokens)> on_first_token;
   std::function<void()> on_finished;
   std::function<void()> on_failed;
 };
 
-// The small stand-in for a model engine in virtual time: continuous batching
-// with chunked prefill, a queue by priority, a limited prefix cache.
+// Simulates a model engine in virtual time: continuous batching with chunked
+// prefill, a priority queue and a prefix cache of limited size.
 class EndpointModel {
  public:
   using CacheHook =
@@ -56,33 +57,36 @@
 
   EndpointModel(EventQueue& events, EngineSettings settings);
 
-  // Fails the request at once while the engine is down.
+  // Queues the request. If the engine is down, the request fails at once.
   void Submit(EngineRequest request);
-  // Drops the request wherever it stands. False where it is not here.
+  // Removes the request whether it is queued or running. Returns false if the
+  // engine does not hold it.
   bool Cancel(std::uint64_t id);
-  // Puts a running request back into the queue; it goes on later with the
-  // tokens it has, after its prompt was computed again.
+  // Puts a running request back into the queue. It keeps its generated tokens,
+  // but its prompt is computed again before it resumes.
   bool Preempt(std::uint64_t id);
 
-  // The load at this moment.
+  // Returns the current load.
   LoadReport Load() const;
-  // Takes a report each `period` and delivers it `lag` later, so that what a
-  // listener holds is between `lag` and `lag + period` old.
+  // Takes a load report every `period` and delivers it `lag` later, so that the
+  // newest report a listener holds is between `lag` and `lag + period` old.
   void PublishLoad(Micros first, Micros period, Micros lag, ReportHook hook);
   void set_on_cache_event(CacheHook hook) { on_cache_event_ = std::move(hook); }
 
-  // Called for each token with its request's id; must not change the engine.
+  // The hook is called for each token with the id of its request. It must not
+  // change the engine.
   void set_on_token(std::function<void(std::uint64_t id)> hook) {
     on_token_ = std::move(hook);
   }
 
-  // 1 is full speed; 4 takes four times as long.
+  // Steps take `factor` times as long: 1 is full speed, 4 a quarter of it.
   void set_slowdown(double factor) { slowdown_ = factor; }
-  // Fails everything here and empties the cache; new requests fail.
+  // Fails all queued and running requests and empties the cache. New requests
+  // fail until the engine is up again.
   void GoDown();
-  // Comes back empty as the next generation.
+  // Brings the engine back up, empty, as the next generation.
   void ComeBack();
-  // Comes back empty as the same generation.
+  // Brings the engine back up, empty, as the same generation.
   void Restart();
 
   bool is_down() const { return is_down_; }
@@ -100,7 +104,7 @@
     std::int64_t generated = 0;
   };
   using JobPointer = std::unique_ptr<Job>;
-  // The queue's order: priority, then arrival.
+  // Orders the queue by priority, then by arrival.
   using QueueKey = std::pair<std::int64_t, std::uint64_t>;
 
   void Enqueue(JobPointer job);
@@ -108,7 +112,8 @@
   void Admit();
   double AssignPrefill();
   void EndStep(std::uint64_t epoch);
-  // True when a hook is due: the first token or the last.
+  // Advances the job by its part of a step. Returns true if a hook must be
+  // called because the step generated the job's first or last token.
   bool Advance(Job& job);
   static bool IsDone(const Job& job);
   void CallHooks(std::uint64_t id);
@@ -123,7 +128,8 @@
   std::map<QueueKey, JobPointer> queue_;
   std::vector<JobPointer> running_;
   std::uint64_t next_order_ = 0;
-  // Tells a step that was under way when the engine went down from later ones.
+  // Distinguishes a step that was in progress when the engine went down from
+  // later steps.
   std::uint64_t epoch_ = 0;
   bool is_stepping_ = false;
   bool is_down_ = false;
--- a/bench/event_queue.h
+++ b/bench/event_queue.h
@@ -9,8 +9,8 @@
 
 namespace gcw::bench {
 
-// Virtual time of a benchmark in microseconds: network delays lie below the
-// millisecond of `Time`.
+// Virtual time of a benchmark in microseconds, because network delays are
+// shorter than the millisecond resolution of `Time`.
 using Micros = std::int64_t;
 
 inline constexpr Micros kSecond = 1000000;
@@ -19,19 +19,20 @@
   return static_cast<Micros>(millis * 1000.0);
 }
 
-// Runs callbacks in the order of their virtual time; callbacks of the same
+// Runs callbacks in the order of their virtual time. Callbacks with the same
 // time run in the order in which they were added.
 class EventQueue {
  public:
   using Callback = std::function<void()>;
 
   Micros now() const { return now_; }
-  // The same instant as the decision core counts it.
+  // Returns the current virtual time in the unit of the decision core.
   Time time() const { return Time::FromMillis(now_ / 1000); }
 
   void At(Micros when, Callback callback);
   void After(Micros delay, Callback callback);
-  // Runs everything up to and including `end`, then sets the time to `end`.
+  // Runs all callbacks due up to and including `end`, then sets the time to
+  // `end`.
   void RunUntil(Micros end);
 
  private:
@@ -44,7 +45,7 @@
 
   Micros now_ = 0;
   std::uint64_t next_order_ = 0;
-  // A heap with the earliest entry in front.
+  // A heap whose front is the earliest entry.
   std::vector<Entry> entries_;
 };
 
--- a/bench/limit_wire_size.h
+++ b/bench/limit_wire_size.h
@@ -5,9 +5,9 @@
 
 namespace gcw::bench {
 
-// Bytes of a batch between two nodes: amounts as 4-byte fractions, what all
-// reports of a batch have in common written once, headers of gRPC, HTTP/2, TCP
-// and IP for each batch.
+// Estimates the bytes that a batch takes between two nodes: amounts are 4-byte
+// fractions, fields common to all reports of a batch are written once, and each
+// batch carries the headers of gRPC, HTTP/2, TCP and IP.
 double WireBytes(const LimitBatch& batch);
 
 }  // namespace gcw::bench
--- a/bench/limits_world.h
+++ b/bench/limits_world.h
@@ -11,31 +11,31 @@
 
 namespace gcw::bench {
 
-// Arrivals and admissions are counted by this much time.
+// Width of the time buckets in which arrivals and admissions are counted.
 inline constexpr Micros kLimitsBucket = 100000;
 
-// How a contract's limits are kept over all nodes.
+// How a contract's limits are enforced over all nodes.
 enum class LimitPolicy {
-  // One node counts; each request asks it.
+  // One node counts, and every request asks that node.
   kCentral,
-  // Each node has limit / nodes.
+  // Each node enforces limit / nodes.
   kStatic,
-  // `Limits`: shares granted by demand.
+  // `Limits` grants shares by demand.
   kShares,
 };
 
 enum class LimitFault {
   kNone,
-  // A node with callers dies; its callers go to others after a second.
+  // A node with callers dies; its callers move to other nodes after a second.
   kNodeLost,
-  // The limit owner or counting node dies; another takes over when its lease
-  // has lapsed.
+  // The limit owner or counting node dies; another node takes over once its
+  // lease has expired.
   kOwnerLost,
-  // The same, and the store is down: nobody takes over.
+  // The owner dies while the store is down, so no node takes over.
   kOwnerLostForLong,
-  // The nodes fall into two halves.
+  // The network splits the nodes into two halves.
   kPartition,
-  // The limit is halved; nodes learn of it one after the other.
+  // The limit is halved; the nodes learn of the change one after the other.
   kContractChanged,
 };
 
@@ -44,41 +44,46 @@
   LimitFault fault = LimitFault::kNone;
   std::size_t nodes = 8;
   std::size_t zones = 3;
-  // Nodes that callers of the measured contracts come to.
+  // Number of nodes that receive calls of the measured contracts.
   std::size_t caller_nodes = 8;
   double limit = 400;
   double offered = 600;
   std::int64_t concurrency_limit = 64;
-  // Other contracts, each with a few requests a second at some nodes.
+  // Number of other contracts, each with a few requests per second at some
+  // nodes.
   std::size_t other_contracts = 20;
   double other_rate = 5;
   bool relays = true;
   Micros warm_up = MicrosOf(10000);
   Micros fault_at = MicrosOf(20000);
-  // Of a partition.
+  // Time at which a partition heals.
   Micros fault_end = MicrosOf(40000);
   Micros end = MicrosOf(60000);
 };
 
 struct LimitsFigures {
-  // Of the limit, in windows of five seconds: the worst and the mean excess.
+  // Worst and mean excess over the limit in windows of five seconds, as a
+  // fraction of the limit.
   double over_worst = 0;
   double over_mean = 0;
-  // The most requests of the concurrency contract at once over its limit.
+  // Highest excess of concurrent requests over the concurrency contract's
+  // limit, as a fraction of the limit.
   double concurrency_over_worst = 0;
-  // Part of what could have been admitted that was not.
+  // Fraction of the admissible requests that were not admitted.
   double under_use = 0;
-  // Share of requests that had to wait or be refused for want of any share.
+  // Fraction of requests that had to wait or were refused because the node held
+  // no share of the limit.
   double pending = 0;
-  // Per node and second, sent and received.
+  // Messages and bytes sent and received per node and second.
   double messages = 0;
   double bytes = 0;
   double bytes_worst_node = 0;
-  // Of one core, the busiest node; wall time.
+  // Fraction of one core used by the busiest node, measured in wall time.
   double cpu_worst_node = 0;
 };
 
-// Nodes, callers and a network in virtual time; two contracts are measured.
+// Simulates nodes, callers and a network in virtual time and measures two
+// contracts.
 class LimitsWorld {
  public:
   LimitsWorld(const LimitsWorldSettings& settings, std::uint64_t seed);
@@ -127,13 +132,13 @@
   LimitSettings limit_settings_;
   std::vector<Node> nodes_;
   std::vector<std::size_t> callers_;
-  // Owner of each shard.
+  // Index of each shard's owner node.
   std::vector<std::size_t> owners_;
   FencingToken fence_{1};
   TokenBucket central_;
   std::size_t counter_ = 0;
   bool is_partitioned_ = false;
-  // Per bucket of a tenth of a second.
+  // Requests admitted and offered in each bucket of `kLimitsBucket`.
   std::vector<std::int64_t> admitted_;
   std::vector<std::int64_t> offered_;
   std::int64_t running_ = 0;
--- a/bench/parallel_runs.h
+++ b/bench/parallel_runs.h
@@ -10,11 +10,12 @@
 
 namespace gcw::bench {
 
-// Threads that one benchmark takes at most.
+// Maximum number of threads of one benchmark.
 inline constexpr std::size_t kMaxThreads = 4;
 
-// Carries out independent runs on a few threads. Each run has its own virtual
-// time and seed, so the results do not depend on the number of threads.
+// Executes independent runs on at most `kMaxThreads` threads. Each run has its
+// own virtual time and seed, so the results do not depend on the number of
+// threads.
 template <typename Figures>
 std::vector<Figures> RunAll(const std::vector<std::function<Figures()>>& runs) {
   std::vector<Figures> results(runs.size());
--- a/bench/repair_world.h
+++ b/bench/repair_world.h
@@ -10,40 +10,41 @@
 
 namespace gcw::bench {
 
-// One zone, with the platform's failures scaled up so that two days show them.
+// Parameters of one simulated zone. Failure rates of the platform are scaled up
+// so that a run of two days shows enough failures.
 struct RepairSettings {
   int domains = 6;
   int vms_per_domain = 16;
   std::int64_t accelerators_per_vm = 4;
   std::int64_t vms_per_group = 4;
-  // 280 restarts and 7 failures a day over 19,840 VMs, times 100.
+  // The rates of 280 restarts and 7 failures a day over 19,840 VMs, times 100.
   double restarts_per_vm_day = 1.41;
   double failures_per_vm_day = 0.035;
   int flapping_vms = 2;
   Duration length = Duration::Seconds(172800);
   Duration step = Duration::Seconds(2);
-  // Detecting a loss, and an engine's leaving.
+  // Time until a lost VM or a departed engine is detected.
   Duration detection = Duration::Seconds(4);
-  // What one VM's weights take of the weight store alone.
+  // Time to load one VM's weights if no other VM uses the weight store.
   Duration load_per_vm = Duration::Seconds(10);
-  // Joining the engines once all have weights.
+  // Time to join a group's engines once all of them have weights.
   Duration join = Duration::Seconds(20);
   Duration drain = Duration::Seconds(30);
 };
 
-// What a run cost.
+// Cost measured over a run.
 struct RepairCost {
-  // Groups that are wanted, or were formed beyond that, and did not serve.
+  // Downtime of wanted groups, and of groups formed beyond the wanted number.
   double group_hours_down = 0;
-  // Accelerators of running VMs that served in no group.
+  // Time that accelerators of running VMs spent outside a serving group.
   double accelerator_hours_stranded = 0;
   std::int64_t moves = 0;
-  // Most loads started within one minute.
+  // Maximum number of weight loads started within one minute.
   std::int64_t loads_in_worst_minute = 0;
 };
 
 // Drives the repair planner over one zone in virtual time. Orders and writes
-// succeed at once; their failures are what the tests of the keeper are about.
+// succeed at once; the tests of the keeper cover their failures.
 class RepairWorld {
  public:
   RepairWorld(RepairSettings settings,
@@ -57,12 +58,13 @@
   struct Vm {
     FabricDomainId domain;
     bool is_up = true;
-    // Comes back then, where it is down.
+    // When the VM comes back, if it is down.
     Time back;
     Time lost_at;
     Time next_loss;
     bool is_flapping = false;
-    // What its engine is part of, and whether it holds the model's weights.
+    // The group and generation that the VM's engine belongs to, and the model
+    // whose weights it holds.
     GroupId group;
     Generation generation;
     ModelId weights;
--- a/bench/retry_world.h
+++ b/bench/retry_world.h
@@ -11,46 +11,48 @@
 
 namespace gcw::bench {
 
-// How nodes and callers act when something fails.
+// Retry behaviour of nodes and callers after a failure.
 struct RetryWay {
   std::string name;
-  // The node's attempts for one send of a caller.
+  // Maximum number of attempts that a node makes for one send of a caller.
   std::int64_t max_attempts = 3;
   bool has_budget = false;
-  // Refuse what cannot be answered in time, and cancel it at the engine once
-  // its caller has given up.
+  // Whether nodes refuse sends that cannot be answered in time, and cancel a
+  // request at the engine once its caller has given up.
   bool passes_deadlines = false;
-  // Refused callers are told when to come back; else they return at once.
+  // Whether refused callers are told when to retry; otherwise they retry at
+  // once.
   bool plans_returns = false;
 };
 
 struct RetryScenario {
   std::string name;
-  // Of the engines' capacity, before the fault.
+  // Load before the fault, as a fraction of the engines' capacity.
   double load = 0.9;
-  // From request to failure at a failing endpoint.
+  // Time from request to failure at a failing endpoint.
   double fail_after_millis = 10;
 };
 
 struct RetryFigures {
-  // Calls answered in a span against those newly made in it. Above 1 while
-  // those who were refused come back.
+  // Ratio of calls answered in a time span to calls first made in it. The ratio
+  // exceeds 1 while refused callers retry.
   double goodput_before = 0;
   double goodput_during = 0;
   double goodput_after = 0;
-  // Of the calls made during the fault.
+  // Fraction of the calls made during the fault that are answered at last.
   double answered_in_the_end = 0;
-  // Attempts at endpoints for each new call, during the fault.
+  // Attempts at endpoints per new call during the fault.
   double attempts_per_call = 0;
-  // Tokens generated for callers who had given up, of all tokens.
+  // Fraction of all tokens that were generated for callers who had given up.
   double wasted_share = 0;
-  // From the end of the fault until new calls are answered at their first
-  // send; the whole span where that does not return.
+  // Time from the end of the fault until new calls are again answered at their
+  // first send, or the whole remaining span if they never are.
   double seconds_to_normal = 0;
 };
 
-// A third of 65 endpoints fails each request for a while, then is well again.
-// Callers send again what was refused or came too late, at most three times.
+// Simulates an outage in which a third of 65 endpoints fails every request for
+// a while and then recovers. Callers send refused or late calls again, at most
+// three times.
 class RetryWorld {
  public:
   RetryWorld(const RetryScenario& scenario,
@@ -64,14 +66,14 @@
     std::unique_ptr<RetryBudget> budget;
     std::unique_ptr<RetryAfterPlanner> planner;
   };
-  // One thing that a caller wants.
+  // A caller's request, over all its sends.
   struct Call {
     Micros made = 0;
     std::int64_t sends = 0;
-    // 0 while it is not.
+    // Time of the answer; 0 until the call is answered.
     Micros answered = 0;
   };
-  // One send of it.
+  // One send of a call.
   struct Send {
     std::shared_ptr<Call> call;
     std::size_t node = 0;
@@ -79,7 +81,7 @@
     std::int64_t answer_tokens = 0;
     std::int64_t attempts = 0;
     std::vector<EndpointId> excluded;
-    // The attempt under way.
+    // State of the current attempt.
     std::size_t replica = 0;
     std::uint64_t attempt = 0;
     DispatchTicket ticket;
@@ -104,7 +106,7 @@
   void CallAgain(const std::shared_ptr<Call>& call, Duration after);
   std::int64_t AnswerTokens();
   double Goodput(Micros from, Micros to) const;
-  // Shares of the calls made in a span.
+  // Fractions of the calls made in a time span.
   double AnsweredAtOnce(Micros from, Micros to) const;
   double AnsweredInTheEnd(Micros from, Micros to) const;
   double SecondsToNormal() const;
--- a/bench/routing_policy.h
+++ b/bench/routing_policy.h
@@ -12,7 +12,7 @@
 
 namespace gcw::bench {
 
-// A way to route, as one node carries it out: the router or a plain baseline.
+// A routing policy as one node runs it: the router or a simple baseline.
 class RoutingPolicy {
  public:
   virtual ~RoutingPolicy() = default;
@@ -23,9 +23,10 @@
   virtual void OnCacheEvents(Time /*now*/,
                              const Endpoint& /*endpoint*/,
                              const CacheEventBatch& /*batch*/) {}
-  // Whether the world has to carry cache events to this policy.
+  // True if the simulation must deliver cache events to this policy.
   virtual bool uses_cache_events() const { return false; }
-  // Chooses and notes the dispatch; no value where nothing is left.
+  // Chooses an endpoint and records the dispatch. Returns no value if no
+  // endpoint is available.
   virtual std::optional<EndpointId> Dispatch(
       Time now,
       std::uint64_t attempt,
@@ -39,7 +40,7 @@
   virtual void Tick(Time /*now*/) {}
 };
 
-// What a policy is made for: one node.
+// Describes the node that a policy is created for.
 struct PolicyPlace {
   ZoneId zone;
   std::vector<ZoneDistance> distances;
@@ -55,12 +56,13 @@
   PolicyFactory make;
 };
 
-// The settings that the benchmarks run the router with.
+// Returns the router settings that the benchmarks use.
 RouterSettings BenchRouterSettings(const PolicyPlace& place);
 NamedPolicy RouterPolicy(
     std::string name,
     std::function<void(RouterSettings&)> change = [](RouterSettings&) {});
-// Random, round robin, least reported load, prefix affinity alone.
+// Returns the baselines: random, round robin, least reported load, and prefix
+// affinity alone.
 std::vector<NamedPolicy> BaselinePolicies();
 
 }  // namespace gcw::bench
--- a/bench/routing_world.h
+++ b/bench/routing_world.h
@@ -15,13 +15,13 @@
 
 enum class RoutingFault { kNone, kStragglers, kEventGaps, kZoneLost };
 
-// One deployment under one load.
+// A deployment and the load on it.
 struct RoutingScenario {
   std::string name;
-  // One way.
+  // One-way network delay between zones.
   double between_zones_millis = 1.5;
   double client_millis = 1;
-  // Of the engines' nominal capacity.
+  // Load as a fraction of the engines' nominal capacity.
   double load = 0.7;
   RoutingFault fault = RoutingFault::kNone;
 };
@@ -30,25 +30,27 @@
   double ttft_p50 = 0;
   double ttft_p95 = 0;
   double ttft_p99 = 0;
-  // Prompt tokens found in caches, of all prompt tokens.
+  // Fraction of all prompt tokens that were found in caches.
   double hit_share = 0;
-  // 99th percentile over time of the most loaded endpoint against the mean.
+  // 99th percentile over time of the ratio of the most loaded endpoint's load
+  // to the mean load.
   double peak_over_mean = 0;
-  // Requests answered by no endpoint.
+  // Fraction of requests that no endpoint answered.
   double failed_share = 0;
   double requests_per_second = 0;
   double mean_prompt_tokens = 0;
-  // Requests at engines against the places in their batches.
+  // Ratio of requests at engines to the slots in their batches.
   double mean_occupancy = 0;
   double answered_tokens_per_second = 0;
 };
 
 inline constexpr std::size_t kReplicas = 65;
-// Nothing is measured before.
+// Measurement starts after this time.
 inline constexpr Micros kWarmUp = 16 * kSecond;
 
-// 65 engines in three data centres behind 8 nodes that all use one policy, in
-// virtual time. The same seed gives the same sessions to each policy.
+// Simulates 65 engines in three data centres behind 8 nodes that all use the
+// same policy, in virtual time. The same seed gives each policy the same
+// sessions.
 class RoutingWorld {
  public:
   RoutingWorld(const RoutingScenario& scenario,
@@ -61,7 +63,7 @@
     std::size_t zone = 0;
     std::unique_ptr<RoutingPolicy> policy;
     bool is_down = false;
-    // Cache events seen, by endpoint.
+    // Sequence number of the last cache event seen from each endpoint.
     std::vector<std::int64_t> last_event;
   };
   struct Replica {
@@ -126,9 +128,9 @@
   std::int64_t answered_tokens_ = 0;
 };
 
-// Requests a second that one engine can serve of this workload, with its batch
-// full and as much of the prompts cached as
-// plain balancing achieves: the fleet's capacity without prefix affinity.
+// Requests per second of this workload that one engine can serve with a full
+// batch and with the cache hit rate of plain balancing, which gives the fleet's
+// capacity without prefix affinity.
 double NominalRequestsPerSecond(const EngineSettings& engine);
 
 }  // namespace gcw::bench
--- a/bench/session_workload.h
+++ b/bench/session_workload.h
@@ -9,17 +9,18 @@
 
 namespace gcw::bench {
 
-// Shape of the callers' traffic. Lengths are in tokens.
+// Distribution of the callers' traffic. Lengths are in tokens.
 struct WorkloadSettings {
-  // Each team's share of sessions: a few are large.
+  // Each team's share of the sessions; a few teams are large.
   std::vector<double> team_shares = {0.30, 0.20, 0.15, 0.10, 0.07,
                                      0.06, 0.05, 0.03, 0.02, 0.02};
-  // Shared by all sessions of a team.
+  // Length range of a team's system prompt, which all its sessions share.
   std::int64_t least_system_tokens = 400;
   std::int64_t most_system_tokens = 2400;
   double mean_turns = 4;
   double mean_think_millis = 8000;
-  // Log-normal, with a Pareto tail for the share that brings a document.
+  // Message lengths are log-normal, with a Pareto tail for the share of
+  // messages that carry a document.
   double message_log_median = 4.2;
   double message_log_deviation = 0.9;
   double document_share = 0.08;
@@ -32,15 +33,15 @@
   std::int64_t tokens_per_block = 16;
 };
 
-// One call of a caller.
+// One call of a session.
 struct Turn {
   std::int64_t prompt_tokens = 0;
   std::int64_t answer_tokens = 0;
   std::vector<PrefixBlock> blocks;
 };
 
-// A conversation: each turn's prompt is the last one's with its answer and a
-// new message.
+// A conversation. Each turn's prompt consists of the previous prompt, its
+// answer and a new message.
 struct Session {
   std::uint64_t id = 0;
   std::size_t team = 0;
@@ -48,13 +49,13 @@
   std::int64_t context_tokens = 0;
 };
 
-// Draws sessions, turns and pauses.
+// Generates random sessions, turns and pauses.
 class SessionWorkload {
  public:
   SessionWorkload(const WorkloadSettings& settings, std::uint64_t seed);
 
   Session NewSession();
-  // Moves the session on by one turn.
+  // Advances the session by one turn.
   Turn NextTurn(Session& session);
   Micros ThinkTime();
   Micros TimeToNextSession(double sessions_per_second);
--- a/bench/statistics.h
+++ b/bench/statistics.h
@@ -5,9 +5,10 @@
 
 namespace gcw::bench {
 
-// The value below which `share` of all lie; 0 for none. Reorders `values`.
+// Returns the value below which the fraction `share` of all values lies, or 0
+// if `values` is empty. Reorders `values`.
 double Percentile(std::vector<double>& values, double share);
-// 0 for none.
+// Returns 0 if `values` is empty.
 double Mean(const std::vector<double>& values);
 
 }  // namespace gcw::bench
--- a/bench/tier_outcome.h
+++ b/bench/tier_outcome.h
@@ -8,10 +8,10 @@
 
 namespace gcw::bench {
 
-// What one tier or team saw after the warm-up.
+// Results of one tier or team after the warm-up.
 struct TierOutcome {
   std::vector<double> ttft_millis;
-  // Time between two tokens, as many per bucket of a tenth of a millisecond.
+  // Histogram of the time between two tokens, in buckets of 0.1 ms.
   std::vector<std::int64_t> token_gaps;
   std::int64_t offered = 0;
   std::int64_t answered = 0;
@@ -19,7 +19,7 @@
   std::int64_t preempted = 0;
   std::int64_t failed = 0;
   std::int64_t tokens = 0;
-  // Of requests that were cancelled.
+  // Tokens generated for requests that were cancelled.
   std::int64_t wasted_tokens = 0;
 
   void AddGap(Micros gap);
--- a/bench/tier_world.h
+++ b/bench/tier_world.h
@@ -16,13 +16,14 @@
 
 namespace gcw::bench {
 
-// How trial work is kept from paid work.
+// How trial work is kept from slowing paid work.
 enum class TierPolicy {
-  // Any endpoint with a free place in its batch; engines queue paid first.
+  // Any endpoint with a free slot in its batch may be used; engines queue paid
+  // requests first.
   kPriority,
-  // The same with at most `trial_cap` trial requests in a batch.
+  // Like `kPriority`, but with at most `trial_cap` trial requests in a batch.
   kCapped,
-  // `Admission`: endpoints of their own.
+  // `Admission` gives each tier its own endpoints.
   kPools,
 };
 
@@ -33,11 +34,11 @@
   std::size_t endpoints = 24;
   std::size_t lost_endpoints = 0;
   double paid_per_second = 80;
-  // By which paid arrivals rise for a quarter of each burst period; the mean
-  // stays. 1 is steady.
+  // Factor by which paid arrivals rise for a quarter of each burst period, with
+  // an unchanged mean. A factor of 1 gives a steady rate.
   double burst_factor = 1;
   double trial_per_second = 0;
-  // Extra requests of the first team, on top of the rest.
+  // Additional requests per second of the first team.
   double flood_per_second = 0;
   Micros warm_up = MicrosOf(10000);
   Micros loss_at = MicrosOf(25000);
@@ -47,7 +48,7 @@
   AdmissionSettings admission;
 };
 
-// Nodes, model engines and callers in virtual time.
+// Simulates nodes, model engines and callers in virtual time.
 class TierWorld {
  public:
   TierWorld(const TierWorldSettings& settings, std::uint64_t seed);
@@ -63,7 +64,8 @@
   struct Node {
     std::unique_ptr<Limits> limits;
     std::unique_ptr<Admission> admission;
-    // Own dispatches to each endpoint since its newest report.
+    // Times of this node's dispatches to each endpoint since the endpoint's
+    // newest report.
     std::map<std::size_t, std::vector<Micros>> sent;
   };
   struct Report {
@@ -126,7 +128,7 @@
 
   TierWorldSettings settings_;
   Random random_;
-  // Paid, trial and flooding ones.
+  // Random sources of the paid, trial and flooding callers.
   std::array<Random, 3> callers_;
   EventQueue events_;
   std::vector<Node> nodes_;
