--- a/bench/admission_bench.cc
+++ b/bench/admission_bench.cc
@@ -1,5 +1,5 @@
-// Cost of one admission: time (printed only) and allocations (bounded), by the
-// number of contracts.
+// Measures the time (printed only) and the allocations (bounded by CI) of one
+// admission against the number of contracts.
 
 #include <benchmark/benchmark.h>
 
@@ -19,7 +19,8 @@
 constexpr int kWarmUpRequests = 20000;
 constexpr int kCountedRequests = 20000;
 
-// One node whose limits are far above the load, and room at 620 endpoints.
+// A node whose limits are far above the load, with free capacity at 620
+// endpoints.
 class AdmissionFixture {
  public:
   explicit AdmissionFixture(std::int64_t contracts)
@@ -33,7 +34,7 @@
     ReportRoom();
   }
 
-  // One request from its key to its end.
+  // Runs one request from the lookup of its key to its end.
   void RunOne() {
     const KeyDigest& key = keys_[next_ % keys_.size()];
     profile_.contract = admission_.FindContract(key)->id;
@@ -53,7 +54,7 @@
     contract.requests_per_second = 1e9;
     contract.tokens_per_second = 1e12;
     contract.concurrency = 1000000;
-    // As long as a SHA-256 digest in hexadecimal digits.
+    // The key has the length of a SHA-256 digest in hexadecimal digits.
     std::string digest(64, '0');
     const std::string number = std::to_string(i);
     digest.replace(0, number.size(), number);
@@ -126,7 +127,8 @@
 }  // namespace gcw::bench
 
 int main(int argc, char** argv) {
-  // Takes its own options out of the list; what is left is ours.
+  // Removes the options of the benchmark library from the list and leaves those
+  // of `ParseBenchOptions`.
   benchmark::Initialize(&argc, argv);
   return gcw::bench::Run(gcw::bench::ParseBenchOptions(argc, argv));
 }
--- a/bench/baseline_policies.cc
+++ b/bench/baseline_policies.cc
@@ -7,7 +7,8 @@
 namespace gcw::bench {
 namespace {
 
-// What all baselines share: the list of endpoints that may be used now.
+// Base class of all baselines; maintains the list of endpoints that may be
+// used.
 class ListPolicy : public RoutingPolicy {
  public:
   explicit ListPolicy(std::uint64_t seed) : random_(SeededRandom(seed)) {}
@@ -79,7 +80,8 @@
   std::size_t next_;
 };
 
-// The least load in the last reports; ties are drawn.
+// Picks the endpoint with the least load in the last reports; ties are broken
+// at random.
 class LeastReportedPolicy final : public ListPolicy {
  public:
   using ListPolicy::ListPolicy;
@@ -110,7 +112,8 @@
   std::unordered_map<EndpointId, std::int64_t> loads_;
 };
 
-// The longest known prefix; ties and unknown prompts are drawn.
+// Picks the endpoint with the longest known prefix. Ties are broken at random,
+// and unknown prompts go to a random endpoint.
 class PrefixAffinityPolicy final : public ListPolicy {
  public:
   explicit PrefixAffinityPolicy(std::uint64_t seed)
--- a/bench/configuration_bench.cc
+++ b/bench/configuration_bench.cc
@@ -1,5 +1,6 @@
-// How long a change of configuration takes until it is in force everywhere, and
-// what spreading it costs, against the number of nodes. All in virtual time.
+// Measures in virtual time how long a configuration change takes until it is in
+// force on all nodes, and what its distribution costs, against the number of
+// nodes.
 
 #include <algorithm>
 #include <functional>
@@ -25,7 +26,7 @@
 
 const std::vector<Fleet> kFleets = {{8, 3}, {64, 3}, {420, 5}};
 
-// What is wrong while the changes are made.
+// A fault that is present while the changes are made.
 struct Scenario {
   std::string name;
   std::function<void(ConfigCluster&)> disturb;
@@ -48,7 +49,7 @@
   return "contract/customer" + std::to_string(contract);
 }
 
-// A cluster whose nodes all hold the same contracts.
+// Gives all nodes of the cluster the same contracts.
 void Fill(ConfigCluster& cluster) {
   for (std::size_t i = 0; i < kContracts; ++i) {
     const ConfigRecord record{.value = std::string(kValueBytes, 'x'),
@@ -60,7 +61,7 @@
                                 .expected = Revision(),
                                 .lease = LeaseId()});
   }
-  // Every node starts with an empty copy, and reads.
+  // Every node starts with an empty copy and reads the contracts.
   cluster.Run(Duration::Seconds(60));
 }
 
@@ -81,7 +82,7 @@
 }
 
 struct Figures {
-  // Seconds from the operator's call.
+  // Seconds from the operator's call until the change has reached each state.
   std::vector<double> accepted;
   std::vector<double> in_force;
   std::vector<double> confirmed;
@@ -113,10 +114,12 @@
   figures.watches = cluster.link().waiting_watches();
 }
 
-// One change through a random node, until every node's floor covers it.
+// Makes one change through a random node and runs until the floor of every node
+// covers the change.
 void MeasureChange(ConfigCluster& cluster, Figures& figures) {
   const std::string key = KeyOf(DrawBelow(cluster.random(), kContracts));
-  // Through a node that reaches the service.
+  // Zone z0 is skipped because one scenario cuts its nodes off from the
+  // key-value service.
   std::size_t node = 0;
   do {
     node = DrawBelow(cluster.random(), cluster.nodes().size());
@@ -169,7 +172,7 @@
   return figures;
 }
 
-// How long a node that starts empty during an outage takes to be ready.
+// Returns the time until a node that starts empty during an outage is ready.
 double MeasureEmptyStart(const Fleet& fleet, std::uint64_t seed) {
   ConfigCluster cluster(fleet.nodes, seed, fleet.zones);
   Fill(cluster);
--- a/bench/decision_bench.cc
+++ b/bench/decision_bench.cc
@@ -1,5 +1,5 @@
-// Cost of one routing decision in time and allocations. Times are printed only;
-// allocations are figures that CI may bound.
+// Measures the cost of one routing decision in time and allocations. Times are
+// only printed; allocations are figures that CI may bound.
 
 #include <benchmark/benchmark.h>
 
@@ -22,8 +22,8 @@
 
 }  // namespace
 
-// Counts each allocation of the process. Not inlined, or the compiler takes the
-// pair for mismatched.
+// Counts each allocation of the process. Inlining would make the compiler
+// report `operator new` and `operator delete` as mismatched.
 [[gnu::noinline]] void* operator new(std::size_t size) {
   allocations.fetch_add(1, std::memory_order_relaxed);
   if (void* memory = std::malloc(size)) {
@@ -63,8 +63,8 @@
   return profile;
 }
 
-// A router in the middle of its work: all endpoints reported, requests are
-// under way, sessions are known.
+// A router under load: all endpoints have reported, requests are in flight and
+// sessions are known.
 class BusyRouter {
  public:
   explicit BusyRouter(std::int64_t endpoints) {
@@ -88,7 +88,7 @@
     return ValueOf(router_->Choose(now_, NextProfile(), {}));
   }
 
-  // A request begins and an older one ends.
+  // Starts a request and finishes an older one.
   void SendAndFinish() {
     const DispatchTicket ended =
         std::exchange(in_flight_[next_ % in_flight_.size()], Send());
@@ -137,7 +137,8 @@
 template <typename Step>
 void Measure(benchmark::State& state, Step step) {
   BusyRouter router(state.range(0));
-  // Vectors grow to their lasting size first.
+  // Warms up the router, so that its vectors have reached their final size
+  // before allocations are counted.
   for (std::size_t i = 0; i < 4 * kSessions; ++i) {
     step(router);
   }
@@ -155,7 +156,8 @@
     benchmark::DoNotOptimize(router.Choose());
   });
 }
-// Today, a subset of the large fleet, and the large fleet without one.
+// The arguments are the current fleet, a subset of the large fleet, and the
+// whole large fleet.
 BENCHMARK(Choose)->Arg(65)->Arg(96)->Arg(620)->MinTime(0.5);
 
 void WholeRequest(benchmark::State& state) {
@@ -163,7 +165,7 @@
 }
 BENCHMARK(WholeRequest)->Arg(65)->Arg(96)->Arg(620)->MinTime(0.5);
 
-// Prints as usual and keeps the figures.
+// Prints like `ConsoleReporter` and records the figures in a `BenchReport`.
 class KeepingReporter final : public benchmark::ConsoleReporter {
  public:
   explicit KeepingReporter(BenchReport& report) : report_(report) {}
--- a/bench/endpoint_model.cc
+++ b/bench/endpoint_model.cc
@@ -157,7 +157,7 @@
     queue_.erase(queue_.begin());
     const auto blocks = static_cast<std::int64_t>(
         cache_.MatchedBlocks(job->request.prefix_blocks));
-    // At least one token is computed, or there would be nothing to answer.
+    // At least one prompt token must be computed to produce an answer.
     job->cached_tokens = std::min(blocks * settings_.tokens_per_block,
                                   job->request.prompt_tokens - 1);
     job->prefill_left = job->request.prompt_tokens - job->cached_tokens;
--- a/bench/gateway_deferral_bench.cc
+++ b/bench/gateway_deferral_bench.cc
@@ -1,7 +1,7 @@
-// Who is served in time when a model has more requests than its groups can
-// begin in time: in order of arrival, and with a part of them deferred. Many
-// nodes decide each for itself, with loads as old as their last answers. All in
-// virtual time.
+// Measures which requests are served in time when a model has more requests
+// than its groups can start in time: in order of arrival, and with some
+// requests deferred. Each of many nodes decides on its own, with loads as old
+// as the last answers that it received. All times are virtual.
 
 #include <cmath>
 #include <cstddef>
@@ -20,24 +20,25 @@
 
 constexpr std::size_t kGroups = 12;
 constexpr std::int64_t kPlaces = 48;
-// Mean sizes of a request, and how long its caller waits for a beginning.
+// Mean sizes of a request, and how long its caller waits for the first token.
 constexpr double kPromptTokens = 674;
 constexpr double kAnswerTokens = 150;
 constexpr double kObjectiveMillis = 300;
 constexpr double kPatienceMillis = 2000;
-// Requests a second of all nodes at the usual load: three quarters of what the
-// groups can do.
+// Requests per second over all nodes at the normal load, which is three
+// quarters of the groups' capacity.
 constexpr double kUsualPerSecond = 314;
-// The load is usual, then as many times that as the run says, then usual.
+// The load is normal before and after the burst. During the burst it is
+// multiplied by the run's load factor.
 constexpr Micros kBurstFrom = 6 * kSecond;
 constexpr Micros kBurstUntil = 20 * kSecond;
 constexpr Micros kEnd = 28 * kSecond;
 constexpr double kLargestPart = 0.1;
 
 enum class Policy {
-  // Everything is sent at once, however full the groups are.
+  // Every request is sent at once, even if the groups are full.
   kArrival,
-  // Refused beyond a full batch and a short queue.
+  // Requests are refused once the batch and a short queue are full.
   kFill,
   kDeferral,
 };
@@ -47,7 +48,8 @@
   double late = 0;
   double refused = 0;
   double unserved = 0;
-  // Part of the largest requests that were served, against that of all.
+  // Ratio of the served fraction of the largest requests to the served fraction
+  // of all requests.
   double largest_served = 0;
 };
 
--- a/bench/gateway_scale_bench.cc
+++ b/bench/gateway_scale_bench.cc
@@ -1,6 +1,7 @@
-// What a node's decisions cost against the size of the fleet: its start, one
-// registration that changes, one tick, and the same for the node that keeps the
-// groups. Allocations repeat from run to run; times are shown beside them.
+// Measures the cost of a node's work against the size of the fleet: its start,
+// a changed registration and a tick, and the tick and an event of the node that
+// keeps the groups. Allocations are the same in every run; times are printed
+// beside them.
 
 #include <chrono>
 #include <cstddef>
@@ -39,7 +40,7 @@
           passed.count() / repetitions};
 }
 
-// One node that routes to a fleet of open groups and holds no role. The test
+// A node that routes to a fleet of open groups and holds no role. The benchmark
 // answers each of its calls to the key-value service at once.
 class RoutingNode {
  public:
@@ -164,7 +165,7 @@
   Time now_ = Time() + Duration::Seconds(1);
 };
 
-// The node that keeps the groups of a fleet that is whole.
+// Cost of the node that keeps the groups of a fleet without failures.
 struct KeeperCost {
   Cost tick;
   Cost event;
--- a/bench/gateway_store_bench.cc
+++ b/bench/gateway_store_bench.cc
@@ -1,6 +1,6 @@
-// Calls to the key-value service that a fleet of gateways makes, against the
-// number of nodes: with nothing to do, while registrations change, and while
-// the service is away or refuses. All in virtual time.
+// Measures in virtual time the calls of a fleet of gateways to the key-value
+// service against the number of nodes: when idle, while registrations change,
+// and while the service is unreachable or refuses calls.
 
 #include <cstddef>
 #include <cstdint>
@@ -15,7 +15,7 @@
 
 constexpr Duration kWarmUp = Duration::Seconds(20);
 constexpr Duration kSpan = Duration::Seconds(30);
-// From one change of a registration to the next while things change.
+// Time between two changed registrations under `Load::kChanges`.
 constexpr Duration kBetweenChanges = Duration::Millis(100);
 constexpr std::size_t kDomains = 2;
 constexpr std::size_t kVmsPerDomain = 10;
@@ -25,10 +25,10 @@
 enum class Load { kIdle, kChanges, kAway, kRefuses, kRefusesSome };
 
 struct Figure {
-  // A renewal of a lease costs a tenth of another call.
+  // A lease renewal costs a tenth of any other call.
   double calls_per_node_second = 0;
   double renewals_per_node_second = 0;
-  // Of the node that made most.
+  // Rate of the node that made the most calls.
   double most_calls_per_second = 0;
 };
 
--- a/bench/idle_bench.cc
+++ b/bench/idle_bench.cc
@@ -1,7 +1,7 @@
-// Background work that cannot be preempted, run in the idle intervals of one
-// engine: no wait, a fixed wait, and the adaptive idle wait with an estimate of
-// the work per interval of Mi et al., "Efficient Management of Idleness in
-// Storage Systems" (2009).
+// Compares ways to run non-preemptible background work in the idle intervals of
+// one engine: without a wait, with a fixed wait, and with the adaptive idle
+// wait and the estimate of work per interval of Mi et al., "Efficient
+// Management of Idleness in Storage Systems" (2009).
 
 #include <algorithm>
 #include <cmath>
@@ -30,11 +30,11 @@
 struct Outcome {
   double mean_response = 0;
   double p95_response = 0;
-  // Of the time.
+  // Fraction of the time spent on background work.
   double background_share = 0;
 };
 
-// Draws what the scenario's requests look like.
+// Generates the scenario's random interarrival and service times.
 class Source {
  public:
   Source(const Scenario& scenario, std::uint64_t seed)
@@ -58,7 +58,7 @@
   }
 
  private:
-  // Coefficient of variation 1/3.
+  // Has a coefficient of variation of 1/3.
   double Erlang(double mean) {
     constexpr int kStages = 9;
     double sum = 0;
@@ -68,7 +68,7 @@
     return sum;
   }
 
-  // Coefficient of variation 3.
+  // Has a coefficient of variation of 3.
   double LogNormal(double mean) {
     const double variance = std::log(1.0 + 9.0);
     const double radius = std::sqrt(-2.0 * std::log(1.0 - DrawUnit(random_)));
@@ -77,8 +77,8 @@
     return mean * std::exp(std::sqrt(variance) * normal - variance / 2);
   }
 
-  // Two phases, each of about 50 requests; in one the gaps are 20 times
-  // shorter.
+  // Alternates between two phases of about 50 requests each. In one of them the
+  // gaps are 20 times shorter.
   double Bursty(double mean) {
     constexpr double kChange = 0.02;
     constexpr double kLong = 1.9047619;
@@ -123,14 +123,15 @@
     const bool is_variable = std::sqrt(squares / count) > mean;
     wait_ = is_variable ? EndOfBody(mean) : 0;
     const double high = intervals_[intervals_.size() * 9 / 10];
-    // The paper takes T close to 1 where idle times vary, and less elsewhere.
+    // The paper chooses T close to 1 if idle times vary strongly, and lower
+    // otherwise.
     const double share = is_variable ? 1.0 : 0.5;
     jobs_ = static_cast<std::int64_t>(
         std::max(0.0, std::floor(share * (high - wait_) / job_)));
   }
 
-  // Where the slope of the distribution, over time in means, falls below that
-  // of 30 degrees.
+  // Returns the time at which the slope of the distribution, over time in
+  // multiples of the mean, falls below the slope of a 30 degree line.
   double EndOfBody(double mean) const {
     constexpr double kSlope = 0.577;
     constexpr double kBinsPerMean = 10;
@@ -158,8 +159,8 @@
   std::int64_t jobs_ = 0;
 };
 
-// One server, first come first served; a request that meets a background job
-// waits until it ends.
+// Simulates one first-come-first-served server. A request that arrives during a
+// background job waits until the job ends.
 Outcome Simulate(const Scenario& scenario, Policy policy, std::uint64_t seed) {
   constexpr int kRequests = 100000;
   Source source(scenario, seed);
@@ -204,7 +205,7 @@
       {"steady", Arrivals::kSteady},
       {"variable", Arrivals::kVariable},
       {"bursty", Arrivals::kBursty}};
-  // A chunk of a prefix is exported in about the time of a step of the engine;
+  // Exporting a chunk of a prefix takes about as long as a step of the engine;
   // a shard of weights takes seven times as long.
   for (const auto& [name, kind] : arrivals) {
     for (const double load : {0.3, 0.7}) {
--- a/bench/limit_wire_size.cc
+++ b/bench/limit_wire_size.cc
@@ -4,14 +4,16 @@
 namespace {
 
 constexpr double kFrameBytes = 60;
-// A tag and a length.
+// Size of a field's tag and length.
 constexpr double kFieldBytes = 2;
 constexpr double kAmountBytes = 5;
-// Sender, its run, time of sending, for how long it cedes.
+// Size of the sender, its incarnation, the time of sending and the period for
+// which the sender cedes.
 constexpr double kBatchBytes = 32;
-// Shard, sequence, applied, echo.
+// Size of the shard, the sequence, the applied sequence and the echo.
 constexpr double kReportBytes = 24;
-// Shard, sequence, fence, two times, lifetime.
+// Size of the shard, the sequence, the fencing token, two times and the
+// lifetime.
 constexpr double kGrantsBytes = 34;
 constexpr double kAmounts = 3;
 
@@ -27,7 +29,8 @@
 
 double ReportBytes(const LimitReport& report) {
   double bytes = kReportBytes;
-  // A node that cedes for itself alone is the sender.
+  // Only a relay names the ceding nodes; a node that cedes only for itself is
+  // already named as the sender.
   if (report.kind == LimitReporter::kRelay) {
     for (const NodeId& node : report.ceding) {
       bytes += static_cast<double>(node.value().size()) + kFieldBytes;
--- a/bench/limits_bench.cc
+++ b/bench/limits_bench.cc
@@ -1,6 +1,6 @@
-// Three ways to keep a contract's limits over all nodes, under skew and faults,
-// and what they cost. In virtual time; exact for a seed but for the CPU time,
-// which is printed only.
+// Compares the accuracy and cost of three ways to enforce a contract's limits
+// over all nodes, under skew and faults. Runs in virtual time. All figures are
+// deterministic for a seed except the CPU time, which is only printed.
 
 #include <algorithm>
 #include <cstdint>
@@ -17,9 +17,9 @@
 struct Scenario {
   std::string name;
   LimitFault fault = LimitFault::kNone;
-  // Callers come to one node in this many.
+  // One in `nodes_per_caller` nodes receives calls.
   std::size_t nodes_per_caller = 1;
-  // Of the limit.
+  // Offered load as a multiple of the limit.
   double offered = 1.5;
 };
 
@@ -39,7 +39,7 @@
 constexpr double kLimitPerNode = 50;
 constexpr std::size_t kSmallFleet = 32;
 constexpr Micros kLargeFleetEnd = MicrosOf(40000);
-// Of the seeds given.
+// Maximum number of the given seeds that are run for the large fleet.
 constexpr std::size_t kLargeFleetSeeds = 2;
 
 const std::vector<Scenario>& Scenarios() {
@@ -54,7 +54,7 @@
   return scenarios;
 }
 
-// Runs of the large fleet take long.
+// Fewer scenarios are run for the large fleet because its runs are slow.
 const std::vector<Scenario>& LargeScenarios() {
   static const std::vector<Scenario> scenarios{
       {"even"},
@@ -95,7 +95,8 @@
       RunScenario(small, {"static", LimitPolicy::kStatic}, scenario);
       RunScenario(small, {"shares", LimitPolicy::kShares}, scenario);
     }
-    // 4,000 requests a second over 100 contracts besides the measured ones.
+    // The other 100 contracts add 4,000 requests per second to those of the
+    // measured contracts.
     const Fleet large{420, 5, 100, 40};
     for (const Scenario& scenario : LargeScenarios()) {
       RunScenario(large, {"shares", LimitPolicy::kShares}, scenario);
@@ -120,7 +121,8 @@
   void RunScenario(const Fleet& fleet,
                    const Policy& policy,
                    const Scenario& scenario) {
-    // Each seed's world is its own; threads change no figure but CPU time.
+    // Each seed has its own world, so threads affect no figure except the CPU
+    // time.
     std::vector<std::future<LimitsFigures>> runs;
     for (const std::uint64_t seed : SeedsFor(fleet)) {
       runs.push_back(std::async(std::launch::async, [&, seed] {
--- a/bench/limits_figures.cc
+++ b/bench/limits_figures.cc
@@ -1,4 +1,4 @@
-// What `LimitsWorld` makes of its counts.
+// Computes the figures of `LimitsWorld` from its counters.
 
 #include <algorithm>
 
@@ -8,13 +8,14 @@
 namespace {
 
 constexpr double kMicrosPerSecond = 1e6;
-// Five seconds, in buckets.
+// Five seconds in buckets of `kLimitsBucket`.
 constexpr std::size_t kWindow = 50;
 constexpr std::size_t kSamplesPerSecond = 10;
 
 }  // namespace
 
-// What is accepted, so that nodes that do not know it yet over-admit.
+// Returns the limit accepted by then, which applies before all nodes know it.
+// Nodes that still use a higher limit therefore count as over-admitting.
 double LimitsWorld::LimitAt(Micros when) const {
   const bool is_changed = settings_.fault == LimitFault::kContractChanged &&
                           when >= settings_.fault_at;
@@ -43,7 +44,8 @@
     ++windows;
   }
   figures.over_mean /= static_cast<double>(windows);
-  // By the second, so that what was refused in one is not made up in another.
+  // Counts per second, so that excess admissions in one second do not offset
+  // refusals in another.
   for (std::size_t i = first; i + kSamplesPerSecond <= last;
        i += kSamplesPerSecond) {
     double offered = 0;
--- a/bench/limits_world.cc
+++ b/bench/limits_world.cc
@@ -14,14 +14,14 @@
 constexpr Micros kTickPeriod = 50000;
 constexpr Micros kNetworkDelay = 1500;
 constexpr double kMicrosPerSecond = 1e6;
-// A lease of fifteen seconds less what had passed of it.
+// Remaining time of the dead owner's lease of fifteen seconds.
 constexpr Micros kTakeOver = MicrosOf(12000);
 constexpr Duration kRoleLife = Duration::Seconds(13);
 constexpr Micros kCallersMove = MicrosOf(1000);
 constexpr double kRunMillis = 2000;
-// One question to a counting node and its answer.
+// Size of a request to the counting node and its answer.
 constexpr double kQuestionBytes = 150;
-// How often a request without a share is tried again.
+// Number of retries of a request whose node holds no share.
 constexpr int kAttempts = 30;
 constexpr std::size_t kKindMeasured = 0;
 constexpr std::size_t kKindConcurrent = 1;
@@ -77,7 +77,7 @@
     nodes_.push_back(std::move(node));
     SetContracts(i, settings_.limit);
   }
-  // Callers come to the last nodes; the first ones own most shards.
+  // Calls go to the last nodes because the first ones own most shards.
   for (std::size_t i = 0; i < settings_.caller_nodes; ++i) {
     callers_.push_back(settings_.nodes - 1 - i);
   }
@@ -97,7 +97,7 @@
   }
 }
 
-// One owner for each shard; the measured contracts' owners stand first.
+// Assigns one owner to each shard, beginning with node `offset`.
 void LimitsWorld::GiveRoles(std::size_t offset) {
   ++fence_;
   owners_.clear();
@@ -239,7 +239,8 @@
   ++admitted_[static_cast<std::size_t>(events_.now() / kLimitsBucket)];
 }
 
-// Refused where the counting node does not answer.
+// Sends a request to the counting node. The call is refused if that node does
+// not answer.
 void LimitsWorld::AskCentral(std::size_t node) {
   Count(nodes_[node], kQuestionBytes);
   if (!IsConnected(node, counter_)) {
@@ -342,7 +343,7 @@
   }
 }
 
-// All shards move on by one node, so that none stays with the dead one.
+// Moves each shard of a dead owner to the next live node.
 void LimitsWorld::TakeOver() {
   for (std::size_t shard = 0; shard < owners_.size(); ++shard) {
     Node& old = nodes_[owners_[shard]];
--- a/bench/membership_bench.cc
+++ b/bench/membership_bench.cc
@@ -1,6 +1,6 @@
-// What watching over each other costs a node, and how soon failures and planned
-// stops are known, against the number of nodes. All but processor time and
-// memory in virtual time.
+// Measures a node's cost of failure detection, and how soon failures and
+// planned stops are known, against the number of nodes. All figures except
+// processor time and memory are in virtual time.
 
 #include <malloc.h>
 
@@ -45,7 +45,7 @@
   double messages_per_node_second = 0;
   double bytes_per_node_second = 0;
   double store_calls_per_second = 0;
-  // Of all nodes' state machines and the fake network.
+  // Processor time of all nodes' state machines and the fake network.
   double processor_micros_per_node_second = 0;
 };
 
@@ -69,10 +69,11 @@
           (ProcessorSeconds() - processor) * 1e6 / node_seconds};
 }
 
-// Seconds from the death of one node.
+// Seconds from the death of a node until other nodes detect it.
 struct Detection {
   double first_suspect = 0;
-  // All take it for suspect or dead: it gets no new work.
+  // Time until all nodes consider the node suspect or dead, so that it gets no
+  // new work.
   double all_avoid = 0;
   double all_dead = 0;
 };
@@ -111,7 +112,7 @@
 
 struct ZoneLoss {
   double all_dead_seconds = 0;
-  // The busiest second of the survivors.
+  // Bytes per surviving node in the busiest second.
   double peak_bytes_per_node_second = 0;
 };
 
--- a/bench/once_bench.cc
+++ b/bench/once_bench.cc
@@ -1,5 +1,5 @@
 // Counts in virtual time which sends of callers are refused under each fault,
-// for several outage leases, beside a baseline that refuses everything.
+// for several outage leases, compared with a baseline that refuses everything.
 
 #include <algorithm>
 #include <cstdio>
@@ -167,8 +167,8 @@
   figures[prefix + "/violations"] = counts.violated ? 1 : 0;
 }
 
-// What the journal costs when nothing fails: calls to the key-value service
-// and the wait of a caller's first send until it may run.
+// Measures the cost of the journal without faults: calls to the key-value
+// service, and how long a caller's first send waits before it may run.
 void MeasureRates(std::uint64_t seed, boost::json::object& figures) {
   std::printf("\n%-12s %9s %12s %12s\n", "sends/s", "store/s", "p50 wait ms",
               "p99 wait ms");
--- a/bench/repair_bench.cc
+++ b/bench/repair_bench.cc
@@ -1,5 +1,5 @@
-// Group downtime against stranded accelerators: the planner under the weights
-// of two operators, against repair in order of arrival.
+// Compares group downtime and stranded accelerators for the planner with the
+// weights of two operators and for repair in order of arrival.
 
 #include <string>
 #include <vector>
--- a/bench/repair_world.cc
+++ b/bench/repair_world.cc
@@ -50,7 +50,7 @@
 
 RepairCost RepairWorld::Run() {
   const Time start = now_;
-  // The zone fills before it is measured.
+  // Measurement starts after an hour, once the zone has filled with groups.
   const Time measured_from = start + Duration::Seconds(3600);
   const Time short_dark = start + Duration::Seconds(21600);
   const Time long_dark = start + Duration::Seconds(108000);
@@ -87,7 +87,7 @@
     Lose(vm, fails ? Between(1200, 3600) : Between(60, 180));
     vm.group = GroupId();
     vm.weights = ModelId();
-    // A flapping VM goes down every five minutes or so.
+    // A flapping VM goes down about every five minutes.
     constexpr double kFlapsPerDay = 288;
     vm.next_loss = vm.back + Exponential(vm.is_flapping ? kFlapsPerDay : rate);
   }
@@ -234,7 +234,8 @@
   }
 }
 
-// VMs that hold the weights already need not fetch them again.
+// Starts loading the group's weights. VMs that already hold the weights do not
+// fetch them again.
 void RepairWorld::StartLoad(const GroupRecord& group) {
   const auto fetching = std::count_if(
       group.members.begin(), group.members.end(),
--- a/bench/repair_world.h
+++ b/bench/repair_world.h
@@ -23,7 +23,7 @@
   int flapping_vms = 2;
   Duration length = Duration::Seconds(172800);
   Duration step = Duration::Seconds(2);
-  // Time until a lost VM or a departed engine is detected.
+  // Time from the loss of a VM until the planner sees it as lost.
   Duration detection = Duration::Seconds(4);
   // Time to load one VM's weights if no other VM uses the weight store.
   Duration load_per_vm = Duration::Seconds(10);
--- a/bench/retry_bench.cc
+++ b/bench/retry_bench.cc
@@ -1,5 +1,5 @@
-// A third of the endpoints fails and comes back: goodput, extra work by
-// retries, and time to return to normal.
+// Measures goodput, the extra work caused by retries and the recovery time when
+// a third of the endpoints fails and comes back.
 
 #include <functional>
 #include <string>
--- a/bench/retry_world.cc
+++ b/bench/retry_world.cc
@@ -15,7 +15,7 @@
 constexpr Micros kFaultAt = 25 * kSecond;
 constexpr Micros kFaultEnd = 45 * kSecond;
 constexpr Micros kEnd = 116 * kSecond;
-// Long enough for those who were refused to come back.
+// Calls continue after the fault until refused callers have had time to retry.
 constexpr Micros kLastCall = 110 * kSecond;
 constexpr Micros kReportPeriod = 9 * kSecond / 5;
 constexpr Micros kReportLag = kSecond / 5;
@@ -23,16 +23,18 @@
 constexpr Duration kPatience = Duration::Seconds(6);
 constexpr std::int64_t kMaxSends = 4;
 constexpr std::int64_t kPromptTokens = 600;
-// Of the log-normal answer length; its mean is 128 tokens.
+// Parameters of the log-normal answer length, whose mean is 128 tokens.
 constexpr double kAnswerLogMedian = 4.6;
 constexpr double kAnswerLogDeviation = 0.7;
 constexpr double kMeanAnswerTokens = 128;
 constexpr Micros kWindow = 5 * kSecond;
 constexpr Micros kLastSpan = kLastCall - 4 * kWindow;
-// A window is normal where this share of new calls is answered at once.
+// A window counts as normal if at least this fraction of new calls is answered
+// at the first send.
 constexpr double kNormal = 0.98;
 constexpr Micros kNormalStep = kSecond / 2;
-// Answers to the last calls are still under way at the end.
+// Later windows are not used because answers to the last calls are still
+// pending at the end.
 constexpr Micros kLastWindow = kLastCall - 2 * kWindow;
 
 double CapacityPerReplica(const EngineSettings& engine) {
@@ -164,7 +166,7 @@
   send->profile.target = ModelTarget{ModelId("notes"), {}};
   send->profile.prompt_tokens = TokenCount(kPromptTokens);
   send->profile.arrived = events_.time();
-  // A way that passes no deadlines does not know the caller's patience.
+  // Without `passes_deadlines`, nodes do not know how long the caller waits.
   send->profile.deadline =
       events_.time() +
       (way_.passes_deadlines ? kPatience : Duration::Seconds(3600));
@@ -245,7 +247,8 @@
   if (send->is_over) {
     return;
   }
-  // A cut stream is the caller's to send again.
+  // The node does not retry a stream that broke after its first byte; the
+  // caller must send the request again.
   if (!send->has_first_byte && MayRetry(send)) {
     send->excluded.push_back(engines_[send->replica]->settings().id);
     Dispatch(send);
--- a/bench/router_policy.cc
+++ b/bench/router_policy.cc
@@ -6,7 +6,7 @@
 namespace gcw::bench {
 namespace {
 
-// Drives the router as a node's core does.
+// Drives the router in the same way as a node's core.
 class RouterDriver final : public RoutingPolicy {
  public:
   RouterDriver(const RouterSettings& settings, const PolicyPlace& place)
--- a/bench/routing_bench.cc
+++ b/bench/routing_bench.cc
@@ -1,4 +1,5 @@
-// Routing against plain baselines, in both deployments, under load and faults.
+// Compares the router with simple baselines in both deployments, under load and
+// faults.
 
 #include <algorithm>
 #include <functional>
@@ -38,17 +39,17 @@
     };
     add("load70", 0.7, RoutingFault::kNone);
     add("load90", 0.9, RoutingFault::kNone);
-    // More than the fleet can bear without prefix affinity.
+    // This load exceeds the fleet's capacity without prefix affinity.
     add("load110", 1.1, RoutingFault::kNone);
     add("stragglers", 0.7, RoutingFault::kStragglers);
     add("event_gaps", 0.7, RoutingFault::kEventGaps);
-    // The rest carries three halves of its load while a zone is away.
+    // The remaining engines carry 1.5 times their load while a zone is down.
     add("zone_lost", 0.5, RoutingFault::kZoneLost);
   }
   return scenarios;
 }
 
-// The figures of one policy in one scenario, over all seeds.
+// Figures of one policy in one scenario, over all seeds.
 struct Series {
   std::vector<double> p50, p95, p99, hits, peaks, failed;
 
--- a/bench/routing_faults.cc
+++ b/bench/routing_faults.cc
@@ -1,4 +1,4 @@
-// The faults of a routing scenario.
+// Injects the faults of a routing scenario.
 
 #include "bench/routing_world.h"
 
@@ -9,7 +9,7 @@
 constexpr std::size_t kStragglerStride = 20;
 constexpr Micros kFaultAt = kWarmUp + 4 * kSecond;
 constexpr Micros kFaultEnd = kWarmUp + 18 * kSecond;
-// Until the serving gate closes or opens.
+// Delay until the serving gate closes or opens.
 constexpr Micros kGateDelay = 2 * kSecond;
 
 }  // namespace
@@ -28,7 +28,7 @@
   }
 }
 
-// Zone 0 goes dark with its engines; its nodes' callers go to the others.
+// Takes down zone 0 with its engines. Callers of its nodes move to other nodes.
 void RoutingWorld::LoseZone() {
   for (Node& node : nodes_) {
     node.is_down = node.zone == 0;
--- a/bench/routing_world.cc
+++ b/bench/routing_world.cc
@@ -13,7 +13,7 @@
 constexpr double kWithinZoneMillis = 0.2;
 constexpr Micros kMeasured = 30 * kSecond;
 constexpr Micros kCoolDown = 6 * kSecond;
-// Reports are between 0.2 and 2 s old.
+// Load reports are between 0.2 and 2 s old.
 constexpr Micros kReportLag = kSecond / 5;
 constexpr Micros kReportPeriod = 9 * kSecond / 5;
 constexpr Micros kEventPeriod = kSecond;
@@ -21,15 +21,17 @@
 constexpr std::size_t kEventMemory = 4000;
 constexpr Micros kTick = kSecond / 20;
 constexpr Micros kSample = kSecond / 10;
-// A caller's address holds for a while.
+// Probability that a caller's next call goes to the same node, because callers
+// cache an address for a while.
 constexpr double kSameNodeShare = 0.9;
 constexpr std::int64_t kMaxAttempts = 3;
 constexpr double kGapShare = 0.2;
-// Four turns, each served for 8 s and followed by a pause of 8 s.
+// A session has four turns of 8 s each, with pauses of 8 s in between.
 constexpr double kMeanSessionSeconds = 56;
 constexpr Micros kFirstTurnsBy = 14 * kSecond;
-// What plain balancing found in caches of 16384 blocks; in those of this
-// benchmark it finds less, so that its own capacity is lower.
+// Hit rate of plain balancing with caches of 16384 blocks. The smaller caches
+// of this benchmark give a lower rate, so the capacity of plain balancing is
+// lower than the nominal one.
 constexpr double kNominalHitShare = 0.57;
 constexpr double kMeanPromptTokens = 3200;
 constexpr double kMeanAnswerTokens = 235;
@@ -157,7 +159,7 @@
   const bool is_lost = scenario_.fault == RoutingFault::kEventGaps &&
                        DrawUnit(random_) < kGapShare;
   if (is_lost) {
-    // The engine forgot these before the node asked.
+    // The engine dropped these events before the node polled them.
     last = source.next_event - 1;
     return;
   }
@@ -203,8 +205,8 @@
   }
 }
 
-// Sessions last longer than the warm-up, so the run begins with those that a
-// steady state would have, at a random point of their lives.
+// Starts the sessions that exist in a steady state, each at a random point of
+// its lifetime, because sessions last longer than the warm-up.
 void RoutingWorld::StartOldSessions() {
   const auto sessions =
       static_cast<std::int64_t>(sessions_per_second_ * kMeanSessionSeconds);
@@ -336,8 +338,8 @@
   }
 }
 
-// A stream that broke after its first byte is resumed elsewhere by the node;
-// for the time to a first token it counts no second time.
+// The node resumes a stream that broke after its first byte at another
+// endpoint. Such a stream is not counted again in the time to first token.
 void RoutingWorld::OnAttemptFailed(const CallPointer& call,
                                    std::size_t replica) {
   call->excluded.push_back(replicas_[replica].endpoint.id);
@@ -361,7 +363,8 @@
 }
 
 RoutingFigures RoutingWorld::Figures() {
-  // Who still waits has waited at least this long.
+  // For calls that still wait, the time so far is a lower bound of their time
+  // to first token.
   for (const auto& [attempt, call] : waiting_) {
     if (call->is_measured && !call->has_first_byte) {
       ttft_millis_.push_back(
--- a/bench/session_workload.cc
+++ b/bench/session_workload.cc
@@ -88,7 +88,7 @@
   return -mean * std::log(1 - DrawUnit(random_));
 }
 
-// Box-Muller.
+// Uses the Box-Muller transform.
 double SessionWorkload::LogNormal(double log_median, double deviation) {
   const double radius = std::sqrt(-2 * std::log(1 - DrawUnit(random_)));
   const double angle = 2 * std::numbers::pi * DrawUnit(random_);
--- a/bench/tier_callers.cc
+++ b/bench/tier_callers.cc
@@ -1,4 +1,4 @@
-// When `TierWorld`'s callers come and what they ask for.
+// Arrivals and request sizes of the callers in `TierWorld`.
 
 #include <algorithm>
 #include <array>
@@ -30,7 +30,8 @@
              : (1 - kBurstShare * settings_.burst_factor) / (1 - kBurstShare);
 }
 
-// Arrivals are thinned from the highest rate, so that bursts keep the draw.
+// Draws arrivals at the highest rate and drops a part of them at lower rates,
+// so that bursts do not change the sequence of random numbers.
 void TierWorld::ScheduleArrival(Tier tier, double rate, bool flood) {
   if (rate <= 0) {
     return;
@@ -49,8 +50,8 @@
   });
 }
 
-// Callers of each kind draw for themselves, so that paid ones come alike with
-// and without the others.
+// Each kind of caller has its own random source, so that paid arrivals are the
+// same with and without the other kinds.
 const Random& TierWorld::CallersOf(Tier tier, bool flood) const {
   if (flood) {
     return callers_[2];
--- a/bench/tier_world.cc
+++ b/bench/tier_world.cc
@@ -57,8 +57,8 @@
          kMicrosPerSecond;
 }
 
-// Without an owner each node has its floor; the contracts' limits are far
-// above the load here.
+// No node owns limits here, so each node enforces its floor. The contracts'
+// limits are far above the load.
 void TierWorld::MakeNodes(std::uint64_t seed) {
   for (std::size_t i = 0; i < settings_.nodes; ++i) {
     LimitSettings limit_settings;
@@ -131,7 +131,7 @@
 }
 
 void TierWorld::LoseEndpoints() {
-  // Spread, not the first ones.
+  // The lost endpoints are spread evenly over all endpoints.
   const std::size_t total = endpoints_.size();
   for (std::size_t i = 0; i < settings_.lost_endpoints; ++i) {
     const std::size_t lost = i * total / settings_.lost_endpoints;
@@ -169,8 +169,9 @@
   Apply(nodes_[call.node].admission->Offer(events_.time(), profile));
 }
 
-// The plain ways: paid work goes anywhere; trial work goes where the report
-// and this node's own dispatches leave a place.
+// Implements the policies without pools. Paid requests may go to any endpoint;
+// trial requests go to endpoints with a free slot according to the last report
+// and this node's own dispatches.
 void TierWorld::OfferToPolicy(Call& call) {
   std::vector<std::size_t> candidates;
   for (std::size_t i = 0; i < reports_.size(); ++i) {
@@ -231,7 +232,7 @@
          own;
 }
 
-// The less loaded of two random ones.
+// Returns the less loaded of two random candidates.
 std::size_t TierWorld::Pick(std::size_t node,
                             const std::vector<std::size_t>& candidates) {
   const std::size_t a = candidates[DrawBelow(random_, candidates.size())];
@@ -290,7 +291,8 @@
                                                 TokenCount(call.generated)));
 }
 
-// An answer cut by the loss of its endpoint; callers are not modelled beyond.
+// Records a request whose endpoint was lost. Callers do not retry in this
+// model.
 void TierWorld::Fail(std::uint64_t id) {
   const Call call = calls_.at(id);
   calls_.erase(id);
--- a/bench/tiers_bench.cc
+++ b/bench/tiers_bench.cc
@@ -1,5 +1,6 @@
-// Paid latency with and without trial load, and what trial work gets of the
-// room that paid work leaves. In virtual time; exact for a seed.
+// Measures paid latency with and without trial load, and how much of the
+// capacity left by paid work is used by trial work. Runs in virtual time and is
+// deterministic for a seed.
 
 #include <algorithm>
 #include <cstdint>
@@ -17,9 +18,9 @@
 constexpr Micros kLossAt = MicrosOf(40000);
 constexpr Micros kEnd = MicrosOf(130000);
 constexpr double kPaidPerSecond = 80;
-// More than all endpoints can run.
+// This rate exceeds the capacity of all endpoints.
 constexpr double kSaturatingPerSecond = 400;
-// Every third endpoint.
+// A third of the endpoints.
 constexpr std::size_t kLostEndpoints = 8;
 
 struct Scenario {
@@ -28,9 +29,10 @@
   std::int64_t trial_cap = 0;
   double burst_factor = 1;
   std::size_t lost = 0;
-  // Trial requests offered, as a multiple of the room.
+  // Offered trial load as a multiple of the capacity left by paid work.
   double trial_load = 0;
-  // Absent where nobody floods on purpose.
+  // Additional requests per second of the first team; unset if the scenario has
+  // no flood.
   std::optional<double> flood_per_second = std::nullopt;
 };
 
@@ -57,12 +59,13 @@
                     : static_cast<double>(part) / static_cast<double>(whole);
 }
 
-// What the endpoints make when they always have enough to do.
+// Returns the token rate of the endpoints under a saturating load.
 double SaturatedTokensPerSecond(std::uint64_t seed) {
   TierWorldSettings settings =
       SettingsFor({.name = "saturated", .policy = TierPolicy::kPriority});
   settings.paid_per_second = kSaturatingPerSecond;
-  // Only requests that arrived after the warm-up are counted, and these wait.
+  // The warm-up is skipped: only requests that arrive after it are counted, and
+  // under saturation these would still be queued.
   settings.warm_up = 0;
   TierWorld world(settings, seed);
   world.Run();
@@ -85,7 +88,7 @@
   double others_answered = 0;
 };
 
-// Of all teams but the flooding one.
+// Fills in the figures of all teams except the flooding one.
 void FillOthers(const TierWorld& world, Result& result) {
   TierOutcome others;
   for (std::size_t team = 1; team < TierWorld::kTeams; ++team) {
@@ -125,7 +128,7 @@
       .gap50 = paid.GapQuantile(0.5),
       .gap95 = paid.GapQuantile(0.95),
       .gap99 = paid.GapQuantile(0.99),
-      // Still running at the end counts as neither.
+      // Requests still running at the end are not counted.
       .paid_answered =
           ShareOf(paid.answered, paid.answered + paid.refused + paid.failed),
       .paid_refused = ShareOf(paid.refused, paid.offered),
@@ -203,7 +206,8 @@
     return SpreadOf(values);
   }
 
-  // Of each seed's value to the same seed's without trial load.
+  // Returns the ratio of each seed's value to the value of the same seed
+  // without trial load.
   Spread RatioToBase(const std::vector<Result>& results, Field field) const {
     std::vector<double> values;
     for (std::size_t i = 0; i < results.size(); ++i) {
@@ -279,7 +283,7 @@
   BenchOptions options_;
   std::vector<double> saturated_;
   std::vector<double> tokens_per_request_;
-  // The last scenario without trial load.
+  // Results of the last scenario without trial load.
   std::vector<Result> base_;
   double worst_ttft_ratio_ = 0;
   double worst_gap_ratio_ = 0;
