--- a/bench/baseline_policies.cc
+++ b/bench/baseline_policies.cc
@@ -41,7 +41,7 @@
   virtual EndpointId Pick(Time now,
                           const RequestProfile& profile,
                           const std::vector<EndpointId>& allowed) = 0;
-  const EndpointId& Any(const std::vector<EndpointId>& ids) {
+  const EndpointId& PickRandom(const std::vector<EndpointId>& ids) {
     return ids[DrawBelow(random_, ids.size())];
   }
   const std::vector<EndpointId>& endpoints() const { return endpoints_; }
@@ -61,7 +61,7 @@
   EndpointId Pick(Time /*now*/,
                   const RequestProfile& /*profile*/,
                   const std::vector<EndpointId>& allowed) override {
-    return Any(allowed);
+    return PickRandom(allowed);
   }
 };
 
@@ -94,19 +94,19 @@
   EndpointId Pick(Time /*now*/,
                   const RequestProfile& /*profile*/,
                   const std::vector<EndpointId>& allowed) override {
-    std::vector<EndpointId> least;
-    std::int64_t least_load = 0;
+    std::vector<EndpointId> least_loaded;
+    std::int64_t min_load = 0;
     for (const EndpointId& id : allowed) {
       const std::int64_t load = loads_[id];
-      if (least.empty() || load < least_load) {
-        least.clear();
-        least_load = load;
+      if (least_loaded.empty() || load < min_load) {
+        least_loaded.clear();
+        min_load = load;
       }
-      if (load == least_load) {
-        least.push_back(id);
+      if (load == min_load) {
+        least_loaded.push_back(id);
       }
     }
-    return Any(least);
+    return PickRandom(least_loaded);
   }
 
   std::unordered_map<EndpointId, std::int64_t> loads_;
@@ -145,18 +145,18 @@
       blocks[match.slot] = match.blocks;
     }
     std::vector<EndpointId> best;
-    std::int64_t most = 0;
+    std::int64_t max_matched = 0;
     for (const EndpointId& id : allowed) {
       const std::int64_t held = blocks[slots_.at(id)];
-      if (best.empty() || held > most) {
+      if (best.empty() || held > max_matched) {
         best.clear();
-        most = held;
+        max_matched = held;
       }
-      if (held == most) {
+      if (held == max_matched) {
         best.push_back(id);
       }
     }
-    EndpointId chosen = Any(best);
+    EndpointId chosen = PickRandom(best);
     index_.OnDispatched(now, slots_.at(chosen), profile.prefix_blocks);
     return chosen;
   }
@@ -168,8 +168,8 @@
 
 template <typename Policy>
 NamedPolicy Named(std::string name) {
-  return {std::move(name), [](const PolicyPlace& place) {
-            return std::make_unique<Policy>(place.seed);
+  return {std::move(name), [](const PolicyContext& context) {
+            return std::make_unique<Policy>(context.seed);
           }};
 }
 
--- a/bench/block_cache.h
+++ b/bench/block_cache.h
@@ -24,19 +24,19 @@
   std::size_t MatchedBlocks(const std::vector<PrefixBlock>& blocks) const;
   // Marks all blocks as used and stores the missing ones. The first blocks
   // become the most recently used, so that a chain is evicted from its end.
-  void Touch(const std::vector<PrefixBlock>& blocks);
+  void UseOrStore(const std::vector<PrefixBlock>& blocks);
   void Clear();
-  std::size_t size() const { return places_.size(); }
+  std::size_t size() const { return positions_.size(); }
   std::size_t capacity() const { return capacity_; }
 
  private:
-  void TouchOne(PrefixBlock block);
+  void UseOrStoreBlock(PrefixBlock block);
 
   std::size_t capacity_;
   ChangeHook on_change_;
   // Most recently used first.
-  std::list<PrefixBlock> order_;
-  std::unordered_map<PrefixBlock, std::list<PrefixBlock>::iterator> places_;
+  std::list<PrefixBlock> lru_order_;
+  std::unordered_map<PrefixBlock, std::list<PrefixBlock>::iterator> positions_;
 };
 
 }  // namespace gcw::bench
--- a/bench/decision_bench.cc
+++ b/bench/decision_bench.cc
@@ -79,7 +79,7 @@
       profiles_.push_back(SessionRequest(session));
     }
     for (std::int64_t i = 0; i < kInFlight; ++i) {
-      in_flight_.push_back(Send());
+      in_flight_.push_back(StartRequest());
     }
   }
 
@@ -89,9 +89,9 @@
   }
 
   // Starts a request and finishes an older one.
-  void SendAndFinish() {
+  void StartAndFinishRequest() {
     const DispatchTicket ended =
-        std::exchange(in_flight_[next_ % in_flight_.size()], Send());
+        std::exchange(in_flight_[next_ % in_flight_.size()], StartRequest());
     router_->OnFirstByte(now_, ended);
     router_->OnFinished(now_, ended, TokenCount(100));
   }
@@ -121,7 +121,7 @@
     return profiles_[next_++ % profiles_.size()];
   }
 
-  DispatchTicket Send() {
+  DispatchTicket StartRequest() {
     const RequestProfile& profile = NextProfile();
     const auto route = router_->Choose(now_, profile, {});
     return router_->OnDispatched(now_, ValueOf(route), profile);
@@ -161,14 +161,14 @@
 BENCHMARK(Choose)->Arg(65)->Arg(96)->Arg(620)->MinTime(0.5);
 
 void WholeRequest(benchmark::State& state) {
-  Measure(state, [](BusyRouter& router) { router.SendAndFinish(); });
+  Measure(state, [](BusyRouter& router) { router.StartAndFinishRequest(); });
 }
 BENCHMARK(WholeRequest)->Arg(65)->Arg(96)->Arg(620)->MinTime(0.5);
 
 // Prints like `ConsoleReporter` and records the figures in a `BenchReport`.
-class KeepingReporter final : public benchmark::ConsoleReporter {
+class RecordingReporter final : public benchmark::ConsoleReporter {
  public:
-  explicit KeepingReporter(BenchReport& report) : report_(report) {}
+  explicit RecordingReporter(BenchReport& report) : report_(report) {}
 
   void ReportRuns(const std::vector<Run>& runs) override {
     ConsoleReporter::ReportRuns(runs);
@@ -191,7 +191,7 @@
   benchmark::Initialize(&argc, argv);
   const BenchOptions options = ParseBenchOptions(argc, argv);
   BenchReport report("decision", {"decision", "us", "allocations"});
-  KeepingReporter reporter(report);
+  RecordingReporter reporter(report);
   benchmark::RunSpecifiedBenchmarks(&reporter);
   return report.Finish(options);
 }
--- a/bench/endpoint_model.cc
+++ b/bench/endpoint_model.cc
@@ -97,9 +97,9 @@
                                 Micros period,
                                 Micros lag,
                                 ReportHook hook) {
-  events_.At(first, [this, first, period, lag, hook = std::move(hook)] {
+  events_.ScheduleAt(first, [this, first, period, lag, hook = std::move(hook)] {
     if (!is_down_) {
-      events_.After(lag, [hook, report = Load()] { hook(report); });
+      events_.ScheduleAfter(lag, [hook, report = Load()] { hook(report); });
     }
     PublishLoad(first + period, period, lag, hook);
   });
@@ -122,7 +122,7 @@
   }
 }
 
-void EndpointModel::ComeBack() {
+void EndpointModel::RestartAsNextGeneration() {
   ++settings_.generation;
   Restart();
 }
@@ -146,8 +146,8 @@
                         settings_.decode_per_request_millis * decoding +
                         prefill_millis;
   const std::uint64_t epoch = epoch_;
-  events_.After(MicrosOf(millis * slowdown_),
-                [this, epoch] { EndStep(epoch); });
+  events_.ScheduleAfter(MicrosFromMillis(millis * slowdown_),
+                        [this, epoch] { EndStep(epoch); });
 }
 
 void EndpointModel::Admit() {
@@ -200,7 +200,7 @@
   }
   if (job.prefill_left > 0) {
     job.prefill_left = 0;
-    cache_.Touch(job.request.prefix_blocks);
+    cache_.UseOrStore(job.request.prefix_blocks);
   }
   job.chunk = 0;
   ++job.generated;
--- a/bench/endpoint_model.h
+++ b/bench/endpoint_model.h
@@ -85,7 +85,7 @@
   // fail until the engine is up again.
   void GoDown();
   // Brings the engine back up, empty, as the next generation.
-  void ComeBack();
+  void RestartAsNextGeneration();
   // Brings the engine back up, empty, as the same generation.
   void Restart();
 
--- a/bench/event_queue.cc
+++ b/bench/event_queue.cc
@@ -9,14 +9,14 @@
   return a.when != b.when ? a.when > b.when : a.order > b.order;
 }
 
-void EventQueue::At(Micros when, Callback callback) {
+void EventQueue::ScheduleAt(Micros when, Callback callback) {
   entries_.push_back(
       {std::max(when, now_), next_order_++, std::move(callback)});
   std::push_heap(entries_.begin(), entries_.end(), IsLater);
 }
 
-void EventQueue::After(Micros delay, Callback callback) {
-  At(now_ + delay, std::move(callback));
+void EventQueue::ScheduleAfter(Micros delay, Callback callback) {
+  ScheduleAt(now_ + delay, std::move(callback));
 }
 
 void EventQueue::RunUntil(Micros end) {
--- a/bench/event_queue.h
+++ b/bench/event_queue.h
@@ -15,7 +15,7 @@
 
 inline constexpr Micros kSecond = 1000000;
 
-constexpr Micros MicrosOf(double millis) {
+constexpr Micros MicrosFromMillis(double millis) {
   return static_cast<Micros>(millis * 1000.0);
 }
 
@@ -29,8 +29,8 @@
   // Returns the current virtual time in the unit of the decision core.
   Time time() const { return Time::FromMillis(now_ / 1000); }
 
-  void At(Micros when, Callback callback);
-  void After(Micros delay, Callback callback);
+  void ScheduleAt(Micros when, Callback callback);
+  void ScheduleAfter(Micros delay, Callback callback);
   // Runs all callbacks due up to and including `end`, then sets the time to
   // `end`.
   void RunUntil(Micros end);
--- a/bench/gateway_deferral_bench.cc
+++ b/bench/gateway_deferral_bench.cc
@@ -19,7 +19,7 @@
 namespace {
 
 constexpr std::size_t kGroups = 12;
-constexpr std::int64_t kPlaces = 48;
+constexpr std::int64_t kBatchSlots = 48;
 // Mean sizes of a request, and how long its caller waits for the first token.
 constexpr double kPromptTokens = 674;
 constexpr double kAnswerTokens = 150;
@@ -27,13 +27,13 @@
 constexpr double kPatienceMillis = 2000;
 // Requests per second over all nodes at the normal load, which is three
 // quarters of the groups' capacity.
-constexpr double kUsualPerSecond = 314;
+constexpr double kNormalPerSecond = 314;
 // The load is normal before and after the burst. During the burst it is
 // multiplied by the run's load factor.
 constexpr Micros kBurstFrom = 6 * kSecond;
 constexpr Micros kBurstUntil = 20 * kSecond;
 constexpr Micros kEnd = 28 * kSecond;
-constexpr double kLargestPart = 0.1;
+constexpr double kLargestShare = 0.1;
 
 enum class Policy {
   // Every request is sent at once, even if the groups are full.
@@ -62,7 +62,7 @@
       : random_(SeededRandom(seed)), load_(load) {
     for (std::size_t i = 0; i < kGroups; ++i) {
       EngineSettings engine;
-      engine.batch_limit = kPlaces;
+      engine.batch_limit = kBatchSlots;
       engine.prefill_tokens_per_second = 93500;
       engine.prefill_chunk_tokens = 2048;
       engine.decode_base_millis = 3.87;
@@ -77,7 +77,7 @@
   Outcome Run() {
     Arrive();
     events_.RunUntil(kEnd + 10 * kSecond);
-    const double asked = static_cast<double>(asked_);
+    const double asked = static_cast<double>(arrived_);
     Outcome outcome;
     outcome.in_time = static_cast<double>(in_time_) / asked;
     outcome.late = static_cast<double>(late_) / asked;
@@ -110,7 +110,7 @@
     double prompt = 0;
     double answer = 0;
     Micros arrived = 0;
-    bool came_back = false;
+    bool is_retry = false;
   };
 
   void AddNode(std::size_t nodes, Policy policy) {
@@ -134,7 +134,7 @@
       replica.service = ServiceId("s");
       replica.model = ModelId("m");
       replica.zone = ZoneId("z");
-      replica.places = kPlaces;
+      replica.places = kBatchSlots;
       replica.pass_ms = 33;
       replica.prompt_tokens_per_ms = 93.5;
       replica.service_ms = 1000;
@@ -170,23 +170,24 @@
     }
     const bool bursts =
         events_.now() >= kBurstFrom && events_.now() < kBurstUntil;
-    const double rate = kUsualPerSecond * (bursts ? load_ : 1);
+    const double rate = kNormalPerSecond * (bursts ? load_ : 1);
     Request request;
     request.node = DrawBelow(random_, nodes_.size());
     request.prompt = std::min(2340.0, DrawExponential(kPromptTokens));
     request.answer = std::max(5.0, DrawExponential(kAnswerTokens));
     request.arrived = events_.now();
-    ++asked_;
+    ++arrived_;
     large_ += IsLarge(request) ? 1 : 0;
-    Ask(request);
-    events_.After(MicrosOf(DrawExponential(1000 / rate)), [this] { Arrive(); });
+    Offer(request);
+    events_.ScheduleAfter(MicrosFromMillis(DrawExponential(1000 / rate)),
+                          [this] { Arrive(); });
   }
 
   static bool IsLarge(const Request& request) {
-    return request.prompt > -kPromptTokens * std::log(kLargestPart);
+    return request.prompt > -kPromptTokens * std::log(kLargestShare);
   }
 
-  void Ask(const Request& request) {
+  void Offer(const Request& request) {
     Node& node = *nodes_[request.node];
     ForwardRequest forward;
     forward.host = "h";
@@ -201,14 +202,15 @@
       return;
     }
     const auto& refused = std::get<ForwardRefused>(begun.step);
-    if (request.came_back) {
+    if (request.is_retry) {
       ++refused_;
       return;
     }
     Request again = request;
-    again.came_back = true;
-    events_.After(MicrosOf(static_cast<double>(refused.retry_after.millis())),
-                  [this, again] { Ask(again); });
+    again.is_retry = true;
+    events_.ScheduleAfter(
+        MicrosFromMillis(static_cast<double>(refused.retry_after.millis())),
+        [this, again] { Offer(again); });
   }
 
   void Submit(const Request& request, ForwardId id, const SendForward& send) {
@@ -231,7 +233,7 @@
           {load.running_requests, load.queued_requests, load.batch_limit});
       node.desk.OnProgress(events_.time(), id);
       const bool in_time =
-          events_.now() - request.arrived <= MicrosOf(kObjectiveMillis);
+          events_.now() - request.arrived <= MicrosFromMillis(kObjectiveMillis);
       ++(in_time ? in_time_ : late_);
       large_served_ += IsLarge(request) ? 1 : 0;
     };
@@ -242,13 +244,14 @@
       nodes_[request.node]->desk.OnEnded(events_.time(), id, end);
     };
     engine.Submit(std::move(run));
-    events_.After(
-        MicrosOf(kPatienceMillis), [this, request, id, begun, number, &engine] {
-          if (!*begun) {
-            engine.Cancel(number);
-            nodes_[request.node]->desk.OnCallerGone(events_.time(), id);
-          }
-        });
+    events_.ScheduleAfter(MicrosFromMillis(kPatienceMillis),
+                          [this, request, id, begun, number, &engine] {
+                            if (!*begun) {
+                              engine.Cancel(number);
+                              nodes_[request.node]->desk.OnCallerGone(
+                                  events_.time(), id);
+                            }
+                          });
   }
 
   Random random_;
@@ -258,7 +261,7 @@
   std::vector<std::unique_ptr<Node>> nodes_;
   std::shared_ptr<const RouteTable> routes_ = Routes();
   std::uint64_t last_request_ = 0;
-  int asked_ = 0;
+  int arrived_ = 0;
   int in_time_ = 0;
   int late_ = 0;
   int refused_ = 0;
--- a/bench/gateway_store_bench.cc
+++ b/bench/gateway_store_bench.cc
@@ -16,7 +16,7 @@
 constexpr Duration kWarmUp = Duration::Seconds(20);
 constexpr Duration kSpan = Duration::Seconds(30);
 // Time between two changed registrations under `Load::kChanges`.
-constexpr Duration kBetweenChanges = Duration::Millis(100);
+constexpr Duration kChangeInterval = Duration::Millis(100);
 constexpr std::size_t kDomains = 2;
 constexpr std::size_t kVmsPerDomain = 10;
 
@@ -29,7 +29,7 @@
   double calls_per_node_second = 0;
   double renewals_per_node_second = 0;
   // Rate of the node that made the most calls.
-  double most_calls_per_second = 0;
+  double max_calls_per_second = 0;
 };
 
 void SetUp(GatewayWorld& world, Load load) {
@@ -41,14 +41,14 @@
   }
 }
 
-void PlaySpan(GatewayWorld& world, Load load) {
+void RunSpan(GatewayWorld& world, Load load) {
   if (load == Load::kIdle) {
     world.Run(kSpan);
     return;
   }
-  for (Duration played; played < kSpan; played = played + kBetweenChanges) {
+  for (Duration played; played < kSpan; played = played + kChangeInterval) {
     world.Rewrite(world.engines().begin()->first);
-    world.Run(kBetweenChanges);
+    world.Run(kChangeInterval);
   }
 }
 
@@ -62,15 +62,14 @@
     before.push_back(world.node(i).store_calls);
     renewals -= world.node(i).store_renewals;
   }
-  PlaySpan(world, load);
+  RunSpan(world, load);
   const double seconds = static_cast<double>(kSpan.millis()) / 1000;
   Figure figure;
   for (std::size_t i = 0; i < nodes; ++i) {
     const double calls =
         static_cast<double>(world.node(i).store_calls - before[i]) / seconds;
     figure.calls_per_node_second += calls / static_cast<double>(nodes);
-    figure.most_calls_per_second =
-        std::max(figure.most_calls_per_second, calls);
+    figure.max_calls_per_second = std::max(figure.max_calls_per_second, calls);
     renewals += world.node(i).store_renewals;
   }
   figure.renewals_per_node_second =
@@ -94,14 +93,14 @@
       report.AddRow({std::to_string(nodes), name,
                      FormatNumber(figure.calls_per_node_second, 2),
                      FormatNumber(figure.renewals_per_node_second, 2),
-                     FormatNumber(figure.most_calls_per_second, 2)});
+                     FormatNumber(figure.max_calls_per_second, 2)});
       const std::string prefix =
           "nodes" + std::to_string(nodes) + "_" + name + "_";
       report.SetFigure(prefix + "calls_per_node_s",
                        figure.calls_per_node_second);
       report.SetFigure(prefix + "renewals_per_node_s",
                        figure.renewals_per_node_second);
-      report.SetFigure(prefix + "most_calls_s", figure.most_calls_per_second);
+      report.SetFigure(prefix + "most_calls_s", figure.max_calls_per_second);
     }
   }
   return report.Finish(options);
--- a/bench/idle_bench.cc
+++ b/bench/idle_bench.cc
@@ -35,9 +35,9 @@
 };
 
 // Generates the scenario's random interarrival and service times.
-class Source {
+class RequestGenerator {
  public:
-  Source(const Scenario& scenario, std::uint64_t seed)
+  RequestGenerator(const Scenario& scenario, std::uint64_t seed)
       : scenario_(scenario), random_(SeededRandom(seed)) {}
 
   double Exponential(double mean) {
@@ -121,7 +121,7 @@
       squares += (interval - mean) * (interval - mean);
     }
     const bool is_variable = std::sqrt(squares / count) > mean;
-    wait_ = is_variable ? EndOfBody(mean) : 0;
+    wait_ = is_variable ? FindBodyEnd(mean) : 0;
     const double high = intervals_[intervals_.size() * 9 / 10];
     // The paper chooses T close to 1 if idle times vary strongly, and lower
     // otherwise.
@@ -132,7 +132,7 @@
 
   // Returns the time at which the slope of the distribution, over time in
   // multiples of the mean, falls below the slope of a 30 degree line.
-  double EndOfBody(double mean) const {
+  double FindBodyEnd(double mean) const {
     constexpr double kSlope = 0.577;
     constexpr double kBinsPerMean = 10;
     const double width = mean / kBinsPerMean;
@@ -163,8 +163,8 @@
 // background job waits until the job ends.
 Outcome Simulate(const Scenario& scenario, Policy policy, std::uint64_t seed) {
   constexpr int kRequests = 100000;
-  Source source(scenario, seed);
-  Source jobs(scenario, seed + 1);
+  RequestGenerator source(scenario, seed);
+  RequestGenerator jobs(scenario, seed + 1);
   IdleEstimate estimate(scenario.background);
   std::vector<double> responses;
   double arrival = 0;
@@ -175,14 +175,14 @@
     if (arrival > free_at) {
       estimate.Add(arrival - free_at);
       double at = free_at;
-      std::int64_t most = policy == Policy::kOff ? 0 : INT64_MAX;
+      std::int64_t max_jobs = policy == Policy::kOff ? 0 : INT64_MAX;
       if (policy == Policy::kFixedWait) {
         at += scenario.background;
       } else if (policy == Policy::kEstimate) {
         at += estimate.wait();
-        most = estimate.jobs();
+        max_jobs = estimate.jobs();
       }
-      for (std::int64_t job = 0; job < most && at < arrival; ++job) {
+      for (std::int64_t job = 0; job < max_jobs && at < arrival; ++job) {
         const double length = jobs.Exponential(scenario.background);
         background += length;
         at += length;
--- a/bench/limits_bench.cc
+++ b/bench/limits_bench.cc
@@ -38,7 +38,7 @@
 
 constexpr double kLimitPerNode = 50;
 constexpr std::size_t kSmallFleet = 32;
-constexpr Micros kLargeFleetEnd = MicrosOf(40000);
+constexpr Micros kLargeFleetEnd = MicrosFromMillis(40000);
 // Maximum number of the given seeds that are run for the large fleet.
 constexpr std::size_t kLargeFleetSeeds = 2;
 
@@ -48,7 +48,7 @@
       {"skew", LimitFault::kNone, 8, 0.9},
       {"node lost", LimitFault::kNodeLost, 2, 0.9},
       {"owner lost", LimitFault::kOwnerLost, 1, 1.5},
-      {"owner and store lost", LimitFault::kOwnerLostForLong, 1, 1.5},
+      {"owner and store lost", LimitFault::kOwnerAndStoreLost, 1, 1.5},
       {"partition", LimitFault::kPartition, 1, 1.5},
       {"limit halved", LimitFault::kContractChanged, 1, 1.5}};
   return scenarios;
@@ -148,14 +148,14 @@
     };
     report_.AddRow(
         {std::to_string(fleet.nodes), policy.name, scenario.name,
-         percent(&LimitsFigures::over_worst),
-         percent(&LimitsFigures::over_mean),
-         percent(&LimitsFigures::concurrency_over_worst),
+         percent(&LimitsFigures::max_excess),
+         percent(&LimitsFigures::mean_excess),
+         percent(&LimitsFigures::max_concurrency_excess),
          percent(&LimitsFigures::under_use), percent(&LimitsFigures::pending),
          FormatNumber(spread(&LimitsFigures::messages).mean, 1),
          FormatNumber(spread(&LimitsFigures::bytes).mean, 0),
-         FormatNumber(spread(&LimitsFigures::bytes_worst_node).mean, 0),
-         FormatNumber(spread(&LimitsFigures::cpu_worst_node).mean * 100, 2)});
+         FormatNumber(spread(&LimitsFigures::max_node_bytes).mean, 0),
+         FormatNumber(spread(&LimitsFigures::max_node_cpu).mean * 100, 2)});
     if (policy.policy == LimitPolicy::kShares && policy.relays) {
       SetFigures(std::to_string(fleet.nodes) + "_" + scenario.name, spread);
     }
@@ -165,11 +165,11 @@
   void SetFigures(std::string name, const SpreadHook& spread) {
     std::replace(name.begin(), name.end(), ' ', '_');
     report_.SetFigure(name + "_over_worst",
-                      spread(&LimitsFigures::over_worst).highest);
+                      spread(&LimitsFigures::max_excess).highest);
     report_.SetFigure(name + "_under_use",
                       spread(&LimitsFigures::under_use).mean);
     report_.SetFigure(name + "_bytes_worst_node",
-                      spread(&LimitsFigures::bytes_worst_node).highest);
+                      spread(&LimitsFigures::max_node_bytes).highest);
   }
 
   BenchOptions options_;
--- a/bench/limits_world.cc
+++ b/bench/limits_world.cc
@@ -15,14 +15,14 @@
 constexpr Micros kNetworkDelay = 1500;
 constexpr double kMicrosPerSecond = 1e6;
 // Remaining time of the dead owner's lease of fifteen seconds.
-constexpr Micros kTakeOver = MicrosOf(12000);
-constexpr Duration kRoleLife = Duration::Seconds(13);
-constexpr Micros kCallersMove = MicrosOf(1000);
-constexpr double kRunMillis = 2000;
+constexpr Micros kTakeoverDelay = MicrosFromMillis(12000);
+constexpr Duration kRoleLease = Duration::Seconds(13);
+constexpr Micros kCallerFailoverDelay = MicrosFromMillis(1000);
+constexpr double kMeanServiceMillis = 2000;
 // Size of a request to the counting node and its answer.
-constexpr double kQuestionBytes = 150;
+constexpr double kCentralMessageBytes = 150;
 // Number of retries of a request whose node holds no share.
-constexpr int kAttempts = 30;
+constexpr int kMaxShareRetries = 30;
 constexpr std::size_t kKindMeasured = 0;
 constexpr std::size_t kKindConcurrent = 1;
 constexpr std::size_t kKindOther = 2;
@@ -49,14 +49,14 @@
                          std::uint64_t seed)
     : settings_(settings), random_(SeededRandom(seed)) {
   const auto buckets =
-      static_cast<std::size_t>(settings_.end / kLimitsBucket) + 1;
+      static_cast<std::size_t>(settings_.end / kLimitsBucketWidth) + 1;
   admitted_.resize(buckets);
   offered_.resize(buckets);
   if (!settings_.relays) {
     limit_settings_.relay_above_nodes = 100000;
   }
   MakeNodes();
-  GiveRoles(0);
+  AssignShardOwners(0);
 }
 
 void LimitsWorld::MakeNodes() {
@@ -75,20 +75,20 @@
             .Build(Time() - Duration::Seconds(3600)));
     node.limits->OnView(Time(), peers);
     nodes_.push_back(std::move(node));
-    SetContracts(i, settings_.limit);
+    UpdateContracts(i, settings_.limit);
   }
   // Calls go to the last nodes because the first ones own most shards.
   for (std::size_t i = 0; i < settings_.caller_nodes; ++i) {
     callers_.push_back(settings_.nodes - 1 - i);
   }
-  central_.SetRate(Time(), settings_.limit, settings_.limit);
+  central_bucket_.SetRate(Time(), settings_.limit, settings_.limit);
 }
 
-void LimitsWorld::SetContracts(std::size_t i, double limit) {
+void LimitsWorld::UpdateContracts(std::size_t i, double limit) {
   Node& node = nodes_[i];
   const Time now = events_.time();
   const double part = limit / static_cast<double>(settings_.nodes);
-  node.fixed_part.SetRate(now, part, std::max(1.0, part));
+  node.static_bucket.SetRate(now, part, std::max(1.0, part));
   node.limits->OnContract(now, MakeContract(kMeasured, limit, 100000));
   node.limits->OnContract(
       now, MakeContract(kConcurrent, 1e5, settings_.concurrency_limit));
@@ -98,7 +98,7 @@
 }
 
 // Assigns one owner to each shard, beginning with node `offset`.
-void LimitsWorld::GiveRoles(std::size_t offset) {
+void LimitsWorld::AssignShardOwners(std::size_t offset) {
   ++fence_;
   owners_.clear();
   for (std::int64_t i = 0; i < limit_settings_.shards; ++i) {
@@ -115,7 +115,7 @@
   return ShardOf(kMeasured, limit_settings_.shards);
 }
 
-void LimitsWorld::Count(Node& node, double bytes) {
+void LimitsWorld::CountMessage(Node& node, double bytes) {
   if (events_.now() >= settings_.warm_up) {
     ++node.messages;
     node.bytes += bytes;
@@ -133,24 +133,24 @@
     const auto to =
         static_cast<std::size_t>(std::stoul(send.to.value().substr(1)));
     const double bytes = WireBytes(send.message);
-    Count(nodes_[from], bytes);
+    CountMessage(nodes_[from], bytes);
     if (!IsConnected(from, to)) {
       continue;
     }
-    Count(nodes_[to], bytes);
-    events_.After(kNetworkDelay,
-                  [this, from, to, batch = std::move(send.message)] {
-                    if (!nodes_[to].is_up) {
-                      return;
-                    }
-                    const auto start = std::chrono::steady_clock::now();
-                    auto answers = nodes_[to].limits->OnBatch(
-                        events_.time(), nodes_[from].id, batch);
-                    const std::chrono::duration<double> spent =
-                        std::chrono::steady_clock::now() - start;
-                    nodes_[to].cpu_seconds += spent.count();
-                    Send(to, std::move(answers));
-                  });
+    CountMessage(nodes_[to], bytes);
+    events_.ScheduleAfter(kNetworkDelay,
+                          [this, from, to, batch = std::move(send.message)] {
+                            if (!nodes_[to].is_up) {
+                              return;
+                            }
+                            const auto start = std::chrono::steady_clock::now();
+                            auto answers = nodes_[to].limits->OnBatch(
+                                events_.time(), nodes_[from].id, batch);
+                            const std::chrono::duration<double> spent =
+                                std::chrono::steady_clock::now() - start;
+                            nodes_[to].cpu_seconds += spent.count();
+                            Send(to, std::move(answers));
+                          });
   }
 }
 
@@ -160,7 +160,7 @@
     Node& owner = nodes_[owners_[shard]];
     if (owner.is_up) {
       owner.limits->OnRoleHeld(LimitShard(static_cast<std::int64_t>(shard)),
-                               fence_, now + kRoleLife);
+                               fence_, now + kRoleLease);
     }
   }
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
@@ -174,20 +174,20 @@
     nodes_[i].cpu_seconds += spent.count();
     Send(i, std::move(actions));
   }
-  events_.After(kTickPeriod, [this] { TickNodes(); });
+  events_.ScheduleAfter(kTickPeriod, [this] { TickNodes(); });
 }
 
-std::size_t LimitsWorld::CallerNode() {
+std::size_t LimitsWorld::PickCallerNode() {
   return callers_[DrawBelow(random_, callers_.size())];
 }
 
-void LimitsWorld::ScheduleCaller(double rate, std::size_t kind) {
+void LimitsWorld::ScheduleArrival(double rate, std::size_t kind) {
   const double wait = -std::log(1 - DrawUnit(random_)) / rate;
-  events_.After(static_cast<Micros>(wait * kMicrosPerSecond),
-                [this, rate, kind] {
-                  Arrive(kind);
-                  ScheduleCaller(rate, kind);
-                });
+  events_.ScheduleAfter(static_cast<Micros>(wait * kMicrosPerSecond),
+                        [this, rate, kind] {
+                          Arrive(kind);
+                          ScheduleArrival(rate, kind);
+                        });
 }
 
 void LimitsWorld::Arrive(std::size_t kind) {
@@ -195,7 +195,7 @@
     ArriveOther(DrawBelow(random_, nodes_.size()));
     return;
   }
-  const std::size_t node = CallerNode();
+  const std::size_t node = PickCallerNode();
   if (!nodes_[node].is_up) {
     return;
   }
@@ -217,47 +217,47 @@
 }
 
 void LimitsWorld::ArriveMeasured(std::size_t node) {
-  ++offered_[static_cast<std::size_t>(events_.now() / kLimitsBucket)];
+  ++offered_[static_cast<std::size_t>(events_.now() / kLimitsBucketWidth)];
   switch (settings_.policy) {
     case LimitPolicy::kCentral:
-      AskCentral(node);
+      RequestFromCentral(node);
       return;
     case LimitPolicy::kStatic:
-      if (nodes_[node].fixed_part.Has(events_.time(), 1)) {
-        nodes_[node].fixed_part.Take(1);
-        Admitted();
+      if (nodes_[node].static_bucket.Has(events_.time(), 1)) {
+        nodes_[node].static_bucket.Take(1);
+        CountAdmission();
       }
       return;
     case LimitPolicy::kShares:
-      ++asked_;
-      TryShares(node, 0);
+      ++share_requests_;
+      AcquireFromShare(node, 0);
       return;
   }
 }
 
-void LimitsWorld::Admitted() {
-  ++admitted_[static_cast<std::size_t>(events_.now() / kLimitsBucket)];
+void LimitsWorld::CountAdmission() {
+  ++admitted_[static_cast<std::size_t>(events_.now() / kLimitsBucketWidth)];
 }
 
 // Sends a request to the counting node. The call is refused if that node does
 // not answer.
-void LimitsWorld::AskCentral(std::size_t node) {
-  Count(nodes_[node], kQuestionBytes);
-  if (!IsConnected(node, counter_)) {
+void LimitsWorld::RequestFromCentral(std::size_t node) {
+  CountMessage(nodes_[node], kCentralMessageBytes);
+  if (!IsConnected(node, central_node_)) {
     return;
   }
-  Count(nodes_[node], kQuestionBytes);
-  Count(nodes_[counter_], kQuestionBytes);
-  Count(nodes_[counter_], kQuestionBytes);
-  events_.After(2 * kNetworkDelay, [this] {
-    if (central_.Has(events_.time(), 1)) {
-      central_.Take(1);
-      Admitted();
+  CountMessage(nodes_[node], kCentralMessageBytes);
+  CountMessage(nodes_[central_node_], kCentralMessageBytes);
+  CountMessage(nodes_[central_node_], kCentralMessageBytes);
+  events_.ScheduleAfter(2 * kNetworkDelay, [this] {
+    if (central_bucket_.Has(events_.time(), 1)) {
+      central_bucket_.Take(1);
+      CountAdmission();
     }
   });
 }
 
-void LimitsWorld::TryShares(std::size_t node, int attempts) {
+void LimitsWorld::AcquireFromShare(std::size_t node, int attempts) {
   if (!nodes_[node].is_up) {
     return;
   }
@@ -266,17 +266,18 @@
   const ShareDecision decision = nodes_[node].limits->TryAcquire(
       events_.time(), kMeasured, TokenCount(200), attempt);
   if (decision.outcome == ShareOutcome::kGranted) {
-    Admitted();
+    CountAdmission();
     nodes_[node].limits->Release(kMeasured, TokenCount(200), TokenCount(200));
     return;
   }
   if (decision.outcome != ShareOutcome::kPending) {
     return;
   }
-  waited_ += attempts == 0 ? 1 : 0;
-  if (attempts < kAttempts) {
-    events_.After(kTickPeriod,
-                  [this, node, attempts] { TryShares(node, attempts + 1); });
+  pending_requests_ += attempts == 0 ? 1 : 0;
+  if (attempts < kMaxShareRetries) {
+    events_.ScheduleAfter(kTickPeriod, [this, node, attempts] {
+      AcquireFromShare(node, attempts + 1);
+    });
   }
 }
 
@@ -290,9 +291,9 @@
     return;
   }
   ++running_;
-  running_most_ = std::max(running_most_, running_);
-  const double millis = kRunMillis * (0.5 + DrawUnit(random_));
-  events_.After(MicrosOf(millis), [this, node] {
+  max_running_ = std::max(max_running_, running_);
+  const double millis = kMeanServiceMillis * (0.5 + DrawUnit(random_));
+  events_.ScheduleAfter(MicrosFromMillis(millis), [this, node] {
     --running_;
     nodes_[node].limits->Release(kConcurrent, TokenCount(200), TokenCount(200));
   });
@@ -310,41 +311,43 @@
         lost = callers_.back();
       }
       nodes_[lost].is_up = false;
-      events_.After(kTakeOver, [this] { TakeOver(); });
-      events_.After(kCallersMove,
-                    [this] { callers_.back() = callers_.front(); });
+      events_.ScheduleAfter(kTakeoverDelay, [this] { ReplaceDeadOwners(); });
+      events_.ScheduleAfter(kCallerFailoverDelay,
+                            [this] { callers_.back() = callers_.front(); });
       return;
     }
     case LimitFault::kOwnerLost:
-    case LimitFault::kOwnerLostForLong: {
+    case LimitFault::kOwnerAndStoreLost: {
       const std::size_t lost = owners_[shard];
       nodes_[lost].is_up = false;
-      counter_ = settings_.policy == LimitPolicy::kCentral ? lost : counter_;
+      central_node_ =
+          settings_.policy == LimitPolicy::kCentral ? lost : central_node_;
       std::erase(callers_, lost);
       if (settings_.fault == LimitFault::kOwnerLost) {
-        events_.After(kTakeOver, [this] { TakeOver(); });
+        events_.ScheduleAfter(kTakeoverDelay, [this] { ReplaceDeadOwners(); });
       }
       return;
     }
     case LimitFault::kPartition:
       is_partitioned_ = true;
-      events_.At(settings_.fault_end, [this] { is_partitioned_ = false; });
+      events_.ScheduleAt(settings_.fault_end,
+                         [this] { is_partitioned_ = false; });
       return;
     case LimitFault::kContractChanged:
       for (std::size_t i = 0; i < nodes_.size(); ++i) {
         const auto delay =
-            static_cast<Micros>(DrawBelow(random_, MicrosOf(2000)));
-        events_.After(delay,
-                      [this, i] { SetContracts(i, settings_.limit / 2); });
+            static_cast<Micros>(DrawBelow(random_, MicrosFromMillis(2000)));
+        events_.ScheduleAfter(
+            delay, [this, i] { UpdateContracts(i, settings_.limit / 2); });
       }
-      central_.SetRate(events_.time(), settings_.limit / 2,
-                       settings_.limit / 2);
+      central_bucket_.SetRate(events_.time(), settings_.limit / 2,
+                              settings_.limit / 2);
       return;
   }
 }
 
 // Moves each shard of a dead owner to the next live node.
-void LimitsWorld::TakeOver() {
+void LimitsWorld::ReplaceDeadOwners() {
   for (std::size_t shard = 0; shard < owners_.size(); ++shard) {
     Node& old = nodes_[owners_[shard]];
     if (old.is_up) {
@@ -356,7 +359,7 @@
     }
     owners_[shard] = next;
     ++fence_;
-    counter_ = next;
+    central_node_ = next;
     for (Node& node : nodes_) {
       node.limits->OnOwner(LimitShard(static_cast<std::int64_t>(shard)),
                            nodes_[next].id, fence_);
@@ -365,17 +368,17 @@
 }
 
 LimitsFigures LimitsWorld::Run() {
-  counter_ = owners_[static_cast<std::size_t>(ShardOfMeasured().value())];
-  ScheduleCaller(settings_.offered, kKindMeasured);
-  ScheduleCaller(static_cast<double>(settings_.concurrency_limit),
-                 kKindConcurrent);
-  ScheduleCaller(
+  central_node_ = owners_[static_cast<std::size_t>(ShardOfMeasured().value())];
+  ScheduleArrival(settings_.offered, kKindMeasured);
+  ScheduleArrival(static_cast<double>(settings_.concurrency_limit),
+                  kKindConcurrent);
+  ScheduleArrival(
       settings_.other_rate * static_cast<double>(settings_.other_contracts),
       kKindOther);
   if (settings_.policy == LimitPolicy::kShares) {
-    events_.At(0, [this] { TickNodes(); });
+    events_.ScheduleAt(0, [this] { TickNodes(); });
   }
-  events_.At(settings_.fault_at, [this] { StartFault(); });
+  events_.ScheduleAt(settings_.fault_at, [this] { StartFault(); });
   events_.RunUntil(settings_.end);
   return Figures();
 }
--- a/bench/limits_world.h
+++ b/bench/limits_world.h
@@ -12,7 +12,7 @@
 namespace gcw::bench {
 
 // Width of the time buckets in which arrivals and admissions are counted.
-inline constexpr Micros kLimitsBucket = 100000;
+inline constexpr Micros kLimitsBucketWidth = 100000;
 
 // How a contract's limits are enforced over all nodes.
 enum class LimitPolicy {
@@ -32,7 +32,7 @@
   // lease has expired.
   kOwnerLost,
   // The owner dies while the store is down, so no node takes over.
-  kOwnerLostForLong,
+  kOwnerAndStoreLost,
   // The network splits the nodes into two halves.
   kPartition,
   // The limit is halved; the nodes learn of the change one after the other.
@@ -54,21 +54,21 @@
   std::size_t other_contracts = 20;
   double other_rate = 5;
   bool relays = true;
-  Micros warm_up = MicrosOf(10000);
-  Micros fault_at = MicrosOf(20000);
+  Micros warm_up = MicrosFromMillis(10000);
+  Micros fault_at = MicrosFromMillis(20000);
   // Time at which a partition heals.
-  Micros fault_end = MicrosOf(40000);
-  Micros end = MicrosOf(60000);
+  Micros fault_end = MicrosFromMillis(40000);
+  Micros end = MicrosFromMillis(60000);
 };
 
 struct LimitsFigures {
   // Worst and mean excess over the limit in windows of five seconds, as a
   // fraction of the limit.
-  double over_worst = 0;
-  double over_mean = 0;
+  double max_excess = 0;
+  double mean_excess = 0;
   // Highest excess of concurrent requests over the concurrency contract's
   // limit, as a fraction of the limit.
-  double concurrency_over_worst = 0;
+  double max_concurrency_excess = 0;
   // Fraction of the admissible requests that were not admitted.
   double under_use = 0;
   // Fraction of requests that had to wait or were refused because the node held
@@ -77,9 +77,9 @@
   // Messages and bytes sent and received per node and second.
   double messages = 0;
   double bytes = 0;
-  double bytes_worst_node = 0;
+  double max_node_bytes = 0;
   // Fraction of one core used by the busiest node, measured in wall time.
-  double cpu_worst_node = 0;
+  double max_node_cpu = 0;
 };
 
 // Simulates nodes, callers and a network in virtual time and measures two
@@ -98,31 +98,31 @@
     std::int64_t messages = 0;
     double bytes = 0;
     double cpu_seconds = 0;
-    TokenBucket fixed_part;
+    TokenBucket static_bucket;
     std::int64_t known_limit_version = 0;
   };
 
   void MakeNodes();
-  void SetContracts(std::size_t node, double limit);
+  void UpdateContracts(std::size_t node, double limit);
   LimitShard ShardOfMeasured() const;
-  void GiveRoles(std::size_t shard_owner_offset);
+  void AssignShardOwners(std::size_t shard_owner_offset);
   void TickNodes();
   void Send(std::size_t from, std::vector<LimitsAction> actions);
-  void Count(Node& node, double bytes);
+  void CountMessage(Node& node, double bytes);
   bool IsConnected(std::size_t a, std::size_t b) const;
 
-  void ScheduleCaller(double rate, std::size_t kind);
+  void ScheduleArrival(double rate, std::size_t kind);
   void Arrive(std::size_t kind);
   void ArriveMeasured(std::size_t node);
-  void AskCentral(std::size_t node);
-  void TryShares(std::size_t node, int attempts);
+  void RequestFromCentral(std::size_t node);
+  void AcquireFromShare(std::size_t node, int attempts);
   void ArriveConcurrent(std::size_t node);
   void ArriveOther(std::size_t node);
-  void Admitted();
-  std::size_t CallerNode();
+  void CountAdmission();
+  std::size_t PickCallerNode();
 
   void StartFault();
-  void TakeOver();
+  void ReplaceDeadOwners();
   double LimitAt(Micros when) const;
   LimitsFigures Figures() const;
 
@@ -135,16 +135,16 @@
   // Index of each shard's owner node.
   std::vector<std::size_t> owners_;
   FencingToken fence_{1};
-  TokenBucket central_;
-  std::size_t counter_ = 0;
+  TokenBucket central_bucket_;
+  std::size_t central_node_ = 0;
   bool is_partitioned_ = false;
-  // Requests admitted and offered in each bucket of `kLimitsBucket`.
+  // Requests admitted and offered in each bucket of `kLimitsBucketWidth`.
   std::vector<std::int64_t> admitted_;
   std::vector<std::int64_t> offered_;
   std::int64_t running_ = 0;
-  std::int64_t running_most_ = 0;
-  std::int64_t asked_ = 0;
-  std::int64_t waited_ = 0;
+  std::int64_t max_running_ = 0;
+  std::int64_t share_requests_ = 0;
+  std::int64_t pending_requests_ = 0;
 };
 
 }  // namespace gcw::bench
--- a/bench/repair_bench.cc
+++ b/bench/repair_bench.cc
@@ -13,7 +13,7 @@
 struct Policy {
   std::string name;
   PlannerSettings planner;
-  bool holds_flapping_off = true;
+  bool excludes_flapping = true;
 };
 
 constexpr RepairWeights kOblak{.group_downtime = 600,
@@ -54,14 +54,14 @@
     std::vector<double> loads;
     for (const std::uint64_t seed : options.seeds) {
       RepairWorld world(RepairSettings(), policy.planner,
-                        policy.holds_flapping_off, seed);
+                        policy.excludes_flapping, seed);
       const RepairCost cost = world.Run();
       down.push_back(cost.group_hours_down);
       idle.push_back(cost.accelerator_hours_stranded);
       oblak.push_back(Weighted(kOblak, cost));
       harrowgate.push_back(Weighted(kHarrowgate, cost));
       moves.push_back(static_cast<double>(cost.moves));
-      loads.push_back(static_cast<double>(cost.loads_in_worst_minute));
+      loads.push_back(static_cast<double>(cost.max_loads_per_minute));
     }
     report.AddRow(
         {policy.name, FormatSpread(SpreadOf(down), 1),
--- a/bench/repair_world.cc
+++ b/bench/repair_world.cc
@@ -17,11 +17,11 @@
 
 RepairWorld::RepairWorld(RepairSettings settings,
                          PlannerSettings planner,
-                         bool holds_flapping_off,
+                         bool excludes_flapping,
                          std::uint64_t seed)
     : settings_(settings),
       planner_(planner),
-      holds_flapping_off_(holds_flapping_off),
+      excludes_flapping_(excludes_flapping),
       flaps_(FlapSettings()),
       random_(SeededRandom(seed)),
       end_(now_ + settings.length) {
@@ -52,21 +52,21 @@
   const Time start = now_;
   // Measurement starts after an hour, once the zone has filled with groups.
   const Time measured_from = start + Duration::Seconds(3600);
-  const Time short_dark = start + Duration::Seconds(21600);
-  const Time long_dark = start + Duration::Seconds(108000);
+  const Time short_outage_at = start + Duration::Seconds(21600);
+  const Time long_outage_at = start + Duration::Seconds(108000);
   while (now_ < end_) {
     now_ = now_ + settings_.step;
-    Return();
-    Strike();
-    if (now_ - short_dark < settings_.step && now_ >= short_dark) {
-      GoDark(FabricDomainId("d1"), Duration::Seconds(90), false);
+    RestoreVms();
+    InjectFailures();
+    if (now_ - short_outage_at < settings_.step && now_ >= short_outage_at) {
+      LoseDomain(FabricDomainId("d1"), Duration::Seconds(90), false);
     }
-    if (now_ - long_dark < settings_.step && now_ >= long_dark) {
-      GoDark(FabricDomainId("d2"), Duration::Seconds(1500), true);
+    if (now_ - long_outage_at < settings_.step && now_ >= long_outage_at) {
+      LoseDomain(FabricDomainId("d2"), Duration::Seconds(1500), true);
     }
     FinishLoads();
     ClearLeaving();
-    if (is_dirty_ || now_ >= next_plan_) {
+    if (needs_plan_ || now_ >= next_plan_) {
       Plan();
     }
     if (now_ >= measured_from) {
@@ -76,7 +76,7 @@
   return cost_;
 }
 
-void RepairWorld::Strike() {
+void RepairWorld::InjectFailures() {
   for (auto& [id, vm] : vms_) {
     if (now_ < vm.next_loss || !vm.is_up) {
       continue;
@@ -84,23 +84,24 @@
     const double rate =
         settings_.restarts_per_vm_day + settings_.failures_per_vm_day;
     const bool fails = DrawUnit(random_) < settings_.failures_per_vm_day / rate;
-    Lose(vm, fails ? Between(1200, 3600) : Between(60, 180));
+    LoseVm(vm, fails ? UniformDuration(1200, 3600) : UniformDuration(60, 180));
     vm.group = GroupId();
     vm.weights = ModelId();
     // A flapping VM goes down about every five minutes.
     constexpr double kFlapsPerDay = 288;
-    vm.next_loss = vm.back + Exponential(vm.is_flapping ? kFlapsPerDay : rate);
+    vm.next_loss =
+        vm.returns_at + Exponential(vm.is_flapping ? kFlapsPerDay : rate);
   }
 }
 
-void RepairWorld::GoDark(const FabricDomainId& domain,
-                         Duration length,
-                         bool restarts) {
+void RepairWorld::LoseDomain(const FabricDomainId& domain,
+                             Duration length,
+                             bool restarts) {
   for (auto& [id, vm] : vms_) {
     if (vm.domain != domain || !vm.is_up) {
       continue;
     }
-    Lose(vm, length);
+    LoseVm(vm, length);
     if (restarts) {
       vm.group = GroupId();
       vm.weights = ModelId();
@@ -108,19 +109,19 @@
   }
 }
 
-void RepairWorld::Lose(Vm& vm, Duration away) {
+void RepairWorld::LoseVm(Vm& vm, Duration outage) {
   vm.is_up = false;
   vm.lost_at = now_;
-  vm.back = now_ + away;
-  is_dirty_ = true;
+  vm.returns_at = now_ + outage;
+  needs_plan_ = true;
 }
 
-void RepairWorld::Return() {
+void RepairWorld::RestoreVms() {
   for (auto& [id, vm] : vms_) {
-    if (!vm.is_up && now_ >= vm.back) {
+    if (!vm.is_up && now_ >= vm.returns_at) {
       vm.is_up = true;
       flaps_.OnLost(now_, id);
-      is_dirty_ = true;
+      needs_plan_ = true;
     }
   }
   flaps_.Tick(now_);
@@ -148,7 +149,7 @@
         vm.weights = group.model;
       }
       group.state = GroupState::kServing;
-      is_dirty_ = true;
+      needs_plan_ = true;
     }
   }
 }
@@ -163,15 +164,15 @@
           }
           return vm.is_up;
         });
-    is_dirty_ = is_dirty_ || cleared > 0;
+    needs_plan_ = needs_plan_ || cleared > 0;
   }
 }
 
 void RepairWorld::Plan() {
-  is_dirty_ = false;
+  needs_plan_ = false;
   next_plan_ = now_ + Duration::Seconds(10);
   for (const RepairMove& move : planner_.Plan(now_, MakeView())) {
-    Carry(move);
+    ApplyPlannedMove(move);
   }
 }
 
@@ -180,7 +181,7 @@
   view.zone = kZone;
   view.records = records_;
   view.wanted = wanted_;
-  view.load_wait = std::max(Duration(), store_free_ - now_);
+  view.load_wait = std::max(Duration(), weight_store_free_at_ - now_);
   for (const auto& [id, vm] : vms_) {
     view.vms[id] = Describe(id, vm);
   }
@@ -196,7 +197,7 @@
   PlannerVm described;
   described.domain = vm.domain;
   described.accelerators = settings_.accelerators_per_vm;
-  described.held_off = holds_flapping_off_ && flaps_.IsHeldOff(now_, id);
+  described.held_off = excludes_flapping_ && flaps_.IsHeldOff(now_, id);
   const DomainRecord& record = records_.at(vm.domain);
   const GroupRecord* group = FindGroupOf(record, id);
   const bool is_seen_down =
@@ -211,7 +212,7 @@
   return described;
 }
 
-void RepairWorld::Carry(const RepairMove& move) {
+void RepairWorld::ApplyPlannedMove(const RepairMove& move) {
   const FabricDomainId domain =
       std::visit([](const auto& typed) { return typed.domain; }, move);
   DomainRecord& record = records_[domain];
@@ -221,7 +222,7 @@
     return;
   }
   ++cost_.moves;
-  is_dirty_ = true;
+  needs_plan_ = true;
   if (const auto* replace = std::get_if<ReplaceMembers>(&move)) {
     StartLoad(*FindGroup(record, replace->group));
     draining_.erase(replace->group);
@@ -240,19 +241,20 @@
   const auto fetching = std::count_if(
       group.members.begin(), group.members.end(),
       [&](const VmId& id) { return vms_[id].weights != group.model; });
-  store_free_ = std::max(store_free_, now_) + settings_.load_per_vm * fetching;
-  const Time fetched = fetching == 0 ? now_ : store_free_;
+  weight_store_free_at_ =
+      std::max(weight_store_free_at_, now_) + settings_.load_per_vm * fetching;
+  const Time fetched = fetching == 0 ? now_ : weight_store_free_at_;
   loads_[group.id] = Load{group.generation, fetched + settings_.join};
-  load_starts_.push_back(now_);
+  load_start_times_.push_back(now_);
   const Time minute_ago = now_ - Duration::Seconds(60);
   const auto recent =
-      std::count_if(load_starts_.begin(), load_starts_.end(),
+      std::count_if(load_start_times_.begin(), load_start_times_.end(),
                     [&](Time start) { return start > minute_ago; });
-  cost_.loads_in_worst_minute =
-      std::max<std::int64_t>(cost_.loads_in_worst_minute, recent);
+  cost_.max_loads_per_minute =
+      std::max<std::int64_t>(cost_.max_loads_per_minute, recent);
 }
 
-bool RepairWorld::IsWhole(const GroupRecord& group) const {
+bool RepairWorld::IsFullyServing(const GroupRecord& group) const {
   return group.state == GroupState::kServing &&
          std::all_of(group.members.begin(), group.members.end(),
                      [&](const VmId& id) {
@@ -271,7 +273,7 @@
   for (const auto& [domain, record] : records_) {
     for (const GroupRecord& group : record.groups) {
       groups[group.model] += group.state == GroupState::kDraining ? 0 : 1;
-      if (IsWhole(group)) {
+      if (IsFullyServing(group)) {
         ++serving[group.model];
         vms_serving += static_cast<std::int64_t>(group.members.size());
       }
@@ -298,8 +300,8 @@
       static_cast<std::int64_t>(-std::log(unit) / per_day * kMillisPerDay));
 }
 
-Duration RepairWorld::Between(std::int64_t low_seconds,
-                              std::int64_t high_seconds) {
+Duration RepairWorld::UniformDuration(std::int64_t low_seconds,
+                                      std::int64_t high_seconds) {
   return Duration::Seconds(
       low_seconds + static_cast<std::int64_t>(DrawBelow(
                         random_, static_cast<std::uint64_t>(high_seconds -
--- a/bench/repair_world.h
+++ b/bench/repair_world.h
@@ -40,7 +40,7 @@
   double accelerator_hours_stranded = 0;
   std::int64_t moves = 0;
   // Maximum number of weight loads started within one minute.
-  std::int64_t loads_in_worst_minute = 0;
+  std::int64_t max_loads_per_minute = 0;
 };
 
 // Drives the repair planner over one zone in virtual time. Orders and writes
@@ -49,7 +49,7 @@
  public:
   RepairWorld(RepairSettings settings,
               PlannerSettings planner,
-              bool holds_flapping_off,
+              bool excludes_flapping,
               std::uint64_t seed);
 
   RepairCost Run();
@@ -59,7 +59,7 @@
     FabricDomainId domain;
     bool is_up = true;
     // When the VM comes back, if it is down.
-    Time back;
+    Time returns_at;
     Time lost_at;
     Time next_loss;
     bool is_flapping = false;
@@ -75,25 +75,25 @@
   };
 
   void AddVms();
-  void Strike();
-  void GoDark(const FabricDomainId& domain, Duration length, bool restarts);
-  void Lose(Vm& vm, Duration away);
-  void Return();
+  void InjectFailures();
+  void LoseDomain(const FabricDomainId& domain, Duration length, bool restarts);
+  void LoseVm(Vm& vm, Duration outage);
+  void RestoreVms();
   void FinishLoads();
   void Plan();
   PlannerView MakeView() const;
   PlannerVm Describe(const VmId& id, const Vm& vm) const;
-  void Carry(const RepairMove& move);
+  void ApplyPlannedMove(const RepairMove& move);
   void StartLoad(const GroupRecord& group);
   void ClearLeaving();
-  bool IsWhole(const GroupRecord& group) const;
+  bool IsFullyServing(const GroupRecord& group) const;
   void Measure();
   Duration Exponential(double per_day);
-  Duration Between(std::int64_t low_seconds, std::int64_t high_seconds);
+  Duration UniformDuration(std::int64_t low_seconds, std::int64_t high_seconds);
 
   RepairSettings settings_;
   RepairPlanner planner_;
-  bool holds_flapping_off_;
+  bool excludes_flapping_;
   FlapTracker flaps_;
   Random random_;
   Time now_ = Time::FromMillis(1000000);
@@ -103,10 +103,10 @@
   std::map<FabricDomainId, DomainRecord> records_;
   std::map<GroupId, Load> loads_;
   std::map<GroupId, Time> draining_;
-  Time store_free_;
+  Time weight_store_free_at_;
   std::int64_t last_group_ = 0;
-  std::vector<Time> load_starts_;
-  bool is_dirty_ = true;
+  std::vector<Time> load_start_times_;
+  bool needs_plan_ = true;
   Time next_plan_;
   RepairCost cost_;
 };
--- a/bench/retry_bench.cc
+++ b/bench/retry_bench.cc
@@ -17,7 +17,7 @@
     {.name = "slow_failures", .load = 0.9, .fail_after_millis = 3000},
     {.name = "within_capacity", .load = 0.6, .fail_after_millis = 10}};
 
-const std::vector<RetryWay> kWays = {
+const std::vector<RetryPolicy> kPolicies = {
     {.name = "no_retries", .max_attempts = 1},
     {.name = "unbounded", .max_attempts = 10},
     {.name = "deadlines_only", .max_attempts = 10, .passes_deadlines = true},
@@ -25,7 +25,7 @@
      .max_attempts = 3,
      .has_budget = true,
      .passes_deadlines = true,
-     .plans_returns = true}};
+     .plans_retry_after = true}};
 
 Spread Over(const std::vector<RetryFigures>& runs,
             double RetryFigures::*figure,
@@ -40,20 +40,20 @@
 
 void Add(BenchReport& report,
          const std::string& scenario,
-         const std::string& way,
+         const std::string& policy,
          const std::vector<RetryFigures>& runs) {
   const Spread before = Over(runs, &RetryFigures::goodput_before, 100);
   const Spread during = Over(runs, &RetryFigures::goodput_during, 100);
   const Spread after = Over(runs, &RetryFigures::goodput_after, 100);
-  const Spread answered = Over(runs, &RetryFigures::answered_in_the_end, 100);
+  const Spread answered = Over(runs, &RetryFigures::answered_eventually, 100);
   const Spread attempts = Over(runs, &RetryFigures::attempts_per_call, 1);
   const Spread wasted = Over(runs, &RetryFigures::wasted_share, 100);
-  const Spread normal = Over(runs, &RetryFigures::seconds_to_normal, 1);
-  report.AddRow({scenario, way, FormatSpread(before, 1),
+  const Spread normal = Over(runs, &RetryFigures::recovery_seconds, 1);
+  report.AddRow({scenario, policy, FormatSpread(before, 1),
                  FormatSpread(during, 1), FormatSpread(after, 1),
                  FormatSpread(answered, 1), FormatSpread(attempts, 2),
                  FormatSpread(wasted, 1), FormatSpread(normal, 1)});
-  const std::string prefix = scenario + "_" + way;
+  const std::string prefix = scenario + "_" + policy;
   report.SetFigure(prefix + "_goodput_during_percent", during.mean);
   report.SetFigure(prefix + "_goodput_after_percent", after.mean);
   report.SetFigure(prefix + "_attempts_per_call", attempts.mean);
@@ -64,10 +64,10 @@
   const BenchOptions options = ParseBenchOptions(argc, argv);
   std::vector<std::function<RetryFigures()>> jobs;
   for (const RetryScenario& scenario : kScenarios) {
-    for (const RetryWay& way : kWays) {
+    for (const RetryPolicy& policy : kPolicies) {
       for (const std::uint64_t seed : options.seeds) {
-        jobs.emplace_back([&scenario, &way, seed] {
-          return RetryWorld(scenario, way, seed).Run();
+        jobs.emplace_back([&scenario, &policy, seed] {
+          return RetryWorld(scenario, policy, seed).Run();
         });
       }
     }
@@ -80,8 +80,8 @@
   auto next = results.begin();
   const auto seeds = static_cast<std::ptrdiff_t>(options.seeds.size());
   for (const RetryScenario& scenario : kScenarios) {
-    for (const RetryWay& way : kWays) {
-      Add(report, scenario.name, way.name, {next, next + seeds});
+    for (const RetryPolicy& policy : kPolicies) {
+      Add(report, scenario.name, policy.name, {next, next + seeds});
       next += seeds;
     }
   }
--- a/bench/retry_world.cc
+++ b/bench/retry_world.cc
@@ -10,7 +10,7 @@
 
 constexpr std::size_t kEngines = 65;
 constexpr std::size_t kNodes = 8;
-constexpr Micros kWay = kSecond / 1000;
+constexpr Micros kNetworkDelay = kSecond / 1000;
 constexpr Micros kMeasuredFrom = 12 * kSecond;
 constexpr Micros kFaultAt = 25 * kSecond;
 constexpr Micros kFaultEnd = 45 * kSecond;
@@ -31,7 +31,7 @@
 constexpr Micros kLastSpan = kLastCall - 4 * kWindow;
 // A window counts as normal if at least this fraction of new calls is answered
 // at the first send.
-constexpr double kNormal = 0.98;
+constexpr double kNormalShare = 0.98;
 constexpr Micros kNormalStep = kSecond / 2;
 // Later windows are not used because answers to the last calls are still
 // pending at the end.
@@ -49,9 +49,9 @@
 }  // namespace
 
 RetryWorld::RetryWorld(const RetryScenario& scenario,
-                       const RetryWay& way,
+                       const RetryPolicy& policy,
                        std::uint64_t seed)
-    : scenario_(scenario), way_(way), random_(SeededRandom(seed)) {
+    : scenario_(scenario), policy_(policy), random_(SeededRandom(seed)) {
   MakeFleet();
   calls_per_second_ =
       scenario_.load * CapacityPerReplica(EngineSettings()) * kEngines;
@@ -87,14 +87,14 @@
 RetryFigures RetryWorld::Run() {
   PublishLoads();
   TickNodes();
-  MakeCalls();
-  events_.At(kFaultAt, [this] {
+  ScheduleCalls();
+  events_.ScheduleAt(kFaultAt, [this] {
     for (std::size_t i = 0; i < kEngines; i += 3) {
       is_failing_[i] = true;
       engines_[i]->GoDown();
     }
   });
-  events_.At(kFaultEnd, [this] {
+  events_.ScheduleAt(kFaultEnd, [this] {
     for (std::size_t i = 0; i < kEngines; i += 3) {
       is_failing_[i] = false;
       engines_[i]->Restart();
@@ -108,12 +108,12 @@
   return {.goodput_before = Goodput(kMeasuredFrom, kFaultAt),
           .goodput_during = Goodput(kFaultAt + kWindow, kFaultEnd),
           .goodput_after = Goodput(kLastSpan, kLastCall),
-          .answered_in_the_end = AnsweredInTheEnd(kFaultAt, kFaultEnd),
+          .answered_eventually = AnsweredEventually(kFaultAt, kFaultEnd),
           .attempts_per_call = static_cast<double>(attempts_in_fault_) /
                                static_cast<double>(calls_in_fault_),
           .wasted_share = 1 - static_cast<double>(useful_tokens_) /
                                   static_cast<double>(generated),
-          .seconds_to_normal = SecondsToNormal()};
+          .recovery_seconds = RecoverySeconds()};
 }
 
 void RetryWorld::PublishLoads() {
@@ -135,23 +135,23 @@
     node.planner->SetReturnRate(
         node.router->SpareRequestsPerSecond(events_.time(), target));
   }
-  events_.After(kTick, [this] { TickNodes(); });
+  events_.ScheduleAfter(kTick, [this] { TickNodes(); });
 }
 
-void RetryWorld::MakeCalls() {
+void RetryWorld::ScheduleCalls() {
   const double wait_millis =
       -std::log(1 - DrawUnit(random_)) * 1000 / calls_per_second_;
-  events_.After(MicrosOf(wait_millis), [this] {
+  events_.ScheduleAfter(MicrosFromMillis(wait_millis), [this] {
     if (events_.now() >= kLastCall) {
       return;
     }
     calls_.push_back(std::make_shared<Call>());
-    calls_.back()->made = events_.now();
+    calls_.back()->created_at = events_.now();
     if (events_.now() >= kFaultAt && events_.now() < kFaultEnd) {
       ++calls_in_fault_;
     }
     SendCall(calls_.back());
-    MakeCalls();
+    ScheduleCalls();
   });
 }
 
@@ -169,10 +169,11 @@
   // Without `passes_deadlines`, nodes do not know how long the caller waits.
   send->profile.deadline =
       events_.time() +
-      (way_.passes_deadlines ? kPatience : Duration::Seconds(3600));
+      (policy_.passes_deadlines ? kPatience : Duration::Seconds(3600));
   nodes_[send->node].budget->OnFirstAttempt(events_.time(),
                                             send->profile.contract);
-  events_.After(kPatience.millis() * 1000, [this, send] { OnDeadline(send); });
+  events_.ScheduleAfter(kPatience.millis() * 1000,
+                        [this, send] { OnDeadline(send); });
   Dispatch(send);
 }
 
@@ -200,14 +201,15 @@
   send->ticket = router.OnDispatched(events_.time(), route, send->profile);
   send->attempt = next_attempt_++;
   send->replica = static_cast<std::size_t>(route.slot.value());
-  events_.After(kWay, [this, send] { RunAtEngine(send); });
+  events_.ScheduleAfter(kNetworkDelay, [this, send] { RunAtEngine(send); });
 }
 
 void RetryWorld::RunAtEngine(const SendPointer& send) {
   const DispatchTicket ticket = send->ticket;
   if (is_failing_[send->replica]) {
-    events_.After(MicrosOf(scenario_.fail_after_millis) + kWay,
-                  [this, send, ticket] { OnFailed(send, ticket); });
+    events_.ScheduleAfter(
+        MicrosFromMillis(scenario_.fail_after_millis) + kNetworkDelay,
+        [this, send, ticket] { OnFailed(send, ticket); });
     return;
   }
   EngineRequest request;
@@ -215,13 +217,15 @@
   request.prompt_tokens = kPromptTokens;
   request.generated_tokens = send->answer_tokens;
   request.on_first_token = [this, send](std::int64_t /*cached*/) {
-    events_.After(kWay, [this, send] { OnFirstToken(send); });
+    events_.ScheduleAfter(kNetworkDelay, [this, send] { OnFirstToken(send); });
   };
   request.on_finished = [this, send, ticket] {
-    events_.After(kWay, [this, send, ticket] { OnFinished(send, ticket); });
+    events_.ScheduleAfter(kNetworkDelay,
+                          [this, send, ticket] { OnFinished(send, ticket); });
   };
   request.on_failed = [this, send, ticket] {
-    events_.After(kWay, [this, send, ticket] { OnFailed(send, ticket); });
+    events_.ScheduleAfter(kNetworkDelay,
+                          [this, send, ticket] { OnFailed(send, ticket); });
   };
   engines_[send->replica]->Submit(std::move(request));
 }
@@ -258,8 +262,8 @@
 }
 
 bool RetryWorld::MayRetry(const SendPointer& send) {
-  if (!way_.has_budget) {
-    return send->attempts < way_.max_attempts;
+  if (!policy_.has_budget) {
+    return send->attempts < policy_.max_attempts;
   }
   const FailedAttempt failed{.attempts = send->attempts,
                              .was_not_run = false,
@@ -272,7 +276,7 @@
   if (send->is_over || send->has_first_byte) {
     return;
   }
-  if (way_.passes_deadlines) {
+  if (policy_.passes_deadlines) {
     nodes_[send->node].router->OnCancelled(events_.time(), send->ticket);
     engines_[send->replica]->Cancel(send->attempt);
   }
@@ -281,16 +285,18 @@
 
 void RetryWorld::Refuse(const SendPointer& send, RefusalKind kind) {
   send->is_over = true;
-  const Duration after = way_.plans_returns ? nodes_[send->node].planner->Plan(
-                                                  events_.time(), kind)
-                                            : Duration();
-  CallAgain(send->call, after);
+  const Duration after =
+      policy_.plans_retry_after
+          ? nodes_[send->node].planner->Plan(events_.time(), kind)
+          : Duration();
+  ScheduleRetry(send->call, after);
 }
 
-void RetryWorld::CallAgain(const std::shared_ptr<Call>& call, Duration after) {
+void RetryWorld::ScheduleRetry(const std::shared_ptr<Call>& call,
+                               Duration after) {
   if (call->sends < kMaxSends) {
-    events_.After(after.millis() * 1000 + 2 * kWay,
-                  [this, call] { SendCall(call); });
+    events_.ScheduleAfter(after.millis() * 1000 + 2 * kNetworkDelay,
+                          [this, call] { SendCall(call); });
   }
 }
 
@@ -303,36 +309,36 @@
   return static_cast<double>(answered) / (calls_per_second_ * seconds);
 }
 
-double RetryWorld::AnsweredAtOnce(Micros from, Micros to) const {
-  std::int64_t made = 0;
+double RetryWorld::AnsweredAtFirstSend(Micros from, Micros to) const {
+  std::int64_t created_at = 0;
   std::int64_t answered = 0;
   for (const auto& call : calls_) {
-    if (call->made >= from && call->made < to) {
-      ++made;
+    if (call->created_at >= from && call->created_at < to) {
+      ++created_at;
       answered += call->answered > 0 && call->sends == 1 ? 1 : 0;
     }
   }
   return static_cast<double>(answered) /
-         static_cast<double>(std::max<std::int64_t>(1, made));
+         static_cast<double>(std::max<std::int64_t>(1, created_at));
 }
 
-double RetryWorld::AnsweredInTheEnd(Micros from, Micros to) const {
-  std::int64_t made = 0;
+double RetryWorld::AnsweredEventually(Micros from, Micros to) const {
+  std::int64_t created_at = 0;
   std::int64_t answered = 0;
   for (const auto& call : calls_) {
-    if (call->made >= from && call->made < to) {
-      ++made;
+    if (call->created_at >= from && call->created_at < to) {
+      ++created_at;
       answered += call->answered > 0 ? 1 : 0;
     }
   }
   return static_cast<double>(answered) /
-         static_cast<double>(std::max<std::int64_t>(1, made));
+         static_cast<double>(std::max<std::int64_t>(1, created_at));
 }
 
-double RetryWorld::SecondsToNormal() const {
+double RetryWorld::RecoverySeconds() const {
   Micros from = kFaultEnd;
   while (from <= kLastWindow &&
-         AnsweredAtOnce(from, from + kWindow) < kNormal) {
+         AnsweredAtFirstSend(from, from + kWindow) < kNormalShare) {
     from += kNormalStep;
   }
   return static_cast<double>(from - kFaultEnd) / kSecond;
--- a/bench/retry_world.h
+++ b/bench/retry_world.h
@@ -12,7 +12,7 @@
 namespace gcw::bench {
 
 // Retry behaviour of nodes and callers after a failure.
-struct RetryWay {
+struct RetryPolicy {
   std::string name;
   // Maximum number of attempts that a node makes for one send of a caller.
   std::int64_t max_attempts = 3;
@@ -22,7 +22,7 @@
   bool passes_deadlines = false;
   // Whether refused callers are told when to retry; otherwise they retry at
   // once.
-  bool plans_returns = false;
+  bool plans_retry_after = false;
 };
 
 struct RetryScenario {
@@ -40,14 +40,14 @@
   double goodput_during = 0;
   double goodput_after = 0;
   // Fraction of the calls made during the fault that are answered at last.
-  double answered_in_the_end = 0;
+  double answered_eventually = 0;
   // Attempts at endpoints per new call during the fault.
   double attempts_per_call = 0;
   // Fraction of all tokens that were generated for callers who had given up.
   double wasted_share = 0;
   // Time from the end of the fault until new calls are again answered at their
   // first send, or the whole remaining span if they never are.
-  double seconds_to_normal = 0;
+  double recovery_seconds = 0;
 };
 
 // Simulates an outage in which a third of 65 endpoints fails every request for
@@ -56,7 +56,7 @@
 class RetryWorld {
  public:
   RetryWorld(const RetryScenario& scenario,
-             const RetryWay& way,
+             const RetryPolicy& policy,
              std::uint64_t seed);
   RetryFigures Run();
 
@@ -68,7 +68,7 @@
   };
   // A caller's request, over all its sends.
   struct Call {
-    Micros made = 0;
+    Micros created_at = 0;
     std::int64_t sends = 0;
     // Time of the answer; 0 until the call is answered.
     Micros answered = 0;
@@ -93,7 +93,7 @@
   void MakeFleet();
   void PublishLoads();
   void TickNodes();
-  void MakeCalls();
+  void ScheduleCalls();
   void SendCall(const std::shared_ptr<Call>& call);
   void Dispatch(const SendPointer& send);
   void RunAtEngine(const SendPointer& send);
@@ -103,16 +103,16 @@
   bool MayRetry(const SendPointer& send);
   void OnDeadline(const SendPointer& send);
   void Refuse(const SendPointer& send, RefusalKind kind);
-  void CallAgain(const std::shared_ptr<Call>& call, Duration after);
+  void ScheduleRetry(const std::shared_ptr<Call>& call, Duration after);
   std::int64_t AnswerTokens();
   double Goodput(Micros from, Micros to) const;
   // Fractions of the calls made in a time span.
-  double AnsweredAtOnce(Micros from, Micros to) const;
-  double AnsweredInTheEnd(Micros from, Micros to) const;
-  double SecondsToNormal() const;
+  double AnsweredAtFirstSend(Micros from, Micros to) const;
+  double AnsweredEventually(Micros from, Micros to) const;
+  double RecoverySeconds() const;
 
   RetryScenario scenario_;
-  RetryWay way_;
+  RetryPolicy policy_;
   EventQueue events_;
   Random random_;
   std::vector<std::unique_ptr<EndpointModel>> engines_;
--- a/bench/router_policy.cc
+++ b/bench/router_policy.cc
@@ -9,12 +9,12 @@
 // Drives the router in the same way as a node's core.
 class RouterDriver final : public RoutingPolicy {
  public:
-  RouterDriver(const RouterSettings& settings, const PolicyPlace& place)
+  RouterDriver(const RouterSettings& settings, const PolicyContext& context)
       : router_(RouterBuilder()
                     .SetSettings(settings)
-                    .SetRandom(SeededRandom(place.seed))
+                    .SetRandom(SeededRandom(context.seed))
                     .Build()) {
-    router_->SetNodeCount(place.nodes);
+    router_->SetNodeCount(context.nodes);
   }
 
   void OnEndpointUp(Time now, const Endpoint& endpoint) override {
@@ -67,20 +67,20 @@
 
 }  // namespace
 
-RouterSettings BenchRouterSettings(const PolicyPlace& place) {
+RouterSettings BenchRouterSettings(const PolicyContext& context) {
   RouterSettings settings;
-  settings.zone = place.zone;
-  settings.distances = place.distances;
+  settings.zone = context.zone;
+  settings.distances = context.distances;
   return settings;
 }
 
 NamedPolicy RouterPolicy(std::string name,
                          std::function<void(RouterSettings&)> change) {
   return {std::move(name),
-          [change = std::move(change)](const PolicyPlace& place) {
-            RouterSettings settings = BenchRouterSettings(place);
+          [change = std::move(change)](const PolicyContext& context) {
+            RouterSettings settings = BenchRouterSettings(context);
             change(settings);
-            return std::make_unique<RouterDriver>(settings, place);
+            return std::make_unique<RouterDriver>(settings, context);
           }};
 }
 
--- a/bench/routing_bench.cc
+++ b/bench/routing_bench.cc
@@ -18,7 +18,7 @@
 
 struct Deployment {
   std::string name;
-  double between_zones_millis;
+  double inter_zone_millis;
   double client_millis;
 };
 
@@ -30,12 +30,11 @@
   for (const Deployment& deployment : kDeployments) {
     const auto add = [&](const std::string& name, double load,
                          RoutingFault fault) {
-      scenarios.push_back(
-          {.name = deployment.name + "_" + name,
-           .between_zones_millis = deployment.between_zones_millis,
-           .client_millis = deployment.client_millis,
-           .load = load,
-           .fault = fault});
+      scenarios.push_back({.name = deployment.name + "_" + name,
+                           .inter_zone_millis = deployment.inter_zone_millis,
+                           .client_millis = deployment.client_millis,
+                           .load = load,
+                           .fault = fault});
     };
     add("load70", 0.7, RoutingFault::kNone);
     add("load90", 0.9, RoutingFault::kNone);
--- a/bench/routing_faults.cc
+++ b/bench/routing_faults.cc
@@ -16,15 +16,15 @@
 
 void RoutingWorld::InjectFault() {
   if (scenario_.fault == RoutingFault::kStragglers) {
-    events_.At(kFaultAt, [this] {
+    events_.ScheduleAt(kFaultAt, [this] {
       for (std::size_t i = 0; i < kReplicas; i += kStragglerStride) {
         replicas_[i].engine->set_slowdown(kStragglerSlowdown);
       }
     });
   }
   if (scenario_.fault == RoutingFault::kZoneLost) {
-    events_.At(kFaultAt, [this] { LoseZone(); });
-    events_.At(kFaultEnd, [this] { RestoreZone(); });
+    events_.ScheduleAt(kFaultAt, [this] { LoseZone(); });
+    events_.ScheduleAt(kFaultEnd, [this] { RestoreZone(); });
   }
 }
 
@@ -38,7 +38,7 @@
       replica.engine->GoDown();
     }
   }
-  events_.After(kGateDelay, [this] {
+  events_.ScheduleAfter(kGateDelay, [this] {
     for (Node& node : nodes_) {
       for (const Replica& replica : replicas_) {
         if (replica.zone == 0) {
@@ -55,13 +55,13 @@
   }
   for (Replica& replica : replicas_) {
     if (replica.zone == 0) {
-      replica.engine->ComeBack();
+      replica.engine->RestartAsNextGeneration();
       replica.events.clear();
       replica.next_event = 1;
       replica.endpoint.generation = replica.engine->settings().generation;
     }
   }
-  events_.After(kGateDelay, [this] {
+  events_.ScheduleAfter(kGateDelay, [this] {
     for (Node& node : nodes_) {
       for (std::size_t i = 0; i < kReplicas; ++i) {
         if (replicas_[i].zone == 0) {
--- a/bench/routing_policy.h
+++ b/bench/routing_policy.h
@@ -41,7 +41,7 @@
 };
 
 // Describes the node that a policy is created for.
-struct PolicyPlace {
+struct PolicyContext {
   ZoneId zone;
   std::vector<ZoneDistance> distances;
   std::int64_t nodes = 1;
@@ -49,7 +49,7 @@
 };
 
 using PolicyFactory =
-    std::function<std::unique_ptr<RoutingPolicy>(const PolicyPlace&)>;
+    std::function<std::unique_ptr<RoutingPolicy>(const PolicyContext&)>;
 
 struct NamedPolicy {
   std::string name;
@@ -57,7 +57,7 @@
 };
 
 // Returns the router settings that the benchmarks use.
-RouterSettings BenchRouterSettings(const PolicyPlace& place);
+RouterSettings BenchRouterSettings(const PolicyContext& context);
 NamedPolicy RouterPolicy(
     std::string name,
     std::function<void(RouterSettings&)> change = [](RouterSettings&) {});
--- a/bench/routing_world.cc
+++ b/bench/routing_world.cc
@@ -10,7 +10,7 @@
 
 constexpr std::size_t kZones = 3;
 constexpr std::size_t kNodes = 8;
-constexpr double kWithinZoneMillis = 0.2;
+constexpr double kIntraZoneMillis = 0.2;
 constexpr Micros kMeasured = 30 * kSecond;
 constexpr Micros kCoolDown = 6 * kSecond;
 // Load reports are between 0.2 and 2 s old.
@@ -86,7 +86,7 @@
 void RoutingWorld::MakeNodes(const PolicyFactory& policy) {
   std::vector<ZoneDistance> distances;
   for (std::size_t zone = 0; zone < kZones; ++zone) {
-    distances.push_back({ZoneName(zone), scenario_.between_zones_millis});
+    distances.push_back({ZoneName(zone), scenario_.inter_zone_millis});
   }
   for (std::size_t i = 0; i < kNodes; ++i) {
     Node node;
@@ -108,7 +108,7 @@
   TickNodes();
   SampleLoad();
   InjectFault();
-  StartOldSessions();
+  StartOngoingSessions();
   StartSessions();
   events_.RunUntil(kWarmUp + kMeasured + kCoolDown);
   return Figures();
@@ -140,14 +140,14 @@
         });
     for (std::size_t node = 0; node < kNodes; ++node) {
       const auto start = static_cast<Micros>(DrawBelow(random_, kEventPeriod));
-      events_.At(start, [this, node, i] { PollCacheEvents(node, i); });
+      events_.ScheduleAt(start, [this, node, i] { PollCacheEvents(node, i); });
     }
   }
 }
 
 void RoutingWorld::PollCacheEvents(std::size_t node, std::size_t replica) {
-  events_.After(kEventPeriod,
-                [this, node, replica] { PollCacheEvents(node, replica); });
+  events_.ScheduleAfter(
+      kEventPeriod, [this, node, replica] { PollCacheEvents(node, replica); });
   Replica& source = replicas_[replica];
   if (source.engine->is_down() || source.events.empty()) {
     return;
@@ -169,36 +169,37 @@
   batch->first =
       batch->events.empty() ? last + 1 : batch->events.front().sequence;
   last = source.next_event - 1;
-  events_.After(kEventLag, [this, node, batch, endpoint = source.endpoint] {
-    nodes_[node].policy->OnCacheEvents(events_.time(), endpoint, *batch);
-  });
+  events_.ScheduleAfter(
+      kEventLag, [this, node, batch, endpoint = source.endpoint] {
+        nodes_[node].policy->OnCacheEvents(events_.time(), endpoint, *batch);
+      });
 }
 
 void RoutingWorld::TickNodes() {
   for (Node& node : nodes_) {
     node.policy->Tick(events_.time());
   }
-  events_.After(kTick, [this] { TickNodes(); });
+  events_.ScheduleAfter(kTick, [this] { TickNodes(); });
 }
 
 void RoutingWorld::SampleLoad() {
-  events_.After(kSample, [this] { SampleLoad(); });
+  events_.ScheduleAfter(kSample, [this] { SampleLoad(); });
   if (events_.now() < kWarmUp || events_.now() > kWarmUp + kMeasured) {
     return;
   }
   std::int64_t peak = 0;
   std::int64_t sum = 0;
   std::int64_t live = 0;
-  std::int64_t places = 0;
+  std::int64_t slots = 0;
   for (const Replica& replica : replicas_) {
     if (!replica.engine->is_down()) {
       peak = std::max(peak, replica.engine->in_system());
       sum += replica.engine->in_system();
-      places += replica.engine->settings().batch_limit;
+      slots += replica.engine->settings().batch_limit;
       ++live;
     }
   }
-  occupied_.push_back(static_cast<double>(sum) / static_cast<double>(places));
+  occupancies_.push_back(static_cast<double>(sum) / static_cast<double>(slots));
   if (sum > 0) {
     peaks_.push_back(static_cast<double>(peak * live) /
                      static_cast<double>(sum));
@@ -207,7 +208,7 @@
 
 // Starts the sessions that exist in a steady state, each at a random point of
 // its lifetime, because sessions last longer than the warm-up.
-void RoutingWorld::StartOldSessions() {
+void RoutingWorld::StartOngoingSessions() {
   const auto sessions =
       static_cast<std::int64_t>(sessions_per_second_ * kMeanSessionSeconds);
   for (std::int64_t i = 0; i < sessions; ++i) {
@@ -219,20 +220,22 @@
     }
     session.turns_left = turns_left;
     const auto start = static_cast<Micros>(DrawBelow(random_, kFirstTurnsBy));
-    events_.At(start, [this, session] { StartTurn(session, LiveNode()); });
+    events_.ScheduleAt(start,
+                       [this, session] { StartTurn(session, PickLiveNode()); });
   }
 }
 
 void RoutingWorld::StartSessions() {
-  events_.After(workload_.TimeToNextSession(sessions_per_second_), [this] {
-    if (events_.now() < kWarmUp + kMeasured) {
-      StartTurn(workload_.NewSession(), LiveNode());
-      StartSessions();
-    }
-  });
+  events_.ScheduleAfter(workload_.TimeToNextSession(sessions_per_second_),
+                        [this] {
+                          if (events_.now() < kWarmUp + kMeasured) {
+                            StartTurn(workload_.NewSession(), PickLiveNode());
+                            StartSessions();
+                          }
+                        });
 }
 
-std::size_t RoutingWorld::LiveNode() {
+std::size_t RoutingWorld::PickLiveNode() {
   std::size_t node = DrawBelow(random_, kNodes);
   while (nodes_[node].is_down) {
     node = DrawBelow(random_, kNodes);
@@ -242,7 +245,7 @@
 
 void RoutingWorld::StartTurn(Session session, std::size_t node) {
   if (nodes_[node].is_down || DrawUnit(random_) > kSameNodeShare) {
-    node = LiveNode();
+    node = PickLiveNode();
   }
   Turn turn = workload_.NextTurn(session);
   auto call = std::make_shared<Call>();
@@ -260,8 +263,8 @@
   if (call->is_measured) {
     ++measured_;
   }
-  events_.After(MicrosOf(scenario_.client_millis),
-                [this, call] { Dispatch(call); });
+  events_.ScheduleAfter(MicrosFromMillis(scenario_.client_millis),
+                        [this, call] { Dispatch(call); });
 }
 
 void RoutingWorld::Dispatch(const CallPointer& call) {
@@ -274,15 +277,15 @@
   }
   const std::size_t replica = replica_of_.at(*chosen);
   waiting_[attempt] = call;
-  events_.After(
-      MicrosOf(WayMillis(call->node, replica)),
+  events_.ScheduleAfter(
+      MicrosFromMillis(NetworkMillis(call->node, replica)),
       [this, call, replica, attempt] { Arrive(call, replica, attempt); });
 }
 
 void RoutingWorld::Arrive(const CallPointer& call,
                           std::size_t replica,
                           std::uint64_t attempt) {
-  const Micros way = MicrosOf(WayMillis(call->node, replica));
+  const Micros delay = MicrosFromMillis(NetworkMillis(call->node, replica));
   const auto policy = [this, call]() -> RoutingPolicy& {
     return *nodes_[call->node].policy;
   };
@@ -292,20 +295,20 @@
   request.prefix_blocks = call->profile.prefix_blocks;
   request.generated_tokens = call->answer_tokens;
   request.on_first_token = [=, this](std::int64_t cached) {
-    events_.After(way, [=, this] {
+    events_.ScheduleAfter(delay, [=, this] {
       policy().OnFirstByte(events_.time(), attempt);
       OnFirstToken(call, cached);
     });
   };
   request.on_finished = [=, this] {
-    events_.After(way, [=, this] {
+    events_.ScheduleAfter(delay, [=, this] {
       policy().OnFinished(events_.time(), attempt, call->answer_tokens);
       waiting_.erase(attempt);
       OnAnswered(call);
     });
   };
   request.on_failed = [=, this] {
-    events_.After(way, [=, this] {
+    events_.ScheduleAfter(delay, [=, this] {
       policy().OnFailed(events_.time(), attempt);
       waiting_.erase(attempt);
       OnAttemptFailed(call, replica);
@@ -321,7 +324,8 @@
   call->has_first_byte = true;
   prompt_tokens_ += call->profile.prompt_tokens.value();
   cached_tokens_ += cached;
-  const Micros at_client = events_.now() + MicrosOf(scenario_.client_millis);
+  const Micros at_client =
+      events_.now() + MicrosFromMillis(scenario_.client_millis);
   ttft_millis_.push_back(static_cast<double>(at_client - call->arrived) / 1000);
 }
 
@@ -330,7 +334,7 @@
     answered_tokens_ += call->answer_tokens;
   }
   if (call->session.turns_left > 0) {
-    events_.After(workload_.ThinkTime(), [this, call] {
+    events_.ScheduleAfter(workload_.ThinkTime(), [this, call] {
       if (events_.now() < kWarmUp + kMeasured) {
         StartTurn(call->session, call->node);
       }
@@ -356,10 +360,11 @@
   failed_ += call->is_measured && !call->has_first_byte ? 1 : 0;
 }
 
-double RoutingWorld::WayMillis(std::size_t node, std::size_t replica) const {
+double RoutingWorld::NetworkMillis(std::size_t node,
+                                   std::size_t replica) const {
   return nodes_[node].zone == replicas_[replica].zone
-             ? kWithinZoneMillis
-             : scenario_.between_zones_millis;
+             ? kIntraZoneMillis
+             : scenario_.inter_zone_millis;
 }
 
 RoutingFigures RoutingWorld::Figures() {
@@ -386,7 +391,7 @@
           .mean_prompt_tokens =
               prompts / static_cast<double>(
                             std::max<std::size_t>(1, ttft_millis_.size())),
-          .mean_occupancy = Mean(occupied_),
+          .mean_occupancy = Mean(occupancies_),
           .answered_tokens_per_second =
               static_cast<double>(answered_tokens_) / seconds};
 }
--- a/bench/routing_world.h
+++ b/bench/routing_world.h
@@ -19,7 +19,7 @@
 struct RoutingScenario {
   std::string name;
   // One-way network delay between zones.
-  double between_zones_millis = 1.5;
+  double inter_zone_millis = 1.5;
   double client_millis = 1;
   // Load as a fraction of the engines' nominal capacity.
   double load = 0.7;
@@ -91,7 +91,7 @@
   void PollCacheEvents(std::size_t node, std::size_t replica);
   void TickNodes();
   void SampleLoad();
-  void StartOldSessions();
+  void StartOngoingSessions();
   void StartSessions();
   void StartTurn(Session session, std::size_t node);
   void Dispatch(const CallPointer& call);
@@ -103,8 +103,8 @@
   void InjectFault();
   void LoseZone();
   void RestoreZone();
-  std::size_t LiveNode();
-  double WayMillis(std::size_t node, std::size_t replica) const;
+  std::size_t PickLiveNode();
+  double NetworkMillis(std::size_t node, std::size_t replica) const;
   RoutingFigures Figures();
 
   RoutingScenario scenario_;
@@ -120,7 +120,7 @@
   std::unordered_map<std::uint64_t, CallPointer> waiting_;
   std::vector<double> ttft_millis_;
   std::vector<double> peaks_;
-  std::vector<double> occupied_;
+  std::vector<double> occupancies_;
   std::int64_t measured_ = 0;
   std::int64_t failed_ = 0;
   std::int64_t prompt_tokens_ = 0;
--- a/bench/session_workload.cc
+++ b/bench/session_workload.cc
@@ -18,10 +18,10 @@
                                  std::uint64_t seed)
     : settings_(settings), random_(SeededRandom(seed)), salt_(random_()) {
   const std::int64_t span =
-      settings_.most_system_tokens - settings_.least_system_tokens;
+      settings_.max_system_tokens - settings_.min_system_tokens;
   for (std::size_t team = 0; team < settings_.team_shares.size(); ++team) {
     const auto extra = static_cast<double>(span) * DrawUnit(random_);
-    system_tokens_.push_back(settings_.least_system_tokens +
+    system_tokens_.push_back(settings_.min_system_tokens +
                              static_cast<std::int64_t>(extra));
   }
 }
@@ -46,9 +46,8 @@
   turn.prompt_tokens = session.context_tokens + MessageTokens();
   const double answer =
       LogNormal(settings_.answer_log_median, settings_.answer_log_deviation);
-  turn.answer_tokens =
-      std::clamp(static_cast<std::int64_t>(answer), std::int64_t{1},
-                 settings_.most_answer_tokens);
+  turn.answer_tokens = std::clamp(static_cast<std::int64_t>(answer),
+                                  std::int64_t{1}, settings_.max_answer_tokens);
   const std::int64_t per_block = settings_.tokens_per_block;
   const std::int64_t system_blocks = system_tokens_[session.team] / per_block;
   for (std::int64_t i = 0; i < turn.prompt_tokens / per_block; ++i) {
@@ -65,19 +64,19 @@
   double tokens =
       LogNormal(settings_.message_log_median, settings_.message_log_deviation);
   if (DrawUnit(random_) < settings_.document_share) {
-    tokens += settings_.least_document_tokens /
+    tokens += settings_.min_document_tokens /
               std::pow(1 - DrawUnit(random_), 1 / settings_.document_tail);
   }
   return std::clamp(static_cast<std::int64_t>(tokens), std::int64_t{4},
-                    settings_.most_message_tokens);
+                    settings_.max_message_tokens);
 }
 
 Micros SessionWorkload::ThinkTime() {
-  return MicrosOf(Exponential(settings_.mean_think_millis));
+  return MicrosFromMillis(Exponential(settings_.mean_think_millis));
 }
 
 Micros SessionWorkload::TimeToNextSession(double sessions_per_second) {
-  return MicrosOf(Exponential(1000 / sessions_per_second));
+  return MicrosFromMillis(Exponential(1000 / sessions_per_second));
 }
 
 ContractId SessionWorkload::TeamContract(std::size_t team) const {
--- a/bench/session_workload.h
+++ b/bench/session_workload.h
@@ -15,8 +15,8 @@
   std::vector<double> team_shares = {0.30, 0.20, 0.15, 0.10, 0.07,
                                      0.06, 0.05, 0.03, 0.02, 0.02};
   // Length range of a team's system prompt, which all its sessions share.
-  std::int64_t least_system_tokens = 400;
-  std::int64_t most_system_tokens = 2400;
+  std::int64_t min_system_tokens = 400;
+  std::int64_t max_system_tokens = 2400;
   double mean_turns = 4;
   double mean_think_millis = 8000;
   // Message lengths are log-normal, with a Pareto tail for the share of
@@ -24,12 +24,12 @@
   double message_log_median = 4.2;
   double message_log_deviation = 0.9;
   double document_share = 0.08;
-  double least_document_tokens = 600;
+  double min_document_tokens = 600;
   double document_tail = 1.5;
-  std::int64_t most_message_tokens = 8000;
+  std::int64_t max_message_tokens = 8000;
   double answer_log_median = 5.1;
   double answer_log_deviation = 0.9;
-  std::int64_t most_answer_tokens = 2000;
+  std::int64_t max_answer_tokens = 2000;
   std::int64_t tokens_per_block = 16;
 };
 
--- a/bench/tier_callers.cc
+++ b/bench/tier_callers.cc
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-double TierWorld::PaidRateNow() const {
+double TierWorld::PaidRateFactor() const {
   if (settings_.burst_factor == 1) {
     return 1;
   }
@@ -36,23 +36,24 @@
   if (rate <= 0) {
     return;
   }
-  const Random& random = CallersOf(tier, flood);
-  const double highest =
+  const Random& random = CallerRandom(tier, flood);
+  const double max_rate =
       tier == Tier::kPaid ? rate * std::max(1.0, settings_.burst_factor) : rate;
-  const double wait = -std::log(1 - DrawUnit(random)) / highest;
-  events_.After(static_cast<Micros>(wait * kMicrosPerSecond), [this, tier, rate,
-                                                               highest, flood] {
-    const double now = tier == Tier::kPaid ? rate * PaidRateNow() : rate;
-    if (DrawUnit(CallersOf(tier, flood)) * highest < now) {
-      Arrive(tier, flood);
-    }
-    ScheduleArrival(tier, rate, flood);
-  });
+  const double wait = -std::log(1 - DrawUnit(random)) / max_rate;
+  events_.ScheduleAfter(
+      static_cast<Micros>(wait * kMicrosPerSecond),
+      [this, tier, rate, max_rate, flood] {
+        const double now = tier == Tier::kPaid ? rate * PaidRateFactor() : rate;
+        if (DrawUnit(CallerRandom(tier, flood)) * max_rate < now) {
+          Arrive(tier, flood);
+        }
+        ScheduleArrival(tier, rate, flood);
+      });
 }
 
 // Each kind of caller has its own random source, so that paid arrivals are the
 // same with and without the other kinds.
-const Random& TierWorld::CallersOf(Tier tier, bool flood) const {
+const Random& TierWorld::CallerRandom(Tier tier, bool flood) const {
   if (flood) {
     return callers_[2];
   }
@@ -62,20 +63,20 @@
 std::int64_t TierWorld::LogNormal(const Random& random,
                                   double median,
                                   double sigma,
-                                  std::int64_t most) {
+                                  std::int64_t max_value) {
   const double u = std::max(1e-12, DrawUnit(random));
   const double normal = std::sqrt(-2 * std::log(u)) *
                         std::cos(2 * std::numbers::pi * DrawUnit(random));
   const auto value =
       static_cast<std::int64_t>(median * std::exp(sigma * normal));
-  return std::clamp<std::int64_t>(value, 1, most);
+  return std::clamp<std::int64_t>(value, 1, max_value);
 }
 
 void TierWorld::Arrive(Tier tier, bool flood) {
   Call call;
   call.id = next_call_++;
   call.tier = tier;
-  const Random& random = CallersOf(tier, flood);
+  const Random& random = CallerRandom(tier, flood);
   call.node = DrawBelow(random, nodes_.size());
   call.prompt = LogNormal(random, 250, 0.7, 4000);
   call.generate = LogNormal(random, 150, 0.6, 1000);
--- a/bench/tier_world.cc
+++ b/bench/tier_world.cc
@@ -91,8 +91,8 @@
     endpoints_.push_back(std::make_unique<EndpointModel>(events_, engine));
     endpoints_.back()->set_on_token([this](std::uint64_t id) { OnToken(id); });
   }
-  paid_at_.resize(settings_.endpoints);
-  trial_at_.resize(settings_.endpoints);
+  paid_running_.resize(settings_.endpoints);
+  trial_running_.resize(settings_.endpoints);
   reports_.resize(settings_.endpoints);
 }
 
@@ -100,21 +100,21 @@
   for (std::size_t i = 0; i < endpoints_.size(); ++i) {
     const auto first = static_cast<Micros>(DrawBelow(
         random_, static_cast<std::uint64_t>(settings_.report_period)));
-    events_.At(first, [this, i] { Publish(i); });
+    events_.ScheduleAt(first, [this, i] { Publish(i); });
   }
   ScheduleArrival(Tier::kPaid, settings_.paid_per_second, false);
   ScheduleArrival(Tier::kTrial, settings_.trial_per_second, false);
   ScheduleArrival(Tier::kPaid, settings_.flood_per_second, true);
-  events_.At(0, [this] { TickNodes(); });
-  events_.At(settings_.loss_at, [this] { LoseEndpoints(); });
+  events_.ScheduleAt(0, [this] { TickNodes(); });
+  events_.ScheduleAt(settings_.loss_at, [this] { LoseEndpoints(); });
   events_.RunUntil(settings_.end);
 }
 
 void TierWorld::Publish(std::size_t endpoint) {
   const EndpointModel& engine = *endpoints_[endpoint];
   if (!engine.is_down()) {
-    const Report report{engine.Load(), paid_at_[endpoint], true};
-    events_.After(settings_.report_lag, [this, endpoint, report] {
+    const Report report{engine.Load(), paid_running_[endpoint], true};
+    events_.ScheduleAfter(settings_.report_lag, [this, endpoint, report] {
       if (endpoints_[endpoint]->is_down()) {
         return;
       }
@@ -126,8 +126,8 @@
       }
     });
   }
-  events_.After(settings_.report_period,
-                [this, endpoint] { Publish(endpoint); });
+  events_.ScheduleAfter(settings_.report_period,
+                        [this, endpoint] { Publish(endpoint); });
 }
 
 void TierWorld::LoseEndpoints() {
@@ -179,16 +179,16 @@
     if (!report.is_known) {
       continue;
     }
-    const double free =
-        static_cast<double>(report.load.batch_limit) - LoadSeenBy(call.node, i);
+    const double free = static_cast<double>(report.load.batch_limit) -
+                        EstimatedLoad(call.node, i);
     const bool capped = settings_.policy == TierPolicy::kCapped &&
-                        trial_at_[i] >= settings_.trial_cap;
+                        trial_running_[i] >= settings_.trial_cap;
     if (call.tier == Tier::kPaid || (free > 0 && !capped)) {
       candidates.push_back(i);
     }
   }
   if (candidates.empty()) {
-    Refused(call.id);
+    RecordRefusal(call.id);
     return;
   }
   Dispatch(call.id, call.tier == Tier::kPaid ? 0 : 1, candidates);
@@ -214,15 +214,15 @@
       Dispatch(CallOf(admit->request), admit->priority.value(),
                CandidatesOf(*admit));
     } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
-      Refused(CallOf(refuse->request));
+      RecordRefusal(CallOf(refuse->request));
     } else if (const auto* preempt = std::get_if<PreemptTrial>(&action)) {
       const std::uint64_t id = CallOf(preempt->request);
-      events_.After(kNetworkDelay, [this, id] { Preempt(id); });
+      events_.ScheduleAfter(kNetworkDelay, [this, id] { Preempt(id); });
     }
   }
 }
 
-double TierWorld::LoadSeenBy(std::size_t node, std::size_t endpoint) const {
+double TierWorld::EstimatedLoad(std::size_t node, std::size_t endpoint) const {
   const LoadReport& load = reports_[endpoint].load;
   const auto sent = nodes_[node].sent.find(endpoint);
   const double own = sent == nodes_[node].sent.end()
@@ -237,7 +237,7 @@
                             const std::vector<std::size_t>& candidates) {
   const std::size_t a = candidates[DrawBelow(random_, candidates.size())];
   const std::size_t b = candidates[DrawBelow(random_, candidates.size())];
-  return LoadSeenBy(node, a) <= LoadSeenBy(node, b) ? a : b;
+  return EstimatedLoad(node, a) <= EstimatedLoad(node, b) ? a : b;
 }
 
 void TierWorld::Dispatch(std::uint64_t id,
@@ -248,14 +248,15 @@
   nodes_[call.node].sent[call.endpoint].push_back(events_.now());
   const auto endpoint_id = endpoints_[call.endpoint]->settings().id;
   nodes_[call.node].admission->OnDispatched(IdOf(id), endpoint_id);
-  events_.After(kNetworkDelay, [this, id, priority] {
+  events_.ScheduleAfter(kNetworkDelay, [this, id, priority] {
     const auto found = calls_.find(id);
     if (found == calls_.end()) {
       return;
     }
     Call& sent = found->second;
     sent.is_placed = true;
-    ++(sent.tier == Tier::kPaid ? paid_at_ : trial_at_)[sent.endpoint];
+    ++(sent.tier == Tier::kPaid ? paid_running_
+                                : trial_running_)[sent.endpoint];
     EngineRequest request;
     request.id = id;
     request.priority = priority;
@@ -285,7 +286,7 @@
 void TierWorld::Finish(std::uint64_t id) {
   const Call call = calls_.at(id);
   calls_.erase(id);
-  --(call.tier == Tier::kPaid ? paid_at_ : trial_at_)[call.endpoint];
+  --(call.tier == Tier::kPaid ? paid_running_ : trial_running_)[call.endpoint];
   Record(call, [](TierOutcome& o) { ++o.answered; });
   Apply(nodes_[call.node].admission->OnFinished(events_.time(), IdOf(id),
                                                 TokenCount(call.generated)));
@@ -296,9 +297,9 @@
 void TierWorld::Fail(std::uint64_t id) {
   const Call call = calls_.at(id);
   calls_.erase(id);
-  --(call.tier == Tier::kPaid ? paid_at_ : trial_at_)[call.endpoint];
+  --(call.tier == Tier::kPaid ? paid_running_ : trial_running_)[call.endpoint];
   Record(call, [](TierOutcome& o) { ++o.failed; });
-  events_.After(0, [this, call, id] {
+  events_.ScheduleAfter(0, [this, call, id] {
     Apply(nodes_[call.node].admission->OnFinished(events_.time(), IdOf(id),
                                                   TokenCount(call.generated)));
   });
@@ -310,13 +311,13 @@
     return;
   }
   if (!found->second.is_placed) {
-    events_.After(kNetworkDelay, [this, id] { Preempt(id); });
+    events_.ScheduleAfter(kNetworkDelay, [this, id] { Preempt(id); });
     return;
   }
   endpoints_[found->second.endpoint]->Cancel(id);
   const Call call = found->second;
   calls_.erase(found);
-  --trial_at_[call.endpoint];
+  --trial_running_[call.endpoint];
   Record(call, [&call](TierOutcome& o) {
     ++o.preempted;
     o.wasted_tokens += call.generated;
@@ -325,7 +326,7 @@
                                                 TokenCount(call.generated)));
 }
 
-void TierWorld::Refused(std::uint64_t id) {
+void TierWorld::RecordRefusal(std::uint64_t id) {
   Record(calls_.at(id), [](TierOutcome& o) { ++o.refused; });
   calls_.erase(id);
 }
@@ -358,7 +359,7 @@
       Apply(nodes_[i].admission->Tick(events_.time()));
     }
   }
-  events_.After(kTickPeriod, [this] { TickNodes(); });
+  events_.ScheduleAfter(kTickPeriod, [this] { TickNodes(); });
 }
 
 }  // namespace gcw::bench
--- a/bench/tier_world.h
+++ b/bench/tier_world.h
@@ -40,11 +40,11 @@
   double trial_per_second = 0;
   // Additional requests per second of the first team.
   double flood_per_second = 0;
-  Micros warm_up = MicrosOf(10000);
-  Micros loss_at = MicrosOf(25000);
-  Micros end = MicrosOf(50000);
-  Micros report_period = MicrosOf(200);
-  Micros report_lag = MicrosOf(200);
+  Micros warm_up = MicrosFromMillis(10000);
+  Micros loss_at = MicrosFromMillis(25000);
+  Micros end = MicrosFromMillis(50000);
+  Micros report_period = MicrosFromMillis(200);
+  Micros report_lag = MicrosFromMillis(200);
   AdmissionSettings admission;
 };
 
@@ -92,7 +92,7 @@
   void Publish(std::size_t endpoint);
   void ScheduleArrival(Tier tier, double rate, bool flood);
   void Arrive(Tier tier, bool flood);
-  double PaidRateNow() const;
+  double PaidRateFactor() const;
   void TickNodes();
   void LoseEndpoints();
 
@@ -105,12 +105,12 @@
                 const std::vector<std::size_t>& candidates);
   std::size_t Pick(std::size_t node,
                    const std::vector<std::size_t>& candidates);
-  double LoadSeenBy(std::size_t node, std::size_t endpoint) const;
+  double EstimatedLoad(std::size_t node, std::size_t endpoint) const;
   void OnToken(std::uint64_t id);
   void Finish(std::uint64_t id);
   void Fail(std::uint64_t id);
   void Preempt(std::uint64_t id);
-  void Refused(std::uint64_t id);
+  void RecordRefusal(std::uint64_t id);
   void SendHeadroom(std::size_t node);
   bool IsMeasured(const Call& call) const {
     return call.arrived >= settings_.warm_up;
@@ -120,11 +120,11 @@
   }
   template <typename Function>
   void Record(const Call& call, Function function);
-  const Random& CallersOf(Tier tier, bool flood) const;
+  const Random& CallerRandom(Tier tier, bool flood) const;
   static std::int64_t LogNormal(const Random& random,
                                 double median,
                                 double sigma,
-                                std::int64_t most);
+                                std::int64_t max_value);
 
   TierWorldSettings settings_;
   Random random_;
@@ -133,8 +133,8 @@
   EventQueue events_;
   std::vector<Node> nodes_;
   std::vector<std::unique_ptr<EndpointModel>> endpoints_;
-  std::vector<std::int64_t> paid_at_;
-  std::vector<std::int64_t> trial_at_;
+  std::vector<std::int64_t> paid_running_;
+  std::vector<std::int64_t> trial_running_;
   std::vector<Report> reports_;
   std::unordered_map<std::uint64_t, Call> calls_;
   std::uint64_t next_call_ = 1;
--- a/bench/tiers_bench.cc
+++ b/bench/tiers_bench.cc
@@ -14,9 +14,9 @@
 namespace gcw::bench {
 namespace {
 
-constexpr Micros kWarmUp = MicrosOf(10000);
-constexpr Micros kLossAt = MicrosOf(40000);
-constexpr Micros kEnd = MicrosOf(130000);
+constexpr Micros kWarmUp = MicrosFromMillis(10000);
+constexpr Micros kLossAt = MicrosFromMillis(40000);
+constexpr Micros kEnd = MicrosFromMillis(130000);
 constexpr double kPaidPerSecond = 80;
 // This rate exceeds the capacity of all endpoints.
 constexpr double kSaturatingPerSecond = 400;
@@ -113,7 +113,7 @@
                       static_cast<double>(settings.endpoints);
   const double lost_time =
       static_cast<double>(kEnd - kLossAt) / static_cast<double>(kEnd - kWarmUp);
-  const double room = saturated * (1 - lost * lost_time) - paid_tokens;
+  const double spare_rate = saturated * (1 - lost * lost_time) - paid_tokens;
   settings.trial_per_second = scenario.trial_load *
                               (saturated * (1 - lost) - paid_tokens) /
                               tokens_per_request;
@@ -132,7 +132,7 @@
       .paid_answered =
           ShareOf(paid.answered, paid.answered + paid.refused + paid.failed),
       .paid_refused = ShareOf(paid.refused, paid.offered),
-      .trial_of_room = TokensPerSecond(world, trial) / room,
+      .trial_of_room = TokensPerSecond(world, trial) / spare_rate,
       .trial_wasted =
           ShareOf(trial.wasted_tokens, std::max<std::int64_t>(1, trial.tokens)),
       .trial_answered = ShareOf(trial.answered, trial.offered)};
@@ -189,8 +189,8 @@
     for (const Scenario& scenario : Scenarios()) {
       RunScenario(scenario);
     }
-    report_.SetFigure("paid_ttft_p95_ratio_worst", worst_ttft_ratio_);
-    report_.SetFigure("paid_gap_p95_ratio_worst", worst_gap_ratio_);
+    report_.SetFigure("paid_ttft_p95_ratio_worst", max_ttft_ratio_);
+    report_.SetFigure("paid_gap_p95_ratio_worst", max_gap_ratio_);
     return report_.Finish(options_);
   }
 
@@ -211,7 +211,7 @@
   Spread RatioToBase(const std::vector<Result>& results, Field field) const {
     std::vector<double> values;
     for (std::size_t i = 0; i < results.size(); ++i) {
-      values.push_back(results[i].*field / (base_[i].*field));
+      values.push_back(results[i].*field / (baseline_[i].*field));
     }
     return SpreadOf(values);
   }
@@ -223,7 +223,7 @@
                                 tokens_per_request_[i]));
     }
     if (scenario.trial_load == 0) {
-      base_ = results;
+      baseline_ = results;
     }
     AddRow(scenario, results);
     SetFigures(scenario, results);
@@ -267,10 +267,10 @@
                         SpreadOfField(results, &Result::others_ttft95).mean);
       return;
     }
-    worst_ttft_ratio_ =
-        std::max(worst_ttft_ratio_, RatioToBase(results, &Result::ttft95).mean);
-    worst_gap_ratio_ =
-        std::max(worst_gap_ratio_, RatioToBase(results, &Result::gap95).mean);
+    max_ttft_ratio_ =
+        std::max(max_ttft_ratio_, RatioToBase(results, &Result::ttft95).mean);
+    max_gap_ratio_ =
+        std::max(max_gap_ratio_, RatioToBase(results, &Result::gap95).mean);
     if (scenario.trial_load > 0) {
       std::string name = scenario.name + "_trial_of_room_" +
                          FormatNumber(scenario.trial_load, 0);
@@ -284,9 +284,9 @@
   std::vector<double> saturated_;
   std::vector<double> tokens_per_request_;
   // Results of the last scenario without trial load.
-  std::vector<Result> base_;
-  double worst_ttft_ratio_ = 0;
-  double worst_gap_ratio_ = 0;
+  std::vector<Result> baseline_;
+  double max_ttft_ratio_ = 0;
+  double max_gap_ratio_ = 0;
   BenchReport report_{
       "tiers",
       {"policy", "trial load", "paid TTFT p50/p95/p99 ms", "p95 to no trial",
