--- a/bench/admission_bench.cc
+++ b/bench/admission_bench.cc
@@ -31,11 +31,11 @@
     for (std::int64_t i = 0; i < contracts; ++i) {
       AddContract(i);
     }
-    ReportRoom();
+    ReportCapacity();
   }
 
   // Runs one request from the lookup of its key to its end.
-  void RunOne() {
+  void RunRequest() {
     const KeyDigest& key = keys_[next_ % keys_.size()];
     profile_.contract = admission_.FindContract(key)->id;
     profile_.id = RequestId("request-" + std::to_string(next_++));
@@ -63,7 +63,7 @@
     admission_.OnContract(now_, contract);
   }
 
-  void ReportRoom() {
+  void ReportCapacity() {
     Headroom headroom;
     headroom.taken_at = now_;
     for (int i = 0; i < kEndpoints; ++i) {
@@ -92,11 +92,11 @@
 double AllocationsPerRequest(std::int64_t contracts) {
   AdmissionFixture fixture(contracts);
   for (int i = 0; i < kWarmUpRequests; ++i) {
-    fixture.RunOne();
+    fixture.RunRequest();
   }
   const std::int64_t before = AllocationCount();
   for (int i = 0; i < kCountedRequests; ++i) {
-    fixture.RunOne();
+    fixture.RunRequest();
   }
   return static_cast<double>(AllocationCount() - before) / kCountedRequests;
 }
@@ -104,10 +104,10 @@
 void BM_Admission(benchmark::State& state) {
   AdmissionFixture fixture(state.range(0));
   for (int i = 0; i < kWarmUpRequests; ++i) {
-    fixture.RunOne();
+    fixture.RunRequest();
   }
   for ([[maybe_unused]] auto _ : state) {
-    fixture.RunOne();
+    fixture.RunRequest();
   }
 }
 BENCHMARK(BM_Admission)->Arg(10)->Arg(1000)->Arg(10000);
--- a/bench/configuration_bench.cc
+++ b/bench/configuration_bench.cc
@@ -16,8 +16,8 @@
 constexpr std::size_t kContracts = 100;
 constexpr std::size_t kValueBytes = 600;
 constexpr int kChanges = 10;
-constexpr Duration kQuiet = Duration::Seconds(60);
-constexpr Duration kGiveUp = Duration::Seconds(120);
+constexpr Duration kIdleSpan = Duration::Seconds(60);
+constexpr Duration kTimeout = Duration::Seconds(120);
 
 struct Fleet {
   std::size_t nodes;
@@ -29,7 +29,7 @@
 // A fault that is present while the changes are made.
 struct Scenario {
   std::string name;
-  std::function<void(ConfigCluster&)> disturb;
+  std::function<void(ConfigCluster&)> inject_fault;
 };
 
 std::vector<Scenario> Scenarios() {
@@ -50,7 +50,7 @@
 }
 
 // Gives all nodes of the cluster the same contracts.
-void Fill(ConfigCluster& cluster) {
+void FillContracts(ConfigCluster& cluster) {
   for (std::size_t i = 0; i < kContracts; ++i) {
     const ConfigRecord record{.value = std::string(kValueBytes, 'x'),
                               .change = ChangeId("fill" + std::to_string(i)),
@@ -86,8 +86,8 @@
   std::vector<double> accepted;
   std::vector<double> in_force;
   std::vector<double> confirmed;
-  double quiet_bytes_per_node_second = 0;
-  double quiet_calls_per_second = 0;
+  double idle_bytes_per_node_second = 0;
+  double idle_calls_per_second = 0;
   double bytes_per_node_change = 0;
   double calls_per_change = 0;
   std::size_t watches = 0;
@@ -101,16 +101,16 @@
   return *std::max_element(values.begin(), values.end());
 }
 
-void MeasureQuiet(ConfigCluster& cluster, Figures& figures) {
+void MeasureIdle(ConfigCluster& cluster, Figures& figures) {
   const std::int64_t bytes = cluster.sent_bytes();
   const std::int64_t calls = cluster.link().calls();
-  cluster.Run(kQuiet);
+  cluster.Run(kIdleSpan);
   const auto nodes = static_cast<double>(cluster.nodes().size());
-  figures.quiet_bytes_per_node_second =
+  figures.idle_bytes_per_node_second =
       static_cast<double>(cluster.sent_bytes() - bytes) / nodes /
-      Seconds(kQuiet);
-  figures.quiet_calls_per_second =
-      static_cast<double>(cluster.link().calls() - calls) / Seconds(kQuiet);
+      Seconds(kIdleSpan);
+  figures.idle_calls_per_second =
+      static_cast<double>(cluster.link().calls() - calls) / Seconds(kIdleSpan);
   figures.watches = cluster.link().waiting_watches();
 }
 
@@ -134,12 +134,12 @@
   }
   figures.accepted.push_back(Seconds(cluster.now() - start));
   while (!AllHold(cluster, key, accepted->revision) &&
-         cluster.now() < start + kGiveUp) {
+         cluster.now() < start + kTimeout) {
     cluster.Step();
   }
   figures.in_force.push_back(Seconds(cluster.now() - start));
   while (!AllConfirm(cluster, accepted->revision) &&
-         cluster.now() < start + kGiveUp) {
+         cluster.now() < start + kTimeout) {
     cluster.Step();
   }
   figures.confirmed.push_back(Seconds(cluster.now() - start));
@@ -149,10 +149,10 @@
                 const Scenario& scenario,
                 std::uint64_t seed) {
   ConfigCluster cluster(fleet.nodes, seed, fleet.zones);
-  Fill(cluster);
+  FillContracts(cluster);
   Figures figures;
-  scenario.disturb(cluster);
-  MeasureQuiet(cluster, figures);
+  scenario.inject_fault(cluster);
+  MeasureIdle(cluster, figures);
   const std::int64_t bytes = cluster.sent_bytes();
   const std::int64_t calls = cluster.link().calls();
   const Time start = cluster.now();
@@ -163,11 +163,11 @@
   const auto nodes = static_cast<double>(fleet.nodes);
   figures.bytes_per_node_change =
       (static_cast<double>(cluster.sent_bytes() - bytes) / nodes -
-       figures.quiet_bytes_per_node_second * span) /
+       figures.idle_bytes_per_node_second * span) /
       kChanges;
   figures.calls_per_change =
       (static_cast<double>(cluster.link().calls() - calls) -
-       figures.quiet_calls_per_second * span) /
+       figures.idle_calls_per_second * span) /
       kChanges;
   return figures;
 }
@@ -175,11 +175,12 @@
 // Returns the time until a node that starts empty during an outage is ready.
 double MeasureEmptyStart(const Fleet& fleet, std::uint64_t seed) {
   ConfigCluster cluster(fleet.nodes, seed, fleet.zones);
-  Fill(cluster);
+  FillContracts(cluster);
   cluster.link().SetOutage(cluster.now(), true);
   cluster.Restart(0);
   const Time start = cluster.now();
-  while (!cluster.nodes()[0].sync->ready() && cluster.now() < start + kGiveUp) {
+  while (!cluster.nodes()[0].sync->ready() &&
+         cluster.now() < start + kTimeout) {
     cluster.Step();
   }
   return Seconds(cluster.now() - start);
@@ -193,17 +194,17 @@
                  FormatSpread(SpreadOf(figures.accepted), 2),
                  FormatSpread(SpreadOf(figures.in_force), 2),
                  FormatSpread(SpreadOf(figures.confirmed), 2),
-                 FormatNumber(figures.quiet_bytes_per_node_second, 0),
+                 FormatNumber(figures.idle_bytes_per_node_second, 0),
                  FormatNumber(figures.bytes_per_node_change, 0),
                  FormatNumber(figures.calls_per_change, 1),
-                 FormatNumber(figures.quiet_calls_per_second, 2),
+                 FormatNumber(figures.idle_calls_per_second, 2),
                  std::to_string(figures.watches)});
   const std::string name =
       scenario.name + "_" + std::to_string(fleet.nodes) + "_";
   report.SetFigure(name + "in_force_max_s", Highest(figures.in_force));
   report.SetFigure(name + "confirmed_max_s", Highest(figures.confirmed));
   report.SetFigure(name + "bytes_per_node_s",
-                   figures.quiet_bytes_per_node_second);
+                   figures.idle_bytes_per_node_second);
   report.SetFigure(name + "bytes_per_node_change",
                    figures.bytes_per_node_change);
   report.SetFigure(name + "calls_per_change", figures.calls_per_change);
--- a/bench/gateway_scale_bench.cc
+++ b/bench/gateway_scale_bench.cc
@@ -65,20 +65,20 @@
   }
 
   void Start() {
-    Answer(core_->SetOwnAddresses(now_, Address("c"), Address("p")));
-    Answer(core_->Tick(now_));
+    AnswerCalls(core_->SetOwnAddresses(now_, Address("c"), Address("p")));
+    AnswerCalls(core_->Tick(now_));
   }
 
   void Tick() {
     now_ = now_ + Duration::Millis(40);
-    Answer(core_->Tick(now_));
+    AnswerCalls(core_->Tick(now_));
   }
 
-  void Change(std::size_t vm) {
-    ++places_;
+  void ChangeRegistration(std::size_t vm) {
+    ++slots_;
     Put(KeyOf(vm), std::to_string(vm));
     now_ = now_ + Duration::Millis(40);
-    Answer(core_->Tick(now_));
+    AnswerCalls(core_->Tick(now_));
   }
 
  private:
@@ -126,7 +126,7 @@
     registration.zone = ZoneId("z");
     registration.domain =
         FabricDomainId("d" + std::to_string(index / kVmsPerDomain));
-    registration.places = places_;
+    registration.places = slots_;
     registration.models = {ModelId("m")};
     registration.staged = {ModelId("m")};
     registration.membership = GroupMembership{
@@ -142,14 +142,14 @@
     store_.Execute(now_, StorePut{key, value, expected, LeaseId()});
   }
 
-  void Answer(const GatewayActions& actions) {
+  void AnswerCalls(const GatewayActions& actions) {
     for (const GatewayAction& action : actions) {
       const auto* call = std::get_if<CallGatewayStore>(&action);
       if (call == nullptr) {
         continue;
       }
       const auto reply = store_.Execute(now_, call->request.call);
-      Answer(core_->OnStoreReply(
+      AnswerCalls(core_->OnStoreReply(
           now_, call->module, call->request.id,
           reply
               ? *reply
@@ -159,7 +159,7 @@
 
   std::size_t vms_;
   FleetConfiguration configuration_;
-  std::int64_t places_ = 13;
+  std::int64_t slots_ = 13;
   FakeStore store_;
   std::unique_ptr<GatewayCore> core_;
   Time now_ = Time() + Duration::Seconds(1);
@@ -210,7 +210,7 @@
     add("tick", CostOf(kRepetitions, [&] { node.Tick(); }));
     std::size_t vm = 0;
     add("change", CostOf(kRepetitions, [&] {
-          node.Change(vm);
+          node.ChangeRegistration(vm);
           vm = (vm + kGroupSize) % vms;
         }));
     const KeeperCost keeper = MeasureKeeper(fleet.domains);
--- a/bench/limits_world.cc
+++ b/bench/limits_world.cc
@@ -19,7 +19,7 @@
 constexpr Duration kRoleLease = Duration::Seconds(13);
 constexpr Micros kCallerFailoverDelay = MicrosFromMillis(1000);
 constexpr double kMeanServiceMillis = 2000;
-// Size of a request to the counting node and its answer.
+// Size of a request to the counting node, and also of the node's answer.
 constexpr double kCentralMessageBytes = 150;
 // Number of retries of a request whose node holds no share.
 constexpr int kMaxShareRetries = 30;
--- a/bench/membership_bench.cc
+++ b/bench/membership_bench.cc
@@ -15,8 +15,8 @@
 namespace gcw::bench {
 namespace {
 
-constexpr Duration kQuiet = Duration::Seconds(60);
-constexpr Duration kGiveUp = Duration::Seconds(300);
+constexpr Duration kIdleSpan = Duration::Seconds(60);
+constexpr Duration kTimeout = Duration::Seconds(300);
 
 struct Fleet {
   std::size_t nodes;
@@ -35,13 +35,13 @@
 
 double RunUntil(MemberCluster& cluster, const std::function<bool()>& done) {
   const Time start = cluster.now();
-  while (!done() && cluster.now() < start + kGiveUp) {
+  while (!done() && cluster.now() < start + kTimeout) {
     cluster.Step();
   }
   return Seconds(cluster.now() - start);
 }
 
-struct Quiet {
+struct IdleCost {
   double messages_per_node_second = 0;
   double bytes_per_node_second = 0;
   double store_calls_per_second = 0;
@@ -49,24 +49,24 @@
   double processor_micros_per_node_second = 0;
 };
 
-Quiet MeasureQuiet(MemberCluster& cluster) {
+IdleCost MeasureIdle(MemberCluster& cluster) {
   const std::int64_t messages = cluster.network().sent();
   const std::int64_t bytes = cluster.sent_bytes();
   const std::int64_t calls = cluster.link().calls();
   const double processor = ProcessorSeconds();
-  cluster.Run(kQuiet);
+  cluster.Run(kIdleSpan);
   const double node_seconds =
-      static_cast<double>(cluster.nodes().size()) * Seconds(kQuiet);
-  return {
-      .messages_per_node_second =
-          static_cast<double>(cluster.network().sent() - messages) /
-          node_seconds,
-      .bytes_per_node_second =
-          static_cast<double>(cluster.sent_bytes() - bytes) / node_seconds,
-      .store_calls_per_second =
-          static_cast<double>(cluster.link().calls() - calls) / Seconds(kQuiet),
-      .processor_micros_per_node_second =
-          (ProcessorSeconds() - processor) * 1e6 / node_seconds};
+      static_cast<double>(cluster.nodes().size()) * Seconds(kIdleSpan);
+  return {.messages_per_node_second =
+              static_cast<double>(cluster.network().sent() - messages) /
+              node_seconds,
+          .bytes_per_node_second =
+              static_cast<double>(cluster.sent_bytes() - bytes) / node_seconds,
+          .store_calls_per_second =
+              static_cast<double>(cluster.link().calls() - calls) /
+              Seconds(kIdleSpan),
+          .processor_micros_per_node_second =
+              (ProcessorSeconds() - processor) * 1e6 / node_seconds};
 }
 
 // Seconds from the death of a node until other nodes detect it.
@@ -79,12 +79,12 @@
 };
 
 Detection MeasureDetection(MemberCluster& cluster) {
-  const std::size_t victim = cluster.nodes().size() / 2;
-  cluster.nodes()[victim].up = false;
+  const std::size_t failed_node = cluster.nodes().size() / 2;
+  cluster.nodes()[failed_node].up = false;
   const std::size_t others = cluster.nodes().size() - 1;
   const auto avoiding = [&] {
-    return cluster.Seeing(victim, MemberState::kSuspect) +
-           cluster.Seeing(victim, MemberState::kDead);
+    return cluster.Seeing(failed_node, MemberState::kSuspect) +
+           cluster.Seeing(failed_node, MemberState::kDead);
   };
   Detection detection;
   detection.first_suspect = RunUntil(cluster, [&] { return avoiding() > 0; });
@@ -92,21 +92,21 @@
                         RunUntil(cluster, [&] { return avoiding() == others; });
   detection.all_dead =
       detection.all_avoid + RunUntil(cluster, [&] {
-        return cluster.Seeing(victim, MemberState::kDead) == others;
+        return cluster.Seeing(failed_node, MemberState::kDead) == others;
       });
   return detection;
 }
 
 double MeasureLeaving(MemberCluster& cluster) {
-  const std::size_t leaver = 1;
+  const std::size_t leaving_node = 1;
   std::size_t others = 0;
   for (const MemberCluster::Node& node : cluster.nodes()) {
     others += node.up ? 1 : 0;
   }
   --others;
-  cluster.Leave(leaver);
+  cluster.Leave(leaving_node);
   return RunUntil(cluster, [&] {
-    return cluster.Seeing(leaver, MemberState::kLeaving) == others;
+    return cluster.Seeing(leaving_node, MemberState::kLeaving) == others;
   });
 }
 
@@ -126,7 +126,7 @@
   }
   ZoneLoss loss;
   const auto alive = static_cast<double>(cluster.nodes().size() - lost.size());
-  while (!cluster.Agrees() && loss.all_dead_seconds < Seconds(kGiveUp)) {
+  while (!cluster.Agrees() && loss.all_dead_seconds < Seconds(kTimeout)) {
     const std::int64_t before = cluster.sent_bytes();
     cluster.Run(Duration::Seconds(1));
     loss.all_dead_seconds += 1;
@@ -144,7 +144,7 @@
   const double heap_kilobytes =
       static_cast<double>(mallinfo2().uordblks - heap_before) / 1024 /
       static_cast<double>(fleet.nodes);
-  const Quiet quiet = MeasureQuiet(cluster);
+  const IdleCost idle = MeasureIdle(cluster);
   const Detection detection = MeasureDetection(cluster);
   const double leaving = MeasureLeaving(cluster);
   MemberCluster zone_cluster(fleet.nodes, seed + 1, fleet.zones);
@@ -152,21 +152,20 @@
   const ZoneLoss loss = MeasureZoneLoss(zone_cluster);
 
   report.AddRow({std::to_string(fleet.nodes),
-                 FormatNumber(quiet.messages_per_node_second, 2),
-                 FormatNumber(quiet.bytes_per_node_second, 0),
-                 FormatNumber(quiet.store_calls_per_second, 2),
+                 FormatNumber(idle.messages_per_node_second, 2),
+                 FormatNumber(idle.bytes_per_node_second, 0),
+                 FormatNumber(idle.store_calls_per_second, 2),
                  FormatNumber(detection.first_suspect, 2),
                  FormatNumber(detection.all_avoid, 2),
                  FormatNumber(detection.all_dead, 2), FormatNumber(leaving, 2),
                  FormatNumber(loss.all_dead_seconds, 0),
                  FormatNumber(loss.peak_bytes_per_node_second, 0),
-                 FormatNumber(quiet.processor_micros_per_node_second, 0),
+                 FormatNumber(idle.processor_micros_per_node_second, 0),
                  FormatNumber(heap_kilobytes, 0)});
   const std::string name = "nodes" + std::to_string(fleet.nodes) + "_";
-  report.SetFigure(name + "messages_per_node_s",
-                   quiet.messages_per_node_second);
-  report.SetFigure(name + "bytes_per_node_s", quiet.bytes_per_node_second);
-  report.SetFigure(name + "store_calls_s", quiet.store_calls_per_second);
+  report.SetFigure(name + "messages_per_node_s", idle.messages_per_node_second);
+  report.SetFigure(name + "bytes_per_node_s", idle.bytes_per_node_second);
+  report.SetFigure(name + "store_calls_s", idle.store_calls_per_second);
   report.SetFigure(name + "first_suspect_s", detection.first_suspect);
   report.SetFigure(name + "all_avoid_s", detection.all_avoid);
   report.SetFigure(name + "all_dead_s", detection.all_dead);
--- a/bench/once_bench.cc
+++ b/bench/once_bench.cc
@@ -86,7 +86,7 @@
   bool violated = false;
 };
 
-bool Refused(const OnceWorld::Send& send) {
+bool IsRefused(const OnceWorld::Send& send) {
   if (send.told == Told::kEarlier) {
     return true;
   }
@@ -97,7 +97,7 @@
 void CountSend(const OnceWorld::Send& send, Counts& counts) {
   ++counts.sends;
   counts.untold += send.told == Told::kNothing ? 1 : 0;
-  const int refused = Refused(send) ? 1 : 0;
+  const int refused = IsRefused(send) ? 1 : 0;
   if (!send.first) {
     ++counts.repeats;
     counts.replayed += send.told == Told::kReplayed ? 1 : 0;
@@ -143,7 +143,7 @@
              : 100.0 * static_cast<double>(part) / static_cast<double>(whole);
 }
 
-void Print(const std::string& name, const Counts& counts) {
+void PrintRow(const std::string& name, const Counts& counts) {
   std::printf("%-26s %6lld %8.2f%% %8.2f%% %8.2f%% %8.2f%% %7lld %7.1f\n",
               name.c_str(), static_cast<long long>(counts.sends),
               Percent(counts.first_refused, counts.first),
@@ -155,9 +155,9 @@
                   (0.001 * static_cast<double>(kLength.millis())));
 }
 
-void Add(boost::json::object& figures,
-         const std::string& prefix,
-         const Counts& counts) {
+void AddFigures(boost::json::object& figures,
+                const std::string& prefix,
+                const Counts& counts) {
   figures[prefix + "/first_refused_percent"] =
       Percent(counts.first_refused, counts.first);
   figures[prefix + "/issued_refused_percent"] =
@@ -226,9 +226,10 @@
     for (const Scenario& scenario : Scenarios()) {
       const Counts counts = Measure(scenario, Duration::Seconds(lease), seed);
       violated = violated || counts.violated;
-      Print(scenario.name, counts);
-      Add(figures, scenario.name + "/lease_" + std::to_string(lease) + "s",
-          counts);
+      PrintRow(scenario.name, counts);
+      AddFigures(figures,
+                 scenario.name + "/lease_" + std::to_string(lease) + "s",
+                 counts);
     }
   }
   MeasureRates(seed, figures);
--- a/bench/retry_bench.cc
+++ b/bench/retry_bench.cc
@@ -27,9 +27,9 @@
      .passes_deadlines = true,
      .plans_retry_after = true}};
 
-Spread Over(const std::vector<RetryFigures>& runs,
-            double RetryFigures::*figure,
-            double scale) {
+Spread SpreadOfField(const std::vector<RetryFigures>& runs,
+                     double RetryFigures::*figure,
+                     double scale) {
   std::vector<double> values;
   values.reserve(runs.size());
   for (const RetryFigures& run : runs) {
@@ -38,26 +38,29 @@
   return SpreadOf(values);
 }
 
-void Add(BenchReport& report,
-         const std::string& scenario,
-         const std::string& policy,
-         const std::vector<RetryFigures>& runs) {
-  const Spread before = Over(runs, &RetryFigures::goodput_before, 100);
-  const Spread during = Over(runs, &RetryFigures::goodput_during, 100);
-  const Spread after = Over(runs, &RetryFigures::goodput_after, 100);
-  const Spread answered = Over(runs, &RetryFigures::answered_eventually, 100);
-  const Spread attempts = Over(runs, &RetryFigures::attempts_per_call, 1);
-  const Spread wasted = Over(runs, &RetryFigures::wasted_share, 100);
-  const Spread normal = Over(runs, &RetryFigures::recovery_seconds, 1);
+void AddResults(BenchReport& report,
+                const std::string& scenario,
+                const std::string& policy,
+                const std::vector<RetryFigures>& runs) {
+  const Spread before = SpreadOfField(runs, &RetryFigures::goodput_before, 100);
+  const Spread during = SpreadOfField(runs, &RetryFigures::goodput_during, 100);
+  const Spread after = SpreadOfField(runs, &RetryFigures::goodput_after, 100);
+  const Spread answered =
+      SpreadOfField(runs, &RetryFigures::answered_eventually, 100);
+  const Spread attempts =
+      SpreadOfField(runs, &RetryFigures::attempts_per_call, 1);
+  const Spread wasted = SpreadOfField(runs, &RetryFigures::wasted_share, 100);
+  const Spread recovery =
+      SpreadOfField(runs, &RetryFigures::recovery_seconds, 1);
   report.AddRow({scenario, policy, FormatSpread(before, 1),
                  FormatSpread(during, 1), FormatSpread(after, 1),
                  FormatSpread(answered, 1), FormatSpread(attempts, 2),
-                 FormatSpread(wasted, 1), FormatSpread(normal, 1)});
+                 FormatSpread(wasted, 1), FormatSpread(recovery, 1)});
   const std::string prefix = scenario + "_" + policy;
   report.SetFigure(prefix + "_goodput_during_percent", during.mean);
   report.SetFigure(prefix + "_goodput_after_percent", after.mean);
   report.SetFigure(prefix + "_attempts_per_call", attempts.mean);
-  report.SetFigure(prefix + "_seconds_to_normal", normal.mean);
+  report.SetFigure(prefix + "_seconds_to_normal", recovery.mean);
 }
 
 int Run(int argc, char** argv) {
@@ -81,7 +84,7 @@
   const auto seeds = static_cast<std::ptrdiff_t>(options.seeds.size());
   for (const RetryScenario& scenario : kScenarios) {
     for (const RetryPolicy& policy : kPolicies) {
-      Add(report, scenario.name, policy.name, {next, next + seeds});
+      AddResults(report, scenario.name, policy.name, {next, next + seeds});
       next += seeds;
     }
   }
--- a/bench/routing_bench.cc
+++ b/bench/routing_bench.cc
@@ -68,7 +68,7 @@
   return policies;
 }
 
-std::vector<RoutingFigures> RunEverything(
+std::vector<RoutingFigures> RunAllScenarios(
     const std::vector<RoutingScenario>& scenarios,
     const std::vector<NamedPolicy>& policies,
     const std::vector<std::uint64_t>& seeds) {
@@ -105,7 +105,7 @@
   const std::vector<RoutingScenario> scenarios = Scenarios();
   const std::vector<NamedPolicy> policies = Policies();
   const std::vector<RoutingFigures> results =
-      RunEverything(scenarios, policies, options.seeds);
+      RunAllScenarios(scenarios, policies, options.seeds);
   BenchReport report("routing",
                      {"scenario", "policy", "TTFT p50 ms", "p95 ms", "p99 ms",
                       "prefix hits %", "peak/mean", "failed %"});
