--- a/bench/admission_bench.cc
+++ b/bench/admission_bench.cc
@@ -1,5 +1,5 @@
-// Cost of one admission: time (printed only) and allocations (bounded), by the
-// number of contracts.
+// Measures the time (printed only) and the allocations (bounded by CI) of one
+// admission against the number of contracts.
 
 #include <benchmark/benchmark.h>
 
@@ -19,7 +19,8 @@
 constexpr int kWarmUpRequests = 20000;
 constexpr int kCountedRequests = 20000;
 
-// One node whose limits are far above the load, and room at 620 endpoints.
+// A node whose limits are far above the load, with free capacity at 620
+// endpoints.
 class AdmissionFixture {
  public:
   explicit AdmissionFixture(std::int64_t contracts)
@@ -30,11 +31,11 @@
     for (std::int64_t i = 0; i < contracts; ++i) {
       AddContract(i);
     }
-    ReportRoom();
+    ReportCapacity();
   }
 
-  // One request from its key to its end.
-  void RunOne() {
+  // Runs one request from the lookup of its key to its end.
+  void RunRequest() {
     const KeyDigest& key = keys_[next_ % keys_.size()];
     profile_.contract = admission_.FindContract(key)->id;
     profile_.id = RequestId("request-" + std::to_string(next_++));
@@ -53,7 +54,7 @@
     contract.requests_per_second = 1e9;
     contract.tokens_per_second = 1e12;
     contract.concurrency = 1000000;
-    // As long as a SHA-256 digest in hexadecimal digits.
+    // The key has the length of a SHA-256 digest in hexadecimal digits.
     std::string digest(64, '0');
     const std::string number = std::to_string(i);
     digest.replace(0, number.size(), number);
@@ -62,7 +63,7 @@
     admission_.OnContract(now_, contract);
   }
 
-  void ReportRoom() {
+  void ReportCapacity() {
     Headroom headroom;
     headroom.taken_at = now_;
     for (int i = 0; i < kEndpoints; ++i) {
@@ -91,11 +92,11 @@
 double AllocationsPerRequest(std::int64_t contracts) {
   AdmissionFixture fixture(contracts);
   for (int i = 0; i < kWarmUpRequests; ++i) {
-    fixture.RunOne();
+    fixture.RunRequest();
   }
   const std::int64_t before = AllocationCount();
   for (int i = 0; i < kCountedRequests; ++i) {
-    fixture.RunOne();
+    fixture.RunRequest();
   }
   return static_cast<double>(AllocationCount() - before) / kCountedRequests;
 }
@@ -103,10 +104,10 @@
 void BM_Admission(benchmark::State& state) {
   AdmissionFixture fixture(state.range(0));
   for (int i = 0; i < kWarmUpRequests; ++i) {
-    fixture.RunOne();
+    fixture.RunRequest();
   }
   for ([[maybe_unused]] auto _ : state) {
-    fixture.RunOne();
+    fixture.RunRequest();
   }
 }
 BENCHMARK(BM_Admission)->Arg(10)->Arg(1000)->Arg(10000);
@@ -126,7 +127,8 @@
 }  // namespace gcw::bench
 
 int main(int argc, char** argv) {
-  // Takes its own options out of the list; what is left is ours.
+  // Removes the options of the benchmark library from the list and leaves those
+  // of `ParseBenchOptions`.
   benchmark::Initialize(&argc, argv);
   return gcw::bench::Run(gcw::bench::ParseBenchOptions(argc, argv));
 }
--- a/bench/configuration_bench.cc
+++ b/bench/configuration_bench.cc
@@ -1,5 +1,6 @@
-// How long a change of configuration takes until it is in force everywhere, and
-// what spreading it costs, against the number of nodes. All in virtual time.
+// Measures in virtual time how long a configuration change takes until it is in
+// force on all nodes, and what its distribution costs, against the number of
+// nodes.
 
 #include <algorithm>
 #include <functional>
@@ -15,8 +16,8 @@
 constexpr std::size_t kContracts = 100;
 constexpr std::size_t kValueBytes = 600;
 constexpr int kChanges = 10;
-constexpr Duration kQuiet = Duration::Seconds(60);
-constexpr Duration kGiveUp = Duration::Seconds(120);
+constexpr Duration kIdleSpan = Duration::Seconds(60);
+constexpr Duration kTimeout = Duration::Seconds(120);
 
 struct Fleet {
   std::size_t nodes;
@@ -25,10 +26,10 @@
 
 const std::vector<Fleet> kFleets = {{8, 3}, {64, 3}, {420, 5}};
 
-// What is wrong while the changes are made.
+// A fault that is present while the changes are made.
 struct Scenario {
   std::string name;
-  std::function<void(ConfigCluster&)> disturb;
+  std::function<void(ConfigCluster&)> inject_fault;
 };
 
 std::vector<Scenario> Scenarios() {
@@ -48,8 +49,8 @@
   return "contract/customer" + std::to_string(contract);
 }
 
-// A cluster whose nodes all hold the same contracts.
-void Fill(ConfigCluster& cluster) {
+// Gives all nodes of the cluster the same contracts.
+void FillContracts(ConfigCluster& cluster) {
   for (std::size_t i = 0; i < kContracts; ++i) {
     const ConfigRecord record{.value = std::string(kValueBytes, 'x'),
                               .change = ChangeId("fill" + std::to_string(i)),
@@ -60,7 +61,7 @@
                                 .expected = Revision(),
                                 .lease = LeaseId()});
   }
-  // Every node starts with an empty copy, and reads.
+  // Every node starts with an empty copy and reads the contracts.
   cluster.Run(Duration::Seconds(60));
 }
 
@@ -81,12 +82,12 @@
 }
 
 struct Figures {
-  // Seconds from the operator's call.
+  // Seconds from the operator's call until the change has reached each state.
   std::vector<double> accepted;
   std::vector<double> in_force;
   std::vector<double> confirmed;
-  double quiet_bytes_per_node_second = 0;
-  double quiet_calls_per_second = 0;
+  double idle_bytes_per_node_second = 0;
+  double idle_calls_per_second = 0;
   double bytes_per_node_change = 0;
   double calls_per_change = 0;
   std::size_t watches = 0;
@@ -100,23 +101,25 @@
   return *std::max_element(values.begin(), values.end());
 }
 
-void MeasureQuiet(ConfigCluster& cluster, Figures& figures) {
+void MeasureIdle(ConfigCluster& cluster, Figures& figures) {
   const std::int64_t bytes = cluster.sent_bytes();
   const std::int64_t calls = cluster.link().calls();
-  cluster.Run(kQuiet);
+  cluster.Run(kIdleSpan);
   const auto nodes = static_cast<double>(cluster.nodes().size());
-  figures.quiet_bytes_per_node_second =
+  figures.idle_bytes_per_node_second =
       static_cast<double>(cluster.sent_bytes() - bytes) / nodes /
-      Seconds(kQuiet);
-  figures.quiet_calls_per_second =
-      static_cast<double>(cluster.link().calls() - calls) / Seconds(kQuiet);
+      Seconds(kIdleSpan);
+  figures.idle_calls_per_second =
+      static_cast<double>(cluster.link().calls() - calls) / Seconds(kIdleSpan);
   figures.watches = cluster.link().waiting_watches();
 }
 
-// One change through a random node, until every node's floor covers it.
+// Makes one change through a random node and runs until the floor of every node
+// covers the change.
 void MeasureChange(ConfigCluster& cluster, Figures& figures) {
   const std::string key = KeyOf(DrawBelow(cluster.random(), kContracts));
-  // Through a node that reaches the service.
+  // Zone z0 is skipped because one scenario cuts its nodes off from the
+  // key-value service.
   std::size_t node = 0;
   do {
     node = DrawBelow(cluster.random(), cluster.nodes().size());
@@ -131,12 +134,12 @@
   }
   figures.accepted.push_back(Seconds(cluster.now() - start));
   while (!AllHold(cluster, key, accepted->revision) &&
-         cluster.now() < start + kGiveUp) {
+         cluster.now() < start + kTimeout) {
     cluster.Step();
   }
   figures.in_force.push_back(Seconds(cluster.now() - start));
   while (!AllConfirm(cluster, accepted->revision) &&
-         cluster.now() < start + kGiveUp) {
+         cluster.now() < start + kTimeout) {
     cluster.Step();
   }
   figures.confirmed.push_back(Seconds(cluster.now() - start));
@@ -146,10 +149,10 @@
                 const Scenario& scenario,
                 std::uint64_t seed) {
   ConfigCluster cluster(fleet.nodes, seed, fleet.zones);
-  Fill(cluster);
+  FillContracts(cluster);
   Figures figures;
-  scenario.disturb(cluster);
-  MeasureQuiet(cluster, figures);
+  scenario.inject_fault(cluster);
+  MeasureIdle(cluster, figures);
   const std::int64_t bytes = cluster.sent_bytes();
   const std::int64_t calls = cluster.link().calls();
   const Time start = cluster.now();
@@ -160,23 +163,24 @@
   const auto nodes = static_cast<double>(fleet.nodes);
   figures.bytes_per_node_change =
       (static_cast<double>(cluster.sent_bytes() - bytes) / nodes -
-       figures.quiet_bytes_per_node_second * span) /
+       figures.idle_bytes_per_node_second * span) /
       kChanges;
   figures.calls_per_change =
       (static_cast<double>(cluster.link().calls() - calls) -
-       figures.quiet_calls_per_second * span) /
+       figures.idle_calls_per_second * span) /
       kChanges;
   return figures;
 }
 
-// How long a node that starts empty during an outage takes to be ready.
+// Returns the time until a node that starts empty during an outage is ready.
 double MeasureEmptyStart(const Fleet& fleet, std::uint64_t seed) {
   ConfigCluster cluster(fleet.nodes, seed, fleet.zones);
-  Fill(cluster);
+  FillContracts(cluster);
   cluster.link().SetOutage(cluster.now(), true);
   cluster.Restart(0);
   const Time start = cluster.now();
-  while (!cluster.nodes()[0].sync->ready() && cluster.now() < start + kGiveUp) {
+  while (!cluster.nodes()[0].sync->ready() &&
+         cluster.now() < start + kTimeout) {
     cluster.Step();
   }
   return Seconds(cluster.now() - start);
@@ -190,17 +194,17 @@
                  FormatSpread(SpreadOf(figures.accepted), 2),
                  FormatSpread(SpreadOf(figures.in_force), 2),
                  FormatSpread(SpreadOf(figures.confirmed), 2),
-                 FormatNumber(figures.quiet_bytes_per_node_second, 0),
+                 FormatNumber(figures.idle_bytes_per_node_second, 0),
                  FormatNumber(figures.bytes_per_node_change, 0),
                  FormatNumber(figures.calls_per_change, 1),
-                 FormatNumber(figures.quiet_calls_per_second, 2),
+                 FormatNumber(figures.idle_calls_per_second, 2),
                  std::to_string(figures.watches)});
   const std::string name =
       scenario.name + "_" + std::to_string(fleet.nodes) + "_";
   report.SetFigure(name + "in_force_max_s", Highest(figures.in_force));
   report.SetFigure(name + "confirmed_max_s", Highest(figures.confirmed));
   report.SetFigure(name + "bytes_per_node_s",
-                   figures.quiet_bytes_per_node_second);
+                   figures.idle_bytes_per_node_second);
   report.SetFigure(name + "bytes_per_node_change",
                    figures.bytes_per_node_change);
   report.SetFigure(name + "calls_per_change", figures.calls_per_change);
--- a/bench/decision_bench.cc
+++ b/bench/decision_bench.cc
@@ -1,5 +1,5 @@
-// Cost of one routing decision in time and allocations. Times are printed only;
-// allocations are figures that CI may bound.
+// Measures the cost of one routing decision in time and allocations. Times are
+// only printed; allocations are figures that CI may bound.
 
 #include <benchmark/benchmark.h>
 
@@ -22,8 +22,8 @@
 
 }  // namespace
 
-// Counts each allocation of the process. Not inlined, or the compiler takes the
-// pair for mismatched.
+// Counts each allocation of the process. Inlining would make the compiler
+// report `operator new` and `operator delete` as mismatched.
 [[gnu::noinline]] void* operator new(std::size_t size) {
   allocations.fetch_add(1, std::memory_order_relaxed);
   if (void* memory = std::malloc(size)) {
@@ -63,8 +63,8 @@
   return profile;
 }
 
-// A router in the middle of its work: all endpoints reported, requests are
-// under way, sessions are known.
+// A router under load: all endpoints have reported, requests are in flight and
+// sessions are known.
 class BusyRouter {
  public:
   explicit BusyRouter(std::int64_t endpoints) {
@@ -79,7 +79,7 @@
       profiles_.push_back(SessionRequest(session));
     }
     for (std::int64_t i = 0; i < kInFlight; ++i) {
-      in_flight_.push_back(Send());
+      in_flight_.push_back(StartRequest());
     }
   }
 
@@ -88,10 +88,10 @@
     return ValueOf(router_->Choose(now_, NextProfile(), {}));
   }
 
-  // A request begins and an older one ends.
-  void SendAndFinish() {
+  // Starts a request and finishes an older one.
+  void StartAndFinishRequest() {
     const DispatchTicket ended =
-        std::exchange(in_flight_[next_ % in_flight_.size()], Send());
+        std::exchange(in_flight_[next_ % in_flight_.size()], StartRequest());
     router_->OnFirstByte(now_, ended);
     router_->OnFinished(now_, ended, TokenCount(100));
   }
@@ -121,7 +121,7 @@
     return profiles_[next_++ % profiles_.size()];
   }
 
-  DispatchTicket Send() {
+  DispatchTicket StartRequest() {
     const RequestProfile& profile = NextProfile();
     const auto route = router_->Choose(now_, profile, {});
     return router_->OnDispatched(now_, ValueOf(route), profile);
@@ -137,7 +137,8 @@
 template <typename Step>
 void Measure(benchmark::State& state, Step step) {
   BusyRouter router(state.range(0));
-  // Vectors grow to their lasting size first.
+  // Warms up the router, so that its vectors have reached their final size
+  // before allocations are counted.
   for (std::size_t i = 0; i < 4 * kSessions; ++i) {
     step(router);
   }
@@ -155,18 +156,19 @@
     benchmark::DoNotOptimize(router.Choose());
   });
 }
-// Today, a subset of the large fleet, and the large fleet without one.
+// The arguments are the current fleet, a subset of the large fleet, and the
+// whole large fleet.
 BENCHMARK(Choose)->Arg(65)->Arg(96)->Arg(620)->MinTime(0.5);
 
 void WholeRequest(benchmark::State& state) {
-  Measure(state, [](BusyRouter& router) { router.SendAndFinish(); });
+  Measure(state, [](BusyRouter& router) { router.StartAndFinishRequest(); });
 }
 BENCHMARK(WholeRequest)->Arg(65)->Arg(96)->Arg(620)->MinTime(0.5);
 
-// Prints as usual and keeps the figures.
-class KeepingReporter final : public benchmark::ConsoleReporter {
+// Prints like `ConsoleReporter` and records the figures in a `BenchReport`.
+class RecordingReporter final : public benchmark::ConsoleReporter {
  public:
-  explicit KeepingReporter(BenchReport& report) : report_(report) {}
+  explicit RecordingReporter(BenchReport& report) : report_(report) {}
 
   void ReportRuns(const std::vector<Run>& runs) override {
     ConsoleReporter::ReportRuns(runs);
@@ -189,7 +191,7 @@
   benchmark::Initialize(&argc, argv);
   const BenchOptions options = ParseBenchOptions(argc, argv);
   BenchReport report("decision", {"decision", "us", "allocations"});
-  KeepingReporter reporter(report);
+  RecordingReporter reporter(report);
   benchmark::RunSpecifiedBenchmarks(&reporter);
   return report.Finish(options);
 }
--- a/bench/gateway_deferral_bench.cc
+++ b/bench/gateway_deferral_bench.cc
@@ -1,7 +1,7 @@
-// Who is served in time when a model has more requests than its groups can
-// begin in time: in order of arrival, and with a part of them deferred. Many
-// nodes decide each for itself, with loads as old as their last answers. All in
-// virtual time.
+// Measures which requests are served in time when a model has more requests
+// than its groups can start in time: in order of arrival, and with some
+// requests deferred. Each of many nodes decides on its own, with loads as old
+// as the last answers that it received. All times are virtual.
 
 #include <cmath>
 #include <cstddef>
@@ -19,25 +19,26 @@
 namespace {
 
 constexpr std::size_t kGroups = 12;
-constexpr std::int64_t kPlaces = 48;
-// Mean sizes of a request, and how long its caller waits for a beginning.
+constexpr std::int64_t kBatchSlots = 48;
+// Mean sizes of a request, and how long its caller waits for the first token.
 constexpr double kPromptTokens = 674;
 constexpr double kAnswerTokens = 150;
 constexpr double kObjectiveMillis = 300;
 constexpr double kPatienceMillis = 2000;
-// Requests a second of all nodes at the usual load: three quarters of what the
-// groups can do.
-constexpr double kUsualPerSecond = 314;
-// The load is usual, then as many times that as the run says, then usual.
+// Requests per second over all nodes at the normal load, which is three
+// quarters of the groups' capacity.
+constexpr double kNormalPerSecond = 314;
+// The load is normal before and after the burst. During the burst it is
+// multiplied by the run's load factor.
 constexpr Micros kBurstFrom = 6 * kSecond;
 constexpr Micros kBurstUntil = 20 * kSecond;
 constexpr Micros kEnd = 28 * kSecond;
-constexpr double kLargestPart = 0.1;
+constexpr double kLargestShare = 0.1;
 
 enum class Policy {
-  // Everything is sent at once, however full the groups are.
+  // Every request is sent at once, even if the groups are full.
   kArrival,
-  // Refused beyond a full batch and a short queue.
+  // Requests are refused once the batch and a short queue are full.
   kFill,
   kDeferral,
 };
@@ -47,7 +48,8 @@
   double late = 0;
   double refused = 0;
   double unserved = 0;
-  // Part of the largest requests that were served, against that of all.
+  // Ratio of the served fraction of the largest requests to the served fraction
+  // of all requests.
   double largest_served = 0;
 };
 
@@ -60,7 +62,7 @@
       : random_(SeededRandom(seed)), load_(load) {
     for (std::size_t i = 0; i < kGroups; ++i) {
       EngineSettings engine;
-      engine.batch_limit = kPlaces;
+      engine.batch_limit = kBatchSlots;
       engine.prefill_tokens_per_second = 93500;
       engine.prefill_chunk_tokens = 2048;
       engine.decode_base_millis = 3.87;
@@ -75,7 +77,7 @@
   Outcome Run() {
     Arrive();
     events_.RunUntil(kEnd + 10 * kSecond);
-    const double asked = static_cast<double>(asked_);
+    const double asked = static_cast<double>(arrived_);
     Outcome outcome;
     outcome.in_time = static_cast<double>(in_time_) / asked;
     outcome.late = static_cast<double>(late_) / asked;
@@ -108,7 +110,7 @@
     double prompt = 0;
     double answer = 0;
     Micros arrived = 0;
-    bool came_back = false;
+    bool is_retry = false;
   };
 
   void AddNode(std::size_t nodes, Policy policy) {
@@ -132,7 +134,7 @@
       replica.service = ServiceId("s");
       replica.model = ModelId("m");
       replica.zone = ZoneId("z");
-      replica.places = kPlaces;
+      replica.places = kBatchSlots;
       replica.pass_ms = 33;
       replica.prompt_tokens_per_ms = 93.5;
       replica.service_ms = 1000;
@@ -168,23 +170,24 @@
     }
     const bool bursts =
         events_.now() >= kBurstFrom && events_.now() < kBurstUntil;
-    const double rate = kUsualPerSecond * (bursts ? load_ : 1);
+    const double rate = kNormalPerSecond * (bursts ? load_ : 1);
     Request request;
     request.node = DrawBelow(random_, nodes_.size());
     request.prompt = std::min(2340.0, DrawExponential(kPromptTokens));
     request.answer = std::max(5.0, DrawExponential(kAnswerTokens));
     request.arrived = events_.now();
-    ++asked_;
+    ++arrived_;
     large_ += IsLarge(request) ? 1 : 0;
-    Ask(request);
-    events_.After(MicrosOf(DrawExponential(1000 / rate)), [this] { Arrive(); });
+    Offer(request);
+    events_.ScheduleAfter(MicrosFromMillis(DrawExponential(1000 / rate)),
+                          [this] { Arrive(); });
   }
 
   static bool IsLarge(const Request& request) {
-    return request.prompt > -kPromptTokens * std::log(kLargestPart);
+    return request.prompt > -kPromptTokens * std::log(kLargestShare);
   }
 
-  void Ask(const Request& request) {
+  void Offer(const Request& request) {
     Node& node = *nodes_[request.node];
     ForwardRequest forward;
     forward.host = "h";
@@ -199,14 +202,15 @@
       return;
     }
     const auto& refused = std::get<ForwardRefused>(begun.step);
-    if (request.came_back) {
+    if (request.is_retry) {
       ++refused_;
       return;
     }
     Request again = request;
-    again.came_back = true;
-    events_.After(MicrosOf(static_cast<double>(refused.retry_after.millis())),
-                  [this, again] { Ask(again); });
+    again.is_retry = true;
+    events_.ScheduleAfter(
+        MicrosFromMillis(static_cast<double>(refused.retry_after.millis())),
+        [this, again] { Offer(again); });
   }
 
   void Submit(const Request& request, ForwardId id, const SendForward& send) {
@@ -229,7 +233,7 @@
           {load.running_requests, load.queued_requests, load.batch_limit});
       node.desk.OnProgress(events_.time(), id);
       const bool in_time =
-          events_.now() - request.arrived <= MicrosOf(kObjectiveMillis);
+          events_.now() - request.arrived <= MicrosFromMillis(kObjectiveMillis);
       ++(in_time ? in_time_ : late_);
       large_served_ += IsLarge(request) ? 1 : 0;
     };
@@ -240,13 +244,14 @@
       nodes_[request.node]->desk.OnEnded(events_.time(), id, end);
     };
     engine.Submit(std::move(run));
-    events_.After(
-        MicrosOf(kPatienceMillis), [this, request, id, begun, number, &engine] {
-          if (!*begun) {
-            engine.Cancel(number);
-            nodes_[request.node]->desk.OnCallerGone(events_.time(), id);
-          }
-        });
+    events_.ScheduleAfter(MicrosFromMillis(kPatienceMillis),
+                          [this, request, id, begun, number, &engine] {
+                            if (!*begun) {
+                              engine.Cancel(number);
+                              nodes_[request.node]->desk.OnCallerGone(
+                                  events_.time(), id);
+                            }
+                          });
   }
 
   Random random_;
@@ -256,7 +261,7 @@
   std::vector<std::unique_ptr<Node>> nodes_;
   std::shared_ptr<const RouteTable> routes_ = Routes();
   std::uint64_t last_request_ = 0;
-  int asked_ = 0;
+  int arrived_ = 0;
   int in_time_ = 0;
   int late_ = 0;
   int refused_ = 0;
--- a/bench/gateway_scale_bench.cc
+++ b/bench/gateway_scale_bench.cc
@@ -1,6 +1,7 @@
-// What a node's decisions cost against the size of the fleet: its start, one
-// registration that changes, one tick, and the same for the node that keeps the
-// groups. Allocations repeat from run to run; times are shown beside them.
+// Measures the cost of a node's work against the size of the fleet: its start,
+// a changed registration and a tick, and the tick and an event of the node that
+// keeps the groups. Allocations are the same in every run; times are printed
+// beside them.
 
 #include <chrono>
 #include <cstddef>
@@ -39,7 +40,7 @@
           passed.count() / repetitions};
 }
 
-// One node that routes to a fleet of open groups and holds no role. The test
+// A node that routes to a fleet of open groups and holds no role. The benchmark
 // answers each of its calls to the key-value service at once.
 class RoutingNode {
  public:
@@ -64,20 +65,20 @@
   }
 
   void Start() {
-    Answer(core_->SetOwnAddresses(now_, Address("c"), Address("p")));
-    Answer(core_->Tick(now_));
+    AnswerCalls(core_->SetOwnAddresses(now_, Address("c"), Address("p")));
+    AnswerCalls(core_->Tick(now_));
   }
 
   void Tick() {
     now_ = now_ + Duration::Millis(40);
-    Answer(core_->Tick(now_));
+    AnswerCalls(core_->Tick(now_));
   }
 
-  void Change(std::size_t vm) {
-    ++places_;
+  void ChangeRegistration(std::size_t vm) {
+    ++slots_;
     Put(KeyOf(vm), std::to_string(vm));
     now_ = now_ + Duration::Millis(40);
-    Answer(core_->Tick(now_));
+    AnswerCalls(core_->Tick(now_));
   }
 
  private:
@@ -125,7 +126,7 @@
     registration.zone = ZoneId("z");
     registration.domain =
         FabricDomainId("d" + std::to_string(index / kVmsPerDomain));
-    registration.places = places_;
+    registration.places = slots_;
     registration.models = {ModelId("m")};
     registration.staged = {ModelId("m")};
     registration.membership = GroupMembership{
@@ -141,14 +142,14 @@
     store_.Execute(now_, StorePut{key, value, expected, LeaseId()});
   }
 
-  void Answer(const GatewayActions& actions) {
+  void AnswerCalls(const GatewayActions& actions) {
     for (const GatewayAction& action : actions) {
       const auto* call = std::get_if<CallGatewayStore>(&action);
       if (call == nullptr) {
         continue;
       }
       const auto reply = store_.Execute(now_, call->request.call);
-      Answer(core_->OnStoreReply(
+      AnswerCalls(core_->OnStoreReply(
           now_, call->module, call->request.id,
           reply
               ? *reply
@@ -158,13 +159,13 @@
 
   std::size_t vms_;
   FleetConfiguration configuration_;
-  std::int64_t places_ = 13;
+  std::int64_t slots_ = 13;
   FakeStore store_;
   std::unique_ptr<GatewayCore> core_;
   Time now_ = Time() + Duration::Seconds(1);
 };
 
-// The node that keeps the groups of a fleet that is whole.
+// Cost of the node that keeps the groups of a fleet without failures.
 struct KeeperCost {
   Cost tick;
   Cost event;
@@ -209,7 +210,7 @@
     add("tick", CostOf(kRepetitions, [&] { node.Tick(); }));
     std::size_t vm = 0;
     add("change", CostOf(kRepetitions, [&] {
-          node.Change(vm);
+          node.ChangeRegistration(vm);
           vm = (vm + kGroupSize) % vms;
         }));
     const KeeperCost keeper = MeasureKeeper(fleet.domains);
--- a/bench/gateway_store_bench.cc
+++ b/bench/gateway_store_bench.cc
@@ -1,6 +1,6 @@
-// Calls to the key-value service that a fleet of gateways makes, against the
-// number of nodes: with nothing to do, while registrations change, and while
-// the service is away or refuses. All in virtual time.
+// Measures in virtual time the calls of a fleet of gateways to the key-value
+// service against the number of nodes: when idle, while registrations change,
+// and while the service is unreachable or refuses calls.
 
 #include <cstddef>
 #include <cstdint>
@@ -15,8 +15,8 @@
 
 constexpr Duration kWarmUp = Duration::Seconds(20);
 constexpr Duration kSpan = Duration::Seconds(30);
-// From one change of a registration to the next while things change.
-constexpr Duration kBetweenChanges = Duration::Millis(100);
+// Time between two changed registrations under `Load::kChanges`.
+constexpr Duration kChangeInterval = Duration::Millis(100);
 constexpr std::size_t kDomains = 2;
 constexpr std::size_t kVmsPerDomain = 10;
 
@@ -25,11 +25,11 @@
 enum class Load { kIdle, kChanges, kAway, kRefuses, kRefusesSome };
 
 struct Figure {
-  // A renewal of a lease costs a tenth of another call.
+  // A lease renewal costs a tenth of any other call.
   double calls_per_node_second = 0;
   double renewals_per_node_second = 0;
-  // Of the node that made most.
-  double most_calls_per_second = 0;
+  // Rate of the node that made the most calls.
+  double max_calls_per_second = 0;
 };
 
 void SetUp(GatewayWorld& world, Load load) {
@@ -41,14 +41,14 @@
   }
 }
 
-void PlaySpan(GatewayWorld& world, Load load) {
+void RunSpan(GatewayWorld& world, Load load) {
   if (load == Load::kIdle) {
     world.Run(kSpan);
     return;
   }
-  for (Duration played; played < kSpan; played = played + kBetweenChanges) {
+  for (Duration played; played < kSpan; played = played + kChangeInterval) {
     world.Rewrite(world.engines().begin()->first);
-    world.Run(kBetweenChanges);
+    world.Run(kChangeInterval);
   }
 }
 
@@ -62,15 +62,14 @@
     before.push_back(world.node(i).store_calls);
     renewals -= world.node(i).store_renewals;
   }
-  PlaySpan(world, load);
+  RunSpan(world, load);
   const double seconds = static_cast<double>(kSpan.millis()) / 1000;
   Figure figure;
   for (std::size_t i = 0; i < nodes; ++i) {
     const double calls =
         static_cast<double>(world.node(i).store_calls - before[i]) / seconds;
     figure.calls_per_node_second += calls / static_cast<double>(nodes);
-    figure.most_calls_per_second =
-        std::max(figure.most_calls_per_second, calls);
+    figure.max_calls_per_second = std::max(figure.max_calls_per_second, calls);
     renewals += world.node(i).store_renewals;
   }
   figure.renewals_per_node_second =
@@ -94,14 +93,14 @@
       report.AddRow({std::to_string(nodes), name,
                      FormatNumber(figure.calls_per_node_second, 2),
                      FormatNumber(figure.renewals_per_node_second, 2),
-                     FormatNumber(figure.most_calls_per_second, 2)});
+                     FormatNumber(figure.max_calls_per_second, 2)});
       const std::string prefix =
           "nodes" + std::to_string(nodes) + "_" + name + "_";
       report.SetFigure(prefix + "calls_per_node_s",
                        figure.calls_per_node_second);
       report.SetFigure(prefix + "renewals_per_node_s",
                        figure.renewals_per_node_second);
-      report.SetFigure(prefix + "most_calls_s", figure.most_calls_per_second);
+      report.SetFigure(prefix + "most_calls_s", figure.max_calls_per_second);
     }
   }
   return report.Finish(options);
--- a/bench/routing_bench.cc
+++ b/bench/routing_bench.cc
@@ -1,4 +1,5 @@
-// Routing against plain baselines, in both deployments, under load and faults.
+// Compares the router with simple baselines in both deployments, under load and
+// faults.
 
 #include <algorithm>
 #include <functional>
@@ -17,7 +18,7 @@
 
 struct Deployment {
   std::string name;
-  double between_zones_millis;
+  double inter_zone_millis;
   double client_millis;
 };
 
@@ -29,26 +30,25 @@
   for (const Deployment& deployment : kDeployments) {
     const auto add = [&](const std::string& name, double load,
                          RoutingFault fault) {
-      scenarios.push_back(
-          {.name = deployment.name + "_" + name,
-           .between_zones_millis = deployment.between_zones_millis,
-           .client_millis = deployment.client_millis,
-           .load = load,
-           .fault = fault});
+      scenarios.push_back({.name = deployment.name + "_" + name,
+                           .inter_zone_millis = deployment.inter_zone_millis,
+                           .client_millis = deployment.client_millis,
+                           .load = load,
+                           .fault = fault});
     };
     add("load70", 0.7, RoutingFault::kNone);
     add("load90", 0.9, RoutingFault::kNone);
-    // More than the fleet can bear without prefix affinity.
+    // This load exceeds the fleet's capacity without prefix affinity.
     add("load110", 1.1, RoutingFault::kNone);
     add("stragglers", 0.7, RoutingFault::kStragglers);
     add("event_gaps", 0.7, RoutingFault::kEventGaps);
-    // The rest carries three halves of its load while a zone is away.
+    // The remaining engines carry 1.5 times their load while a zone is down.
     add("zone_lost", 0.5, RoutingFault::kZoneLost);
   }
   return scenarios;
 }
 
-// The figures of one policy in one scenario, over all seeds.
+// Figures of one policy in one scenario, over all seeds.
 struct Series {
   std::vector<double> p50, p95, p99, hits, peaks, failed;
 
@@ -68,7 +68,7 @@
   return policies;
 }
 
-std::vector<RoutingFigures> RunEverything(
+std::vector<RoutingFigures> RunAllScenarios(
     const std::vector<RoutingScenario>& scenarios,
     const std::vector<NamedPolicy>& policies,
     const std::vector<std::uint64_t>& seeds) {
@@ -105,7 +105,7 @@
   const std::vector<RoutingScenario> scenarios = Scenarios();
   const std::vector<NamedPolicy> policies = Policies();
   const std::vector<RoutingFigures> results =
-      RunEverything(scenarios, policies, options.seeds);
+      RunAllScenarios(scenarios, policies, options.seeds);
   BenchReport report("routing",
                      {"scenario", "policy", "TTFT p50 ms", "p95 ms", "p99 ms",
                       "prefix hits %", "peak/mean", "failed %"});
--- a/bench/routing_policy.h
+++ b/bench/routing_policy.h
@@ -12,7 +12,7 @@
 
 namespace gcw::bench {
 
-// A way to route, as one node carries it out: the router or a plain baseline.
+// A routing policy as one node runs it: the router or a simple baseline.
 class RoutingPolicy {
  public:
   virtual ~RoutingPolicy() = default;
@@ -23,9 +23,10 @@
   virtual void OnCacheEvents(Time /*now*/,
                              const Endpoint& /*endpoint*/,
                              const CacheEventBatch& /*batch*/) {}
-  // Whether the world has to carry cache events to this policy.
+  // True if the simulation must deliver cache events to this policy.
   virtual bool uses_cache_events() const { return false; }
-  // Chooses and notes the dispatch; no value where nothing is left.
+  // Chooses an endpoint and records the dispatch. Returns no value if no
+  // endpoint is available.
   virtual std::optional<EndpointId> Dispatch(
       Time now,
       std::uint64_t attempt,
@@ -39,8 +40,8 @@
   virtual void Tick(Time /*now*/) {}
 };
 
-// What a policy is made for: one node.
-struct PolicyPlace {
+// Describes the node that a policy is created for.
+struct PolicyContext {
   ZoneId zone;
   std::vector<ZoneDistance> distances;
   std::int64_t nodes = 1;
@@ -48,19 +49,20 @@
 };
 
 using PolicyFactory =
-    std::function<std::unique_ptr<RoutingPolicy>(const PolicyPlace&)>;
+    std::function<std::unique_ptr<RoutingPolicy>(const PolicyContext&)>;
 
 struct NamedPolicy {
   std::string name;
   PolicyFactory make;
 };
 
-// The settings that the benchmarks run the router with.
-RouterSettings BenchRouterSettings(const PolicyPlace& place);
+// Returns the router settings that the benchmarks use.
+RouterSettings BenchRouterSettings(const PolicyContext& context);
 NamedPolicy RouterPolicy(
     std::string name,
     std::function<void(RouterSettings&)> change = [](RouterSettings&) {});
-// Random, round robin, least reported load, prefix affinity alone.
+// Returns the baselines: random, round robin, least reported load, and prefix
+// affinity alone.
 std::vector<NamedPolicy> BaselinePolicies();
 
 }  // namespace gcw::bench
--- a/bench/tier_world.h
+++ b/bench/tier_world.h
@@ -16,13 +16,14 @@
 
 namespace gcw::bench {
 
-// How trial work is kept from paid work.
+// How trial work is kept from slowing paid work.
 enum class TierPolicy {
-  // Any endpoint with a free place in its batch; engines queue paid first.
+  // Any endpoint with a free slot in its batch may be used; engines queue paid
+  // requests first.
   kPriority,
-  // The same with at most `trial_cap` trial requests in a batch.
+  // Like `kPriority`, but with at most `trial_cap` trial requests in a batch.
   kCapped,
-  // `Admission`: endpoints of their own.
+  // `Admission` gives each tier its own endpoints.
   kPools,
 };
 
@@ -33,21 +34,21 @@
   std::size_t endpoints = 24;
   std::size_t lost_endpoints = 0;
   double paid_per_second = 80;
-  // By which paid arrivals rise for a quarter of each burst period; the mean
-  // stays. 1 is steady.
+  // Factor by which paid arrivals rise for a quarter of each burst period, with
+  // an unchanged mean. A factor of 1 gives a steady rate.
   double burst_factor = 1;
   double trial_per_second = 0;
-  // Extra requests of the first team, on top of the rest.
+  // Additional requests per second of the first team.
   double flood_per_second = 0;
-  Micros warm_up = MicrosOf(10000);
-  Micros loss_at = MicrosOf(25000);
-  Micros end = MicrosOf(50000);
-  Micros report_period = MicrosOf(200);
-  Micros report_lag = MicrosOf(200);
+  Micros warm_up = MicrosFromMillis(10000);
+  Micros loss_at = MicrosFromMillis(25000);
+  Micros end = MicrosFromMillis(50000);
+  Micros report_period = MicrosFromMillis(200);
+  Micros report_lag = MicrosFromMillis(200);
   AdmissionSettings admission;
 };
 
-// Nodes, model engines and callers in virtual time.
+// Simulates nodes, model engines and callers in virtual time.
 class TierWorld {
  public:
   TierWorld(const TierWorldSettings& settings, std::uint64_t seed);
@@ -63,7 +64,8 @@
   struct Node {
     std::unique_ptr<Limits> limits;
     std::unique_ptr<Admission> admission;
-    // Own dispatches to each endpoint since its newest report.
+    // Times of this node's dispatches to each endpoint since the endpoint's
+    // newest report.
     std::map<std::size_t, std::vector<Micros>> sent;
   };
   struct Report {
@@ -90,7 +92,7 @@
   void Publish(std::size_t endpoint);
   void ScheduleArrival(Tier tier, double rate, bool flood);
   void Arrive(Tier tier, bool flood);
-  double PaidRateNow() const;
+  double PaidRateFactor() const;
   void TickNodes();
   void LoseEndpoints();
 
@@ -103,12 +105,12 @@
                 const std::vector<std::size_t>& candidates);
   std::size_t Pick(std::size_t node,
                    const std::vector<std::size_t>& candidates);
-  double LoadSeenBy(std::size_t node, std::size_t endpoint) const;
+  double EstimatedLoad(std::size_t node, std::size_t endpoint) const;
   void OnToken(std::uint64_t id);
   void Finish(std::uint64_t id);
   void Fail(std::uint64_t id);
   void Preempt(std::uint64_t id);
-  void Refused(std::uint64_t id);
+  void RecordRefusal(std::uint64_t id);
   void SendHeadroom(std::size_t node);
   bool IsMeasured(const Call& call) const {
     return call.arrived >= settings_.warm_up;
@@ -118,21 +120,21 @@
   }
   template <typename Function>
   void Record(const Call& call, Function function);
-  const Random& CallersOf(Tier tier, bool flood) const;
+  const Random& CallerRandom(Tier tier, bool flood) const;
   static std::int64_t LogNormal(const Random& random,
                                 double median,
                                 double sigma,
-                                std::int64_t most);
+                                std::int64_t max_value);
 
   TierWorldSettings settings_;
   Random random_;
-  // Paid, trial and flooding ones.
+  // Random sources of the paid, trial and flooding callers.
   std::array<Random, 3> callers_;
   EventQueue events_;
   std::vector<Node> nodes_;
   std::vector<std::unique_ptr<EndpointModel>> endpoints_;
-  std::vector<std::int64_t> paid_at_;
-  std::vector<std::int64_t> trial_at_;
+  std::vector<std::int64_t> paid_running_;
+  std::vector<std::int64_t> trial_running_;
   std::vector<Report> reports_;
   std::unordered_map<std::uint64_t, Call> calls_;
   std::uint64_t next_call_ = 1;
