--- a/bench/gateway_deferral_bench.cc
+++ b/bench/gateway_deferral_bench.cc
@@ -92,18 +92,18 @@
  private:
   struct Node {
     Node(const ReplicaSelectorSettings& selector_settings,
-         const ForwardDeskSettings& settings,
+         const ForwardControllerSettings& settings,
          std::size_t nodes,
          const Random& random)
         : selector(selector_settings, ZoneId("z"), random, DiscardEvents()),
           budget({0.2, 300, Duration::Seconds(10), 0.8}),
-          desk(settings, &selector, &budget, random, DiscardEvents()) {
+          controller(settings, &selector, &budget, random, DiscardEvents()) {
       selector.SetNodeCount(nodes);
       budget.SetNodeCount(nodes);
     }
     ReplicaSelector selector;
     SharedRetryBudget budget;
-    ForwardDesk desk;
+    ForwardController controller;
   };
   struct Request {
     std::size_t node = 0;
@@ -115,18 +115,19 @@
 
   void AddNode(std::size_t nodes, Policy policy) {
     ReplicaSelectorSettings selector;
-    ForwardDeskSettings desk;
+    ForwardControllerSettings controller;
     if (policy == Policy::kArrival) {
-      selector.most_fill_deferred = selector.most_fill_ahead = 1e9;
+      selector.max_fill_deferred = selector.max_fill_prioritized = 1e9;
     }
     if (policy != Policy::kDeferral) {
-      desk.deferral.least_window = 1e9;
+      controller.deferral.min_window = 1e9;
     }
     if (policy == Policy::kFill) {
-      selector.most_fill_ahead = selector.most_fill;
+      selector.max_fill_prioritized = selector.max_fill;
     }
-    nodes_.push_back(std::make_unique<Node>(
-        selector, desk, nodes, SeededRandom(DrawBelow(random_, 1000000))));
+    nodes_.push_back(
+        std::make_unique<Node>(selector, controller, nodes,
+                               SeededRandom(DrawBelow(random_, 1000000))));
     std::vector<Replica> replicas;
     for (std::size_t i = 0; i < kGroups; ++i) {
       Replica replica;
@@ -134,7 +135,7 @@
       replica.service = ServiceId("s");
       replica.model = ModelId("m");
       replica.zone = ZoneId("z");
-      replica.places = kBatchSlots;
+      replica.slots = kBatchSlots;
       replica.pass_ms = 33;
       replica.prompt_tokens_per_ms = 93.5;
       replica.service_ms = 1000;
@@ -148,7 +149,7 @@
     RouteRule route;
     route.host = "h";
     route.prefix = "/";
-    route.repetition = Repetition::kResume;
+    route.retry_policy = RetryPolicy::kResume;
     route.streams = true;
     route.latency_objective =
         Duration::Millis(static_cast<std::int64_t>(kObjectiveMillis));
@@ -195,13 +196,13 @@
     forward.model = ModelId("m");
     forward.prompt_tokens =
         TokenCount(static_cast<std::int64_t>(request.prompt));
-    const ForwardBegun begun =
-        node.desk.OnArrived(events_.time(), std::move(forward), routes_);
-    if (const auto* send = std::get_if<SendForward>(&begun.step)) {
-      Submit(request, begun.id, *send);
+    const ForwardAdmission admission =
+        node.controller.OnArrived(events_.time(), std::move(forward), routes_);
+    if (const auto* send = std::get_if<SendForward>(&admission.step)) {
+      Submit(request, admission.id, *send);
       return;
     }
-    const auto& refused = std::get<ForwardRefused>(begun.step);
+    const auto& refused = std::get<ForwardRefused>(admission.step);
     if (request.is_retry) {
       ++refused_;
       return;
@@ -228,10 +229,10 @@
       *begun = true;
       Node& node = *nodes_[request.node];
       const LoadReport load = engine.Load();
-      node.desk.OnLoad(
+      node.controller.OnLoad(
           events_.time(), id,
           {load.running_requests, load.queued_requests, load.batch_limit});
-      node.desk.OnProgress(events_.time(), id);
+      node.controller.OnProgress(events_.time(), id);
       const bool in_time =
           events_.now() - request.arrived <= MicrosFromMillis(kObjectiveMillis);
       ++(in_time ? in_time_ : late_);
@@ -241,14 +242,14 @@
       ForwardEnd end;
       end.kind = ForwardEndKind::kSucceeded;
       end.delivered = true;
-      nodes_[request.node]->desk.OnEnded(events_.time(), id, end);
+      nodes_[request.node]->controller.OnEnded(events_.time(), id, end);
     };
     engine.Submit(std::move(run));
     events_.ScheduleAfter(MicrosFromMillis(kPatienceMillis),
                           [this, request, id, begun, number, &engine] {
                             if (!*begun) {
                               engine.Cancel(number);
-                              nodes_[request.node]->desk.OnCallerGone(
+                              nodes_[request.node]->controller.OnCallerGone(
                                   events_.time(), id);
                             }
                           });
--- a/bench/gateway_scale_bench.cc
+++ b/bench/gateway_scale_bench.cc
@@ -58,8 +58,8 @@
     settings.self.id = NodeId("self");
     settings.self.zone = ZoneId("z");
     settings.mirror.prefixes = {""};
-    settings.mirror.lapsing_prefixes = {"vm/", "node/"};
-    settings.mirror.watch_interval = Duration::Millis(10);
+    settings.mirror.expiring_prefixes = {"vm/", "node/"};
+    settings.mirror.min_watch_interval = Duration::Millis(10);
     core_ = std::make_unique<GatewayCore>(settings, MakeCodecs(),
                                           SeededRandom(1), DiscardEvents());
   }
@@ -126,7 +126,7 @@
     registration.zone = ZoneId("z");
     registration.domain =
         FabricDomainId("d" + std::to_string(index / kVmsPerDomain));
-    registration.places = slots_;
+    registration.slots = slots_;
     registration.models = {ModelId("m")};
     registration.staged = {ModelId("m")};
     registration.membership = GroupMembership{
@@ -166,19 +166,19 @@
 };
 
 // Cost of the node that keeps the groups of a fleet without failures.
-struct KeeperCost {
+struct ControllerCost {
   Cost tick;
   Cost event;
 };
 
-KeeperCost MeasureKeeper(std::size_t domains) {
+ControllerCost MeasureController(std::size_t domains) {
   GatewayWorld world(1, domains, kVmsPerDomain, 1);
   world.Run(Duration::Seconds(14));
   GatewayCore& core = *world.node(0).core;
-  KeeperCost cost;
+  ControllerCost cost;
   cost.tick = CostOf(kRepetitions, [&] { core.Tick(world.now()); });
   cost.event = CostOf(kRepetitions, [&] {
-    core.OnOrderReply(world.now(), OrderId(0), GroupOrderVerdict::kDone);
+    core.OnOrderReply(world.now(), OrderId(0), GroupOrderResult::kDone);
   });
   return cost;
 }
@@ -213,9 +213,9 @@
           node.ChangeRegistration(vm);
           vm = (vm + kGroupSize) % vms;
         }));
-    const KeeperCost keeper = MeasureKeeper(fleet.domains);
-    add("keeper_tick", keeper.tick);
-    add("keeper_event", keeper.event);
+    const ControllerCost controller = MeasureController(fleet.domains);
+    add("keeper_tick", controller.tick);
+    add("keeper_event", controller.event);
   }
   return report.Finish(options);
 }
--- a/bench/gateway_store_bench.cc
+++ b/bench/gateway_store_bench.cc
@@ -37,7 +37,7 @@
   for (std::size_t i = 0; i < world.node_count(); ++i) {
     const bool refused =
         load == Load::kRefuses || (load == Load::kRefusesSome && i % 2 == 1);
-    world.node(i).store_refuses = refused;
+    world.node(i).store_rejects = refused;
   }
 }
 
@@ -47,7 +47,7 @@
     return;
   }
   for (Duration played; played < kSpan; played = played + kChangeInterval) {
-    world.Rewrite(world.engines().begin()->first);
+    world.RewriteRegistration(world.engines().begin()->first);
     world.Run(kChangeInterval);
   }
 }
--- a/bench/repair_bench.cc
+++ b/bench/repair_bench.cc
@@ -24,13 +24,13 @@
 std::vector<Policy> Policies() {
   PlannerSettings planner;
   planner.losses_per_vm_day = 1.45;
-  planner.usual_return = Duration::Seconds(180);
+  planner.mean_recovery_time = Duration::Seconds(180);
   Policy oblak{"oblak", planner, true};
   oblak.planner.weights = kOblak;
   Policy harrowgate{"harrowgate", planner, true};
   harrowgate.planner.weights = kHarrowgate;
   Policy arrival{"arrival", planner, false};
-  arrival.planner.by_need = false;
+  arrival.planner.prioritize_by_need = false;
   return {arrival, oblak, harrowgate};
 }
 
--- a/bench/repair_world.cc
+++ b/bench/repair_world.cc
@@ -25,11 +25,11 @@
       flaps_(FlapSettings()),
       random_(SeededRandom(seed)),
       end_(now_ + settings.length) {
-  WantedModel first{ModelId("first"), settings_.vms_per_group, Rank(1), {}};
+  DesiredModel first{ModelId("first"), settings_.vms_per_group, Rank(1), {}};
   first.targets[kZone] = GroupTarget{11, 14};
-  WantedModel second{ModelId("second"), settings_.vms_per_group, Rank(2), {}};
+  DesiredModel second{ModelId("second"), settings_.vms_per_group, Rank(2), {}};
   second.targets[kZone] = GroupTarget{7, 10};
-  wanted_ = {first, second};
+  desired_models_ = {first, second};
   AddVms();
 }
 
@@ -180,7 +180,7 @@
   PlannerView view;
   view.zone = kZone;
   view.records = records_;
-  view.wanted = wanted_;
+  view.desired_models = desired_models_;
   view.load_wait = std::max(Duration(), weight_store_free_at_ - now_);
   for (const auto& [id, vm] : vms_) {
     view.vms[id] = Describe(id, vm);
@@ -279,9 +279,9 @@
       }
     }
   }
-  for (const WantedModel& model : wanted_) {
+  for (const DesiredModel& model : desired_models_) {
     const std::int64_t all =
-        std::max(model.targets.at(kZone).wanted, groups[model.model]);
+        std::max(model.targets.at(kZone).min_groups, groups[model.model]);
     const std::int64_t down = all - serving[model.model];
     cost_.group_hours_down +=
         static_cast<double>(std::max<std::int64_t>(0, down)) * hours;
--- a/bench/repair_world.h
+++ b/bench/repair_world.h
@@ -44,7 +44,7 @@
 };
 
 // Drives the repair planner over one zone in virtual time. Orders and writes
-// succeed at once; the tests of the keeper cover their failures.
+// succeed at once; the tests of the controller cover their failures.
 class RepairWorld {
  public:
   RepairWorld(RepairSettings settings,
@@ -98,7 +98,7 @@
   Random random_;
   Time now_ = Time::FromMillis(1000000);
   Time end_;
-  std::vector<WantedModel> wanted_;
+  std::vector<DesiredModel> desired_models_;
   std::map<VmId, Vm> vms_;
   std::map<FabricDomainId, DomainRecord> records_;
   std::map<GroupId, Load> loads_;
--- a/coordination/admission/tier_room.cc
+++ b/coordination/admission/tier_room.cc
@@ -40,7 +40,7 @@
 }
 
 // The fraction of a request is rounded at random. If each node rounded its part
-// down, nobody would use the last free places.
+// down, nobody would use the last free slots.
 std::int64_t TierRoom::OwnPartOf(std::int64_t free) const {
   const auto nodes =
       static_cast<double>(std::max<std::int64_t>(1, headroom_->sharing_nodes));
--- a/coordination/at_most_once/once_owner.cc
+++ b/coordination/at_most_once/once_owner.cc
@@ -168,7 +168,7 @@
 void OnceOwner::OnRewound(const std::string& key) {
   rewound_ = true;
   rewind_pending_ = true;
-  events_(EventDraft{EventKind::kStoreRewound,
+  events_(EventDraft{EventKind::kStoreRolledBack,
                      key,
                      EventId(),
                      {EventField{"seen", seen_.value()}}});
--- a/coordination/at_most_once/once_shard_owner_calls.cc
+++ b/coordination/at_most_once/once_shard_owner_calls.cc
@@ -75,8 +75,8 @@
             OnWritten(now, call, written.revision);
           },
           [&](const StoreConflict& conflict) { OnConflict(now, conflict); },
-          [&](const StoreBusy& busy) {
-            OnNoAnswer(now, call, busy.retry_after);
+          [&](const StoreRefused& refused) {
+            OnNoAnswer(now, call, refused.retry_after);
           },
           [&](const auto&) { OnNoAnswer(now, call, settings_.store_retry); },
       },
--- a/coordination/configuration/config_proposer.cc
+++ b/coordination/configuration/config_proposer.cc
@@ -56,7 +56,7 @@
       return "not_written";
     case ChangeUnavailableKind::kOutcomeUnknown:
       return "outcome_unknown";
-    case ChangeUnavailableKind::kStoreRewound:
+    case ChangeUnavailableKind::kStoreRolledBack:
       return "store_rewound";
   }
   return "unknown";
@@ -149,7 +149,7 @@
     Proposal& proposal) {
   if (hooks_.is_rewound()) {
     return Finish(proposal,
-                  ChangeUnavailable{ChangeUnavailableKind::kStoreRewound});
+                  ChangeUnavailable{ChangeUnavailableKind::kStoreRolledBack});
   }
   const bool put_is_open = proposal.call && proposal.call_is_put;
   if (now >= proposal.deadline) {
@@ -180,7 +180,7 @@
     // Reads the key by a compare-and-swap that cannot match. A plain read may
     // be answered from an old state, and the operator would be told of a
     // conflict although the change has taken effect.
-    return {last_id_, StoreDelete{proposal.change.key, kNoRevision}};
+    return {last_id_, StoreDelete{proposal.change.key, kImpossibleRevision}};
   }
   // After a lost answer, the same put is sent again. It cannot take effect
   // twice because the first put changes the key's revision from
@@ -227,8 +227,8 @@
 std::optional<ChangeOutcome> ConfigProposer::OnReply(Time now,
                                                      Proposal& proposal,
                                                      const StoreReply& reply) {
-  if (const auto* busy = std::get_if<StoreBusy>(&reply)) {
-    ScheduleRetry(now, proposal, busy->retry_after);
+  if (const auto* refused = std::get_if<StoreRefused>(&reply)) {
+    ScheduleRetry(now, proposal, refused->retry_after);
     return std::nullopt;
   }
   if (std::holds_alternative<StoreNoAnswer>(reply)) {
@@ -251,7 +251,7 @@
     Revision revision) const {
   if (revision <= proposal.known_at_call) {
     // Nodes already hold newer versions and would never apply this one.
-    return ChangeUnavailable{ChangeUnavailableKind::kStoreRewound};
+    return ChangeUnavailable{ChangeUnavailableKind::kStoreRolledBack};
   }
   return ChangeAccepted{revision};
 }
@@ -269,7 +269,7 @@
   // a compare-and-swap is never answered from an old state.
   if (found < proposal.base_revision.value_or(Revision()) ||
       found < proposal.own_revision_at_call) {
-    return ChangeUnavailable{ChangeUnavailableKind::kStoreRewound};
+    return ChangeUnavailable{ChangeUnavailableKind::kStoreRolledBack};
   }
   return DecideOutcome(proposal, current);
 }
--- a/coordination/configuration/config_proposer.h
+++ b/coordination/configuration/config_proposer.h
@@ -51,7 +51,7 @@
   kOutcomeUnknown,
   // The key-value service was restored to a state older than what nodes hold.
   // Changes are refused until an operator has dealt with it.
-  kStoreRewound,
+  kStoreRolledBack,
 };
 
 std::string_view ChangeUnavailableKindName(ChangeUnavailableKind kind);
--- a/coordination/configuration/config_sync.cc
+++ b/coordination/configuration/config_sync.cc
@@ -30,7 +30,7 @@
       return "learning";
     case ConfigState::kReady:
       return "ready";
-    case ConfigState::kStoreRewound:
+    case ConfigState::kStoreRolledBack:
       return "store_rewound";
   }
   return "unknown";
@@ -77,7 +77,7 @@
   if (!ready_) {
     return ConfigState::kLearning;
   }
-  return rewound_ ? ConfigState::kStoreRewound : ConfigState::kReady;
+  return rewound_ ? ConfigState::kStoreRolledBack : ConfigState::kReady;
 }
 
 Revision ConfigSync::highest_revision() const {
@@ -218,7 +218,7 @@
     }
     const auto* unavailable = std::get_if<ChangeUnavailable>(&finished.outcome);
     if (unavailable != nullptr &&
-        unavailable->kind == ChangeUnavailableKind::kStoreRewound) {
+        unavailable->kind == ChangeUnavailableKind::kStoreRolledBack) {
       MarkRewound(Revision());
     }
     to.emplace_back(std::move(finished));
--- a/coordination/configuration/config_sync.h
+++ b/coordination/configuration/config_sync.h
@@ -49,7 +49,7 @@
   // The key-value service was restored to a state older than this node's copy.
   // The node keeps its copy and serves by it. Changes are refused until an
   // operator has dealt with it.
-  kStoreRewound,
+  kStoreRolledBack,
 };
 
 std::string_view ConfigStateName(ConfigState state);
--- a/coordination/configuration/config_sync_store.cc
+++ b/coordination/configuration/config_sync_store.cc
@@ -133,7 +133,7 @@
   rewind_check_ = ++last_id_;
   rewind_check_sent_ = now;
   requests_.push_back(
-      {last_id_, StoreDelete{rewind_check_version_.key, kNoRevision}});
+      {last_id_, StoreDelete{rewind_check_version_.key, kImpossibleRevision}});
 }
 
 void ConfigSync::OnRewindCheck(const StoreReply& reply) {
@@ -157,7 +157,7 @@
     return;
   }
   rewound_ = true;
-  sink_({.kind = EventKind::kStoreRewound,
+  sink_({.kind = EventKind::kStoreRolledBack,
          .subject = self_.value(),
          .cause = {},
          .fields = {{"shown", shown.value()},
--- a/coordination/configuration/config_watch.cc
+++ b/coordination/configuration/config_watch.cc
@@ -73,8 +73,8 @@
 
 std::optional<ConfigBatch> ConfigWatch::OnStoreReply(Time now,
                                                      const StoreReply& reply) {
-  if (const auto* busy = std::get_if<StoreBusy>(&reply)) {
-    OnFailure(now, busy->retry_after);
+  if (const auto* refused = std::get_if<StoreRefused>(&reply)) {
+    OnFailure(now, refused->retry_after);
     return std::nullopt;
   }
   // A reply of an unexpected type counts as a failure. A retry without backoff
--- a/coordination/gateway/change_feed.cc
+++ b/coordination/gateway/change_feed.cc
@@ -33,29 +33,29 @@
   }
 }
 
-void ChangeFeed::AddRequest(Time now, const ChangeQuestion& request) {
+void ChangeFeed::AddRequest(Time now, const ChangesRequest& request) {
   pending_requests_.push_back({request, now + request.wait});
 }
 
-std::vector<AnswerChanges> ChangeFeed::TakeReplies(Time now,
-                                                   Revision revision,
-                                                   std::optional<Duration> age,
-                                                   Duration lapse_left) {
-  std::vector<AnswerChanges> answers;
+std::vector<ChangesReply> ChangeFeed::TakeReplies(Time now,
+                                                  Revision revision,
+                                                  std::optional<Duration> age,
+                                                  Duration expiry_grace_left) {
+  std::vector<ChangesReply> answers;
   std::erase_if(pending_requests_, [&](const PendingRequest& pending) {
-    const ChangeQuestion& request = pending.request;
+    const ChangesRequest& request = pending.request;
     const bool is_available =
         age && start_revision_ && request.after >= *start_revision_;
     if (is_available && revision <= request.after && now < pending.deadline) {
       return false;
     }
-    AnswerChanges& answer = answers.emplace_back();
+    ChangesReply& answer = answers.emplace_back();
     answer.id = request.id;
     if (is_available) {
       answer.changes = ChangesAfter(request.after);
       answer.changes->revision = revision;
       answer.changes->age = *age;
-      answer.changes->lapse_left = lapse_left;
+      answer.changes->expiry_grace_left = expiry_grace_left;
     }
     return true;
   });
--- a/coordination/gateway/change_feed.h
+++ b/coordination/gateway/change_feed.h
@@ -12,12 +12,12 @@
 
 namespace gcw {
 
-using ChangeQuestionId = StrongNumber<struct ChangeQuestionIdTag>;
+using ChangesRequestId = StrongNumber<struct ChangesRequestIdTag>;
 
 // Another node's request for the changes after a revision. The reply may wait
 // up to `wait` for a change.
-struct ChangeQuestion {
-  ChangeQuestionId id;
+struct ChangesRequest {
+  ChangesRequestId id;
   Revision after;
   Duration wait;
 };
@@ -31,13 +31,13 @@
   // How long ago the sender's own copy was known to be complete.
   Duration age;
   // For how long the sender still defers removals after an outage.
-  Duration lapse_left;
+  Duration expiry_grace_left;
 };
 
-// Replies to a ChangeQuestion. `changes` is absent if this node cannot tell, so
+// Replies to a ChangesRequest. `changes` is absent if this node cannot tell, so
 // that the asking node has to call the service itself.
-struct AnswerChanges {
-  ChangeQuestionId id;
+struct ChangesReply {
+  ChangesRequestId id;
   std::optional<MirrorChanges> changes;
 };
 
@@ -53,20 +53,20 @@
   void Add(const std::vector<StoreEntry>& changed,
            const std::vector<StoreDeletion>& deleted);
 
-  void AddRequest(Time now, const ChangeQuestion& request);
+  void AddRequest(Time now, const ChangesRequest& request);
   bool has_pending_requests() const { return !pending_requests_.empty(); }
   // Returns answers to the requests that need not wait any longer. `age` is
   // absent if this node's copy is not known to be fresh, and then no changes
   // can be told.
-  std::vector<AnswerChanges> TakeReplies(Time now,
-                                         Revision revision,
-                                         std::optional<Duration> age,
-                                         Duration lapse_left);
+  std::vector<ChangesReply> TakeReplies(Time now,
+                                        Revision revision,
+                                        std::optional<Duration> age,
+                                        Duration expiry_grace_left);
 
  private:
   using Change = std::variant<StoreEntry, StoreDeletion>;
   struct PendingRequest {
-    ChangeQuestion request;
+    ChangesRequest request;
     Time deadline;
   };
 
--- a/coordination/gateway/deferral_policy.cc
+++ b/coordination/gateway/deferral_policy.cc
@@ -26,14 +26,15 @@
                               Duration objective) {
   std::deque<Time>& start_times = StateFor(service, model).start_times;
   while (!start_times.empty() &&
-         now - start_times.front() > settings_.rate_span) {
+         now - start_times.front() > settings_.rate_interval) {
     start_times.pop_front();
   }
-  const double objectives = static_cast<double>(objective.millis()) /
-                            static_cast<double>(settings_.rate_span.millis());
-  return std::max(settings_.least_window,
+  const double objectives =
+      static_cast<double>(objective.millis()) /
+      static_cast<double>(settings_.rate_interval.millis());
+  return std::max(settings_.min_window,
                   static_cast<double>(start_times.size()) * objectives *
-                      settings_.window_part);
+                      settings_.window_fraction);
 }
 
 void DeferralPolicy::OnWaitStarted(const ServiceId& service,
--- a/coordination/gateway/deferral_policy.h
+++ b/coordination/gateway/deferral_policy.h
@@ -18,11 +18,11 @@
   // the usual load, 159 requests start in time in the third and fourth second,
   // against 143 with 0.8 and 59 without this policy (groups of OverloadTest,
   // mean of 20 seeds).
-  double window_part = 0.5;
+  double window_fraction = 0.5;
   // Minimum window, because some requests have to show whether there is room.
-  double least_window = 1;
+  double min_window = 1;
   // Interval over which started requests are counted.
-  Duration rate_span = Duration::Seconds(1);
+  Duration rate_interval = Duration::Seconds(1);
 };
 
 // Decides which requests are deferred while a model has more of them than its
--- a/coordination/gateway/fleet_keeper.cc
+++ b/coordination/gateway/fleet_controller.cc
@@ -1,4 +1,4 @@
-#include "coordination/gateway/fleet_keeper.h"
+#include "coordination/gateway/fleet_controller.h"
 
 #include <algorithm>
 #include <utility>
@@ -8,17 +8,17 @@
 namespace gcw {
 namespace {
 
-// The generations of a keeper lie between its fencing number and the next
-// possible one, so that those of every later keeper are higher.
+// The generations of a controller lie between its fencing number and the next
+// possible one, so that those of every later controller are higher.
 constexpr std::int64_t kGenerationsPerFence = 4096;
 constexpr double kMillisPerSecond = 1000;
 
 }  // namespace
 
-FleetKeeper::FleetKeeper(FleetKeeperSettings settings,
-                         DomainRecordCodec codec,
-                         LastProgress last_progress,
-                         EventSink events)
+FleetController::FleetController(FleetControllerSettings settings,
+                                 DomainRecordCodec codec,
+                                 LastProgress last_progress,
+                                 EventSink events)
     : settings_(settings),
       codec_(std::move(codec)),
       last_progress_(std::move(last_progress)),
@@ -27,7 +27,7 @@
       load_pacer_(settings.loads),
       model_demand_(settings.demand) {}
 
-void FleetKeeper::SetRole(Time now, const std::optional<HeldRole>& role) {
+void FleetController::SetRole(Time now, const std::optional<HeldRole>& role) {
   const bool is_same = role_ && role && role_->fence == role->fence;
   role_ = role;
   if (is_same) {
@@ -65,12 +65,13 @@
   load_pacer_.Tick(now);
 }
 
-void FleetKeeper::OnStandstill(const VmId& head, Generation generation) {
+void FleetController::OnGroupStalled(const VmId& head, Generation generation) {
   stalled_groups_.emplace(head, generation);
   ScheduleReview(head);
 }
 
-std::vector<std::pair<VmId, Generation>> FleetKeeper::StandingStill() const {
+std::vector<std::pair<VmId, Generation>> FleetController::StalledGroups()
+    const {
   std::vector<std::pair<VmId, Generation>> groups;
   for (const auto& [id, domain] : domains_) {
     for (const GroupRecord& group : domain.writer.record().groups) {
@@ -84,8 +85,9 @@
   return groups;
 }
 
-std::vector<FleetKeeperAction> FleetKeeper::Tick(Time now,
-                                                 const FleetView& view) {
+std::vector<FleetControllerAction> FleetController::Tick(
+    Time now,
+    const FleetView& view) {
   actions_.clear();
   if (!role_ || fenced_off_ || !view.routes() ||
       now + settings_.min_remaining_lease >= role_->valid_until) {
@@ -122,8 +124,10 @@
   return std::exchange(actions_, {});
 }
 
-std::vector<FleetKeeperAction>
-FleetKeeper::OnStoreReply(Time now, StoreCallId id, const StoreReply& reply) {
+std::vector<FleetControllerAction> FleetController::OnStoreReply(
+    Time now,
+    StoreCallId id,
+    const StoreReply& reply) {
   const auto call = pending_calls_.find(id);
   if (call == pending_calls_.end()) {
     return {};
@@ -137,13 +141,13 @@
   return {};
 }
 
-void FleetKeeper::OnVmsChanged(const std::set<VmId>& vms) {
+void FleetController::OnVmsChanged(const std::set<VmId>& vms) {
   if (role_) {
     changed_vms_.insert(vms.begin(), vms.end());
   }
 }
 
-void FleetKeeper::ScheduleReview(const VmId& vm) {
+void FleetController::ScheduleReview(const VmId& vm) {
   const auto known = vm_domains_.find(vm);
   if (known == vm_domains_.end()) {
     return;
@@ -154,7 +158,7 @@
   }
 }
 
-void FleetKeeper::ProcessVmChanges(Time now, const FleetView& view) {
+void FleetController::ProcessVmChanges(Time now, const FleetView& view) {
   if (seen_configuration_ != view.configuration_changes()) {
     seen_configuration_ = view.configuration_changes();
     all_vms_changed_ = true;
@@ -183,9 +187,9 @@
   }
 }
 
-void FleetKeeper::ProcessVm(Time now,
-                            const FleetView& view,
-                            const VmRegistration& vm) {
+void FleetController::ProcessVm(Time now,
+                                const FleetView& view,
+                                const VmRegistration& vm) {
   const ServiceRule* service = view.routes()->FindService(vm.service);
   if (vm.domain.empty() || service == nullptr || !service->engine) {
     return;
@@ -195,7 +199,7 @@
     known->second = vm.incarnation;
     ResetVmState(vm.id);
   }
-  const FabricDomainId domain = RecordDomain(vm);
+  const FabricDomainId domain = ScopedDomainId(vm);
   vm_domains_[vm.id] = domain;
   if (first_seen_.emplace(vm.id, now).second) {
     last_appearances_[domain] = now;
@@ -216,8 +220,8 @@
 }
 
 // The more domains are busy, the less often each is reviewed without news: a
-// keeper that falls behind repeats orders and so adds to its own load.
-void FleetKeeper::SelectDueDomains(Time now) {
+// controller that falls behind repeats orders and so adds to its own load.
+void FleetController::SelectDueDomains(Time now) {
   const Duration busy_review_interval =
       std::max(settings_.busy_review_interval,
                Duration::Millis(static_cast<std::int64_t>(
@@ -231,7 +235,8 @@
   }
 }
 
-bool FleetKeeper::IsIdle(const FleetView& view, const Domain& domain) const {
+bool FleetController::IsIdle(const FleetView& view,
+                             const Domain& domain) const {
   if (domain.snapshot.is_populating || domain.snapshot.awaits_free_vms) {
     return false;
   }
@@ -253,7 +258,7 @@
 // A run that starts again under its id has no group, no weights in its engine
 // and no order to carry out. If the old state were kept, its group would wait
 // for it forever, and an order to join would not be sent again.
-void FleetKeeper::ResetVmState(const VmId& vm) {
+void FleetController::ResetVmState(const VmId& vm) {
   last_orders_.erase(vm);
   const auto pending = pending_order_ids_.find(vm);
   if (pending != pending_order_ids_.end()) {
@@ -274,9 +279,9 @@
   }
 }
 
-void FleetKeeper::PlanService(Time now,
-                              const FleetView& view,
-                              const ServiceRule& service) {
+void FleetController::PlanService(Time now,
+                                  const FleetView& view,
+                                  const ServiceRule& service) {
   std::map<FabricDomainId, DomainRecord> next_records;
   for (auto& [id, domain] : domains_) {
     if (domain.service == service.id && domain.is_reviewed &&
@@ -319,9 +324,9 @@
   }
 }
 
-DomainRecord FleetKeeper::ReviewDomain(Time now,
-                                       const FleetView& view,
-                                       Domain& domain) {
+DomainRecord FleetController::ReviewDomain(Time now,
+                                           const FleetView& view,
+                                           Domain& domain) {
   ReviewGroups(now, view, domain);
   DomainRecord next_record = domain.writer.record();
   RemoveEnded(now, view, domain, next_record);
@@ -341,8 +346,8 @@
   return next_record;
 }
 
-void FleetKeeper::AddGroup(PlannedGroup planned_group,
-                           DomainRecord& next_record) {
+void FleetController::AddGroup(PlannedGroup planned_group,
+                               DomainRecord& next_record) {
   GroupRecord group;
   ++last_group_number_;
   group.generation = Generation(role_->fence.value() * kGenerationsPerFence +
@@ -358,14 +363,16 @@
   next_record.groups.push_back(std::move(group));
 }
 
-void FleetKeeper::Commit(Time now, Domain& domain, DomainRecord next_record) {
+void FleetController::Commit(Time now,
+                             Domain& domain,
+                             DomainRecord next_record) {
   ++last_change_number_;
   domain.writer.Propose(now, std::move(next_record),
                         ChangeId("k" + std::to_string(role_->fence.value()) +
                                  "-" + std::to_string(last_change_number_)));
 }
 
-DomainSnapshot FleetKeeper::SnapshotGroups(
+DomainSnapshot FleetController::SnapshotGroups(
     Time now,
     const FleetView& view,
     const Domain& domain,
@@ -411,16 +418,17 @@
   return snapshot;
 }
 
-DomainSnapshot FleetKeeper::SnapshotDomain(Time now,
-                                           const FleetView& view,
-                                           const Domain& domain,
-                                           const DomainRecord& next_record) {
+DomainSnapshot FleetController::SnapshotDomain(
+    Time now,
+    const FleetView& view,
+    const Domain& domain,
+    const DomainRecord& next_record) {
   DomainSnapshot snapshot = SnapshotGroups(now, view, domain, next_record);
   std::set<VmId> assigned;
   for (const GroupRecord& group : next_record.groups) {
     assigned.insert(group.members.begin(), group.members.end());
   }
-  for (const auto& [id, vm] : view.VmsOf(next_record.domain)) {
+  for (const auto& [id, vm] : view.VmsInDomain(next_record.domain)) {
     if (vm->draining || IsUnresponsive(id)) {
       continue;
     }
@@ -442,7 +450,7 @@
   return snapshot;
 }
 
-VmCandidate FleetKeeper::DescribeCandidate(const VmRegistration& vm) const {
+VmCandidate FleetController::DescribeCandidate(const VmRegistration& vm) const {
   VmCandidate candidate;
   candidate.vm = vm.id;
   candidate.staged = vm.staged;
@@ -458,7 +466,7 @@
   return candidate;
 }
 
-ServingGroup FleetKeeper::DescribeServingGroup(
+ServingGroup FleetController::DescribeServingGroup(
     Time now,
     const FleetView& view,
     const GroupRecord& group,
@@ -467,7 +475,7 @@
   serving_group.id = group.id;
   serving_group.model = group.model;
   // A group that was formed only recently keeps serving. Groups of earlier
-  // keepers have served for longer than this keeper has known them.
+  // controllers have served for longer than this controller has known them.
   const bool is_own =
       group.generation.value() > role_->fence.value() * kGenerationsPerFence;
   serving_group.may_be_given_up =
@@ -481,7 +489,7 @@
   return serving_group;
 }
 
-void FleetKeeper::GiveUpGroups(Time now, const Regrouping& regrouping) {
+void FleetController::GiveUpGroups(Time now, const Regrouping& regrouping) {
   Domain& domain = domains_.at(regrouping.domain);
   domain.regroup_target = regrouping.model;
   domain.next_regroup = now + settings_.regroup_interval;
@@ -501,8 +509,9 @@
   }
 }
 
-std::size_t FleetKeeper::CountUnusableMembers(const FleetView& view,
-                                              const GroupRecord& group) const {
+std::size_t FleetController::CountUnusableMembers(
+    const FleetView& view,
+    const GroupRecord& group) const {
   return static_cast<std::size_t>(std::count_if(
       group.members.begin(), group.members.end(), [&](const VmId& member) {
         const VmRegistration* vm = view.FindVm(member);
@@ -510,9 +519,10 @@
       }));
 }
 
-const ModelProfile* FleetKeeper::FindModelProfile(const FleetView& view,
-                                                  const ServiceId& service,
-                                                  const ModelId& model) const {
+const ModelProfile* FleetController::FindModelProfile(
+    const FleetView& view,
+    const ServiceId& service,
+    const ModelId& model) const {
   const ServiceRule* rule = view.routes()->FindService(service);
   if (rule == nullptr || !rule->engine) {
     return nullptr;
@@ -525,9 +535,9 @@
   return nullptr;
 }
 
-void FleetKeeper::ReportGroupEvent(EventKind kind,
-                                   const GroupRecord& group,
-                                   std::vector<EventField> fields) {
+void FleetController::ReportGroupEvent(EventKind kind,
+                                       const GroupRecord& group,
+                                       std::vector<EventField> fields) {
   fields.push_back({"generation", group.generation.value()});
   events_({kind, group.id.value(), {}, std::move(fields)});
 }
--- a/coordination/gateway/fleet_keeper.h
+++ b/coordination/gateway/fleet_controller.h
@@ -1,5 +1,5 @@
-#ifndef COORDINATION_GATEWAY_FLEET_KEEPER_H_
-#define COORDINATION_GATEWAY_FLEET_KEEPER_H_
+#ifndef COORDINATION_GATEWAY_FLEET_CONTROLLER_H_
+#define COORDINATION_GATEWAY_FLEET_CONTROLLER_H_
 
 #include <cstdint>
 #include <functional>
@@ -22,14 +22,14 @@
 
 namespace gcw {
 
-struct FleetKeeperSettings {
+struct FleetControllerSettings {
   WriterSettings writer = {Duration::Millis(1500), Duration::Millis(300)};
   GroupPlannerSettings planner;
   LoadPacerSettings loads;
   ModelDemandSettings demand;
   // Interval between load probes of serving groups. Each probe asks one group,
   // so that the cost of the estimate does not grow with the fleet.
-  Duration demand_interval = Duration::Millis(100);
+  Duration demand_probe_interval = Duration::Millis(100);
   // Maximum number of domains searched for a group to probe in one tick.
   std::size_t max_searched_domains = 8;
   // No order is sent when less than this remains of the role's lease: the order
@@ -47,7 +47,7 @@
   Duration probe_interval = Duration::Millis(1000);
   // An engine that reports at least this slowdown factor is slow. Its group
   // runs at the same pace and may therefore seem stalled.
-  double slow_pace_threshold = 1.8;
+  double slowdown_threshold = 1.8;
   // How long a stalled group whose members all answer may take to make progress
   // again before it is closed.
   Duration stall_timeout = Duration::Millis(1500);
@@ -59,13 +59,13 @@
   Duration settle_time = Duration::Millis(1500);
   // A group that has not opened within this time is given up. The time covers
   // the slowest load behind a full queue of others.
-  Duration form_limit = Duration::Seconds(60);
+  Duration formation_timeout = Duration::Seconds(60);
   // How long a group that is closed on purpose may take to finish its requests.
-  Duration drain_limit = Duration::Millis(6000);
+  Duration drain_timeout = Duration::Millis(6000);
   // The same limit for a group that is given up for a group of another model.
   // It is shorter because the VMs of both groups take no new requests
   // meanwhile.
-  Duration regroup_drain_limit = Duration::Millis(1500);
+  Duration regroup_drain_timeout = Duration::Millis(1500);
   // Minimum interval between two regroupings of one domain.
   Duration regroup_interval = Duration::Millis(6000);
   // Review interval of a domain that has work in progress. News about a domain
@@ -93,28 +93,28 @@
   Duration timeout;
 };
 
-using FleetKeeperAction =
+using FleetControllerAction =
     std::variant<StoreRequest, SendGroupOrder, ProbeEngine>;
 
 // Controls the replica groups of all fabric domains while this node holds the
-// keeper's role. One record per domain in the key-value service says which VMs
-// form which group. Engines receive orders only for committed records, and what
-// they report is reconciled with the record.
+// controller's role. One record per domain in the key-value service says which
+// VMs form which group. Engines receive orders only for committed records, and
+// what they report is reconciled with the record.
 //
 // A VM is put into another group only after its engine, or that of its group's
 // first member, confirmed that it left. No request can then run in a group that
 // lost a member to another one, even if the first member is cut off and
 // continues to serve.
-class FleetKeeper {
+class FleetController {
  public:
   // Returns when this node last saw the group with this first member make
   // progress, or the start of time if it never did.
   using LastProgress = std::function<Time(const VmId& head, Generation)>;
 
-  FleetKeeper(FleetKeeperSettings settings,
-              DomainRecordCodec codec,
-              LastProgress last_progress,
-              EventSink events);
+  FleetController(FleetControllerSettings settings,
+                  DomainRecordCodec codec,
+                  LastProgress last_progress,
+                  EventSink events);
 
   // `role` is empty if this node does not hold the role.
   void SetRole(Time now, const std::optional<HeldRole>& role);
@@ -125,27 +125,28 @@
   // store's rate.
   void OnTraffic() { load_pacer_.OnTraffic(); }
   // Reports that nodes which send requests to the group see it stalled.
-  void OnStandstill(const VmId& head, Generation generation);
+  void OnGroupStalled(const VmId& head, Generation generation);
   // First members and generations of the groups that are reported as stalled
   // and about which there is no decision yet.
-  std::vector<std::pair<VmId, Generation>> StandingStill() const;
+  std::vector<std::pair<VmId, Generation>> StalledGroups() const;
 
-  std::vector<FleetKeeperAction> Tick(Time now, const FleetView& view);
-  std::vector<FleetKeeperAction> OnStoreReply(Time now,
-                                              StoreCallId id,
-                                              const StoreReply& reply);
-  void OnOrderReply(Time now, OrderId id, GroupOrderVerdict verdict);
+  std::vector<FleetControllerAction> Tick(Time now, const FleetView& view);
+  std::vector<FleetControllerAction> OnStoreReply(Time now,
+                                                  StoreCallId id,
+                                                  const StoreReply& reply);
+  void OnOrderReply(Time now, OrderId id, GroupOrderResult result);
   void OnProbeReply(Time now, const VmId& vm, const ProbeReport& report);
 
-  // Whether an engine refused an order because another keeper holds the role.
-  bool is_fenced_off() const { return fenced_off_; }
+  // Whether an engine refused an order because another controller holds the
+  // role.
+  bool is_fenced() const { return fenced_off_; }
 
  private:
-  // What this keeper has observed of a group since it took the role.
+  // What this controller has observed of a group since it took the role.
   struct GroupStatus {
     Time observed_since;
     std::set<VmId> joined;
-    // Members to which this keeper sent a join order.
+    // Members to which this controller sent a join order.
     std::set<VmId> join_ordered;
     std::map<VmId, Address> addresses;
     bool has_opened = false;
@@ -337,7 +338,7 @@
                         const GroupRecord& group,
                         std::vector<EventField> fields);
 
-  FleetKeeperSettings settings_;
+  FleetControllerSettings settings_;
   DomainRecordCodec codec_;
   LastProgress last_progress_;
   EventSink events_;
@@ -388,9 +389,9 @@
   FencingToken group_number_fence_;
   std::int64_t last_group_number_ = 0;
   std::int64_t last_change_number_ = 0;
-  std::vector<FleetKeeperAction> actions_;
+  std::vector<FleetControllerAction> actions_;
 };
 
 }  // namespace gcw
 
-#endif  // COORDINATION_GATEWAY_FLEET_KEEPER_H_
+#endif  // COORDINATION_GATEWAY_FLEET_CONTROLLER_H_
--- a/coordination/gateway/fleet_keeper_orders.cc
+++ b/coordination/gateway/fleet_controller_orders.cc
@@ -1,6 +1,6 @@
 // Orders to engines and the handling of their answers.
 
-#include "coordination/gateway/fleet_keeper.h"
+#include "coordination/gateway/fleet_controller.h"
 
 #include <algorithm>
 #include <utility>
@@ -9,10 +9,10 @@
 
 namespace gcw {
 
-void FleetKeeper::OrderGroup(Time now,
-                             const FleetView& view,
-                             Domain& domain,
-                             const GroupRecord& group) {
+void FleetController::OrderGroup(Time now,
+                                 const FleetView& view,
+                                 Domain& domain,
+                                 const GroupRecord& group) {
   const auto found = domain.group_statuses.find(group.id);
   if (found == domain.group_statuses.end()) {
     return;
@@ -25,11 +25,11 @@
   OrderJoins(now, view, domain, group, status);
 }
 
-void FleetKeeper::OrderJoins(Time now,
-                             const FleetView& view,
-                             const Domain& domain,
-                             const GroupRecord& group,
-                             GroupStatus& status) {
+void FleetController::OrderJoins(Time now,
+                                 const FleetView& view,
+                                 const Domain& domain,
+                                 const GroupRecord& group,
+                                 GroupStatus& status) {
   const ModelProfile* profile =
       FindModelProfile(view, domain.service, group.model);
   bool all_ready = true;
@@ -47,7 +47,7 @@
     if (!MayOrder(now, member, GroupOrderKind::kJoin, group.id)) {
       continue;
     }
-    if (!vm->HasAtHand(group.model) && profile != nullptr &&
+    if (!vm->HasLocalWeights(group.model) && profile != nullptr &&
         !MayJoinWithoutWeights(now, *vm, *profile)) {
       continue;
     }
@@ -65,7 +65,7 @@
     return;
   }
   const VmRegistration* vm = view.FindVm(head);
-  // Only the keeper checks that all members are ready. A group that opened
+  // Only the controller checks that all members are ready. A group that opened
   // without one of them would take requests that it cannot run.
   if (vm->membership->phase != MemberPhase::kReady ||
       !MayOrder(now, head, GroupOrderKind::kOpen, group.id)) {
@@ -87,9 +87,9 @@
 // whatever happens to the group; the join waits for it and then takes the warm
 // start time in addition. Before the first request loads are quick, and the
 // warm start time would be the larger part.
-bool FleetKeeper::MayJoinWithoutWeights(Time now,
-                                        const VmRegistration& vm,
-                                        const ModelProfile& model) {
+bool FleetController::MayJoinWithoutWeights(Time now,
+                                            const VmRegistration& vm,
+                                            const ModelProfile& model) {
   if (!load_pacer_.TryBegin(now, vm.id, model.load_time)) {
     return false;
   }
@@ -104,10 +104,10 @@
   return false;
 }
 
-void FleetKeeper::OrderEnd(Time now,
-                           const FleetView& view,
-                           const GroupRecord& group,
-                           GroupStatus& status) {
+void FleetController::OrderEnd(Time now,
+                               const FleetView& view,
+                               const GroupRecord& group,
+                               GroupStatus& status) {
   const VmId& head = group.members.front();
   const VmRegistration* vm = view.FindVm(head);
   const bool is_head_reachable =
@@ -123,8 +123,8 @@
       status.is_planned_end &&
       (phase == MemberPhase::kOpen || phase == MemberPhase::kClosing) &&
       now - status.end_started < (status.is_regrouped
-                                      ? settings_.regroup_drain_limit
-                                      : settings_.drain_limit);
+                                      ? settings_.regroup_drain_timeout
+                                      : settings_.drain_timeout);
   if (!may_drain) {
     OrderLeave(now, view, group, status, head);
     return;
@@ -139,11 +139,11 @@
   }
 }
 
-void FleetKeeper::OrderLeave(Time now,
-                             const FleetView& view,
-                             const GroupRecord& group,
-                             const GroupStatus& status,
-                             const VmId& member) {
+void FleetController::OrderLeave(Time now,
+                                 const FleetView& view,
+                                 const GroupRecord& group,
+                                 const GroupStatus& status,
+                                 const VmId& member) {
   const VmRegistration* vm = view.FindVm(member);
   if (vm == nullptr || IsUnresponsive(member) ||
       HasLeft(view, group, status, member) ||
@@ -157,7 +157,7 @@
   SendOrder(now, member, vm->address, std::move(order));
 }
 
-void FleetKeeper::OrderStagings(Time now, const FleetView& view) {
+void FleetController::OrderStagings(Time now, const FleetView& view) {
   for (const auto& [id, domain] : domains_) {
     for (const PlannedStaging& staging : domain.stagings) {
       OrderPlannedStaging(now, view, staging);
@@ -181,9 +181,9 @@
   });
 }
 
-void FleetKeeper::OrderPlannedStaging(Time now,
-                                      const FleetView& view,
-                                      const PlannedStaging& staging) {
+void FleetController::OrderPlannedStaging(Time now,
+                                          const FleetView& view,
+                                          const PlannedStaging& staging) {
   const VmRegistration* vm = view.FindVm(staging.vm);
   if (vm == nullptr || vm->HasStaged(staging.model) ||
       !MayOrder(now, staging.vm, GroupOrderKind::kStage, GroupId())) {
@@ -201,9 +201,9 @@
   OrderStaging(now, *vm, staging.model);
 }
 
-void FleetKeeper::OrderStaging(Time now,
-                               const VmRegistration& vm,
-                               const ModelId& model) {
+void FleetController::OrderStaging(Time now,
+                                   const VmRegistration& vm,
+                                   const ModelId& model) {
   GroupOrder order;
   order.kind = GroupOrderKind::kStage;
   order.model = model;
@@ -212,10 +212,10 @@
   SendOrder(now, vm.id, vm.address, std::move(order));
 }
 
-bool FleetKeeper::MayOrder(Time now,
-                           const VmId& vm,
-                           GroupOrderKind kind,
-                           const GroupId& group) const {
+bool FleetController::MayOrder(Time now,
+                               const VmId& vm,
+                               GroupOrderKind kind,
+                               const GroupId& group) const {
   if (pending_order_ids_.contains(vm)) {
     return false;
   }
@@ -227,10 +227,10 @@
   return now - last->second.sent >= settings_.resend_interval;
 }
 
-void FleetKeeper::SendOrder(Time now,
-                            const VmId& vm,
-                            const Address& address,
-                            GroupOrder order) {
+void FleetController::SendOrder(Time now,
+                                const VmId& vm,
+                                const Address& address,
+                                GroupOrder order) {
   order.fence = role_->fence;
   ++last_order_id_;
   last_orders_[vm] = {order.kind, order.group, now};
@@ -247,7 +247,7 @@
       last_order_id_, vm, address, std::move(order), settings_.order_timeout});
 }
 
-void FleetKeeper::ExpireOrders(Time now) {
+void FleetController::ExpireOrders(Time now) {
   std::erase_if(pending_orders_, [&](const auto& pending) {
     const bool is_expired =
         now - pending.second.sent >= settings_.order_timeout * 2;
@@ -258,9 +258,9 @@
   });
 }
 
-void FleetKeeper::OnOrderReply(Time now,
-                               OrderId id,
-                               GroupOrderVerdict verdict) {
+void FleetController::OnOrderReply(Time now,
+                                   OrderId id,
+                                   GroupOrderResult result) {
   const auto found = pending_orders_.find(id);
   if (found == pending_orders_.end()) {
     return;
@@ -269,44 +269,44 @@
   ScheduleReview(pending.vm);
   pending_orders_.erase(found);
   pending_order_ids_.erase(pending.vm);
-  if (verdict != GroupOrderVerdict::kBegun &&
-      verdict != GroupOrderVerdict::kDone) {
+  if (result != GroupOrderResult::kStarted &&
+      result != GroupOrderResult::kDone) {
     events_({EventKind::kOrderRefused,
              pending.vm.value(),
              {},
              {{"order", std::string(GroupOrderKindName(pending.order.kind))},
               {"group", pending.order.group.value()},
-              {"verdict", std::string(GroupOrderVerdictName(verdict))},
+              {"verdict", std::string(GroupOrderResultName(result))},
               {"after_ms", (now - pending.sent).millis()}}});
     if (pending.order.kind == GroupOrderKind::kJoin ||
         pending.order.kind == GroupOrderKind::kStage) {
       load_pacer_.End(pending.vm);
     }
     if (pending.order.kind == GroupOrderKind::kStage &&
-        verdict != GroupOrderVerdict::kNoAnswer &&
-        verdict != GroupOrderVerdict::kUnreachable) {
+        result != GroupOrderResult::kNoAnswer &&
+        result != GroupOrderResult::kUnreachable) {
       refused_staging_vms_.insert(pending.vm);
     }
   }
-  if (verdict == GroupOrderVerdict::kNoAnswer ||
-      verdict == GroupOrderVerdict::kUnreachable) {
+  if (result == GroupOrderResult::kNoAnswer ||
+      result == GroupOrderResult::kUnreachable) {
     SuspectVm(now, pending.vm, pending.address);
   }
   // Another run has the VM's address, so this run is gone, although delayed
   // heartbeats may keep its registration for seconds. Group after group would
   // wait for it. A probe cannot detect this, because the other run answers it.
-  if (verdict == GroupOrderVerdict::kOtherVm) {
+  if (result == GroupOrderResult::kWrongVm) {
     replaced_vms_[pending.vm] = pending.address;
   }
-  if (verdict == GroupOrderVerdict::kStale &&
+  if (result == GroupOrderResult::kStale &&
       pending.order.kind != GroupOrderKind::kJoin) {
     fenced_off_ = true;
     return;
   }
   if (pending.order.kind != GroupOrderKind::kLeave ||
-      verdict == GroupOrderVerdict::kNoAnswer ||
-      verdict == GroupOrderVerdict::kUnreachable ||
-      verdict == GroupOrderVerdict::kRefused) {
+      result == GroupOrderResult::kNoAnswer ||
+      result == GroupOrderResult::kUnreachable ||
+      result == GroupOrderResult::kRefused) {
     return;
   }
   // The engine has left, is in no such group, or another VM has the address. A
--- a/coordination/gateway/fleet_keeper_probes.cc
+++ b/coordination/gateway/fleet_controller_probes.cc
@@ -1,6 +1,6 @@
 // Probes of VMs whose health is in doubt, and of the load of serving groups.
 
-#include "coordination/gateway/fleet_keeper.h"
+#include "coordination/gateway/fleet_controller.h"
 
 #include <algorithm>
 #include <utility>
@@ -9,7 +9,9 @@
 
 namespace gcw {
 
-void FleetKeeper::SuspectVm(Time now, const VmId& vm, const Address& address) {
+void FleetController::SuspectVm(Time now,
+                                const VmId& vm,
+                                const Address& address) {
   Suspect& suspect = suspects_[vm];
   suspect.address = address;
   if (!suspect.probe_pending) {
@@ -17,9 +19,9 @@
   }
 }
 
-void FleetKeeper::SuspectMembers(Time now,
-                                 const GroupRecord& group,
-                                 const GroupStatus& status) {
+void FleetController::SuspectMembers(Time now,
+                                     const GroupRecord& group,
+                                     const GroupStatus& status) {
   for (const VmId& member : group.members) {
     const auto address = status.addresses.find(member);
     if (address != status.addresses.end()) {
@@ -28,24 +30,24 @@
   }
 }
 
-bool FleetKeeper::IsUnresponsive(const VmId& vm) const {
+bool FleetController::IsUnresponsive(const VmId& vm) const {
   const auto found = suspects_.find(vm);
   return replaced_vms_.contains(vm) ||
          (found != suspects_.end() && found->second.is_unresponsive);
 }
 
-bool FleetKeeper::IsSlow(const VmId& vm) const {
+bool FleetController::IsSlow(const VmId& vm) const {
   const auto found = suspects_.find(vm);
   return found != suspects_.end() && found->second.is_slow;
 }
 
-bool FleetKeeper::AwaitsProbeVerdict(const VmId& vm) const {
+bool FleetController::AwaitsProbeVerdict(const VmId& vm) const {
   const auto found = suspects_.find(vm);
   return found != suspects_.end() && !found->second.is_unresponsive &&
          !found->second.is_slow;
 }
 
-void FleetKeeper::ProbeSuspects(Time now, const FleetView& view) {
+void FleetController::ProbeSuspects(Time now, const FleetView& view) {
   for (auto it = suspects_.begin(); it != suspects_.end();) {
     if (view.FindVm(it->first) == nullptr) {
       it = suspects_.erase(it);
@@ -61,9 +63,9 @@
   }
 }
 
-const VmRegistration* FleetKeeper::FindServingHead(const FleetView& view,
-                                                   const Domain& domain,
-                                                   const ModelId& model) {
+const VmRegistration* FleetController::FindServingHead(const FleetView& view,
+                                                       const Domain& domain,
+                                                       const ModelId& model) {
   const auto& groups = domain.writer.record().groups;
   for (std::size_t i = 0; i < groups.size(); ++i) {
     const GroupRecord& group = groups[(demand_probe_turn_ + i) % groups.size()];
@@ -76,12 +78,12 @@
   return nullptr;
 }
 
-void FleetKeeper::ProbeDemand(Time now, const FleetView& view) {
+void FleetController::ProbeDemand(Time now, const FleetView& view) {
   if (!load_pacer_.has_traffic() || now < next_demand_probe_ ||
       domains_.empty()) {
     return;
   }
-  next_demand_probe_ = now + settings_.demand_interval;
+  next_demand_probe_ = now + settings_.demand_probe_interval;
   for (std::size_t tried = 0; tried < settings_.max_searched_domains; ++tried) {
     ++demand_probe_turn_;
     auto domain = domains_.begin();
@@ -107,14 +109,14 @@
   }
 }
 
-void FleetKeeper::OnProbeReply(Time now,
-                               const VmId& vm,
-                               const ProbeReport& report) {
+void FleetController::OnProbeReply(Time now,
+                                   const VmId& vm,
+                                   const ProbeReport& report) {
   const auto asked = pending_demand_probes_.find(vm);
   if (asked != pending_demand_probes_.end()) {
     const auto [model, capacity] = asked->second;
     pending_demand_probes_.erase(asked);
-    if (report.verdict == ProbeVerdict::kAnswered) {
+    if (report.result == ProbeResult::kAnswered) {
       model_demand_.OnUtilization(
           now, model, static_cast<double>(report.requests) / capacity);
     }
@@ -124,18 +126,18 @@
     return;
   }
   ScheduleReview(vm);
-  const bool answered = report.verdict == ProbeVerdict::kAnswered;
-  if (answered && report.pace < settings_.slow_pace_threshold) {
+  const bool answered = report.result == ProbeResult::kAnswered;
+  if (answered && report.slowdown < settings_.slowdown_threshold) {
     suspects_.erase(found);
     return;
   }
   Suspect& suspect = found->second;
   if (suspect.is_unresponsive != !answered || suspect.is_slow != answered) {
-    events_({EventKind::kVmHeldOff,
+    events_({EventKind::kVmQuarantined,
              vm.value(),
              {},
-             {{"probe", std::string(ProbeVerdictName(report.verdict))},
-              {"pace", report.pace}}});
+             {{"probe", std::string(ProbeResultName(report.result))},
+              {"pace", report.slowdown}}});
   }
   suspect.is_unresponsive = !answered;
   suspect.is_slow = answered;
--- a/coordination/gateway/fleet_keeper_review.cc
+++ b/coordination/gateway/fleet_controller_review.cc
@@ -1,7 +1,7 @@
 // Decides which groups have to end, when they have ended, and which VMs are
 // free again.
 
-#include "coordination/gateway/fleet_keeper.h"
+#include "coordination/gateway/fleet_controller.h"
 
 #include <algorithm>
 #include <utility>
@@ -10,9 +10,9 @@
 
 namespace gcw {
 
-void FleetKeeper::ReviewGroups(Time now,
-                               const FleetView& view,
-                               Domain& domain) {
+void FleetController::ReviewGroups(Time now,
+                                   const FleetView& view,
+                                   Domain& domain) {
   std::set<GroupId> recorded;
   for (const GroupRecord& group : domain.writer.record().groups) {
     recorded.insert(group.id);
@@ -70,17 +70,17 @@
   });
 }
 
-bool FleetKeeper::IsOpen(const FleetView& view, const GroupRecord& group) {
+bool FleetController::IsOpen(const FleetView& view, const GroupRecord& group) {
   const VmRegistration* head = view.FindVm(group.members.front());
   return head != nullptr && IsMemberOf(*head, group) &&
          head->membership->phase == MemberPhase::kOpen;
 }
 
-std::string FleetKeeper::FindEndReason(Time now,
-                                       const FleetView& view,
-                                       const Domain& domain,
-                                       const GroupRecord& group,
-                                       GroupStatus& status) const {
+std::string FleetController::FindEndReason(Time now,
+                                           const FleetView& view,
+                                           const Domain& domain,
+                                           const GroupRecord& group,
+                                           GroupStatus& status) const {
   const VmId& head = group.members.front();
   // A member that is cut off from the key-value service loses its registration
   // but continues to run. Closing its group would also lose the work of the
@@ -121,7 +121,7 @@
     }
   }
   if (!status.has_opened &&
-      now - status.observed_since >= settings_.form_limit) {
+      now - status.observed_since >= settings_.formation_timeout) {
     return "not_formed";
   }
   if (status.stalled_since) {
@@ -137,11 +137,11 @@
   return {};
 }
 
-std::string FleetKeeper::FindStallEndReason(Time now,
-                                            const FleetView& view,
-                                            const Domain& domain,
-                                            const GroupRecord& group,
-                                            GroupStatus& status) const {
+std::string FleetController::FindStallEndReason(Time now,
+                                                const FleetView& view,
+                                                const Domain& domain,
+                                                const GroupRecord& group,
+                                                GroupStatus& status) const {
   std::size_t slow = 0;
   for (const VmId& member : group.members) {
     if (AwaitsProbeVerdict(member)) {
@@ -168,40 +168,40 @@
                                                                 : std::string();
 }
 
-std::size_t FleetKeeper::CountStartableSpares(const FleetView& view,
-                                              const Domain& domain,
-                                              const ModelId& model) const {
+std::size_t FleetController::CountStartableSpares(const FleetView& view,
+                                                  const Domain& domain,
+                                                  const ModelId& model) const {
   std::set<VmId> assigned;
   for (const GroupRecord& group : domain.writer.record().groups) {
     assigned.insert(group.members.begin(), group.members.end());
   }
-  const DomainVms& vms = view.VmsOf(domain.writer.record().domain);
+  const DomainVms& vms = view.VmsInDomain(domain.writer.record().domain);
   return static_cast<std::size_t>(
       std::count_if(vms.begin(), vms.end(), [&](const auto& entry) {
         const auto& [id, vm] = entry;
-        return !vm->draining && vm->HasAtHand(model) &&
+        return !vm->draining && vm->HasLocalWeights(model) &&
                !assigned.contains(id) && !suspects_.contains(id) &&
                !replaced_vms_.contains(id);
       }));
 }
 
-bool FleetKeeper::CanReplaceLoadingMembers(const FleetView& view,
-                                           const Domain& domain,
-                                           const GroupRecord& group) const {
+bool FleetController::CanReplaceLoadingMembers(const FleetView& view,
+                                               const Domain& domain,
+                                               const GroupRecord& group) const {
   const auto loading = static_cast<std::size_t>(std::count_if(
       group.members.begin(), group.members.end(), [&](const VmId& member) {
         const VmRegistration* vm = view.FindVm(member);
-        return vm != nullptr && !vm->HasAtHand(group.model);
+        return vm != nullptr && !vm->HasLocalWeights(group.model);
       }));
   // The VMs of given-up groups are reserved for another model.
   return loading > 0 && domain.regroup_target.empty() &&
          CountStartableSpares(view, domain, group.model) >= loading;
 }
 
-bool FleetKeeper::HasLeft(const FleetView& view,
-                          const GroupRecord& group,
-                          const GroupStatus& status,
-                          const VmId& member) const {
+bool FleetController::HasLeft(const FleetView& view,
+                              const GroupRecord& group,
+                              const GroupStatus& status,
+                              const VmId& member) const {
   if (status.left_members.contains(member)) {
     return true;
   }
@@ -217,9 +217,9 @@
                            vm->membership->phase == MemberPhase::kBroken);
 }
 
-bool FleetKeeper::HasEnded(const FleetView& view,
-                           const GroupRecord& group,
-                           const GroupStatus& status) const {
+bool FleetController::HasEnded(const FleetView& view,
+                               const GroupRecord& group,
+                               const GroupStatus& status) const {
   if (HasLeft(view, group, status, group.members.front())) {
     return true;
   }
@@ -233,10 +233,10 @@
       });
 }
 
-void FleetKeeper::RemoveEnded(Time now,
-                              const FleetView& view,
-                              Domain& domain,
-                              DomainRecord& next_record) {
+void FleetController::RemoveEnded(Time now,
+                                  const FleetView& view,
+                                  Domain& domain,
+                                  DomainRecord& next_record) {
   std::erase_if(next_record.groups, [&](const GroupRecord& group) {
     GroupStatus& status = domain.group_statuses[group.id];
     if (status.end_reason.empty() || !HasEnded(view, group, status)) {
@@ -252,7 +252,7 @@
   });
 }
 
-bool FleetKeeper::MayJoinNewGroup(Time now, const VmRegistration& vm) {
+bool FleetController::MayJoinNewGroup(Time now, const VmRegistration& vm) {
   const GroupMembership& old = *vm.membership;
   if (old.phase == MemberPhase::kJoining || old.phase == MemberPhase::kBroken ||
       ended_groups_.contains(old.group) ||
--- a/coordination/gateway/fleet_view.cc
+++ b/coordination/gateway/fleet_view.cc
@@ -21,7 +21,7 @@
   for (const VmId& vm : std::exchange(provisional_vms_, {})) {
     RemoveVm(vm);
   }
-  events_({EventKind::kFleetLearned,
+  events_({EventKind::kFleetSynced,
            {},
            {},
            {{"revision", revision.value()},
@@ -171,7 +171,7 @@
 
 void FleetView::AddToDomain(const VmRegistration& vm) {
   if (!vm.domain.empty()) {
-    domains_[RecordDomain(vm)].emplace(vm.id, &vm);
+    domains_[ScopedDomainId(vm)].emplace(vm.id, &vm);
   }
 }
 
@@ -179,7 +179,7 @@
   if (vm.domain.empty()) {
     return;
   }
-  const auto domain = domains_.find(RecordDomain(vm));
+  const auto domain = domains_.find(ScopedDomainId(vm));
   if (domain == domains_.end()) {
     return;
   }
@@ -189,7 +189,7 @@
   }
 }
 
-const DomainVms& FleetView::VmsOf(const FabricDomainId& domain) const {
+const DomainVms& FleetView::VmsInDomain(const FabricDomainId& domain) const {
   static const DomainVms kNone;
   const auto found = domains_.find(domain);
   return found == domains_.end() ? kNone : found->second;
--- a/coordination/gateway/fleet_view.h
+++ b/coordination/gateway/fleet_view.h
@@ -56,7 +56,7 @@
   const std::map<VmId, VmRegistration>& vms() const { return vms_; }
   const VmRegistration* FindVm(const VmId& vm) const;
   // Returns the registered VMs of the domain, which is named as in its record.
-  const DomainVms& VmsOf(const FabricDomainId& domain) const;
+  const DomainVms& VmsInDomain(const FabricDomainId& domain) const;
   const std::map<NodeId, NodeRecord>& nodes() const { return nodes_; }
   // Number of nodes that are not about to stop; at least 1.
   std::size_t serving_nodes() const;
--- a/coordination/gateway/forward_desk.cc
+++ b/coordination/gateway/forward_controller.cc
@@ -1,15 +1,15 @@
-#include "coordination/gateway/forward_desk.h"
+#include "coordination/gateway/forward_controller.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace gcw {
 
-ForwardDesk::ForwardDesk(ForwardDeskSettings settings,
-                         ReplicaSelector* selector,
-                         SharedRetryBudget* budget,
-                         Random random,
-                         EventSink events)
+ForwardController::ForwardController(ForwardControllerSettings settings,
+                                     ReplicaSelector* selector,
+                                     SharedRetryBudget* budget,
+                                     Random random,
+                                     EventSink events)
     : settings_(settings),
       selector_(selector),
       budget_(budget),
@@ -17,9 +17,10 @@
       events_(std::move(events)),
       deferral_policy_(settings.deferral) {}
 
-ForwardBegun ForwardDesk::OnArrived(Time now,
-                                    ForwardRequest request,
-                                    std::shared_ptr<const RouteTable> routes) {
+ForwardAdmission ForwardController::OnArrived(
+    Time now,
+    ForwardRequest request,
+    std::shared_ptr<const RouteTable> routes) {
   ++last_id_;
   OpenRequest open_request;
   open_request.request = std::move(request);
@@ -33,7 +34,7 @@
   return {last_id_, std::move(step)};
 }
 
-ForwardStep ForwardDesk::Admit(Time now, OpenRequest& open_request) {
+ForwardStep ForwardController::Admit(Time now, OpenRequest& open_request) {
   // A node without a configuration cannot tell an unknown route or key from one
   // that it has not received yet.
   if (!open_request.routes) {
@@ -49,7 +50,7 @@
           ? nullptr
           : open_request.routes->FindCustomer(open_request.request.key);
   if (customer == nullptr && open_request.routes->needs_keys() &&
-      !open_request.route->open_to_all) {
+      !open_request.route->allows_anonymous) {
     return Refuse(now, open_request, RefusalKind::kUnknownKey);
   }
   open_request.rank = open_request.route->rank;
@@ -57,9 +58,10 @@
     open_request.customer = customer->customer;
     open_request.rank = customer->rank.value_or(open_request.rank);
   }
-  open_request.deadline = now + std::min(open_request.request.patience.value_or(
-                                             open_request.route->time_limit),
-                                         open_request.route->time_limit);
+  open_request.deadline =
+      now + std::min(open_request.request.caller_timeout.value_or(
+                         open_request.route->time_limit),
+                     open_request.route->time_limit);
   open_request.service = ChooseService(*open_request.route);
   if (HasModels(open_request)) {
     open_request.urgency =
@@ -83,7 +85,7 @@
   return std::move(ValueOf(send));
 }
 
-ServiceId ForwardDesk::ChooseService(const RouteRule& route) {
+ServiceId ForwardController::ChooseService(const RouteRule& route) {
   std::int64_t total = 0;
   for (const ServiceShare& share : route.shares) {
     total += share.weight;
@@ -102,7 +104,7 @@
   return route.shares.back().service;
 }
 
-Result<SendForward, RefusalKind> ForwardDesk::Dispatch(
+Result<SendForward, RefusalKind> ForwardController::Dispatch(
     Time now,
     OpenRequest& open_request,
     std::optional<std::int64_t> resume) {
@@ -123,7 +125,8 @@
   send.customer = open_request.customer;
   send.time_left = open_request.deadline - now;
   send.resume_after = resume;
-  send.fresh_connection = open_request.route->repetition == Repetition::kNever;
+  send.fresh_connection =
+      open_request.route->retry_policy == RetryPolicy::kNever;
   send.streams = open_request.route->streams;
   if (HasModels(open_request)) {
     send.precedence = Precedence{open_request.rank, open_request.urgency};
@@ -131,13 +134,13 @@
   return send;
 }
 
-bool ForwardDesk::HasModels(const OpenRequest& open_request) {
+bool ForwardController::HasModels(const OpenRequest& open_request) {
   const ServiceRule* service =
       open_request.routes->FindService(open_request.service);
   return service != nullptr && service->engine.has_value();
 }
 
-ReplicaDemand ForwardDesk::MakeDemand(const OpenRequest& open_request) {
+ReplicaDemand ForwardController::MakeDemand(const OpenRequest& open_request) {
   ReplicaDemand demand;
   demand.service = open_request.service;
   demand.prompt_tokens = open_request.request.prompt_tokens;
@@ -149,7 +152,7 @@
   return demand;
 }
 
-void ForwardDesk::RecordStart(Time now, OpenRequest& open_request) {
+void ForwardController::RecordStart(Time now, OpenRequest& open_request) {
   StopWaiting(open_request);
   if (!open_request.has_started && HasModels(open_request)) {
     deferral_policy_.OnStarted(now, open_request.service,
@@ -158,16 +161,16 @@
   open_request.has_started = true;
 }
 
-void ForwardDesk::StopWaiting(OpenRequest& open_request) {
+void ForwardController::StopWaiting(OpenRequest& open_request) {
   if (std::exchange(open_request.is_waiting, false)) {
     deferral_policy_.OnWaitEnded(open_request.service,
                                  open_request.request.model);
   }
 }
 
-ForwardStep ForwardDesk::OnEnded(Time now,
-                                 ForwardId id,
-                                 const ForwardEnd& end) {
+ForwardStep ForwardController::OnEnded(Time now,
+                                       ForwardId id,
+                                       const ForwardEnd& end) {
   const auto found = open_requests_.find(id);
   if (found == open_requests_.end()) {
     return ForwardTruncated{};
@@ -189,15 +192,15 @@
   return step;
 }
 
-ForwardStep ForwardDesk::NextStep(Time now,
-                                  OpenRequest& open_request,
-                                  const ForwardEnd& end) {
+ForwardStep ForwardController::NextStep(Time now,
+                                        OpenRequest& open_request,
+                                        const ForwardEnd& end) {
   switch (end.kind) {
     case ForwardEndKind::kSucceeded:
       return PassAnswer{};
-    case ForwardEndKind::kFailedThere: {
+    case ForwardEndKind::kEndpointFailed: {
       ++open_request.possible_runs;
-      if (end.is_callers_fault || !MayRunAgain(now, open_request, end)) {
+      if (end.is_client_error || !MayRunAgain(now, open_request, end)) {
         return PassAnswer{};
       }
       // If no other endpoint is available, the failure itself is the most
@@ -212,23 +215,23 @@
       return RetryOrGiveUp(now, open_request, end, true);
     case ForwardEndKind::kNothingSent:
       return RetryOrGiveUp(now, open_request, end, false);
-    case ForwardEndKind::kBroke:
+    case ForwardEndKind::kConnectionBroken:
     case ForwardEndKind::kSilent:
       ++open_request.possible_runs;
       return MayRunAgain(now, open_request, end)
                  ? RetryOrGiveUp(now, open_request, end, true)
                  : GiveUp(now, open_request, end, RefusalKind::kNoEndpoint);
-    case ForwardEndKind::kOutOfTime:
+    case ForwardEndKind::kDeadlineExceeded:
       ++open_request.possible_runs;
       return GiveUp(now, open_request, end, RefusalKind::kDeadline);
   }
   return ForwardTruncated{};
 }
 
-ForwardStep ForwardDesk::RetryOrGiveUp(Time now,
-                                       OpenRequest& open_request,
-                                       const ForwardEnd& end,
-                                       bool may_have_reached_endpoint) {
+ForwardStep ForwardController::RetryOrGiveUp(Time now,
+                                             OpenRequest& open_request,
+                                             const ForwardEnd& end,
+                                             bool may_have_reached_endpoint) {
   Result<SendForward, RefusalKind> send =
       Retry(now, open_request, end, may_have_reached_endpoint);
   if (!IsOk(send)) {
@@ -237,20 +240,20 @@
   return std::move(ValueOf(send));
 }
 
-bool ForwardDesk::MayRunAgain(Time now,
-                              const OpenRequest& open_request,
-                              const ForwardEnd& end) const {
-  if (open_request.route->repetition == Repetition::kNever ||
-      open_request.possible_runs >= open_request.route->most_attempts ||
+bool ForwardController::MayRunAgain(Time now,
+                                    const OpenRequest& open_request,
+                                    const ForwardEnd& end) const {
+  if (open_request.route->retry_policy == RetryPolicy::kNever ||
+      open_request.possible_runs >= open_request.route->max_attempts ||
       now + settings_.min_time_left >= open_request.deadline) {
     return false;
   }
   return !end.delivered ||
-         (open_request.route->repetition == Repetition::kResume &&
+         (open_request.route->retry_policy == RetryPolicy::kResume &&
           end.last_event);
 }
 
-Result<SendForward, RefusalKind> ForwardDesk::Retry(
+Result<SendForward, RefusalKind> ForwardController::Retry(
     Time now,
     OpenRequest& open_request,
     const ForwardEnd& end,
@@ -268,7 +271,7 @@
       end.delivered ? end.last_event : open_request.request.resume_after;
   if (end.delivered) {
     open_request.urgency =
-        now - open_request.last_event < open_request.route->pause_objective
+        now - open_request.last_event < open_request.route->event_gap_objective
             ? Urgency::kResumed
             : Urgency::kDeferred;
   } else if (now - open_request.arrived >=
@@ -294,10 +297,10 @@
   return send;
 }
 
-ForwardStep ForwardDesk::GiveUp(Time now,
-                                const OpenRequest& open_request,
-                                const ForwardEnd& end,
-                                RefusalKind reason) {
+ForwardStep ForwardController::GiveUp(Time now,
+                                      const OpenRequest& open_request,
+                                      const ForwardEnd& end,
+                                      RefusalKind reason) {
   if (end.delivered) {
     EmitEvent(EventKind::kRequestOutcomeUnknown, open_request,
               {{"end", std::string(ForwardEndKindName(end.kind))},
@@ -316,12 +319,12 @@
              {"vm", open_request.vm.value()},
              {"sends", open_request.sends},
              {"waited_ms", (now - open_request.arrived).millis()}});
-  return ForwardUnknown{end.kind == ForwardEndKind::kOutOfTime};
+  return ForwardOutcomeUnknown{end.kind == ForwardEndKind::kDeadlineExceeded};
 }
 
-ForwardStep ForwardDesk::Refuse(Time now,
-                                const OpenRequest& open_request,
-                                RefusalKind kind) {
+ForwardStep ForwardController::Refuse(Time now,
+                                      const OpenRequest& open_request,
+                                      RefusalKind kind) {
   const bool retry_helps =
       kind != RefusalKind::kUnknownKey && kind != RefusalKind::kUnknownService;
   const Duration retry_after = retry_helps ? RetryAfter() : Duration();
@@ -333,14 +336,14 @@
   return ForwardRefused{kind, retry_after};
 }
 
-Duration ForwardDesk::RetryAfter() {
+Duration ForwardController::RetryAfter() {
   const double factor =
       1 + settings_.retry_jitter * (2 * DrawUnit(random_) - 1);
   return Duration::Millis(static_cast<std::int64_t>(
       static_cast<double>(settings_.retry_after.millis()) * factor));
 }
 
-void ForwardDesk::OnProgress(Time now, ForwardId id) {
+void ForwardController::OnProgress(Time now, ForwardId id) {
   const auto found = open_requests_.find(id);
   if (found != open_requests_.end()) {
     RecordStart(now, found->second);
@@ -349,14 +352,16 @@
   }
 }
 
-void ForwardDesk::OnLoad(Time now, ForwardId id, const LoadReading& load) {
+void ForwardController::OnLoad(Time now,
+                               ForwardId id,
+                               const LoadReading& load) {
   const auto found = open_requests_.find(id);
   if (found != open_requests_.end()) {
     selector_->OnLoad(now, found->second.vm, load);
   }
 }
 
-void ForwardDesk::OnCallerGone(Time, ForwardId id) {
+void ForwardController::OnCallerGone(Time, ForwardId id) {
   const auto found = open_requests_.find(id);
   if (found == open_requests_.end()) {
     return;
@@ -367,7 +372,7 @@
   open_requests_.erase(found);
 }
 
-std::vector<ForwardId> ForwardDesk::MovableOf(
+std::vector<ForwardId> ForwardController::FindMovable(
     Time now,
     const std::vector<AttemptNumber>& stalled) {
   std::vector<ForwardId> movable;
@@ -378,8 +383,8 @@
     }
     const OpenRequest& open_request = open_requests_.at(found->second);
     const bool may_repeat =
-        open_request.route->repetition != Repetition::kNever &&
-        open_request.possible_runs + 1 < open_request.route->most_attempts &&
+        open_request.route->retry_policy != RetryPolicy::kNever &&
+        open_request.possible_runs + 1 < open_request.route->max_attempts &&
         now + settings_.min_time_left < open_request.deadline;
     const std::vector<VmId> excluded = {open_request.vm};
     if (may_repeat &&
@@ -390,9 +395,9 @@
   return movable;
 }
 
-void ForwardDesk::EmitEvent(EventKind kind,
-                            const OpenRequest& open_request,
-                            std::vector<EventField> fields) {
+void ForwardController::EmitEvent(EventKind kind,
+                                  const OpenRequest& open_request,
+                                  std::vector<EventField> fields) {
   if (open_request.route != nullptr) {
     fields.push_back({"route", open_request.route->name});
     fields.push_back(
--- a/coordination/gateway/forward_desk.h
+++ b/coordination/gateway/forward_controller.h
@@ -1,5 +1,5 @@
-#ifndef COORDINATION_GATEWAY_FORWARD_DESK_H_
-#define COORDINATION_GATEWAY_FORWARD_DESK_H_
+#ifndef COORDINATION_GATEWAY_FORWARD_CONTROLLER_H_
+#define COORDINATION_GATEWAY_FORWARD_CONTROLLER_H_
 
 #include <cstdint>
 #include <functional>
@@ -16,7 +16,7 @@
 
 namespace gcw {
 
-struct ForwardDeskSettings {
+struct ForwardControllerSettings {
   // A request is not retried with less time left: even a short answer would
   // come too late.
   Duration min_time_left = Duration::Millis(60);
@@ -31,26 +31,26 @@
 };
 
 // The id of an arrived request and the first step to take for it.
-struct ForwardBegun {
+struct ForwardAdmission {
   ForwardId id;
   ForwardStep step;
 };
 
 // Drives each request that is forwarded unchanged from its arrival through its
 // attempts to exactly one final step.
-class ForwardDesk {
+class ForwardController {
  public:
   // The pointers must outlive this object.
-  ForwardDesk(ForwardDeskSettings settings,
-              ReplicaSelector* selector,
-              SharedRetryBudget* budget,
-              Random random,
-              EventSink events);
+  ForwardController(ForwardControllerSettings settings,
+                    ReplicaSelector* selector,
+                    SharedRetryBudget* budget,
+                    Random random,
+                    EventSink events);
 
   // `routes` is null until a configuration is known.
-  ForwardBegun OnArrived(Time now,
-                         ForwardRequest request,
-                         std::shared_ptr<const RouteTable> routes);
+  ForwardAdmission OnArrived(Time now,
+                             ForwardRequest request,
+                             std::shared_ptr<const RouteTable> routes);
   // Returns the step that follows the end of the current attempt. A final step
   // removes the request.
   ForwardStep OnEnded(Time now, ForwardId id, const ForwardEnd& end);
@@ -60,8 +60,8 @@
 
   // Returns the requests among the `stalled` attempts that another endpoint
   // could continue. The caller should end their attempts as kSilent.
-  std::vector<ForwardId> MovableOf(Time now,
-                                   const std::vector<AttemptNumber>& stalled);
+  std::vector<ForwardId> FindMovable(Time now,
+                                     const std::vector<AttemptNumber>& stalled);
 
   std::size_t open_requests() const { return open_requests_.size(); }
 
@@ -132,7 +132,7 @@
                  const OpenRequest& open_request,
                  std::vector<EventField> fields);
 
-  ForwardDeskSettings settings_;
+  ForwardControllerSettings settings_;
   ReplicaSelector* selector_;
   SharedRetryBudget* budget_;
   Random random_;
@@ -145,4 +145,4 @@
 
 }  // namespace gcw
 
-#endif  // COORDINATION_GATEWAY_FORWARD_DESK_H_
+#endif  // COORDINATION_GATEWAY_FORWARD_CONTROLLER_H_
--- a/coordination/gateway/forward_request.cc
+++ b/coordination/gateway/forward_request.cc
@@ -6,7 +6,7 @@
   switch (kind) {
     case ForwardEndKind::kSucceeded:
       return "succeeded";
-    case ForwardEndKind::kFailedThere:
+    case ForwardEndKind::kEndpointFailed:
       return "failed_there";
     case ForwardEndKind::kNotRun:
       return "not_run";
@@ -14,11 +14,11 @@
       return "other_vm";
     case ForwardEndKind::kNothingSent:
       return "nothing_sent";
-    case ForwardEndKind::kBroke:
+    case ForwardEndKind::kConnectionBroken:
       return "broke";
     case ForwardEndKind::kSilent:
       return "silent";
-    case ForwardEndKind::kOutOfTime:
+    case ForwardEndKind::kDeadlineExceeded:
       return "out_of_time";
   }
   return "unknown";
--- a/coordination/gateway/forward_request.h
+++ b/coordination/gateway/forward_request.h
@@ -26,7 +26,7 @@
   // Empty if the caller sent no key.
   std::string key;
   // How long the caller waits; absent if it named no limit.
-  std::optional<Duration> patience;
+  std::optional<Duration> caller_timeout;
   // Empty for plain services.
   ModelId model;
   TokenCount prompt_tokens;
@@ -65,7 +65,7 @@
 };
 
 // Final step: the request may have run.
-struct ForwardUnknown {
+struct ForwardOutcomeUnknown {
   // True if the deadline passed, false if the endpoint failed.
   bool timed_out = false;
 };
@@ -76,14 +76,14 @@
 using ForwardStep = std::variant<SendForward,
                                  PassAnswer,
                                  ForwardRefused,
-                                 ForwardUnknown,
+                                 ForwardOutcomeUnknown,
                                  ForwardTruncated>;
 
 enum class ForwardEndKind {
   // The endpoint answered in full and with success.
   kSucceeded,
   // The endpoint answered in full with a failure of its own.
-  kFailedThere,
+  kEndpointFailed,
   // The endpoint stated that it did not run the request.
   kNotRun,
   // The endpoint's address now belongs to another VM; the request was not run.
@@ -91,18 +91,18 @@
   // No byte of the request was handed to the kernel.
   kNothingSent,
   // The connection broke or the answer was malformed.
-  kBroke,
+  kConnectionBroken,
   // The endpoint sent nothing for too long.
   kSilent,
   // The attempt's deadline passed.
-  kOutOfTime,
+  kDeadlineExceeded,
 };
 
 std::string_view ForwardEndKindName(ForwardEndKind kind);
 
 // How an attempt ended.
 struct ForwardEnd {
-  ForwardEndKind kind = ForwardEndKind::kBroke;
+  ForwardEndKind kind = ForwardEndKind::kConnectionBroken;
   // The VM that the endpoint says is at fault; empty if it names none.
   VmId at_fault;
   // The caller has received bytes of the answer.
@@ -110,14 +110,14 @@
   // Last complete event that the caller has received.
   std::optional<std::int64_t> last_event;
   // The failure was caused by the request, so it is passed on and not retried.
-  bool is_callers_fault = false;
+  bool is_client_error = false;
 };
 
 // Load that an endpoint reports in an answer.
 struct LoadReading {
   std::int64_t running = 0;
   std::int64_t waiting = 0;
-  std::int64_t places = 0;
+  std::int64_t slots = 0;
 };
 
 }  // namespace gcw
--- a/coordination/gateway/gateway_core.cc
+++ b/coordination/gateway/gateway_core.cc
@@ -56,8 +56,8 @@
                  .SetRandom(random_)
                  .SetEventSink(events_)
                  .Build()),
-      keeper_(
-          settings_.keeper,
+      controller_(
+          settings_.controller,
           codecs.domain_record,
           [this](const VmId& head, Generation generation) {
             return selector_.LastProgress(head, generation);
@@ -95,19 +95,19 @@
   UpdateRole(now);
   UpdateReplicas(now);
   FailOverStalledAttempts(now, selector_.Tick(now));
-  for (const Replica& replica : selector_.TakeSuspicions()) {
+  for (const Replica& replica : selector_.TakeSuspectedStalls()) {
     QueryStallWitnesses({replica.vm, replica.generation});
   }
-  for (const Replica& replica : selector_.TakeStandstills()) {
-    const StandstillNotice notice{replica.vm, replica.generation};
-    keeper_.OnStandstill(notice.head, notice.generation);
+  for (const Replica& replica : selector_.TakeStalledReplicas()) {
+    const StallNotice notice{replica.vm, replica.generation};
+    controller_.OnGroupStalled(notice.head, notice.generation);
     for (const Address& address : OtherNodeAddresses()) {
-      actions_.emplace_back(TellNode{address, notice});
+      actions_.emplace_back(NotifyNode{address, notice});
     }
   }
-  RunKeeper(now);
+  RunController(now);
   WriteOverview(now);
-  QueryWitnessesForKeeper(now);
+  QueryWitnessesForController(now);
   return TakeActions();
 }
 
@@ -119,18 +119,18 @@
     case GatewayModule::kMirror:
       Apply(mirror_.OnStoreReply(now, id, reply));
       UpdateReplicas(now);
-      RunKeeper(now);
+      RunController(now);
       break;
     case GatewayModule::kLease:
       Apply(GatewayModule::kLease, lease_.OnStoreReply(now, id, reply));
       break;
     case GatewayModule::kRoles:
       Apply(GatewayModule::kRoles, roles_.OnStoreReply(now, id, reply));
-      RunKeeper(now);
+      RunController(now);
       break;
-    case GatewayModule::kKeeper:
-      Apply(keeper_.OnStoreReply(now, id, reply));
-      RunKeeper(now);
+    case GatewayModule::kController:
+      Apply(controller_.OnStoreReply(now, id, reply));
+      RunController(now);
       break;
     case GatewayModule::kOverview:
       overview_.OnStoreReply(id, reply);
@@ -146,68 +146,68 @@
   return TakeActions();
 }
 
-GatewayActions GatewayCore::OnNotice(Time now, const StandstillNotice& notice) {
+GatewayActions GatewayCore::OnStallNotice(Time now, const StallNotice& notice) {
   FailOverStalledAttempts(
-      now, selector_.OnStandstillHeard(now, notice.head, notice.generation));
-  keeper_.OnStandstill(notice.head, notice.generation);
-  RunKeeper(now);
+      now, selector_.OnPeerStall(now, notice.head, notice.generation));
+  controller_.OnGroupStalled(notice.head, notice.generation);
+  RunController(now);
   return TakeActions();
 }
 
-GatewayActions GatewayCore::OnProgressHeard(Time now,
-                                            const StandstillNotice& group,
+GatewayActions GatewayCore::OnProgressReply(Time now,
+                                            const StallNotice& group,
                                             Duration ago) {
-  selector_.OnProgressHeard(now, group.head, group.generation, ago);
+  selector_.OnPeerProgress(now, group.head, group.generation, ago);
   return TakeActions();
 }
 
 std::optional<Duration> GatewayCore::ProgressAge(
     Time now,
-    const StandstillNotice& group) const {
-  const auto progress = selector_.OwnProgress(group.head, group.generation);
+    const StallNotice& group) const {
+  const auto progress = selector_.LocalProgress(group.head, group.generation);
   return progress ? std::optional(now - *progress) : std::nullopt;
 }
 
-void GatewayCore::QueryStallWitnesses(const StandstillNotice& group) {
+void GatewayCore::QueryStallWitnesses(const StallNotice& group) {
   std::vector<Address> others = OtherNodeAddresses();
   const std::size_t count =
       std::min(others.size(), settings_.max_stall_witnesses);
   for (std::size_t i = 0; i < count; ++i) {
     std::swap(others[i], others[i + DrawBelow(random_, others.size() - i)]);
-    actions_.emplace_back(AskProgress{others[i], group});
+    actions_.emplace_back(RequestGroupProgress{others[i], group});
   }
 }
 
-// A keeper that has no stream at a group does not see by itself whether the
+// A controller that has no stream at a group does not see by itself whether the
 // group makes progress, and closing a group that is only full would cut off
 // every stream that it runs.
-void GatewayCore::QueryWitnessesForKeeper(Time now) {
-  if (now < next_witness_query_ || !is_keeper(now)) {
+void GatewayCore::QueryWitnessesForController(Time now) {
+  if (now < next_witness_query_ || !is_controller(now)) {
     return;
   }
   next_witness_query_ = now + settings_.witness_query_interval;
-  for (const auto& [head, generation] : keeper_.StandingStill()) {
+  for (const auto& [head, generation] : controller_.StalledGroups()) {
     QueryStallWitnesses({head, generation});
   }
 }
 
 GatewayActions GatewayCore::OnOrderReply(Time now,
                                          OrderId id,
-                                         GroupOrderVerdict verdict) {
-  keeper_.OnOrderReply(now, id, verdict);
-  RunKeeper(now);
+                                         GroupOrderResult result) {
+  controller_.OnOrderReply(now, id, result);
+  RunController(now);
   return TakeActions();
 }
 
 GatewayActions GatewayCore::OnProbeReply(Time now,
                                          const VmId& vm,
                                          const ProbeReport& report) {
-  keeper_.OnProbeReply(now, vm, report);
-  RunKeeper(now);
+  controller_.OnProbeReply(now, vm, report);
+  RunController(now);
   return TakeActions();
 }
 
-void GatewayCore::OnStopAsked(Time now) {
+void GatewayCore::OnStopRequested(Time now) {
   if (stop_requested_at_) {
     return;
   }
@@ -218,24 +218,24 @@
   Apply(GatewayModule::kLease, lease_.SetRecord(now, std::move(record)));
 }
 
-bool GatewayCore::is_stop_over(Time now) const {
+bool GatewayCore::is_drain_complete(Time now) const {
   if (!stop_requested_at_) {
     return false;
   }
   const Duration elapsed = now - *stop_requested_at_;
-  return elapsed >= settings_.stop_grace - settings_.stop_margin ||
-         (elapsed >= settings_.stop_quiet_after &&
+  return elapsed >= settings_.stop_grace_period - settings_.stop_margin ||
+         (elapsed >= settings_.min_drain_time &&
           forwards_.open_requests() == 0);
 }
 
-ForwardBegun GatewayCore::OnArrived(Time now, ForwardRequest request) {
+ForwardAdmission GatewayCore::OnArrived(Time now, ForwardRequest request) {
   if (!traffic_seen_) {
     traffic_seen_ = true;
-    keeper_.OnTraffic();
+    controller_.OnTraffic();
   }
   const bool must_refuse =
       stop_requested_at_ &&
-      now - *stop_requested_at_ >= settings_.stop_refuses_after;
+      now - *stop_requested_at_ >= settings_.drain_accept_period;
   if (must_refuse) {
     events_(
         {EventKind::kRequestRefused,
@@ -254,7 +254,7 @@
   return forwards_.OnEnded(now, id, end);
 }
 
-std::vector<Address> GatewayCore::Entries() const {
+std::vector<Address> GatewayCore::AdvertisedAddresses() const {
   std::vector<Address> addresses;
   if (!stopping()) {
     addresses.push_back(settings_.self.caller_address);
@@ -275,15 +275,15 @@
   return addresses;
 }
 
-bool GatewayCore::is_keeper(Time now) const {
-  return roles_.Held(RoleName(std::string(kKeeperRole)), now).has_value();
+bool GatewayCore::is_controller(Time now) const {
+  return roles_.Held(RoleName(std::string(kControllerRole)), now).has_value();
 }
 
 void GatewayCore::UpdateRole(Time now) {
-  const RoleName role{std::string(kKeeperRole)};
+  const RoleName role{std::string(kControllerRole)};
   const NodeId holder = view_.HolderOf(role);
   const bool can_take_role =
-      !stopping() && !keeper_.is_fenced_off() && mirror_.loaded();
+      !stopping() && !controller_.is_fenced() && mirror_.loaded();
   const bool holds_role = roles_.Held(role, now) || holder == settings_.self.id;
   bool wants_role = can_take_role && holds_role && !ShouldHandOver(now, holder);
   if (!can_take_role || wants_role || !mirror_.reachable() || !holder.empty()) {
@@ -325,35 +325,35 @@
 bool GatewayCore::ShouldHandOver(Time now, const NodeId& holder) {
   // The time starts anew with each term: if no other node takes the role, it
   // must not change hands all the time.
-  const bool has_better_keeper =
+  const bool has_better_controller =
       holder == settings_.self.id && mirror_.reachable() &&
       std::any_of(view_.nodes().begin(), view_.nodes().end(),
                   [this](const auto& entry) {
                     const NodeRecord& node = entry.second;
                     return !node.leaving && node.weight > settings_.self.weight;
                   });
-  if (!has_better_keeper) {
-    better_keeper_since_.reset();
+  if (!has_better_controller) {
+    better_controller_since_.reset();
     return false;
   }
-  if (!better_keeper_since_) {
-    better_keeper_since_ = now;
+  if (!better_controller_since_) {
+    better_controller_since_ = now;
   }
-  return now - *better_keeper_since_ >= settings_.role_handover_delay;
+  return now - *better_controller_since_ >= settings_.role_handover_delay;
 }
 
-void GatewayCore::RunKeeper(Time now) {
+void GatewayCore::RunController(Time now) {
   const std::optional<HeldRole> held =
-      roles_.Held(RoleName(std::string(kKeeperRole)), now);
+      roles_.Held(RoleName(std::string(kControllerRole)), now);
   mirror_.SetEager(held.has_value());
-  keeper_.SetRole(now, held);
+  controller_.SetRole(now, held);
   if (held) {
-    Apply(keeper_.Tick(now, view_));
+    Apply(controller_.Tick(now, view_));
   }
 }
 
 void GatewayCore::WriteOverview(Time now) {
-  if (!is_keeper(now) || !view_.routes()) {
+  if (!is_controller(now) || !view_.routes()) {
     return;
   }
   if (std::optional<StoreRequest> request =
@@ -377,8 +377,8 @@
 void GatewayCore::FailOverStalledAttempts(
     Time now,
     const std::vector<AttemptNumber>& stalled_attempts) {
-  for (const ForwardId id : forwards_.MovableOf(now, stalled_attempts)) {
-    actions_.emplace_back(MoveForward{id});
+  for (const ForwardId id : forwards_.FindMovable(now, stalled_attempts)) {
+    actions_.emplace_back(FailOverForward{id});
   }
 }
 
@@ -419,7 +419,7 @@
 
 void GatewayCore::Apply(const RequestPeerSnapshot& request) {
   if (const std::optional<Address> address = PickRandomNode()) {
-    actions_.emplace_back(AskNodeSnapshot{*address, request.newer_than});
+    actions_.emplace_back(RequestNodeSnapshot{*address, request.newer_than});
   }
 }
 
@@ -432,11 +432,11 @@
   }
 }
 
-void GatewayCore::Apply(std::vector<FleetKeeperAction> actions) {
-  for (FleetKeeperAction& action : actions) {
+void GatewayCore::Apply(std::vector<FleetControllerAction> actions) {
+  for (FleetControllerAction& action : actions) {
     if (auto* request = std::get_if<StoreRequest>(&action)) {
       actions_.emplace_back(
-          CallGatewayStore{GatewayModule::kKeeper, std::move(*request)});
+          CallGatewayStore{GatewayModule::kController, std::move(*request)});
     } else if (auto* order = std::get_if<SendGroupOrder>(&action)) {
       actions_.emplace_back(std::move(*order));
     } else {
--- a/coordination/gateway/gateway_core.h
+++ b/coordination/gateway/gateway_core.h
@@ -9,9 +9,9 @@
 #include <variant>
 #include <vector>
 
-#include "coordination/gateway/fleet_keeper.h"
+#include "coordination/gateway/fleet_controller.h"
 #include "coordination/gateway/fleet_view.h"
-#include "coordination/gateway/forward_desk.h"
+#include "coordination/gateway/forward_controller.h"
 #include "coordination/gateway/gateway_keys.h"
 #include "coordination/gateway/overview_writer.h"
 #include "coordination/gateway/replica_selector.h"
@@ -28,7 +28,7 @@
   RoleLeasesSettings settings;
   // The mirror shows the role's key, also if the key is bound to this node's
   // lease without the node knowing; the node then wants the role and reads it.
-  settings.reads_idle = false;
+  settings.read_when_idle = false;
   settings.retry_interval = Duration::Millis(400);
   settings.call_timeout = Duration::Millis(1000);
   settings.backoff = {Duration::Millis(150), Duration::Millis(800)};
@@ -49,17 +49,17 @@
                              Duration::Millis(2500)};
   RoleLeasesSettings roles = DefaultRoleSettings();
   StoreMirrorSettings mirror;
-  FleetKeeperSettings keeper;
+  FleetControllerSettings controller;
   OverviewWriterSettings overview;
   ReplicaSelectorSettings selector;
   SharedRetryBudgetSettings retries;
-  ForwardDeskSettings requests;
+  ForwardControllerSettings requests;
   // How long callers may cache the list of addresses; some cache it three times
   // as long. While all nodes are down a look-up blocks for a second, so the
   // less often callers look up, the fewer of them come back a second late. This
   // raised the share of the requests' worth that is served in the two seconds
   // after a power loss of all nodes from 0.42 to 0.49 (simulated, 9 nodes).
-  Duration entries_keep = Duration::Seconds(5);
+  Duration advertised_addresses_ttl = Duration::Seconds(5);
   // Maximum number of addresses in that list.
   std::size_t max_advertised_addresses = 64;
   // Interval between two choices of the node to follow. A node that does not
@@ -69,9 +69,10 @@
   // seems stalled makes progress for them. Most nodes have streams at a group
   // that is in use.
   std::size_t max_stall_witnesses = 8;
-  // Interval at which the keeper repeats that question until it has decided.
+  // Interval at which the controller repeats that question until it has
+  // decided.
   Duration witness_query_interval = Duration::Millis(250);
-  // The preferred node tries to take a free keeper role at once, and each
+  // The preferred node tries to take a free controller role at once, and each
   // further node this much later, so that not all nodes ask for it.
   Duration role_candidate_delay = Duration::Millis(120);
   // This many nodes, the first in that order, keep short leases so that their
@@ -86,40 +87,40 @@
   // fleet. After a loss of all nodes, sending all keys to every node takes the
   // service seconds.
   Duration read_spread_per_node = Duration::Millis(10);
-  // The keeper hands its role over once a node of larger weight has been known
-  // for this long, which is longer than the entry of a lost node stays.
+  // The controller hands its role over once a node of larger weight has been
+  // known for this long, which is longer than the entry of a lost node stays.
   Duration role_handover_delay = Duration::Millis(2500);
   // A node accepts requests for this long after a planned stop has begun.
   // Requests that come later could still run when the node has to end, and
   // would be cut off. It should be longer than callers cache the addresses if
   // they keep to the time they are given.
-  Duration stop_refuses_after = Duration::Millis(2900);
+  Duration drain_accept_period = Duration::Millis(2900);
   // Minimum time of a planned stop. After it, the node ends as soon as no
   // request is open. It should be long enough for the callers that cache
   // addresses for longest to look up again. When all nodes were stopped two at
   // a time, 0.8 s apart, this raised the served share of the requests' worth
   // from 0.82 to 0.99 (simulated, 8 nodes).
-  Duration stop_quiet_after = Duration::Millis(3200);
+  Duration min_drain_time = Duration::Millis(3200);
   // The platform kills a node this long after it told it to stop.
-  Duration stop_grace = Duration::Seconds(8);
+  Duration stop_grace_period = Duration::Seconds(8);
   // The part of the grace period that is reserved for sending the last answers.
   Duration stop_margin = Duration::Millis(600);
 };
 
 // The part of the core that called the key-value service.
-enum class GatewayModule { kMirror, kLease, kRoles, kKeeper, kOverview };
+enum class GatewayModule { kMirror, kLease, kRoles, kController, kOverview };
 
 struct CallGatewayStore {
   GatewayModule module = GatewayModule::kMirror;
   StoreRequest request;
 };
 // Asks the node at the address for a snapshot of its mirror.
-struct AskNodeSnapshot {
+struct RequestNodeSnapshot {
   Address address;
   Revision newer_than;
 };
 // Asks the node at the address for the changes after a revision.
-struct AskNodeChanges {
+struct RequestNodeChanges {
   StoreCallId id;
   Address address;
   Revision after;
@@ -127,40 +128,40 @@
   Duration timeout;
 };
 // Identifies a stalled group in messages between nodes.
-struct StandstillNotice {
+struct StallNotice {
   VmId head;
   Generation generation;
 };
-struct TellNode {
+struct NotifyNode {
   Address address;
-  StandstillNotice notice;
+  StallNotice notice;
 };
 // Asks the node at the address whether the group makes progress for it.
-struct AskProgress {
+struct RequestGroupProgress {
   Address address;
-  StandstillNotice group;
+  StallNotice group;
 };
 // Ends the request's attempt as kSilent, so that another endpoint can take over
 // the request.
-struct MoveForward {
+struct FailOverForward {
   ForwardId id;
 };
 
 // Drops the connections to the address, which lead to a previous run of the VM.
-struct ForgetConnections {
+struct DropPooledConnections {
   Address address;
 };
 
 using GatewayAction = std::variant<CallGatewayStore,
-                                   AskNodeSnapshot,
-                                   AskNodeChanges,
-                                   AnswerChanges,
-                                   TellNode,
-                                   AskProgress,
+                                   RequestNodeSnapshot,
+                                   RequestNodeChanges,
+                                   ChangesReply,
+                                   NotifyNode,
+                                   RequestGroupProgress,
                                    SendGroupOrder,
                                    ProbeEngine,
-                                   MoveForward,
-                                   ForgetConnections>;
+                                   FailOverForward,
+                                   DropPooledConnections>;
 using GatewayActions = std::vector<GatewayAction>;
 
 // Makes the decisions of one node on a platform whose store holds the
@@ -196,28 +197,27 @@
                               StoreCallId id,
                               const StoreReply& reply);
   GatewayActions OnSnapshot(Time now, const MirrorSnapshot& snapshot);
-  // Handles a follower's request for changes; AnswerChanges replies to it.
-  GatewayActions OnChangesAsked(Time now, const ChangeQuestion& question);
+  // Handles a follower's request for changes; ChangesReply replies to it.
+  GatewayActions OnChangesRequest(Time now, const ChangesRequest& request);
   // `changes` is absent if the asked node did not answer or could not tell.
-  GatewayActions OnChangesHeard(Time now,
+  GatewayActions OnChangesReply(Time now,
                                 StoreCallId id,
                                 const std::optional<MirrorChanges>& changes);
-  GatewayActions OnNotice(Time now, const StandstillNotice& notice);
+  GatewayActions OnStallNotice(Time now, const StallNotice& notice);
   // Another node saw the group make progress `ago` before `now`.
-  GatewayActions OnProgressHeard(Time now,
-                                 const StandstillNotice& group,
+  GatewayActions OnProgressReply(Time now,
+                                 const StallNotice& group,
                                  Duration ago);
   // Returns how long ago this node saw the group make progress, for the reply
   // to another node.
-  std::optional<Duration> ProgressAge(Time now,
-                                      const StandstillNotice& group) const;
-  GatewayActions OnOrderReply(Time now, OrderId id, GroupOrderVerdict verdict);
+  std::optional<Duration> ProgressAge(Time now, const StallNotice& group) const;
+  GatewayActions OnOrderReply(Time now, OrderId id, GroupOrderResult result);
   GatewayActions OnProbeReply(Time now,
                               const VmId& vm,
                               const ProbeReport& report);
-  void OnStopAsked(Time now);
+  void OnStopRequested(Time now);
 
-  ForwardBegun OnArrived(Time now, ForwardRequest request);
+  ForwardAdmission OnArrived(Time now, ForwardRequest request);
   ForwardStep OnEnded(Time now, ForwardId id, const ForwardEnd& end);
   void OnProgress(Time now, ForwardId id) { forwards_.OnProgress(now, id); }
   void OnLoad(Time now, ForwardId id, const LoadReading& load) {
@@ -228,16 +228,18 @@
   // Addresses for callers: this node's, then those of the nodes that follow it
   // in the order of their names. In a fleet with more nodes than one list
   // holds, every address is then listed equally often.
-  std::vector<Address> Entries() const;
-  Duration entries_keep() const { return settings_.entries_keep; }
+  std::vector<Address> AdvertisedAddresses() const;
+  Duration advertised_addresses_ttl() const {
+    return settings_.advertised_addresses_ttl;
+  }
   bool ready() const { return view_.routes() != nullptr && !stopping(); }
   bool stopping() const { return stop_requested_at_.has_value(); }
   // Whether a planned stop is complete, so that the process may end.
-  bool is_stop_over(Time now) const;
+  bool is_drain_complete(Time now) const;
   std::size_t open_requests() const { return forwards_.open_requests(); }
   const FleetView& view() const { return view_; }
   const StoreMirror& mirror() const { return mirror_; }
-  bool is_keeper(Time now) const;
+  bool is_controller(Time now) const;
   // Absent if this node knows nothing newer.
   std::optional<MirrorSnapshot> Snapshot(Revision newer_than) const {
     return mirror_.Snapshot(newer_than);
@@ -248,10 +250,10 @@
   void Apply(StoreRequest request);
   void Apply(const RequestPeerSnapshot& request);
   void Apply(const RequestPeerChanges& request);
-  void Apply(AnswerChanges answer);
+  void Apply(ChangesReply answer);
   void Apply(GatewayModule module,
              const std::vector<std::variant<StoreRequest>>& actions);
-  void Apply(std::vector<FleetKeeperAction> actions);
+  void Apply(std::vector<FleetControllerAction> actions);
   void UpdateFollowing(Time now);
   // Relaxes this node's lease and copy if it need not take the role soon.
   void UpdateRelaxation(Time now);
@@ -268,15 +270,15 @@
   std::size_t WatcherCountFor(std::size_t nodes) const;
   void UpdateRole(Time now);
   // Returns this node's place in the order in which nodes take the role. Nodes
-  // of larger weight, which have more processor time, come first: the keeper's
-  // work grows with the activity of the whole fleet, and late decisions cost
-  // groups.
+  // of larger weight, which have more processor time, come first: the
+  // controller's work grows with the activity of the whole fleet, and late
+  // decisions cost groups.
   std::int64_t RoleRank(const RoleName& role) const;
   // Whether this node, which holds the role in its own view, should hand it
   // over to a node of larger weight.
   bool ShouldHandOver(Time now, const NodeId& holder);
   void UpdateReplicas(Time now);
-  void RunKeeper(Time now);
+  void RunController(Time now);
   // Returns the time over which a starting node may spread the reading of the
   // keys that it does not read first. Zero if it needs them at once.
   Duration InitialReadSpread() const;
@@ -285,8 +287,8 @@
   void FailOverStalledAttempts(
       Time now,
       const std::vector<AttemptNumber>& stalled_attempts);
-  void QueryStallWitnesses(const StandstillNotice& group);
-  void QueryWitnessesForKeeper(Time now);
+  void QueryStallWitnesses(const StallNotice& group);
+  void QueryWitnessesForController(Time now);
   std::vector<Address> OtherNodeAddresses() const;
   // Returns another node at random, or a seed if no other node is known.
   std::optional<Address> PickRandomNode() const;
@@ -302,11 +304,11 @@
   StoreMirror mirror_;
   NodeLease lease_;
   RoleLeases roles_;
-  FleetKeeper keeper_;
+  FleetController controller_;
   OverviewWriter overview_;
   ReplicaSelector selector_;
   SharedRetryBudget budget_;
-  ForwardDesk forwards_;
+  ForwardController forwards_;
 
   // When the fleet was known for the first time.
   std::optional<Time> loaded_at_;
@@ -319,7 +321,7 @@
   std::map<NodeId, Time> cooldown_until_;
   std::optional<Time> role_free_since_;
   // Since when a node of larger weight than this one is known.
-  std::optional<Time> better_keeper_since_;
+  std::optional<Time> better_controller_since_;
   Time next_witness_query_;
   std::uint64_t applied_configuration_changes_ = 0;
   std::optional<Time> stop_requested_at_;
--- a/coordination/gateway/gateway_core_following.cc
+++ b/coordination/gateway/gateway_core_following.cc
@@ -16,8 +16,9 @@
 }  // namespace
 
 void GatewayCore::UpdateFollowing(Time now) {
-  if (is_keeper(now)) {
-    // The keeper acts on each change at once, so it watches the service itself.
+  if (is_controller(now)) {
+    // The controller acts on each change at once, so it watches the service
+    // itself.
     followed_node_ = NodeId();
     next_follow_review_ = now;
   } else if (now >= next_follow_review_) {
@@ -39,9 +40,9 @@
   if (!loaded_at_) {
     loaded_at_ = now;
   }
-  const bool relaxed =
-      now - *loaded_at_ >= settings_.relax_delay &&
-      RoleRank(RoleName(std::string(kKeeperRole))) >= settings_.role_candidates;
+  const bool relaxed = now - *loaded_at_ >= settings_.relax_delay &&
+                       RoleRank(RoleName(std::string(kControllerRole))) >=
+                           settings_.role_candidates;
   // A node that follows none keeps its copy strict, because other nodes may
   // follow it. Its lease does not depend on that: who follows whom may change
   // at each review, and each change of the lease takes two calls.
@@ -88,7 +89,7 @@
   for (const auto& [id, node] : view_.nodes()) {
     nodes[node.zone] += node.leaving ? 0 : 1;
   }
-  // The keeper watches too.
+  // The controller watches too.
   std::size_t watchers = 1;
   for (const auto& [zone, count] : nodes) {
     watchers += WatcherCountFor(count);
@@ -97,32 +98,32 @@
 }
 
 std::size_t GatewayCore::WatcherCountFor(std::size_t nodes) const {
-  if (nodes < static_cast<std::size_t>(settings_.mirror.follow_from)) {
+  if (nodes < static_cast<std::size_t>(settings_.mirror.min_nodes_to_follow)) {
     return nodes;
   }
   const auto nodes_per_watcher =
-      static_cast<std::size_t>(settings_.mirror.followers) + 1;
+      static_cast<std::size_t>(settings_.mirror.followers_per_watcher) + 1;
   return (nodes + nodes_per_watcher - 1) / nodes_per_watcher;
 }
 
-GatewayActions GatewayCore::OnChangesAsked(Time now,
-                                           const ChangeQuestion& question) {
-  Apply(mirror_.OnChangesAsked(now, question));
+GatewayActions GatewayCore::OnChangesRequest(Time now,
+                                             const ChangesRequest& request) {
+  Apply(mirror_.OnChangesRequest(now, request));
   return TakeActions();
 }
 
-GatewayActions GatewayCore::OnChangesHeard(
+GatewayActions GatewayCore::OnChangesReply(
     Time now,
     StoreCallId id,
     const std::optional<MirrorChanges>& changes) {
   if (mirror_.IsFollowRequest(id) && !mirror_.IsUsable(changes) &&
       !followed_node_.empty()) {
-    cooldown_until_[followed_node_] = now + settings_.mirror.follow_avoid;
+    cooldown_until_[followed_node_] = now + settings_.mirror.follow_cooldown;
     next_follow_review_ = now;
   }
   Apply(mirror_.OnPeerChanges(now, id, changes));
   UpdateReplicas(now);
-  RunKeeper(now);
+  RunController(now);
   return TakeActions();
 }
 
@@ -131,13 +132,13 @@
                                              ? followed_address_
                                              : PickRandomNode();
   if (address) {
-    actions_.emplace_back(AskNodeChanges{request.id, *address, request.after,
-                                         request.wait,
-                                         settings_.mirror.follow_timeout});
+    actions_.emplace_back(RequestNodeChanges{request.id, *address,
+                                             request.after, request.wait,
+                                             settings_.mirror.follow_timeout});
   }
 }
 
-void GatewayCore::Apply(AnswerChanges answer) {
+void GatewayCore::Apply(ChangesReply answer) {
   actions_.emplace_back(std::move(answer));
 }
 
--- a/coordination/gateway/gateway_core_replicas.cc
+++ b/coordination/gateway/gateway_core_replicas.cc
@@ -19,9 +19,9 @@
     view_.OnFullyLoaded(mirror_.revision());
   }
   const std::set<VmId> changed = view_.TakeChangedVms();
-  keeper_.OnVmsChanged(changed);
+  controller_.OnVmsChanged(changed);
   for (Address& address : view_.TakeRestartedAddresses()) {
-    actions_.emplace_back(ForgetConnections{std::move(address)});
+    actions_.emplace_back(DropPooledConnections{std::move(address)});
   }
   budget_.SetNodeCount(view_.serving_nodes());
   selector_.SetNodeCount(view_.serving_nodes());
@@ -67,7 +67,7 @@
   replica.address = vm.address;
   replica.service = vm.service;
   replica.zone = vm.zone;
-  replica.places = std::max<std::int64_t>(1, vm.places);
+  replica.slots = std::max<std::int64_t>(1, vm.slots);
   if (!service->engine) {
     return replica;
   }
@@ -79,7 +79,7 @@
   replica.model = vm.models.front();
   replica.group = vm.membership->group;
   replica.generation = vm.membership->generation;
-  replica.places = engine.batch_limit;
+  replica.slots = engine.batch_limit;
   for (const ModelProfile& model : engine.models) {
     if (model.model != replica.model) {
       continue;
@@ -89,10 +89,11 @@
     // cut off from the store.
     const double fill =
         kTypicalBatchFill * static_cast<double>(engine.batch_limit);
-    replica.pass_ms = engine.steps_per_pass * model.pace *
+    replica.pass_ms = engine.steps_per_pass * model.time_factor *
                       (engine.step_ms + engine.step_ms_per_request * fill);
-    replica.prompt_tokens_per_ms = engine.prompt_tokens_per_ms / model.pace;
-    replica.service_ms = replica.pass_ms * engine.usual_answer_tokens /
+    replica.prompt_tokens_per_ms =
+        engine.prompt_tokens_per_ms / model.time_factor;
+    replica.service_ms = replica.pass_ms * engine.typical_output_tokens /
                          std::max(1.0, engine.steps_per_pass);
     return replica;
   }
--- a/coordination/gateway/gateway_keys.h
+++ b/coordination/gateway/gateway_keys.h
@@ -9,12 +9,12 @@
 inline constexpr std::string_view kNodePrefix = "node/";
 inline constexpr std::string_view kRolePrefix = "role/";
 
-// The overview that a starting node reads first. The holder of the keeper role
-// writes it.
+// The overview that a starting node reads first. The holder of the controller
+// role writes it.
 inline constexpr std::string_view kOverviewKey = "overview";
 
 // The only role: its holder decides which VMs form which replica group.
-inline constexpr std::string_view kKeeperRole = "keeper/fleet";
+inline constexpr std::string_view kControllerRole = "keeper/fleet";
 
 }  // namespace gcw
 
--- a/coordination/gateway/group_membership.h
+++ b/coordination/gateway/group_membership.h
@@ -7,7 +7,7 @@
 
 // Returns the domain's id qualified by its service. Domains of two services may
 // have the same name but have separate records.
-inline FabricDomainId RecordDomain(const VmRegistration& vm) {
+inline FabricDomainId ScopedDomainId(const VmRegistration& vm) {
   return FabricDomainId(vm.service.value() + "." + vm.domain.value());
 }
 
--- a/coordination/gateway/group_planner.cc
+++ b/coordination/gateway/group_planner.cc
@@ -93,8 +93,9 @@
       const std::size_t immediate_groups =
           std::min(counts[i], startable[i] / model.group_size);
       const double after_load = std::max(
-          0.1, 1 - static_cast<double>(model.load_time.millis()) /
-                       static_cast<double>(settings_.expected_life.millis()));
+          0.1,
+          1 - static_cast<double>(model.load_time.millis()) /
+                  static_cast<double>(settings_.expected_lifetime.millis()));
       const double immediate_value =
           CoverageValue(share, coverage_with(immediate_groups));
       value += immediate_value - CoverageValue(share, coverage[i]) +
@@ -320,7 +321,7 @@
                                 GroupPlan& plan) const {
   const VmCandidate* best = nullptr;
   ModelId wanted_model;
-  double best_gain = settings_.least_restage_gain;
+  double best_gain = settings_.min_restage_gain;
   for (const VmCandidate& vm : domain.free_vms) {
     if (!vm.loading_model.empty() || vm.is_slow) {
       continue;
--- a/coordination/gateway/group_planner.h
+++ b/coordination/gateway/group_planner.h
@@ -17,18 +17,18 @@
   std::size_t reserve_per_domain = 1;
   // Expected lifetime of a new group. Time spent waiting for a load reduces the
   // group's value in proportion.
-  Duration expected_life = Duration::Seconds(30);
+  Duration expected_lifetime = Duration::Seconds(30);
   // A spare's weights are replaced only if another model's groups would be down
   // for more than this many times as long for want of a spare. The load itself
   // takes time, so a small gain does not pay.
-  double least_restage_gain = 2;
+  double min_restage_gain = 2;
   // How long the VMs of a given-up group serve no requests until the next group
   // opens.
-  Duration regroup_time = Duration::Seconds(4);
+  Duration regroup_downtime = Duration::Seconds(4);
   // Fraction of a group's members that have to be free already before other
   // groups are given up for it. The rest of a group that lost a member meets
   // it, while a temporary shortage does not regroup a whole domain.
-  double min_free_part = 0.5;
+  double min_free_fraction = 0.5;
   // Minimum number of a model's groups in a domain before the hosts of their
   // members get a larger model's weights. With fewer groups, giving one up
   // costs more than waiting for a load.
@@ -44,7 +44,7 @@
   ModelId last_model;
   // The model that its host is loading; may be empty.
   ModelId loading_model;
-  // Its group would run at its pace, so it is chosen last.
+  // Its group would be slowed down by it, so it is chosen last.
   bool is_slow = false;
 };
 
--- a/coordination/gateway/group_planner_regrouping.cc
+++ b/coordination/gateway/group_planner_regrouping.cc
@@ -151,7 +151,7 @@
   RegroupingOption option;
   std::size_t startable = CountStartable(domain.free_vms, wanted.model);
   if (static_cast<double>(startable) <
-      settings_.min_free_part * static_cast<double>(wanted.group_size)) {
+      settings_.min_free_fraction * static_cast<double>(wanted.group_size)) {
     return option;
   }
   std::size_t vms = free_count;
@@ -189,8 +189,8 @@
       ValueOfGroups(donor, donor_groups - given_up_count, fleet.vms);
   option.gain = value_after - value_before -
                 interruption_cost *
-                    static_cast<double>(settings_.regroup_time.millis()) /
-                    static_cast<double>(settings_.expected_life.millis());
+                    static_cast<double>(settings_.regroup_downtime.millis()) /
+                    static_cast<double>(settings_.expected_lifetime.millis());
   return option;
 }
 
--- a/coordination/gateway/load_pacer.cc
+++ b/coordination/gateway/load_pacer.cc
@@ -10,8 +10,9 @@
 
 void LoadPacer::SetProfile(const EngineProfile& profile) {
   rate_ = profile.loads_per_second * settings_.rate_share;
-  max_concurrent_ = std::max(1.0, static_cast<double>(profile.loads_at_once) *
-                                      settings_.max_concurrency_factor);
+  max_concurrent_ =
+      std::max(1.0, static_cast<double>(profile.max_concurrent_loads) *
+                        settings_.max_concurrency_factor);
 }
 
 void LoadPacer::Tick(Time now) {
--- a/coordination/gateway/model_demand.cc
+++ b/coordination/gateway/model_demand.cc
@@ -16,7 +16,7 @@
   }
   const double elapsed =
       static_cast<double>((now - estimate.updated).millis()) /
-      static_cast<double>(settings_.memory.millis());
+      static_cast<double>(settings_.averaging_time.millis());
   const double old_weight = std::exp(-std::max(0.0, elapsed));
   estimate.utilization =
       old_weight * estimate.utilization + (1 - old_weight) * utilization;
@@ -29,9 +29,9 @@
   for (ModelProfile& model : corrected.models) {
     const auto estimate = estimates_.find(model.model);
     if (estimate != estimates_.end()) {
-      model.work_share *=
-          std::clamp(estimate->second.utilization / settings_.shortage_fill,
-                     1.0, settings_.max_growth);
+      model.work_share *= std::clamp(
+          estimate->second.utilization / settings_.shortage_utilization, 1.0,
+          settings_.max_growth);
     }
     total += model.work_share;
   }
--- a/coordination/gateway/model_demand.h
+++ b/coordination/gateway/model_demand.h
@@ -11,12 +11,12 @@
   // Time constant of the exponential moving average of the loads that engines
   // report. It is long enough that a short burst does not move groups between
   // models.
-  Duration memory = Duration::Seconds(4);
+  Duration averaging_time = Duration::Seconds(4);
   // Average utilization, as a multiple of the requests that an engine runs at
   // once, above which a model is short of groups and its share grows in
   // proportion. Below it the configured shares apply, since a half-empty group
   // still keeps its model's waits short.
-  double shortage_fill = 0.7;
+  double shortage_utilization = 0.7;
   // Maximum factor by which a share grows before all shares are normalized.
   double max_growth = 4;
 };
--- a/coordination/gateway/overview_writer.h
+++ b/coordination/gateway/overview_writer.h
@@ -18,8 +18,8 @@
 };
 
 // Writes the overview of the fleet to the key-value service whenever it has
-// changed, for nodes that start. Only the keeper of groups writes it; if there
-// are two keepers for a moment, the later write wins.
+// changed, for nodes that start. Only the controller of groups writes it; if
+// there are two controllers for a moment, the later write wins.
 class OverviewWriter {
  public:
   using Encode = std::function<std::string(const FleetOverview&)>;
--- a/coordination/gateway/replica_selector.cc
+++ b/coordination/gateway/replica_selector.cc
@@ -62,10 +62,10 @@
 
 double ReplicaSelector::MaxFill(const ReplicaDemand& demand) const {
   if (!demand.urgency) {
-    return settings_.most_fill;
+    return settings_.max_fill;
   }
-  return *demand.urgency == Urgency::kDeferred ? settings_.most_fill_deferred
-                                               : settings_.most_fill_ahead;
+  return *demand.urgency == Urgency::kDeferred ? settings_.max_fill_deferred
+                                               : settings_.max_fill_prioritized;
 }
 
 bool ReplicaSelector::IsUsable(Time now, const State& state) const {
@@ -92,18 +92,18 @@
                                      const ReplicaDemand& demand) const {
   const Replica& replica = state.replica;
   const double requests = ExpectedRequests(now, state);
-  const auto places = static_cast<double>(replica.places);
-  double wait = replica.pass_ms * std::min(1.0, requests / places);
+  const auto slots = static_cast<double>(replica.slots);
+  double wait = replica.pass_ms * std::min(1.0, requests / slots);
   if (replica.prompt_tokens_per_ms > 0) {
     const double tokens = state.pending_prompt_tokens +
                           static_cast<double>(demand.prompt_tokens.value());
     wait += tokens / replica.prompt_tokens_per_ms;
   } else {
-    wait += replica.service_ms * requests / places;
+    wait += replica.service_ms * requests / slots;
   }
-  const double queued = requests + 1 - places;
+  const double queued = requests + 1 - slots;
   if (queued > 0) {
-    wait += replica.service_ms * queued / places;
+    wait += replica.service_ms * queued / slots;
   }
   // A group with a slow member runs at that member's speed.
   if (replica.pass_ms > 0 && state.event_interval_ms > replica.pass_ms) {
@@ -116,7 +116,7 @@
     wait *= 1 + excess * std::max(0.0, confidence);
   }
   if (replica.zone != zone_) {
-    wait += settings_.other_zone_ms;
+    wait += settings_.cross_zone_penalty_ms;
   }
   return wait;
 }
@@ -135,7 +135,7 @@
     }
     found.any_usable = true;
     if (ExpectedRequests(now, state) <
-        MaxFill(demand) * static_cast<double>(replica.places)) {
+        MaxFill(demand) * static_cast<double>(replica.slots)) {
       (replica.zone == zone_ ? found.near : found.far).push_back(&state);
     }
   }
@@ -153,7 +153,7 @@
     std::swap(with_room[i],
               with_room[i + DrawBelow(random_, with_room.size() - i)]);
     const double cost = ExpectedWait(now, *with_room[i], demand) +
-                        settings_.spread_ms * DrawUnit(random_);
+                        settings_.jitter_ms * DrawUnit(random_);
     if (!best || cost < best->expected_wait_ms) {
       best = ReplicaChoice{with_room[i]->replica, cost};
     }
@@ -277,11 +277,11 @@
     case ForwardEndKind::kSucceeded:
       state->backoff.OnSucceeded();
       return;
-    case ForwardEndKind::kFailedThere:
+    case ForwardEndKind::kEndpointFailed:
     case ForwardEndKind::kNotRun:
     case ForwardEndKind::kOtherVm:
     case ForwardEndKind::kNothingSent:
-    case ForwardEndKind::kBroke:
+    case ForwardEndKind::kConnectionBroken:
     case ForwardEndKind::kSilent: {
       const bool was_open = state->backoff.IsOpen(now);
       state->backoff.OnFailed(now);
@@ -294,7 +294,7 @@
       }
       return;
     }
-    case ForwardEndKind::kOutOfTime:
+    case ForwardEndKind::kDeadlineExceeded:
       state->backoff.OnAbandoned();
       return;
   }
--- a/coordination/gateway/replica_selector.h
+++ b/coordination/gateway/replica_selector.h
@@ -19,26 +19,26 @@
   // anything for this long. A lost member stalls a group without any other
   // sign, and the group goes on accepting requests. A healthy group sends an
   // event in each pass, every 50 to 60 ms at the engines' published times.
-  Duration silence_limit = Duration::Millis(400);
+  Duration stall_timeout = Duration::Millis(400);
   // The same limit before the first event of a stream, because reading long
   // prompts and waiting for a slot take time.
-  Duration first_event_limit = Duration::Millis(1500);
+  Duration first_event_timeout = Duration::Millis(1500);
   // A node's few streams at a replica may wait in its queue while those of
   // other nodes advance. Before the node takes the replica to be stalled, it
   // asks other nodes and waits this long for one that saw progress. Answers
   // take a few milliseconds within a region.
-  Duration witness_wait = Duration::Millis(80);
+  Duration peer_confirmation_timeout = Duration::Millis(80);
   // A stalled replica is excluded until it makes progress or this time has
   // passed; by then its group has been repaired or dissolved.
   Duration stalled_exclusion_time = Duration::Millis(6000);
   // Cost of a replica in another data centre, as expected wait. 20 ms instead
   // of 4 ms sends an eighth less between data centres (simulation with 9
   // nodes).
-  double other_zone_ms = 20;
+  double cross_zone_penalty_ms = 20;
   // Each replica's expected wait gets a random addition of up to this much.
   // Load reports are old, and nodes with the same report would otherwise all
   // choose the same replica.
-  double spread_ms = 12;
+  double jitter_ms = 12;
   // Number of replicas drawn at random from this node's data centre, and again
   // from the others, that are compared for a request. With two drawn from all
   // replicas, four requests in ten saw none in their own data centre, and the
@@ -52,16 +52,16 @@
   std::int64_t choices = 2;
   // Running and waiting requests in a replica, as a multiple of its slots,
   // above which nothing more is sent to it.
-  double most_fill = 1.3;
+  double max_fill = 1.3;
   // The same limit at engines for deferred requests. If these took all slots,
   // each prioritized request would wait for one to become free, and their queue
   // would last for seconds after a burst: in the four seconds after 1.9 times
   // the usual load, 0.84 of the requests start in time instead of 0.61
   // (simulation with 9 nodes, three seeds). A request that finds no room is
   // refused at once with a retry delay.
-  double most_fill_deferred = 0.85;
+  double max_fill_deferred = 0.85;
   // The same limit at engines for requests that go before the deferred ones.
-  double most_fill_ahead = 2.2;
+  double max_fill_prioritized = 2.2;
   // A load report is used for this long.
   Duration load_report_ttl = Duration::Millis(2500);
   FailureBackoffSettings backoff = {Duration::Millis(300), Duration::Seconds(3),
@@ -80,7 +80,7 @@
   GroupId group;
   Generation generation;
   ZoneId zone;
-  std::int64_t places = 1;
+  std::int64_t slots = 1;
   // Duration of one pass over a full batch; zero for plain services.
   double pass_ms = 0;
   double prompt_tokens_per_ms = 0;
@@ -145,23 +145,24 @@
   std::vector<AttemptNumber> Tick(Time now);
   // Replicas suspected of being stalled since the last call. Other nodes may
   // have seen them make progress.
-  std::vector<Replica> TakeSuspicions();
+  std::vector<Replica> TakeSuspectedStalls();
   // Another node reports that the replica made progress `ago` before now.
-  void OnProgressHeard(Time now,
-                       const VmId& vm,
-                       Generation generation,
-                       Duration ago);
+  void OnPeerProgress(Time now,
+                      const VmId& vm,
+                      Generation generation,
+                      Duration ago);
   // Another node found the replica stalled. Returns the attempts that run at
   // it.
-  std::vector<AttemptNumber> OnStandstillHeard(Time now,
-                                               const VmId& vm,
-                                               Generation generation);
+  std::vector<AttemptNumber> OnPeerStall(Time now,
+                                         const VmId& vm,
+                                         Generation generation);
   // Replicas found to be stalled since the last call, to be announced to other
   // nodes.
-  std::vector<Replica> TakeStandstills();
+  std::vector<Replica> TakeStalledReplicas();
 
   // Time at which this node last received anything from the group.
-  std::optional<Time> OwnProgress(const VmId& vm, Generation generation) const;
+  std::optional<Time> LocalProgress(const VmId& vm,
+                                    Generation generation) const;
   // Time at which this node, or another node that reported it, last received
   // anything from the group; `Time()` if none did.
   Time LastProgress(const VmId& vm, Generation generation) const;
--- a/coordination/gateway/replica_selector_stall.cc
+++ b/coordination/gateway/replica_selector_stall.cc
@@ -19,8 +19,8 @@
     }
     const Time last =
         std::max(attempt.progress.value_or(attempt.sent), state->last_progress);
-    const Duration limit = attempt.progress ? settings_.silence_limit
-                                            : settings_.first_event_limit;
+    const Duration limit = attempt.progress ? settings_.stall_timeout
+                                            : settings_.first_event_timeout;
     if (now - last > limit) {
       silent.insert(attempt.vm);
     }
@@ -42,7 +42,7 @@
     }
     // A node without peers has nobody to ask.
     if (node_count_ > 1 &&
-        now - *state.suspected_since < settings_.witness_wait) {
+        now - *state.suspected_since < settings_.peer_confirmation_timeout) {
       continue;
     }
     state.suspected_since.reset();
@@ -53,14 +53,14 @@
   return stalled;
 }
 
-std::vector<Replica> ReplicaSelector::TakeSuspicions() {
+std::vector<Replica> ReplicaSelector::TakeSuspectedStalls() {
   return std::exchange(suspected_stalls_, {});
 }
 
-void ReplicaSelector::OnProgressHeard(Time now,
-                                      const VmId& vm,
-                                      Generation generation,
-                                      Duration ago) {
+void ReplicaSelector::OnPeerProgress(Time now,
+                                     const VmId& vm,
+                                     Generation generation,
+                                     Duration ago) {
   State* state = Find(vm);
   if (state == nullptr || state->replica.generation != generation) {
     return;
@@ -69,17 +69,16 @@
   state->last_progress = std::max(state->last_progress, now - ago);
 }
 
-std::vector<AttemptNumber> ReplicaSelector::OnStandstillHeard(
-    Time now,
-    const VmId& vm,
-    Generation generation) {
+std::vector<AttemptNumber> ReplicaSelector::OnPeerStall(Time now,
+                                                        const VmId& vm,
+                                                        Generation generation) {
   State* state = Find(vm);
   if (state == nullptr || state->replica.generation != generation ||
       state->stalled_until) {
     return {};
   }
   // Recent progress outweighs another node's report of a stall.
-  if (now - state->last_progress < settings_.silence_limit / 2) {
+  if (now - state->last_progress < settings_.stall_timeout / 2) {
     return {};
   }
   return MarkStalled(now, *state, "other_node");
@@ -90,7 +89,7 @@
     State& state,
     std::string_view evidence) {
   state.stalled_until = now + settings_.stalled_exclusion_time;
-  events_({EventKind::kConnectionSilent,
+  events_({EventKind::kConnectionStalled,
            state.replica.vm.value(),
            {},
            {{"group", state.replica.group.value()},
@@ -107,12 +106,13 @@
   return stalled;
 }
 
-std::vector<Replica> ReplicaSelector::TakeStandstills() {
+std::vector<Replica> ReplicaSelector::TakeStalledReplicas() {
   return std::exchange(stalled_replicas_, {});
 }
 
-std::optional<Time> ReplicaSelector::OwnProgress(const VmId& vm,
-                                                 Generation generation) const {
+std::optional<Time> ReplicaSelector::LocalProgress(
+    const VmId& vm,
+    Generation generation) const {
   const auto found = states_.find(vm);
   if (found == states_.end() ||
       found->second.replica.generation != generation ||
--- a/coordination/gateway/store_mirror.cc
+++ b/coordination/gateway/store_mirror.cc
@@ -31,7 +31,8 @@
     call_ = ++last_id_;
     is_follow_call_ = true;
     actions.emplace_back(RequestPeerChanges{last_id_, PeerTarget::kFollowed,
-                                            revision_, settings_.follow_wait});
+                                            revision_,
+                                            settings_.follow_poll_wait});
     return actions;
   }
   if (std::optional<StoreCall> call = NextCall(now)) {
@@ -74,9 +75,9 @@
 }
 
 void StoreMirror::ApplyPeerChanges(Time now, const MirrorChanges& changes) {
-  if (changes.lapse_left > Duration()) {
+  if (changes.expiry_grace_left > Duration()) {
     expiry_grace_until_ =
-        std::max(expiry_grace_until_, now + changes.lapse_left);
+        std::max(expiry_grace_until_, now + changes.expiry_grace_left);
   }
   const Time as_of = now - changes.age;
   complete_at_ = complete_at_ ? std::max(*complete_at_, as_of) : as_of;
@@ -97,7 +98,7 @@
   // The service holds the watch until the next one is due: a watch that came
   // back earlier without a change would be a wasted call.
   return StoreWatch{settings_.watch_prefix, revision_,
-                    std::max(settings_.watch_wait, interval)};
+                    std::max(settings_.min_watch_timeout, interval)};
 }
 
 void StoreMirror::SetRelaxed(bool relaxed) {
@@ -108,7 +109,7 @@
 void StoreMirror::SetFollowing(bool following) {
   following_ = following;
   if (!following && is_follow_call_) {
-    // A node that has become the keeper does not wait for another node.
+    // A node that has become the controller does not wait for another node.
     is_follow_call_ = false;
     call_.reset();
   }
@@ -123,7 +124,7 @@
 }
 
 Duration StoreMirror::MaxAge() const {
-  return settings_.known_within - settings_.repeat_margin;
+  return settings_.max_propagation_delay - settings_.retry_margin;
 }
 
 Duration StoreMirror::WatchInterval() const {
@@ -132,12 +133,13 @@
   }
   const auto shared = Duration::Millis(
       static_cast<std::int64_t>(1000 * static_cast<double>(watchers_) /
-                                settings_.fleet_watches_per_second));
-  return std::max(settings_.watch_interval, std::min(shared, MaxAge()));
+                                settings_.max_fleet_watches_per_second));
+  return std::max(settings_.min_watch_interval, std::min(shared, MaxAge()));
 }
 
 bool StoreMirror::IsAnswerOverdue(Time now) const {
-  return answer_due_since_ && now - *answer_due_since_ >= settings_.away_after;
+  return answer_due_since_ &&
+         now - *answer_due_since_ >= settings_.unreachable_timeout;
 }
 
 std::vector<StoreMirrorAction>
@@ -152,8 +154,8 @@
   } else if (const auto* watch = std::get_if<StoreWatchReply>(&reply)) {
     OnStoreAnswered(now);
     OnWatch(now, *watch);
-  } else if (const auto* busy = std::get_if<StoreBusy>(&reply)) {
-    OnStoreFailed(now, busy->retry_after);
+  } else if (const auto* refused = std::get_if<StoreRefused>(&reply)) {
+    OnStoreFailed(now, refused->retry_after);
   } else {
     OnStoreFailed(now, Duration());
   }
@@ -165,7 +167,7 @@
   // After an outage that was noticed, or any gap as long, the service may have
   // dropped keys whose owners are alive.
   if (!reachable_ || IsAnswerOverdue(now)) {
-    expiry_grace_until_ = now + settings_.lapse_grace;
+    expiry_grace_until_ = now + settings_.expiry_grace_period;
   }
   answer_due_since_.reset();
   if (!reachable_) {
@@ -256,12 +258,12 @@
   for (const StoreDeletion& deletion : deleted) {
     Delete(now, deletion.key, deletion.revision);
   }
-  if (settings_.unshared_key.empty()) {
+  if (settings_.local_only_key.empty()) {
     feed_.Add(changed, deleted);
   } else {
     std::vector<StoreEntry> shared = changed;
     std::erase_if(shared, [this](const StoreEntry& entry) {
-      return entry.key == settings_.unshared_key;
+      return entry.key == settings_.local_only_key;
     });
     feed_.Add(shared, deleted);
   }
@@ -296,10 +298,10 @@
   return changes && changes->age <= MaxAge();
 }
 
-std::vector<StoreMirrorAction> StoreMirror::OnChangesAsked(
+std::vector<StoreMirrorAction> StoreMirror::OnChangesRequest(
     Time now,
-    const ChangeQuestion& question) {
-  feed_.AddRequest(now, question);
+    const ChangesRequest& request) {
+  feed_.AddRequest(now, request);
   std::vector<StoreMirrorAction> actions;
   ReplyToFollowers(now, actions);
   return actions;
@@ -317,10 +319,10 @@
       now - *complete_at_ <= MaxAge()) {
     age = now - *complete_at_;
   }
-  const Duration lapse_left =
+  const Duration expiry_grace_left =
       expiry_grace_until_ > now ? expiry_grace_until_ - now : Duration();
-  for (AnswerChanges& answer :
-       feed_.TakeReplies(now, revision_, age, lapse_left)) {
+  for (ChangesReply& answer :
+       feed_.TakeReplies(now, revision_, age, expiry_grace_left)) {
     actions.emplace_back(std::move(answer));
   }
 }
@@ -337,7 +339,7 @@
   // Removals are deferred as after an outage: the other node may have seen keys
   // expire whose owners are alive.
   expiry_grace_until_ =
-      std::max(expiry_grace_until_, now + settings_.lapse_grace);
+      std::max(expiry_grace_until_, now + settings_.expiry_grace_period);
   for (const std::string& prefix : settings_.prefixes) {
     DeleteMissing(now, prefix, seen, snapshot.revision);
   }
@@ -423,7 +425,7 @@
 
 bool StoreMirror::IsExpiringKey(std::string_view key) const {
   return std::any_of(
-      settings_.lapsing_prefixes.begin(), settings_.lapsing_prefixes.end(),
+      settings_.expiring_prefixes.begin(), settings_.expiring_prefixes.end(),
       [&](const std::string& prefix) { return key.starts_with(prefix); });
 }
 
--- a/coordination/gateway/store_mirror.h
+++ b/coordination/gateway/store_mirror.h
@@ -32,37 +32,38 @@
   // are none.
   std::string first_prefix;
   // A key that only starting nodes need. It is not passed on to followers.
-  std::string unshared_key;
+  std::string local_only_key;
   // A prefix that covers all of the above, so that one watch is enough instead
   // of one for each prefix.
   std::string watch_prefix;
-  // Prefixes of keys that their owner may write again within `lapse_grace` if
-  // they are removed right after an outage of the service.
-  std::vector<std::string> lapsing_prefixes;
+  // Prefixes of keys that their owner may write again within
+  // `expiry_grace_period` if they are removed right after an outage of the
+  // service.
+  std::vector<std::string> expiring_prefixes;
   // Minimum interval between two watches of a node. When many endpoints change
   // at once, a watch that is repeated immediately would be a call for each
   // change.
-  Duration watch_interval = Duration::Millis(450);
+  Duration min_watch_interval = Duration::Millis(450);
   // Minimum interval for a node that acts on each change at once.
   Duration eager_watch_interval = Duration::Millis(150);
   // Limit for the watches of all nodes together. Each change ends the watch of
   // every node, and in a large fleet something changes all the time. With more
-  // nodes each node waits longer between two watches, as far as `known_within`
-  // permits.
-  double fleet_watches_per_second = 18;
+  // nodes each node waits longer between two watches, as far as
+  // `max_propagation_delay` permits.
+  double max_fleet_watches_per_second = 18;
   // Minimum time for which the service may hold a watch. A connection that went
   // silent is noticed only when the answer is overdue.
-  Duration watch_wait = Duration::Millis(900);
+  Duration min_watch_timeout = Duration::Millis(900);
   // Every node must know a change this long after the service accepted it. This
   // is the shorter of the platform's bounds for leaving endpoints and for
   // configurations.
-  Duration known_within = Duration::Millis(2000);
-  // The part of `known_within` that is reserved for an answer that never comes
-  // and for the call after it.
-  Duration repeat_margin = Duration::Millis(1000);
+  Duration max_propagation_delay = Duration::Millis(2000);
+  // The part of `max_propagation_delay` that is reserved for an answer that
+  // never comes and for the call after it.
+  Duration retry_margin = Duration::Millis(1000);
   // If an answer is overdue by this much, the service counts as unreachable,
   // and other nodes are asked for what they know.
-  Duration away_after = Duration::Millis(700);
+  Duration unreachable_timeout = Duration::Millis(700);
   // Interval between two such questions.
   Duration peer_request_interval = Duration::Millis(500);
   // After this many other nodes in a row could not tell what has changed, the
@@ -71,25 +72,25 @@
   // Owners of expired keys write them again within two seconds after the
   // service is back, as the platform specifies. The watch needs its interval in
   // addition.
-  Duration lapse_grace = Duration::Millis(2500);
+  Duration expiry_grace_period = Duration::Millis(2500);
   BackoffSettings backoff = {Duration::Millis(150), Duration::Millis(800)};
   // Maximum backoff of a node on whose copy no other node depends. Meanwhile it
   // asks other nodes. Calls that the service refuses are charged too.
   Duration relaxed_backoff = Duration::Millis(2500);
   // How many nodes of a data centre learn of changes from one node that watches
   // the service. Zero: each node watches the service itself.
-  std::int64_t followers = 24;
+  std::int64_t followers_per_watcher = 24;
   // In a data centre with fewer nodes than this, each node watches the service
   // itself: the watches are few, and changes that come through another node
   // come later.
-  std::int64_t follow_from = 8;
+  std::int64_t min_nodes_to_follow = 8;
   // How long a followed node may wait for a change before it answers.
-  Duration follow_wait = Duration::Millis(400);
+  Duration follow_poll_wait = Duration::Millis(400);
   // If the followed node's answer is overdue by this much, the follower watches
   // the service itself.
   Duration follow_timeout = Duration::Millis(300);
   // A node that could not tell the changes is not asked again for this long.
-  Duration follow_avoid = Duration::Seconds(5);
+  Duration follow_cooldown = Duration::Seconds(5);
   // Maximum number of changes kept for followers, which covers some seconds
   // while many endpoints come and go. A follower that is further behind reads
   // from the service.
@@ -114,7 +115,7 @@
 using StoreMirrorAction = std::variant<StoreRequest,
                                        RequestPeerSnapshot,
                                        RequestPeerChanges,
-                                       AnswerChanges>;
+                                       ChangesReply>;
 
 // Keeps a copy of some prefixes of the key-value service: reads them once and
 // then watches them, or follows a node that does. While this node does not
@@ -154,11 +155,12 @@
   // Whether the answer is present and fresh enough to be applied.
   bool IsUsable(const std::optional<MirrorChanges>& changes) const;
   // Handles a follower's request for changes.
-  std::vector<StoreMirrorAction> OnChangesAsked(Time now,
-                                                const ChangeQuestion& question);
+  std::vector<StoreMirrorAction> OnChangesRequest(
+      Time now,
+      const ChangesRequest& request);
 
-  // Sets whether this node acts on each change at once, as the keeper of groups
-  // does.
+  // Sets whether this node acts on each change at once, as the controller of
+  // groups does.
   void SetEager(bool eager) { eager_ = eager; }
   // Sets whether this node may notice later that the service is back.
   void SetRelaxed(bool relaxed);
@@ -190,7 +192,7 @@
   void OnAnyPeerChanges(Time now, const std::optional<MirrorChanges>& changes);
   void ApplyPeerChanges(Time now, const MirrorChanges& changes);
   void ReplyToFollowers(Time now, std::vector<StoreMirrorAction>& actions);
-  // Whether an answer of the service is overdue by `away_after`.
+  // Whether an answer of the service is overdue by `unreachable_timeout`.
   bool IsAnswerOverdue(Time now) const;
   // Minimum time from one watch of this node to its next.
   Duration WatchInterval() const;
--- a/coordination/groups/domain_reconciler.cc
+++ b/coordination/groups/domain_reconciler.cc
@@ -16,7 +16,7 @@
 }  // namespace
 
 DomainReconciler::DomainReconciler(FabricDomainId domain,
-                                   const KeeperSettings& settings,
+                                   const GroupControllerSettings& settings,
                                    DomainWriter writer,
                                    EventSink events)
     : domain_(std::move(domain)),
--- a/coordination/groups/domain_reconciler.h
+++ b/coordination/groups/domain_reconciler.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "coordination/groups/domain_writer.h"
-#include "coordination/groups/keeper_settings.h"
+#include "coordination/groups/group_controller_settings.h"
 #include "coordination/groups/order_sender.h"
 #include "coordination/groups/repair_planner.h"
 #include "coordination/groups/vm_tracker.h"
@@ -15,13 +15,13 @@
 
 namespace gcw {
 
-// Manages one fabric domain while this node holds its keeper role: keeps the
-// domain's engines consistent with its record. The record is written first;
+// Manages one fabric domain while this node holds its controller role: keeps
+// the domain's engines consistent with its record. The record is written first;
 // engines are ordered only what is known to be committed.
 class DomainReconciler {
  public:
   DomainReconciler(FabricDomainId domain,
-                   const KeeperSettings& settings,
+                   const GroupControllerSettings& settings,
                    DomainWriter writer,
                    EventSink events);
 
@@ -91,7 +91,7 @@
   GroupId NextGroup();
 
   FabricDomainId domain_;
-  KeeperSettings settings_;
+  GroupControllerSettings settings_;
   DomainWriter writer_;
   OrderSender order_sender_;
   EventSink events_;
--- a/coordination/groups/domain_reconciler_orders.cc
+++ b/coordination/groups/domain_reconciler_orders.cc
@@ -54,8 +54,8 @@
     return;
   }
   if (const auto* stale = std::get_if<EngineOrderStale>(&reply)) {
-    // Another keeper has taken over, or the key-value service was restored and
-    // issues fencing tokens that it issued before.
+    // Another controller has taken over, or the key-value service was restored
+    // and issues fencing tokens that it issued before.
     events_({EventKind::kOrderRefused,
              vm->value(),
              EventId(),
--- a/coordination/groups/domain_writer.cc
+++ b/coordination/groups/domain_writer.cc
@@ -27,7 +27,7 @@
 }
 
 bool DomainWriter::IsClaimed() const {
-  return revision_ != Revision() && record_.written_by == fence_;
+  return revision_ != Revision() && record_.writer_token == fence_;
 }
 
 bool DomainWriter::Propose(Time now, DomainRecord record, ChangeId change) {
@@ -35,9 +35,9 @@
     return false;
   }
   record.domain = domain_;
-  record.written_by = fence_;
+  record.writer_token = fence_;
   record.change = std::move(change);
-  if (FindFault(record)) {
+  if (Validate(record)) {
     return false;
   }
   proposed_ = std::move(record);
@@ -79,10 +79,10 @@
     OnWritten(now, written->revision);
   } else if (const auto* conflict = std::get_if<StoreConflict>(&reply)) {
     Adopt(now, conflict->current);
-  } else if (const auto* busy = std::get_if<StoreBusy>(&reply)) {
+  } else if (const auto* refused = std::get_if<StoreRefused>(&reply)) {
     // The service did nothing, so the same call may be repeated.
     call_due_ = true;
-    call_due_at_ = now + busy->retry_after;
+    call_due_at_ = now + refused->retry_after;
   } else {
     ScheduleRead(now + settings_.retry_interval);
   }
@@ -92,7 +92,7 @@
   if (reply.revision < max_seen_revision_) {
     // The service was restored to an earlier state, or the read is stale.
     // Acting on it would assign VMs that other groups have since been given.
-    events_({EventKind::kStoreRewound,
+    events_({EventKind::kStoreRolledBack,
              key(),
              EventId(),
              {{"revision", reply.revision.value()},
@@ -138,8 +138,8 @@
   max_seen_revision_ = std::max(max_seen_revision_, entry->revision);
   revision_ = entry->revision;
   record_ = *record;
-  state_ = record_.written_by > fence_ ? WriterState::kSuperseded
-                                       : WriterState::kReady;
+  state_ = record_.writer_token > fence_ ? WriterState::kSuperseded
+                                         : WriterState::kReady;
 }
 
 bool DomainWriter::IsBehind(const std::optional<StoreEntry>& entry) const {
--- a/coordination/groups/domain_writer.h
+++ b/coordination/groups/domain_writer.h
@@ -37,7 +37,7 @@
   kReady,
   // A compare-and-swap is in progress.
   kWriting,
-  // A keeper with a higher fencing token wrote the record.
+  // A controller with a higher fencing token wrote the record.
   kSuperseded,
 };
 
@@ -70,8 +70,8 @@
   // The newest record known to be committed. Valid only after a read.
   const DomainRecord& record() const { return record_; }
   Revision revision() const { return revision_; }
-  // True if the committed record carries this keeper's fencing token, so that
-  // earlier keepers can no longer write it.
+  // True if the committed record carries this controller's fencing token, so
+  // that earlier controllers can no longer write it.
   bool IsClaimed() const;
   std::string key() const;
 
--- a/coordination/groups/group_keeper.cc
+++ b/coordination/groups/group_controller.cc
@@ -1,4 +1,4 @@
-#include "coordination/groups/group_keeper.h"
+#include "coordination/groups/group_controller.h"
 
 #include <set>
 #include <utility>
@@ -7,35 +7,37 @@
 
 namespace gcw {
 
-GroupKeeper::Builder& GroupKeeper::Builder::SetZone(ZoneId zone) {
+GroupController::Builder& GroupController::Builder::SetZone(ZoneId zone) {
   zone_ = std::move(zone);
   return *this;
 }
 
-GroupKeeper::Builder& GroupKeeper::Builder::SetSettings(
-    KeeperSettings settings) {
+GroupController::Builder& GroupController::Builder::SetSettings(
+    GroupControllerSettings settings) {
   settings_ = settings;
   return *this;
 }
 
-GroupKeeper::Builder& GroupKeeper::Builder::SetCodec(DomainRecordCodec codec) {
+GroupController::Builder& GroupController::Builder::SetCodec(
+    DomainRecordCodec codec) {
   codec_ = std::move(codec);
   return *this;
 }
 
-GroupKeeper::Builder& GroupKeeper::Builder::SetEventSink(EventSink events) {
+GroupController::Builder& GroupController::Builder::SetEventSink(
+    EventSink events) {
   events_ = std::move(events);
   return *this;
 }
 
-GroupKeeper GroupKeeper::Builder::Build() const {
-  return GroupKeeper(zone_, settings_, codec_, events_);
+GroupController GroupController::Builder::Build() const {
+  return GroupController(zone_, settings_, codec_, events_);
 }
 
-GroupKeeper::GroupKeeper(ZoneId zone,
-                         KeeperSettings settings,
-                         DomainRecordCodec codec,
-                         EventSink events)
+GroupController::GroupController(ZoneId zone,
+                                 GroupControllerSettings settings,
+                                 DomainRecordCodec codec,
+                                 EventSink events)
     : zone_(std::move(zone)),
       settings_(settings),
       codec_(std::move(codec)),
@@ -44,10 +46,10 @@
       flap_tracker_(settings.flap),
       planner_(settings.planner) {}
 
-void GroupKeeper::OnRoleHeld(Time now,
-                             const FabricDomainId& domain,
-                             FencingToken fence,
-                             Time valid_until) {
+void GroupController::OnRoleHeld(Time now,
+                                 const FabricDomainId& domain,
+                                 FencingToken fence,
+                                 Time valid_until) {
   auto it = reconcilers_.find(domain);
   if (it == reconcilers_.end()) {
     it = reconcilers_
@@ -61,41 +63,46 @@
   it->second.OnRoleHeld(now, fence, valid_until);
 }
 
-void GroupKeeper::OnRoleLost(const FabricDomainId& domain) {
+void GroupController::OnRoleLost(const FabricDomainId& domain) {
   reconcilers_.erase(domain);
 }
 
-void GroupKeeper::OnVmList(Time now, const VmListSnapshot& snapshot) {
+void GroupController::OnVmList(Time now, const VmListSnapshot& snapshot) {
   tracker_.OnVmList(now, snapshot);
 }
 
-void GroupKeeper::OnDomainRecord(const DomainRecord& record,
-                                 Revision revision) {
+void GroupController::OnDomainRecord(const DomainRecord& record,
+                                     Revision revision) {
   OtherRecord& other = other_records_[record.domain];
   if (revision > other.revision) {
     other = OtherRecord{record, revision};
   }
 }
 
-void GroupKeeper::OnWantedModels(std::vector<WantedModel> wanted) {
-  wanted_ = std::move(wanted);
+void GroupController::OnDesiredModels(
+    std::vector<DesiredModel> desired_models) {
+  desired_models_ = std::move(desired_models);
 }
 
-void GroupKeeper::OnWeightStoreWait(Duration wait) {
+void GroupController::OnWeightStoreWait(Duration wait) {
   load_wait_ = wait;
 }
 
-void GroupKeeper::OnDrainAsked(const GroupId& group) {
+void GroupController::OnDrainRequested(const GroupId& group) {
   requested_drains_.insert(group);
 }
 
-void GroupKeeper::OnProbeReply(Time now, ProbeId id, const ProbeReply& reply) {
+void GroupController::OnProbeReply(Time now,
+                                   ProbeId id,
+                                   const ProbeReply& reply) {
   tracker_.OnProbeReply(now, id, reply);
 }
 
-std::vector<GroupKeeperAction>
-GroupKeeper::OnStoreReply(Time now, StoreCallId id, const StoreReply& reply) {
-  std::vector<GroupKeeperAction> actions;
+std::vector<GroupControllerAction> GroupController::OnStoreReply(
+    Time now,
+    StoreCallId id,
+    const StoreReply& reply) {
+  std::vector<GroupControllerAction> actions;
   for (auto& [domain, reconciler] : reconcilers_) {
     if (reconciler.OnStoreReply(now, id, reply)) {
       const DomainWriter& writer = reconciler.writer();
@@ -106,14 +113,16 @@
   return actions;
 }
 
-void GroupKeeper::OnOrderReply(Time now, OrderId id, const OrderReply& reply) {
+void GroupController::OnOrderReply(Time now,
+                                   OrderId id,
+                                   const OrderReply& reply) {
   for (auto& [domain, reconciler] : reconcilers_) {
     reconciler.OnOrderReply(now, id, reply);
   }
 }
 
-std::vector<GroupKeeperAction> GroupKeeper::Tick(Time now) {
-  std::vector<GroupKeeperAction> actions;
+std::vector<GroupControllerAction> GroupController::Tick(Time now) {
+  std::vector<GroupControllerAction> actions;
   RecordLosses(now);
   ReconcileAll(now);
   CollectCalls(now, actions);
@@ -130,7 +139,8 @@
   return actions;
 }
 
-const DomainRecord* GroupKeeper::RecordOf(const FabricDomainId& domain) const {
+const DomainRecord* GroupController::RecordOf(
+    const FabricDomainId& domain) const {
   const auto it = reconcilers_.find(domain);
   if (it == reconcilers_.end() ||
       it->second.writer().revision() == Revision()) {
@@ -141,7 +151,7 @@
 
 // Reports each loss of a VM once: it became unreachable, or it restarted
 // without having been seen as unreachable.
-void GroupKeeper::RecordLosses(Time now) {
+void GroupController::RecordLosses(Time now) {
   flap_tracker_.Tick(now);
   for (const auto& [vm, facts] : tracker_.all()) {
     const bool is_unreachable = tracker_.IsUnreachable(now, vm);
@@ -166,7 +176,7 @@
   }
 }
 
-void GroupKeeper::ReconcileAll(Time now) {
+void GroupController::ReconcileAll(Time now) {
   std::map<FabricDomainId, std::vector<RepairMove>> moves;
   if (now >= next_plan_) {
     next_plan_ = now + settings_.plan_interval;
@@ -177,14 +187,14 @@
   }
 }
 
-std::map<FabricDomainId, std::vector<RepairMove>> GroupKeeper::PlanMoves(
+std::map<FabricDomainId, std::vector<RepairMove>> GroupController::PlanMoves(
     Time now) {
   std::map<FabricDomainId, std::vector<RepairMove>> moves;
   for (RepairMove& move : planner_.Plan(now, MakeView(now))) {
     const FabricDomainId domain =
         std::visit([](const auto& typed) { return typed.domain; }, move);
-    // A keeper with the same information makes the same plan and carries out
-    // the moves of its own domains.
+    // A controller with the same information makes the same plan and carries
+    // out the moves of its own domains.
     if (reconcilers_.contains(domain)) {
       moves[domain].push_back(std::move(move));
     }
@@ -192,10 +202,10 @@
   return moves;
 }
 
-PlannerView GroupKeeper::MakeView(Time now) const {
+PlannerView GroupController::MakeView(Time now) const {
   PlannerView view;
   view.zone = zone_;
-  view.wanted = wanted_;
+  view.desired_models = desired_models_;
   view.load_wait = load_wait_;
   view.requested_drains = requested_drains_;
   std::set<FabricDomainId> zone_domains;
@@ -223,9 +233,9 @@
   return view;
 }
 
-PlannerVm GroupKeeper::DescribeVm(Time now,
-                                  const VmId& vm,
-                                  const VmFacts& facts) const {
+PlannerVm GroupController::DescribeVm(Time now,
+                                      const VmId& vm,
+                                      const VmFacts& facts) const {
   PlannerVm described;
   described.domain = facts.entry.domain;
   described.accelerators = facts.entry.accelerators;
@@ -236,7 +246,8 @@
     described.assignable = reconciler->second.IsAssignable(now, tracker_, vm);
     return described;
   }
-  // For VMs that another keeper probes, only the list and the record are known.
+  // For VMs that another controller probes, only the list and the record are
+  // known.
   const bool is_live = facts.listed && facts.entry.state == VmState::kLive;
   described.condition = is_live ? VmCondition::kHealthy : VmCondition::kLeaving;
   const auto other = other_records_.find(facts.entry.domain);
@@ -245,8 +256,9 @@
   return described;
 }
 
-void GroupKeeper::CollectCalls(Time now,
-                               std::vector<GroupKeeperAction>& actions) {
+void GroupController::CollectCalls(
+    Time now,
+    std::vector<GroupControllerAction>& actions) {
   for (auto& [domain, reconciler] : reconcilers_) {
     if (std::optional<StoreCall> call = reconciler.DueCall(now)) {
       ++last_call_;
@@ -256,8 +268,9 @@
   }
 }
 
-void GroupKeeper::CollectOrders(Time now,
-                                std::vector<GroupKeeperAction>& actions) {
+void GroupController::CollectOrders(
+    Time now,
+    std::vector<GroupControllerAction>& actions) {
   for (auto& [domain, reconciler] : reconcilers_) {
     for (SendOrder& order : reconciler.DueOrders(now, tracker_, last_order_)) {
       actions.emplace_back(std::move(order));
--- a/coordination/groups/keeper_settings.h
+++ b/coordination/groups/group_controller_settings.h
@@ -1,5 +1,5 @@
-#ifndef COORDINATION_GROUPS_KEEPER_SETTINGS_H_
-#define COORDINATION_GROUPS_KEEPER_SETTINGS_H_
+#ifndef COORDINATION_GROUPS_GROUP_CONTROLLER_SETTINGS_H_
+#define COORDINATION_GROUPS_GROUP_CONTROLLER_SETTINGS_H_
 
 #include "coordination/groups/domain_writer.h"
 #include "coordination/groups/flap_tracker.h"
@@ -10,8 +10,8 @@
 
 namespace gcw {
 
-// Settings of `GroupKeeper`.
-struct KeeperSettings {
+// Settings of `GroupController`.
+struct GroupControllerSettings {
   TrackerSettings tracker;
   WriterSettings writer;
   OrderSettings order;
@@ -30,4 +30,4 @@
 
 }  // namespace gcw
 
-#endif  // COORDINATION_GROUPS_KEEPER_SETTINGS_H_
+#endif  // COORDINATION_GROUPS_GROUP_CONTROLLER_SETTINGS_H_
--- a/coordination/groups/order_sender.h
+++ b/coordination/groups/order_sender.h
@@ -45,14 +45,14 @@
   // Covers the clock drift over one lease and the delay between the check of
   // `send_before` and the write.
   Duration margin = Duration::Seconds(1);
-  // A new keeper sends nothing for this long, because a predecessor whose lease
-  // the service dropped early may still believe that it holds the role. Not
-  // less than the lease's time to live.
+  // A new controller sends nothing for this long, because a predecessor whose
+  // lease the service dropped early may still believe that it holds the role.
+  // Not less than the lease's time to live.
   Duration takeover_wait = Duration::Seconds(15);
 };
 
 // Decides when an order may be sent. An engine that ignores fencing tokens
-// obeys whichever keeper ordered it last, so an order must be over, with no
+// obeys whichever controller ordered it last, so an order must be over, with no
 // effect still to come, before another node can hold the role.
 class OrderSender {
  public:
--- a/coordination/groups/repair_plan.cc
+++ b/coordination/groups/repair_plan.cc
@@ -16,7 +16,7 @@
   FinishDrained();
   StartPlannedStops();
   RepairBroken();
-  FillWanted();
+  FillToMinimum();
   FillSurplus();
   TrimExcess();
   return std::move(moves_);
@@ -70,16 +70,16 @@
   return group;
 }
 
-const WantedModel* RepairPlan::FindModel(const ModelId& model) const {
-  for (const WantedModel& wanted : view_.wanted) {
-    if (wanted.model == model) {
-      return &wanted;
+const DesiredModel* RepairPlan::FindModel(const ModelId& model) const {
+  for (const DesiredModel& desired : view_.desired_models) {
+    if (desired.model == model) {
+      return &desired;
     }
   }
   return nullptr;
 }
 
-GroupTarget RepairPlan::TargetOf(const WantedModel& model) const {
+GroupTarget RepairPlan::TargetOf(const DesiredModel& model) const {
   const auto it = model.targets.find(view_.zone);
   return it == model.targets.end() ? GroupTarget() : it->second;
 }
@@ -116,11 +116,11 @@
   }
 }
 
-// Drains groups above the maximum, which exist if two keepers that knew
+// Drains groups above the maximum, which exist if two controllers that knew
 // different records filled the same gap.
 void RepairPlan::TrimExcess() {
-  for (const WantedModel& model : view_.wanted) {
-    if (CountServing(model.model) <= TargetOf(model).most) {
+  for (const DesiredModel& model : view_.desired_models) {
+    if (CountServing(model.model) <= TargetOf(model).max_groups) {
       continue;
     }
     const auto last = std::find_if(
@@ -149,12 +149,13 @@
       broken.push_back(&group);
     }
   }
-  std::stable_sort(
-      broken.begin(), broken.end(), [&](GroupView* a, GroupView* b) {
-        return settings_.by_need ? NeedOf(*a) < NeedOf(*b)
-                                 : context_.broken_since.at(a->record->id) <
-                                       context_.broken_since.at(b->record->id);
-      });
+  std::stable_sort(broken.begin(), broken.end(),
+                   [&](GroupView* a, GroupView* b) {
+                     return settings_.prioritize_by_need
+                                ? NeedOf(*a) < NeedOf(*b)
+                                : context_.broken_since.at(a->record->id) <
+                                      context_.broken_since.at(b->record->id);
+                   });
   for (GroupView* group : broken) {
     Repair(*group);
   }
@@ -162,7 +163,8 @@
 
 void RepairPlan::Repair(GroupView& group) {
   // An earlier repair may have taken this group apart.
-  if (group.is_retired || RepairInPlace(group) || !settings_.by_need) {
+  if (group.is_retired || RepairInPlace(group) ||
+      !settings_.prioritize_by_need) {
     return;
   }
   // All groups of a dark domain would move at once, and would still be loading
@@ -199,7 +201,7 @@
                                      RepairReason::kSpare});
 }
 
-// Dissolves a broken group above the wanted number if, by the weights, its
+// Dissolves a broken group above the minimum number if, by the weights, its
 // remaining members are worth more as spares than in a group that waits.
 bool RepairPlan::GiveUp(GroupView& group) {
   const auto spares = static_cast<std::int64_t>(free_vms_[group.domain].size());
@@ -292,7 +294,7 @@
   return taken;
 }
 
-bool RepairPlan::FormNewGroup(const WantedModel& model, RepairReason reason) {
+bool RepairPlan::FormNewGroup(const DesiredModel& model, RepairReason reason) {
   if (context_.load_budget <= 0) {
     return false;
   }
--- a/coordination/groups/repair_plan.h
+++ b/coordination/groups/repair_plan.h
@@ -42,7 +42,7 @@
   struct GroupView {
     FabricDomainId domain;
     const GroupRecord* record = nullptr;
-    const WantedModel* model = nullptr;
+    const DesiredModel* model = nullptr;
     // Members that must be replaced.
     std::vector<VmId> to_replace;
     // Those of `lost` that are running again but flap.
@@ -59,8 +59,8 @@
   void CollectGroups();
   GroupView DescribeGroup(const FabricDomainId& domain,
                           const GroupRecord& record) const;
-  const WantedModel* FindModel(const ModelId& model) const;
-  GroupTarget TargetOf(const WantedModel& model) const;
+  const DesiredModel* FindModel(const ModelId& model) const;
+  GroupTarget TargetOf(const DesiredModel& model) const;
 
   void FinishDrained();
   void StartPlannedStops();
@@ -73,9 +73,9 @@
   bool GiveUp(GroupView& group);
   bool ReinstateFlapping(GroupView& group);
   void Reload(GroupView& group, const std::vector<VmId>& removed);
-  void FillWanted();
+  void FillToMinimum();
   void FillSurplus();
-  bool FormNewGroup(const WantedModel& model, RepairReason reason);
+  bool FormNewGroup(const DesiredModel& model, RepairReason reason);
 
   bool IsInDarkHold(const FabricDomainId& domain) const;
   bool IsSurplus(const GroupView& group) const;
--- a/coordination/groups/repair_plan_needs.cc
+++ b/coordination/groups/repair_plan_needs.cc
@@ -28,15 +28,15 @@
 }
 
 bool RepairPlan::IsSurplus(const GroupView& group) const {
-  return CountGroups(group.model->model) > TargetOf(*group.model).wanted;
+  return CountGroups(group.model->model) > TargetOf(*group.model).min_groups;
 }
 
-// Groups above the wanted number are needed least. Then the model's rank
+// Groups above the minimum number are needed least. Then the model's rank
 // counts, then its shortfall, then which group broke first.
 std::tuple<bool, std::int64_t, std::int64_t, Time> RepairPlan::NeedOf(
     const GroupView& group) const {
   const std::int64_t shortfall =
-      TargetOf(*group.model).wanted - CountServing(group.model->model);
+      TargetOf(*group.model).min_groups - CountServing(group.model->model);
   const auto since = context_.broken_since.find(group.record->id);
   return {IsSurplus(group), group.model->rank.value(), -shortfall,
           since == context_.broken_since.end() ? Time() : since->second};
@@ -95,28 +95,28 @@
   return best;
 }
 
-void RepairPlan::FillWanted() {
-  std::vector<const WantedModel*> models;
-  for (const WantedModel& model : view_.wanted) {
+void RepairPlan::FillToMinimum() {
+  std::vector<const DesiredModel*> models;
+  for (const DesiredModel& model : view_.desired_models) {
     models.push_back(&model);
   }
   std::stable_sort(models.begin(), models.end(),
-                   [](const WantedModel* a, const WantedModel* b) {
+                   [](const DesiredModel* a, const DesiredModel* b) {
                      return a->rank < b->rank;
                    });
-  for (const WantedModel* model : models) {
-    while (CountGroups(model->model) < TargetOf(*model).wanted &&
+  for (const DesiredModel* model : models) {
+    while (CountGroups(model->model) < TargetOf(*model).min_groups &&
            FormNewGroup(*model, RepairReason::kFill)) {
     }
   }
 }
 
 void RepairPlan::FillSurplus() {
-  for (const WantedModel& model : view_.wanted) {
-    while (CountGroups(model.model) < TargetOf(model).most) {
+  for (const DesiredModel& model : view_.desired_models) {
+    while (CountGroups(model.model) < TargetOf(model).max_groups) {
       const FabricDomainId* domain = DomainWithMostFree(model.vms_per_group);
       if (domain == nullptr ||
-          (settings_.by_need &&
+          (settings_.prioritize_by_need &&
            !IsWorthMoreThanSpares(
                *domain,
                static_cast<std::int64_t>(free_vms_.at(*domain).size()) -
@@ -138,7 +138,7 @@
   const double mean_unavailable =
       settings_.losses_per_vm_day / kSecondsPerDay *
       static_cast<double>(vm_count_.at(domain)) *
-      static_cast<double>(settings_.usual_return.millis()) / 1000.0;
+      static_cast<double>(settings_.mean_recovery_time.millis()) / 1000.0;
   double saved = 0;
   for (std::int64_t k = spares_left + 1; k <= spares_left + vms; ++k) {
     saved += PoissonTail(mean_unavailable, k);
--- a/coordination/groups/repair_planner.h
+++ b/coordination/groups/repair_planner.h
@@ -39,7 +39,7 @@
   ZoneId zone;
   std::map<FabricDomainId, DomainRecord> records;
   std::map<VmId, PlannerVm> vms;
-  std::vector<WantedModel> wanted;
+  std::vector<DesiredModel> desired_models;
   // Draining groups that no longer serve requests.
   std::set<GroupId> drained;
   // Groups that operators asked to stop.
@@ -101,11 +101,11 @@
   // If false, broken groups are repaired in the order in which they broke, only
   // with spares of their domain, and free VMs form groups regardless of the
   // weights. This is the benchmark's baseline.
-  bool by_need = true;
+  bool prioritize_by_need = true;
   // Usual time until a lost VM answers again.
-  Duration usual_return = Duration::Seconds(180);
+  Duration mean_recovery_time = Duration::Seconds(180);
   // Usual time to load a group.
-  Duration usual_load = Duration::Seconds(90);
+  Duration expected_load_time = Duration::Seconds(90);
   // Usual time to drain a group.
   Duration expected_drain_time = Duration::Seconds(30);
   // Losses per VM and day for which spares are kept.
@@ -128,9 +128,9 @@
 };
 
 // Chooses the next moves of one zone. Holds only the state that rate limits
-// need, so that a new keeper may start with an empty planner. The moves with
-// the highest need come first; each is valid against `view` with the earlier
-// moves applied.
+// need, so that a new controller may start with an empty planner. The moves
+// with the highest need come first; each is valid against `view` with the
+// earlier moves applied.
 class RepairPlanner {
  public:
   explicit RepairPlanner(PlannerSettings settings);
--- a/coordination/groups/vm_tracker.cc
+++ b/coordination/groups/vm_tracker.cc
@@ -128,13 +128,13 @@
 bool VmTracker::IsUnreachable(Time now, const VmId& vm) const {
   const VmFacts* facts = Find(vm);
   return facts != nullptr && facts->failing_since &&
-         now - *facts->failing_since >= settings_.loss_after;
+         now - *facts->failing_since >= settings_.loss_timeout;
 }
 
 bool VmTracker::IsGone(Time now, const VmId& vm) const {
   const VmFacts* facts = Find(vm);
   return facts != nullptr && facts->absent_as_of && IsUnreachable(now, vm) &&
-         *facts->absent_as_of > facts->status_time + settings_.list_lag;
+         *facts->absent_as_of > facts->status_time + settings_.max_list_lag;
 }
 
 bool VmTracker::IsIdleSince(const VmId& vm, Time since) const {
--- a/coordination/groups/vm_tracker.h
+++ b/coordination/groups/vm_tracker.h
@@ -23,10 +23,10 @@
   Duration timeout = Duration::Millis(500);
   // A VM that has answered nothing for this long since its first unanswered
   // probe counts as lost.
-  Duration loss_after = Duration::Millis(3000);
+  Duration loss_timeout = Duration::Millis(3000);
   // Maximum lag of the VM list. A VM counts as gone only if a list that omits
   // it is newer than the VM's last sign of life by more than this.
-  Duration list_lag = Duration::Seconds(60);
+  Duration max_list_lag = Duration::Seconds(60);
 };
 
 // How closely a VM is probed.
@@ -67,13 +67,13 @@
   const VmFacts* Find(const VmId& vm) const;
   const std::map<VmId, VmFacts>& all() const { return vms_; }
 
-  // True if the VM has not answered for `loss_after`.
+  // True if the VM has not answered for `loss_timeout`.
   bool IsUnreachable(Time now, const VmId& vm) const;
 
   // True if the VM is unreachable and a list that omits it is newer than its
-  // last sign of life by more than `list_lag`. A list that is late in showing a
-  // new VM cannot make it look gone, because a VM that was never listed is
-  // never gone.
+  // last sign of life by more than `max_list_lag`. A list that is late in
+  // showing a new VM cannot make it look gone, because a VM that was never
+  // listed is never gone.
   bool IsGone(Time now, const VmId& vm) const;
 
   // True if the VM's engine answered a probe sent at `since` or later and is in
--- a/coordination/node/node_actions.h
+++ b/coordination/node/node_actions.h
@@ -91,7 +91,7 @@
   ProbeVm probe;
 };
 
-// `SendOrder` of the group keeper is used as an action without a wrapper.
+// `SendOrder` of the group controller is used as an action without a wrapper.
 
 // Reads the platform's VM list. `VmListRead` follows if the platform answers.
 struct ReadVmList {};
@@ -111,7 +111,7 @@
   Address address;
 };
 
-// The group keeper of this node committed a domain's record, which the core
+// The group controller of this node committed a domain's record, which the core
 // passes on to the other modules.
 struct PublishRecord {
   DomainRecord record;
--- a/coordination/node/node_core.cc
+++ b/coordination/node/node_core.cc
@@ -5,7 +5,7 @@
 namespace gcw {
 namespace {
 
-constexpr std::string_view kKeeperRolePrefix = "keeper/";
+constexpr std::string_view kControllerRolePrefix = "keeper/";
 
 // Domain records are replicated like configuration, by the same watches and the
 // same exchange between nodes, because a node without them could open no group
@@ -113,16 +113,17 @@
                 .SetSettings(settings_.gate)
                 .SetEventSink(events_)
                 .Build()),
-      keeper_(GroupKeeper::Builder()
-                  .SetZone(settings_.self.zone)
-                  .SetSettings(settings_.keeper)
-                  .SetCodec(codecs_.domain_record)
-                  .SetEventSink(events_)
-                  .Build()),
-      endpoints_(settings_.endpoints,
-                 settings_.self.id,
-                 settings_.self.zone,
-                 EndpointModules{&gate_, &keeper_, router_.get(), &admission_}),
+      controller_(GroupController::Builder()
+                      .SetZone(settings_.self.zone)
+                      .SetSettings(settings_.controller)
+                      .SetCodec(codecs_.domain_record)
+                      .SetEventSink(events_)
+                      .Build()),
+      endpoints_(
+          settings_.endpoints,
+          settings_.self.id,
+          settings_.self.zone,
+          EndpointModules{&gate_, &controller_, router_.get(), &admission_}),
       requests_(settings_.requests,
                 RequestModules{&admission_, router_.get(), once_client_.get(),
                                guard_.get(), &retries_, &retry_after_,
@@ -242,7 +243,7 @@
     case NodeModule::kOnceOwner:
       Apply(now, once_owner_->OnStoreReply(now, event.id, event.reply));
       break;
-    case NodeModule::kGroupKeeper:
+    case NodeModule::kGroupController:
       Apply(now, endpoints_.OnStore(now, event.id, event.reply));
       break;
     case NodeModule::kServingGate:
@@ -282,7 +283,7 @@
 }
 
 void NodeCore::OnEvent(Time, const WeightStoreRead& event) {
-  keeper_.OnWeightStoreWait(event.wait);
+  controller_.OnWeightStoreWait(event.wait);
 }
 
 void NodeCore::OnEvent(Time now, const OperatorChange& event) {
@@ -291,7 +292,7 @@
 }
 
 void NodeCore::OnEvent(Time, const OperatorDrainGroup& event) {
-  keeper_.OnDrainAsked(event.group);
+  controller_.OnDrainRequested(event.group);
 }
 
 void NodeCore::OnEvent(Time now, const OperatorAskRevision& event) {
@@ -362,23 +363,24 @@
 }
 
 void NodeCore::UpdateRoles(Time now) {
-  std::set<RoleName> keepers;
+  std::set<RoleName> controllers;
   for (const FabricDomainId& domain : endpoints_.domains()) {
-    keepers.insert(RoleName(std::string(kKeeperRolePrefix) + domain.value()));
+    controllers.insert(
+        RoleName(std::string(kControllerRolePrefix) + domain.value()));
   }
   std::set<RoleName> shards;
   for (std::int64_t shard = 0; shard < settings_.limits.shards; ++shard) {
     shards.insert(LimitRole(LimitShard(shard)));
   }
-  std::set<RoleName> all = keepers;
+  std::set<RoleName> all = controllers;
   all.insert(shards.begin(), shards.end());
   roles_.SetFleet(std::move(all), membership_.view().Owners().size());
   std::set<RoleName> desired;
   if (configuration_->ready() && !leaving_since_) {
     const View& view = membership_.view();
-    desired =
-        RolesOf(settings_.self.id, keepers, view.OwnersIn(settings_.self.zone));
-    desired.merge(RolesOf(settings_.self.id, shards, view.Owners()));
+    desired = RolesAssignedTo(settings_.self.id, controllers,
+                              view.OwnersIn(settings_.self.zone));
+    desired.merge(RolesAssignedTo(settings_.self.id, shards, view.Owners()));
   }
   RetainReleasingRoles(now, desired);
   CallStoreFor(NodeModule::kRoleLeases,
@@ -386,8 +388,8 @@
 }
 
 // Keeps held roles that are no longer desired until they may be released. A
-// keeper's successor waits for the previous lease to expire before its first
-// order, so that a view that changes back and forth would leave a domain
+// controller's successor waits for the previous lease to expire before its
+// first order, so that a view that changes back and forth would leave a domain
 // without repair. A limit role is released when no grant made under it is in
 // force any more.
 void NodeCore::RetainReleasingRoles(Time now, std::set<RoleName>& desired) {
@@ -426,9 +428,10 @@
         limits_.OnRoleHeld(*shard, lease.fence, lease.valid_until);
       }
       limits_.OnOwner(*shard, settings_.self.id, lease.fence);
-    } else if (role.value().starts_with(kKeeperRolePrefix)) {
-      keeper_.OnRoleHeld(
-          now, FabricDomainId(role.value().substr(kKeeperRolePrefix.size())),
+    } else if (role.value().starts_with(kControllerRolePrefix)) {
+      controller_.OnRoleHeld(
+          now,
+          FabricDomainId(role.value().substr(kControllerRolePrefix.size())),
           lease.fence, lease.valid_until);
     }
   }
@@ -439,9 +442,9 @@
     releasing_.erase(role);
     if (const std::optional<LimitShard> shard = LimitShardOf(role)) {
       limits_.OnRoleLost(*shard);
-    } else if (role.value().starts_with(kKeeperRolePrefix)) {
-      keeper_.OnRoleLost(
-          FabricDomainId(role.value().substr(kKeeperRolePrefix.size())));
+    } else if (role.value().starts_with(kControllerRolePrefix)) {
+      controller_.OnRoleLost(
+          FabricDomainId(role.value().substr(kControllerRolePrefix.size())));
     }
   }
   announced_roles_ = std::move(held);
--- a/coordination/node/node_core.h
+++ b/coordination/node/node_core.h
@@ -39,7 +39,7 @@
   DomainRecordCodec domain_record;
   // Returns nothing if the text is not a valid contract.
   std::function<std::optional<Contract>(std::string_view)> decode_contract;
-  std::function<std::optional<WantedModel>(std::string_view)> decode_model;
+  std::function<std::optional<DesiredModel>(std::string_view)> decode_model;
 };
 
 struct NodeCoreSettings {
@@ -61,10 +61,11 @@
   OnceOwnerSettings once_owner;
   FingerprintGuardSettings guard;
   GateSettings gate;
-  KeeperSettings keeper;
+  GroupControllerSettings controller;
   EndpointDeskSettings endpoints;
   RequestDeskSettings requests;
-  // How long this node keeps a keeper role that is assigned to another node.
+  // How long this node keeps a controller role that is assigned to another
+  // node.
   Duration role_release_delay = Duration::Seconds(10);
   // Interval between announcements of a held role, for nodes that joined after
   // the previous one.
@@ -192,7 +193,7 @@
   std::unique_ptr<OnceOwner> once_owner_;
   std::unique_ptr<FingerprintGuard> guard_;
   ServingGate gate_;
-  GroupKeeper keeper_;
+  GroupController controller_;
   EndpointDesk endpoints_;
   RequestDesk requests_;
 
@@ -203,7 +204,7 @@
   // Held roles that are assigned to another node, with the time at which each
   // may be released.
   std::map<RoleName, Time> releasing_;
-  std::map<std::string, WantedModel> models_;
+  std::map<std::string, DesiredModel> models_;
   std::map<ChangeId, std::vector<OperatorCallId>> operator_calls_;
   std::optional<Time> leaving_since_;
   bool stopped_ = false;
--- a/coordination/node/node_core_actions.cc
+++ b/coordination/node/node_core_actions.cc
@@ -238,16 +238,16 @@
 void NodeCore::OnModelEntry(const ConfigEntry& entry) {
   models_.erase(entry.key);
   if (entry.record.value) {
-    if (std::optional<WantedModel> model =
+    if (std::optional<DesiredModel> model =
             codecs_.decode_model(*entry.record.value)) {
       models_.emplace(entry.key, std::move(*model));
     }
   }
-  std::vector<WantedModel> models;
+  std::vector<DesiredModel> models;
   for (const auto& [key, model] : models_) {
     models.push_back(model);
   }
-  keeper_.OnWantedModels(std::move(models));
+  controller_.OnDesiredModels(std::move(models));
 }
 
 void NodeCore::OnProposalFinished(const ProposalFinished& finished) {
--- a/coordination/node/node_events.h
+++ b/coordination/node/node_events.h
@@ -22,7 +22,7 @@
   kMembership,
   kConfiguration,
   kOnceOwner,
-  kGroupKeeper,
+  kGroupController,
   kServingGate,
   kRequests,
 };
--- a/coordination/roles/node_lease.cc
+++ b/coordination/roles/node_lease.cc
@@ -136,8 +136,8 @@
     return;
   }
   ReportReachable(true);
-  if (const auto* busy = std::get_if<StoreBusy>(&reply)) {
-    next_call_ = now + std::max(busy->retry_after, backoff_.Next(random_));
+  if (const auto* refused = std::get_if<StoreRefused>(&reply)) {
+    next_call_ = now + std::max(refused->retry_after, backoff_.Next(random_));
     return;
   }
   // A grant names no lease that could have lapsed, so any other reply is
--- a/coordination/roles/role_assignment.cc
+++ b/coordination/roles/role_assignment.cc
@@ -48,9 +48,9 @@
   return assigned;
 }
 
-std::set<RoleName> RolesOf(const NodeId& self,
-                           const std::set<RoleName>& roles,
-                           const std::vector<NodeId>& nodes) {
+std::set<RoleName> RolesAssignedTo(const NodeId& self,
+                                   const std::set<RoleName>& roles,
+                                   const std::vector<NodeId>& nodes) {
   std::set<RoleName> own_roles;
   for (const auto& [role, node] : AssignRoles(roles, nodes)) {
     if (node == self) {
--- a/coordination/roles/role_assignment.h
+++ b/coordination/roles/role_assignment.h
@@ -19,9 +19,9 @@
                                        const std::vector<NodeId>& nodes);
 
 // Returns the roles that are assigned to `self`.
-std::set<RoleName> RolesOf(const NodeId& self,
-                           const std::set<RoleName>& roles,
-                           const std::vector<NodeId>& nodes);
+std::set<RoleName> RolesAssignedTo(const NodeId& self,
+                                   const std::set<RoleName>& roles,
+                                   const std::vector<NodeId>& nodes);
 
 }  // namespace gcw
 
--- a/coordination/roles/role_leases.cc
+++ b/coordination/roles/role_leases.cc
@@ -195,7 +195,7 @@
                              Role& role,
                              const StoreReply& reply) {
   if (std::holds_alternative<StoreNoAnswer>(reply) ||
-      std::holds_alternative<StoreBusy>(reply)) {
+      std::holds_alternative<StoreRefused>(reply)) {
     BackOff(now, reply);
     return;
   }
@@ -251,7 +251,7 @@
     // that endpoints and nodes have seen, and an earlier holder may still be
     // active.
     sink_(
-        {.kind = EventKind::kStoreRewound,
+        {.kind = EventKind::kStoreRolledBack,
          .subject = name.value(),
          .cause = {},
          .fields = {{"revision", revision.value()}, {"known", floor.value()}}});
@@ -271,8 +271,8 @@
 
 void RoleLeases::BackOff(Time now, const StoreReply& reply) {
   Duration wait = backoff_.Next(random_);
-  if (const auto* busy = std::get_if<StoreBusy>(&reply)) {
-    wait = std::max(wait, busy->retry_after);
+  if (const auto* refused = std::get_if<StoreRefused>(&reply)) {
+    wait = std::max(wait, refused->retry_after);
   }
   next_call_ = std::max(next_call_, now + wait);
 }
--- a/coordination/roles/role_leases.h
+++ b/coordination/roles/role_leases.h
@@ -30,7 +30,7 @@
   Duration min_read_interval = Duration::Seconds(10);
   // Whether a node that neither holds nor wants a role reads the role holders.
   // A node that receives the roles' keys in another way does not need to.
-  bool reads_idle = true;
+  bool read_when_idle = true;
   // A known role that was free in this many consecutive reads is taken by any
   // node that sees it, because the assigned node may be unable to reach the
   // service.
--- a/coordination/roles/role_leases_read.cc
+++ b/coordination/roles/role_leases_read.cc
@@ -16,7 +16,7 @@
 
 std::optional<StoreRequest> RoleLeases::NextRead(Time now) {
   const bool idle = roles_.empty() && desired_.empty();
-  if (read_call_ || now < next_read_ || (idle && !settings_.reads_idle)) {
+  if (read_call_ || now < next_read_ || (idle && !settings_.read_when_idle)) {
     return std::nullopt;
   }
   const Duration interval = std::max(
--- a/coordination/routing/endpoint_desk.cc
+++ b/coordination/routing/endpoint_desk.cc
@@ -42,7 +42,7 @@
 EndpointDeskActions EndpointDesk::OnDomainRecord(Time now,
                                                  const DomainRecord& record,
                                                  Revision revision) {
-  modules_.keeper->OnDomainRecord(record, revision);
+  modules_.controller->OnDomainRecord(record, revision);
   Apply(now, modules_.gate->OnDomainRecord(now, record, revision));
   return TakeActions();
 }
@@ -54,7 +54,7 @@
       domains_.insert(vm.domain);
     }
   }
-  modules_.keeper->OnVmList(now, snapshot);
+  modules_.controller->OnVmList(now, snapshot);
   Apply(now, modules_.gate->OnVmList(now, snapshot));
   return TakeActions();
 }
@@ -63,8 +63,8 @@
                                           NodeModule module,
                                           ProbeId id,
                                           const ProbeReply& reply) {
-  if (module == NodeModule::kGroupKeeper) {
-    modules_.keeper->OnProbeReply(now, id, reply);
+  if (module == NodeModule::kGroupController) {
+    modules_.controller->OnProbeReply(now, id, reply);
   } else {
     Apply(now, modules_.gate->OnProbeReply(now, id, reply));
   }
@@ -74,14 +74,14 @@
 EndpointDeskActions EndpointDesk::OnOrder(Time now,
                                           OrderId id,
                                           const OrderReply& reply) {
-  modules_.keeper->OnOrderReply(now, id, reply);
+  modules_.controller->OnOrderReply(now, id, reply);
   return TakeActions();
 }
 
 EndpointDeskActions EndpointDesk::OnStore(Time now,
                                           StoreCallId id,
                                           const StoreReply& reply) {
-  Apply(modules_.keeper->OnStoreReply(now, id, reply));
+  Apply(modules_.controller->OnStoreReply(now, id, reply));
   return TakeActions();
 }
 
@@ -139,7 +139,7 @@
 
 EndpointDeskActions EndpointDesk::Tick(Time now) {
   Apply(now, modules_.gate->Tick(now));
-  Apply(modules_.keeper->Tick(now));
+  Apply(modules_.controller->Tick(now));
   if (std::exchange(subset_is_stale_, false)) {
     UpdateSubset(now);
   }
@@ -193,12 +193,12 @@
   }
 }
 
-void EndpointDesk::Apply(std::vector<GroupKeeperAction> actions) {
-  for (GroupKeeperAction& action : actions) {
+void EndpointDesk::Apply(std::vector<GroupControllerAction> actions) {
+  for (GroupControllerAction& action : actions) {
     std::visit(
         Overloaded{[this](StoreRequest& request) {
                      actions_.emplace_back(NodeAction(
-                         CallStore{NodeModule::kGroupKeeper, request.id,
+                         CallStore{NodeModule::kGroupController, request.id,
                                    std::move(request.call)}));
                    },
                    [this](SendOrder& order) {
@@ -206,7 +206,7 @@
                    },
                    [this](ProbeVm& probe) {
                      actions_.emplace_back(NodeAction(SendProbe{
-                         NodeModule::kGroupKeeper, std::move(probe)}));
+                         NodeModule::kGroupController, std::move(probe)}));
                    },
                    [this](RecordCommitted& committed) {
                      actions_.emplace_back(NodeAction(PublishRecord{
--- a/coordination/routing/endpoint_desk.h
+++ b/coordination/routing/endpoint_desk.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "coordination/admission/admission.h"
-#include "coordination/groups/group_keeper.h"
+#include "coordination/groups/group_controller.h"
 #include "coordination/groups/serving_gate.h"
 #include "coordination/node/node_actions.h"
 #include "coordination/routing/endpoint_subset.h"
@@ -30,7 +30,7 @@
 // The modules that the desk coordinates. All of them outlive the desk.
 struct EndpointModules {
   ServingGate* gate = nullptr;
-  GroupKeeper* keeper = nullptr;
+  GroupController* controller = nullptr;
   Router* router = nullptr;
   Admission* admission = nullptr;
 };
@@ -42,8 +42,8 @@
 using EndpointDeskActions = std::vector<EndpointDeskAction>;
 
 // Tracks the endpoints that serve and their load. It feeds events to the
-// serving gate, the group keeper and the exchange of load reports, and passes
-// their results on to the router and to admission.
+// serving gate, the group controller and the exchange of load reports, and
+// passes their results on to the router and to admission.
 class EndpointDesk {
  public:
   EndpointDesk(EndpointDeskSettings settings,
@@ -95,7 +95,7 @@
   };
 
   void Apply(Time now, std::vector<ServingGateAction> actions);
-  void Apply(std::vector<GroupKeeperAction> actions);
+  void Apply(std::vector<GroupControllerAction> actions);
   void UpdateSubset(Time now);
   void ApplyLoadReport(Time now, const LoadReport& report);
   void UpdateCapacity(Time now);
--- a/coordination/routing/router.cc
+++ b/coordination/routing/router.cc
@@ -141,7 +141,8 @@
   }
   prefixes_.Match(profile.prefix_blocks, matches_);
   for (const PrefixMatch& match : matches_) {
-    const double weight = match.is_doubtful ? settings_.unconfirmed_weight : 1;
+    const double weight =
+        match.is_unconfirmed ? settings_.unconfirmed_weight : 1;
     cached_blocks_[static_cast<std::size_t>(match.slot.value())] =
         weight * static_cast<double>(match.blocks);
   }
--- a/core/event.cc
+++ b/core/event.cc
@@ -25,7 +25,7 @@
       return "store_unreachable";
     case EventKind::kStoreReachable:
       return "store_reachable";
-    case EventKind::kStoreRewound:
+    case EventKind::kStoreRolledBack:
       return "store_rewound";
     case EventKind::kLeaseAcquired:
       return "lease_acquired";
@@ -85,7 +85,7 @@
       return "shard_acquired";
     case EventKind::kShardLost:
       return "shard_lost";
-    case EventKind::kFleetLearned:
+    case EventKind::kFleetSynced:
       return "fleet_learned";
     case EventKind::kVmAppeared:
       return "vm_appeared";
@@ -95,7 +95,7 @@
       return "vm_restarted";
     case EventKind::kVmUnreadable:
       return "vm_unreadable";
-    case EventKind::kVmHeldOff:
+    case EventKind::kVmQuarantined:
       return "vm_held_off";
     case EventKind::kGroupPlanned:
       return "group_planned";
@@ -119,7 +119,7 @@
       return "order_withheld";
     case EventKind::kDomainUnreachable:
       return "domain_dark";
-    case EventKind::kConnectionSilent:
+    case EventKind::kConnectionStalled:
       return "connection_silent";
   }
   return kUnknownKind;
--- a/core/event.h
+++ b/core/event.h
@@ -27,7 +27,7 @@
   kPeerAlive,
   kStoreUnreachable,
   kStoreReachable,
-  kStoreRewound,
+  kStoreRolledBack,
   kLeaseAcquired,
   kLeaseLost,
   kRoleAcquired,
@@ -57,12 +57,12 @@
   kOnceRefused,
   kShardAcquired,
   kShardLost,
-  kFleetLearned,
+  kFleetSynced,
   kVmAppeared,
   kVmLost,
   kVmRestarted,
   kVmUnreadable,
-  kVmHeldOff,
+  kVmQuarantined,
   kGroupPlanned,
   kGroupRecorded,
   kGroupLoading,
@@ -74,7 +74,7 @@
   kOrderRefused,
   kOrderWithheld,
   kDomainUnreachable,
-  kConnectionSilent,
+  kConnectionStalled,
 };
 
 // Returns the event kind's name in logs and timelines, such as "group_serving".
--- a/core/event_log.cc
+++ b/core/event_log.cc
@@ -120,7 +120,7 @@
   return page;
 }
 
-Explanation EventLog::Why(std::string_view subject) const {
+Explanation EventLog::Explain(std::string_view subject) const {
   return ExplainSubject({events_.begin(), events_.end()}, subject);
 }
 
--- a/core/event_log.h
+++ b/core/event_log.h
@@ -90,7 +90,7 @@
   // ones.
   EventPage ReadNewest(std::size_t limit) const;
   // Returns the causes and effects of a subject that are in this node's log.
-  Explanation Why(std::string_view subject) const;
+  Explanation Explain(std::string_view subject) const;
 
   std::size_t size() const { return events_.size(); }
   // Number of events dropped in this run.
