--- a/programs/gcw_gateway/gateway_settings.cc
+++ b/programs/gcw_gateway/gateway_settings.cc
@@ -34,8 +34,9 @@
   std::string metrics;
   std::vector<std::string> seeds;
   // The shorter of the two limits the age of a node's copy of the store.
-  Duration leaving_known_within = StoreMirrorSettings().known_within;
-  Duration configuration_known_within = StoreMirrorSettings().known_within;
+  Duration leaving_known_within = StoreMirrorSettings().max_propagation_delay;
+  Duration configuration_known_within =
+      StoreMirrorSettings().max_propagation_delay;
   // The share of one processor core that the node has.
   double processor_share = 1;
 };
@@ -80,13 +81,13 @@
   reader.Add("store.timeout_ms", &settings.runtime.store_timeout,
              kShortDuration, "Timeout for an answer of the key-value service.");
   StoreMirrorSettings& mirror = settings.core.mirror;
-  reader.Add("store.watch_interval_ms", &mirror.watch_interval, kShortDuration,
-             "Minimum time between two watches.");
-  reader.Add("store.fleet_watches_per_second", &mirror.fleet_watches_per_second,
-             NumberRange{0.1, 10000},
+  reader.Add("store.watch_interval_ms", &mirror.min_watch_interval,
+             kShortDuration, "Minimum time between two watches.");
+  reader.Add("store.fleet_watches_per_second",
+             &mirror.max_fleet_watches_per_second, NumberRange{0.1, 10000},
              "Limit on the watches of all nodes together; with more nodes, "
              "each node waits longer between two watches.");
-  reader.Add("store.watch_wait_ms", &mirror.watch_wait, kShortDuration,
+  reader.Add("store.watch_wait_ms", &mirror.min_watch_timeout, kShortDuration,
              "Minimum time for which the key-value service may hold a watch.");
   reader.Add("store.leaving_known_within_ms", &raw.leaving_known_within,
              kPlatformDuration,
@@ -96,27 +97,30 @@
       "store.configuration_known_within_ms", &raw.configuration_known_within,
       kPlatformDuration,
       "Time after a configuration is accepted by which it must be in force.");
-  reader.Add("store.repeat_margin_ms", &mirror.repeat_margin, kShortDuration,
+  reader.Add("store.repeat_margin_ms", &mirror.retry_margin, kShortDuration,
              "Part of the two times above that is reserved for a lost answer "
              "and the next call.");
-  reader.Add("store.away_after_ms", &mirror.away_after, kShortDuration,
+  reader.Add("store.away_after_ms", &mirror.unreachable_timeout, kShortDuration,
              "Time by which an answer is overdue before the service counts as "
              "unavailable and other nodes are asked.");
-  reader.Add("store.lapse_grace_ms", &mirror.lapse_grace, kShortDuration,
+  reader.Add("store.lapse_grace_ms", &mirror.expiry_grace_period,
+             kShortDuration,
              "Grace period for entries that are removed right after an outage "
              "of the service.");
-  reader.Add("store.followers", &mirror.followers, IntegerRange{0, 10000},
+  reader.Add("store.followers", &mirror.followers_per_watcher,
+             IntegerRange{0, 10000},
              "Number of nodes in a data centre that receive changes from one "
              "node that watches the service; 0 lets each node watch it.");
-  reader.Add("store.follow_from", &mirror.follow_from, IntegerRange{1, 10000},
+  reader.Add("store.follow_from", &mirror.min_nodes_to_follow,
+             IntegerRange{1, 10000},
              "In a data centre with fewer nodes than this, each node watches "
              "the service.");
-  reader.Add("store.follow_wait_ms", &mirror.follow_wait, kShortDuration,
+  reader.Add("store.follow_wait_ms", &mirror.follow_poll_wait, kShortDuration,
              "Time for which a follower's request waits for a change.");
   reader.Add("store.follow_timeout_ms", &mirror.follow_timeout, kShortDuration,
              "Time by which an answer is overdue before the follower watches "
              "the service itself.");
-  reader.Add("store.follow_avoid_ms", &mirror.follow_avoid, kShortDuration,
+  reader.Add("store.follow_avoid_ms", &mirror.follow_cooldown, kShortDuration,
              "Time for which a node that could not answer is not asked again.");
   NodeLeaseSettings& lease = settings.core.lease;
   reader.Add("lease.time_to_live_ms", &lease.time_to_live, kShortDuration,
@@ -129,21 +133,21 @@
 }
 
 void DeclareRequests(GatewayProcessSettings& settings, SettingsReader& reader) {
-  reader.Add("callers.entries_keep_ms", &settings.core.entries_keep,
+  reader.Add("callers.entries_keep_ms", &settings.core.advertised_addresses_ttl,
              kShortDuration,
              "Time for which callers may cache the list of addresses.");
   reader.Add("callers.retry_after_ms", &settings.core.requests.retry_after,
              kShortDuration,
              "Mean time after which refused callers are told to retry.");
   reader.Add(
-      "stop.grace_ms", &settings.core.stop_grace,
+      "stop.grace_ms", &settings.core.stop_grace_period,
       {Duration::Seconds(1), Duration::Seconds(3600)},
       "Time after which the platform ends a node that was told to stop.");
   reader.Add(
-      "stop.refuses_after_ms", &settings.core.stop_refuses_after,
+      "stop.refuses_after_ms", &settings.core.drain_accept_period,
       kShortDuration,
       "Time for which a node that was told to stop still accepts requests.");
-  reader.Add("stop.quiet_after_ms", &settings.core.stop_quiet_after,
+  reader.Add("stop.quiet_after_ms", &settings.core.min_drain_time,
              kShortDuration,
              "Time after which a node that was told to stop exits if no "
              "request is open.");
@@ -155,46 +159,47 @@
              "Timeout without a byte from a plain service, for requests that "
              "may be repeated.");
   ReplicaSelectorSettings& selector = settings.core.selector;
-  reader.Add("routing.silence_limit_ms", &selector.silence_limit,
+  reader.Add("routing.silence_limit_ms", &selector.stall_timeout,
              kShortDuration,
              "Time without an event in any running stream after which a group "
              "counts as stalled.");
-  reader.Add("routing.first_event_limit_ms", &selector.first_event_limit,
+  reader.Add("routing.first_event_limit_ms", &selector.first_event_timeout,
              kShortDuration,
              "Like routing.silence_limit_ms, before a stream's first event.");
-  reader.Add("routing.witness_wait_ms", &selector.witness_wait, kShortDuration,
+  reader.Add("routing.witness_wait_ms", &selector.peer_confirmation_timeout,
+             kShortDuration,
              "Time for other nodes to report that a group that seems stalled "
              "makes progress for them.");
-  reader.Add("routing.other_zone_ms", &selector.other_zone_ms,
+  reader.Add("routing.other_zone_ms", &selector.cross_zone_penalty_ms,
              NumberRange{0, 1000},
              "Expected wait, in milliseconds, added for an endpoint in another "
              "data centre.");
   reader.Add(
-      "routing.spread_ms", &selector.spread_ms, NumberRange{0, 1000},
+      "routing.spread_ms", &selector.jitter_ms, NumberRange{0, 1000},
       "Maximum random time, in milliseconds, added to the expected wait.");
   reader.Add(
       "routing.choices", &selector.choices, IntegerRange{1, 1000},
       "Number of endpoints drawn at random from the node's own data centre, "
       "and again from all others, that are compared for a request.");
-  reader.Add("routing.most_fill", &selector.most_fill, NumberRange{0.1, 100},
+  reader.Add("routing.most_fill", &selector.max_fill, NumberRange{0.1, 100},
              "Maximum number of requests in an endpoint, as a multiple of its "
              "places.");
-  reader.Add("routing.most_fill_deferred", &selector.most_fill_deferred,
+  reader.Add("routing.most_fill_deferred", &selector.max_fill_deferred,
              NumberRange{0.1, 100},
              "Like routing.most_fill, at engines for deferred requests.");
-  reader.Add("routing.most_fill_ahead", &selector.most_fill_ahead,
+  reader.Add("routing.most_fill_ahead", &selector.max_fill_prioritized,
              NumberRange{0.1, 100},
              "Like routing.most_fill, at engines for requests that go before "
              "the deferred ones.");
   DeferralPolicySettings& deferral = settings.core.requests.deferral;
-  reader.Add("deferral.window_part", &deferral.window_part,
+  reader.Add("deferral.window_part", &deferral.window_fraction,
              NumberRange{0.1, 10},
              "Part of the latency objective; as many requests may wait ahead "
              "of deferred ones as begin within it.");
   reader.Add(
-      "deferral.least_window", &deferral.least_window, NumberRange{1, 1e6},
+      "deferral.least_window", &deferral.min_window, NumberRange{1, 1e6},
       "Minimum number of requests that may wait ahead of deferred ones.");
-  reader.Add("deferral.rate_span_ms", &deferral.rate_span, kShortDuration,
+  reader.Add("deferral.rate_span_ms", &deferral.rate_interval, kShortDuration,
              "Time window over which started requests are counted.");
   SharedRetryBudgetSettings& retries = settings.core.retries;
   reader.Add("retries.ratio", &retries.ratio, NumberRange{0, 10},
@@ -207,63 +212,64 @@
 }
 
 void DeclareGroups(GatewayProcessSettings& settings, SettingsReader& reader) {
-  FleetKeeperSettings& keeper = settings.core.keeper;
+  FleetControllerSettings& controller = settings.core.controller;
   reader.Add(
-      "groups.drain_limit_ms", &keeper.drain_limit, kShortDuration,
+      "groups.drain_limit_ms", &controller.drain_timeout, kShortDuration,
       "Time for which a group that is closed by plan may finish its requests.");
-  reader.Add("groups.form_limit_ms", &keeper.form_limit,
+  reader.Add("groups.form_limit_ms", &controller.formation_timeout,
              {Duration::Seconds(1), Duration::Seconds(3600)},
              "Time after which a group that is not complete is abandoned.");
-  reader.Add("groups.order_timeout_ms", &keeper.order_timeout, kShortDuration,
-             "Timeout for an engine's answer to an order.");
-  reader.Add("groups.expected_life_ms", &keeper.planner.expected_life,
+  reader.Add("groups.order_timeout_ms", &controller.order_timeout,
+             kShortDuration, "Timeout for an engine's answer to an order.");
+  reader.Add("groups.expected_life_ms", &controller.planner.expected_lifetime,
              {Duration::Seconds(1), Duration::Seconds(3600)},
              "Time that a new group is expected to serve.");
-  reader.Add("groups.least_restage_gain", &keeper.planner.least_restage_gain,
+  reader.Add("groups.least_restage_gain", &controller.planner.min_restage_gain,
              NumberRange{1, 1000},
              "A spare VM loads another model's weights if that model's groups "
              "would otherwise be down this many times as long.");
-  reader.Add("groups.load_rate_share", &keeper.loads.rate_share,
+  reader.Add("groups.load_rate_share", &controller.loads.rate_share,
              NumberRange{0.01, 1},
              "Part of the weight store's published rate that is used.");
-  reader.Add("groups.busy_reviews_per_second", &keeper.busy_reviews_per_second,
-             NumberRange{1, 10000},
+  reader.Add("groups.busy_reviews_per_second",
+             &controller.busy_reviews_per_second, NumberRange{1, 10000},
              "Maximum reviews per second of all domains together in which "
              "changes are in progress.");
 }
 
 void DeclareRegrouping(GatewayProcessSettings& settings,
                        SettingsReader& reader) {
-  FleetKeeperSettings& keeper = settings.core.keeper;
-  reader.Add("groups.min_standby_groups", &keeper.planner.min_standby_groups,
-             IntegerRange{1, 1000000},
+  FleetControllerSettings& controller = settings.core.controller;
+  reader.Add("groups.min_standby_groups",
+             &controller.planner.min_standby_groups, IntegerRange{1, 1000000},
              "Number of groups of a model in a domain from which their hosts "
              "also load a larger model's weights.");
   reader.Add(
-      "groups.standby_load_share", &keeper.loads.max_standby_share,
+      "groups.standby_load_share", &controller.loads.max_standby_share,
       NumberRange{0, 1},
       "Part of the concurrent loads from which no such standby load begins.");
-  reader.Add("groups.min_free_part", &keeper.planner.min_free_part,
+  reader.Add("groups.min_free_part", &controller.planner.min_free_fraction,
              NumberRange{0, 1},
              "Part of a group's members that must be free before groups of "
              "another model are closed for it.");
   reader.Add(
-      "groups.regroup_time_ms", &keeper.planner.regroup_time,
+      "groups.regroup_time_ms", &controller.planner.regroup_downtime,
       {Duration::Millis(10), Duration::Seconds(3600)},
       "Expected time without service of the VMs of a group that is closed for "
       "another model's group; a larger value leads to fewer such changes.");
-  reader.Add("groups.regroup_interval_ms", &keeper.regroup_interval,
+  reader.Add("groups.regroup_interval_ms", &controller.regroup_interval,
              kShortDuration,
              "Minimum time between two such changes in a domain.");
-  reader.Add("groups.regroup_drain_limit_ms", &keeper.regroup_drain_limit,
+  reader.Add("groups.regroup_drain_limit_ms", &controller.regroup_drain_timeout,
              kShortDuration,
              "Time for which such a group may finish its requests.");
-  reader.Add("groups.demand_interval_ms", &keeper.demand_interval,
+  reader.Add("groups.demand_interval_ms", &controller.demand_probe_interval,
              kShortDuration,
              "Time between load queries; each query asks one group.");
-  reader.Add("groups.demand_memory_ms", &keeper.demand.memory, kShortDuration,
+  reader.Add("groups.demand_memory_ms", &controller.demand.averaging_time,
+             kShortDuration,
              "Time constant of the mean load of a model's groups.");
-  reader.Add("groups.shortage_fill", &keeper.demand.shortage_fill,
+  reader.Add("groups.shortage_fill", &controller.demand.shortage_utilization,
              NumberRange{0.01, 1000},
              "Mean load, as a multiple of an engine's places, above which a "
              "model's share of the VMs grows.");
@@ -354,7 +360,7 @@
   }
   settings.core.self.weight = std::max<std::int64_t>(
       1, std::llround(kWeightPerCore * raw.processor_share));
-  settings.core.mirror.known_within =
+  settings.core.mirror.max_propagation_delay =
       std::min(raw.leaving_known_within, raw.configuration_known_within);
   settings.core.self.caller_address = Address(raw.callers);
   settings.core.self.peer_address = Address(raw.peers);
--- a/programs/gcw_node/node_settings.cc
+++ b/programs/gcw_node/node_settings.cc
@@ -108,7 +108,7 @@
   reader.Add("lease.margin_ms", &core.lease.margin, kLongDuration,
              "Safety margin: time before its expiry from which the lease is no "
              "longer used.");
-  reader.Add("orders.takeover_wait_ms", &core.keeper.order.takeover_wait,
+  reader.Add("orders.takeover_wait_ms", &core.controller.order.takeover_wait,
              kLongDuration,
              "Wait of a new keeper before its first order; at least "
              "lease.time_to_live_ms.");
@@ -121,18 +121,19 @@
   reader.Add("gate.max_remote_evidence_age_ms",
              &core.gate.max_remote_evidence_age, kShortDuration,
              "Like gate.max_evidence_age_ms, for groups in other zones.");
-  reader.Add("keeper.loss_after_ms", &core.keeper.tracker.loss_after,
+  reader.Add("keeper.loss_after_ms", &core.controller.tracker.loss_timeout,
              kShortDuration,
              "Time without a sign of life after which a VM counts as lost.");
-  reader.Add("keeper.list_lag_ms", &core.keeper.tracker.list_lag, kLongDuration,
-             "Maximum delay of the VM list.");
-  reader.Add("keeper.plan_interval_ms", &core.keeper.plan_interval,
+  reader.Add("keeper.list_lag_ms", &core.controller.tracker.max_list_lag,
+             kLongDuration, "Maximum delay of the VM list.");
+  reader.Add("keeper.plan_interval_ms", &core.controller.plan_interval,
              kShortDuration, "Time between two repair plans.");
   reader.Add("repair.group_downtime_weight",
-             &core.keeper.planner.weights.group_downtime, NumberRange{0, 1e6},
+             &core.controller.planner.weights.group_downtime,
+             NumberRange{0, 1e6},
              "Cost of one second in which a wanted group cannot serve.");
   reader.Add("repair.stranded_accelerator_weight",
-             &core.keeper.planner.weights.stranded_accelerator,
+             &core.controller.planner.weights.stranded_accelerator,
              NumberRange{0, 1e6},
              "Cost of one second in which an accelerator is idle.");
   reader.Add("limits.shards", &core.limits.shards, IntegerRange{1, 1024},
@@ -242,7 +243,7 @@
         "at least twice renew_interval_ms plus margin_ms, so that one "
         "lost renewal does not end the lease"));
   }
-  const OrderSettings& order = settings.core.keeper.order;
+  const OrderSettings& order = settings.core.controller.order;
   if (lease.time_to_live - lease.margin - lease.renew_interval <
       order.timeout + order.margin) {
     errors.push_back(MakeSettingValueError(
--- a/programs/gcw_standin/platform_documents.cc
+++ b/programs/gcw_standin/platform_documents.cc
@@ -43,7 +43,7 @@
   return {{"name", model.model.value()},
           {"size", model.group_size},
           {"share", model.work_share},
-          {"pace", model.pace},
+          {"pace", model.time_factor},
           {"load_s",
            static_cast<double>(model.load_time.millis()) / kMillisPerSecond},
           {"warm_s",
@@ -65,9 +65,9 @@
           {"pairs_per_m", engine.ms_per_million_prompt_pairs},
           {"chunk", engine.chunk_tokens},
           {"loads_per_s", engine.loads_per_second},
-          {"loads_at_once", engine.loads_at_once},
+          {"loads_at_once", engine.max_concurrent_loads},
           {"history_limit", engine.staged_limit},
-          {"form_ms", engine.form_time.millis()},
+          {"form_ms", engine.group_formation_time.millis()},
           {"models", std::move(models)}};
 }
 
@@ -164,9 +164,9 @@
   profile.steps_per_pass = 6;
   profile.step_ms = 6.45;
   profile.prompt_tokens_per_ms = 56.1;
-  profile.form_time = Duration::Millis(300);
+  profile.group_formation_time = Duration::Millis(300);
   profile.loads_per_second = 5.5;
-  profile.loads_at_once = 8;
+  profile.max_concurrent_loads = 8;
   profile.models = {{ModelId("large"), 6, 0.67, 1.0, Duration::Seconds(16),
                      Duration::Millis(1600)},
                     {ModelId("small"), 3, 0.33, 0.6, Duration::Seconds(12),
@@ -201,7 +201,7 @@
   object entry{{"backend", registration.service.value()},
                {"address", registration.address.value()},
                {"zone", registration.zone.value()},
-               {"batch_slots", registration.places},
+               {"batch_slots", registration.slots},
                {"lifecycle", registration.draining ? "draining" : "ready"}};
   if (!registration.domain.empty()) {
     entry["domain"] = registration.domain.value();
--- a/programs/gcw_standin/platform_engine.cc
+++ b/programs/gcw_standin/platform_engine.cc
@@ -230,7 +230,7 @@
       {std::string(kProofHeader), "proof-" + settings_.registration.id.value()},
       {std::string(kLoadHeader),
        std::to_string(running_) + ",0," +
-           std::to_string(settings_.registration.places)}};
+           std::to_string(settings_.registration.slots)}};
 }
 
 void PlatformEngine::StreamAnswer(
--- a/programs/gcw_standin/platform_http_frontend.cc
+++ b/programs/gcw_standin/platform_http_frontend.cc
@@ -34,7 +34,7 @@
       registration.service = ServiceId("llm");
       registration.zone = ZoneId("zone-1");
       registration.domain = FabricDomainId("domain-" + std::to_string(d));
-      registration.places = StandinEngineProfile().batch_limit;
+      registration.slots = StandinEngineProfile().batch_limit;
       AddEngine(registration, StandinEngineProfile());
     }
   }
@@ -43,7 +43,7 @@
     registration.id = VmId("desk-" + std::to_string(p));
     registration.service = ServiceId("desk");
     registration.zone = ZoneId("zone-1");
-    registration.places = 6;
+    registration.slots = 6;
     AddEngine(registration, std::nullopt);
   }
   server_.RunEvery(kTickInterval,
--- a/programs/gcw_standin/standin_store.cc
+++ b/programs/gcw_standin/standin_store.cc
@@ -65,7 +65,7 @@
   return true;
 }
 
-StoreBusy StandinStore::MakeBusyReply() const {
+StoreRefused StandinStore::MakeBusyReply() const {
   const Duration wait =
       std::max(call_rate_.TimeUntilToken(), write_rate_.TimeUntilToken());
   return {.retry_after = std::max(wait, Duration::Millis(1))};
--- a/programs/gcw_standin/standin_store.h
+++ b/programs/gcw_standin/standin_store.h
@@ -24,8 +24,8 @@
 };
 
 struct StoreCounts {
-  // Calls that were not answered with `StoreBusy`. A watch is counted when it
-  // arrives.
+  // Calls that were not answered with `StoreRefused`. A watch is counted when
+  // it arrives.
   std::int64_t calls = 0;
   std::int64_t writes = 0;
   std::int64_t busy = 0;
@@ -81,7 +81,7 @@
   };
 
   bool TakeRateTokens(Time now, const StoreCall& call);
-  StoreBusy MakeBusyReply() const;
+  StoreRefused MakeBusyReply() const;
 
   StoreReply Execute(Time now, const StoreRange& call);
   StoreReply Execute(Time now, const StorePut& call);
--- a/programs/gcwctl/setting_files.cc
+++ b/programs/gcwctl/setting_files.cc
@@ -104,14 +104,14 @@
 
 std::optional<GroupTarget> ReadTarget(const toml::table& table) {
   GroupTarget target;
-  const std::optional<std::int64_t> wanted =
+  const std::optional<std::int64_t> min_groups =
       table["wanted"].value<std::int64_t>();
-  if (!wanted || *wanted < 0) {
+  if (!min_groups || *min_groups < 0) {
     return std::nullopt;
   }
-  target.wanted = *wanted;
-  target.most = table["most"].value<std::int64_t>().value_or(*wanted);
-  if (target.most < target.wanted) {
+  target.min_groups = *min_groups;
+  target.max_groups = table["most"].value<std::int64_t>().value_or(*min_groups);
+  if (target.max_groups < target.min_groups) {
     return std::nullopt;
   }
   return target;
@@ -120,7 +120,7 @@
 // Reads the array of tables `targets`, which SettingsReader does not support.
 std::vector<SettingError> ReadTargets(const std::string& path,
                                       const toml::table& file,
-                                      WantedModel& model) {
+                                      DesiredModel& model) {
   std::vector<SettingError> errors;
   const toml::array* targets = file["targets"].as_array();
   if (targets == nullptr) {
@@ -146,7 +146,7 @@
 
 std::vector<SettingError> ReadModelTable(const std::string& path,
                                          const toml::table& file,
-                                         WantedModel& model) {
+                                         DesiredModel& model) {
   std::vector<SettingError> errors = ReadTargets(path, file, model);
   const std::string name = file["model"].value_or(std::string());
   if (name.empty()) {
@@ -195,7 +195,7 @@
   if (raw.valid_until_ms > 0) {
     raw.contract.valid_until = Time::FromMillis(raw.valid_until_ms);
   }
-  if (const std::optional<ContractError> fault = FindFault(raw.contract)) {
+  if (const std::optional<ContractError> fault = Validate(raw.contract)) {
     return std::vector<SettingError>{MakeError(
         SettingErrorKind::kOutOfRange, path, std::string(fault->field),
         std::string(ContractErrorKindName(fault->kind)))};
@@ -213,7 +213,7 @@
     fault.line = static_cast<int>(error.source().begin.line);
     return std::vector<SettingError>{std::move(fault)};
   }
-  WantedModel model;
+  DesiredModel model;
   std::vector<SettingError> errors = ReadModelTable(path, file, model);
   if (!errors.empty()) {
     return errors;
--- a/protocol/config_record_json.h
+++ b/protocol/config_record_json.h
@@ -14,8 +14,8 @@
 std::string EncodeConfigRecord(const ConfigRecord& record);
 
 // Also decodes the record of a fabric domain, which reaches nodes in the same
-// way although a keeper writes it and not an operator. Its whole text becomes
-// the value, and its change id becomes the change.
+// way although a controller writes it and not an operator. Its whole text
+// becomes the value, and its change id becomes the change.
 Decoded<ConfigRecord> DecodeConfigRecord(std::string_view text);
 
 }  // namespace gcw
--- a/protocol/wanted_model_json.cc
+++ b/protocol/desired_model_json.cc
@@ -1,4 +1,4 @@
-#include "protocol/wanted_model_json.h"
+#include "protocol/desired_model_json.h"
 
 #include <utility>
 
@@ -11,9 +11,10 @@
 std::pair<ZoneId, GroupTarget> ReadTarget(JsonReader& reader) {
   GroupTarget target;
   const ZoneId zone = reader.TextId<ZoneId>("zone");
-  target.wanted = reader.Count("wanted");
-  target.most = reader.Has("most") ? reader.Count("most") : target.wanted;
-  if (target.most < target.wanted) {
+  target.min_groups = reader.Count("wanted");
+  target.max_groups =
+      reader.Has("most") ? reader.Count("most") : target.min_groups;
+  if (target.max_groups < target.min_groups) {
     reader.Fail(CodecErrorKind::kOutOfRange, "most");
   }
   return {zone, target};
@@ -21,12 +22,12 @@
 
 }  // namespace
 
-std::string EncodeWantedModel(const WantedModel& model) {
+std::string EncodeWantedModel(const DesiredModel& model) {
   boost::json::array targets;
   for (const auto& [zone, target] : model.targets) {
     targets.emplace_back(boost::json::object{{"zone", ToJson(zone)},
-                                             {"wanted", target.wanted},
-                                             {"most", target.most}});
+                                             {"wanted", target.min_groups},
+                                             {"most", target.max_groups}});
   }
   return boost::json::serialize(
       boost::json::object{{"model", ToJson(model.model)},
@@ -35,9 +36,9 @@
                           {"targets", targets}});
 }
 
-Decoded<WantedModel> DecodeWantedModel(std::string_view text) {
+Decoded<DesiredModel> DecodeWantedModel(std::string_view text) {
   return DecodeJson(text, [](JsonReader& reader) {
-    WantedModel model;
+    DesiredModel model;
     model.model = reader.TextId<ModelId>("model");
     model.vms_per_group = reader.Count("vms_per_group");
     model.rank = reader.CountOf<Rank>("rank");
--- a/protocol/wanted_model_json.h
+++ b/protocol/desired_model_json.h
@@ -1,5 +1,5 @@
-#ifndef PROTOCOL_WANTED_MODEL_JSON_H_
-#define PROTOCOL_WANTED_MODEL_JSON_H_
+#ifndef PROTOCOL_DESIRED_MODEL_JSON_H_
+#define PROTOCOL_DESIRED_MODEL_JSON_H_
 
 #include <optional>
 #include <string>
@@ -14,12 +14,12 @@
 //
 //   {"model":"notes","vms_per_group":4,"rank":1,
 //    "targets":[{"zone":"lj-1","wanted":2,"most":3}]}
-std::string EncodeWantedModel(const WantedModel& model);
+std::string EncodeWantedModel(const DesiredModel& model);
 
 // Rejects an empty model name, groups without VMs, negative numbers, a `most`
 // below `wanted`, and a zone that occurs twice.
-Decoded<WantedModel> DecodeWantedModel(std::string_view text);
+Decoded<DesiredModel> DecodeWantedModel(std::string_view text);
 
 }  // namespace gcw
 
-#endif  // PROTOCOL_WANTED_MODEL_JSON_H_
+#endif  // PROTOCOL_DESIRED_MODEL_JSON_H_
--- a/protocol/domain_record_json.cc
+++ b/protocol/domain_record_json.cc
@@ -59,7 +59,7 @@
       boost::json::object{{"domain", ToJson(record.domain)},
                           {"groups", std::move(groups)},
                           {"leaving", std::move(leaving)},
-                          {"written_by", ToJson(record.written_by)},
+                          {"written_by", ToJson(record.writer_token)},
                           {"change", ToJson(record.change)}});
 }
 
@@ -69,7 +69,7 @@
     record.domain = reader.TextId<FabricDomainId>("domain");
     record.groups = reader.List("groups", ReadGroup);
     record.leaving = reader.List("leaving", ReadLeaving);
-    record.written_by = reader.CountOf<FencingToken>("written_by");
+    record.writer_token = reader.CountOf<FencingToken>("written_by");
     record.change = reader.TextId<ChangeId>("change");
     return record;
   });
--- a/protocol/fleet_overview_json.cc
+++ b/protocol/fleet_overview_json.cc
@@ -14,7 +14,7 @@
   boost::json::object endpoint{
       {"vm", ToJson(vm.id)},       {"run", ToJson(vm.incarnation)},
       {"svc", ToJson(vm.service)}, {"at", ToJson(vm.address)},
-      {"zone", ToJson(vm.zone)},   {"n", vm.places}};
+      {"zone", ToJson(vm.zone)},   {"n", vm.slots}};
   if (vm.membership && !vm.models.empty()) {
     endpoint["model"] = ToJson(vm.models.front());
     endpoint["group"] = ToJson(vm.membership->group);
@@ -30,7 +30,7 @@
   vm.service = reader.TextId<ServiceId>("svc");
   vm.address = reader.TextId<Address>("at");
   vm.zone = reader.TextId<ZoneId>("zone");
-  vm.places = reader.Count("n");
+  vm.slots = reader.Count("n");
   if (reader.IsPresent("model")) {
     vm.models = {reader.TextId<ModelId>("model")};
     GroupMembership membership;
--- a/protocol/fleet_overview_json.h
+++ b/protocol/fleet_overview_json.h
@@ -9,8 +9,8 @@
 
 namespace gcw {
 
-// The value of the key under which the keeper of groups publishes its overview
-// of the fleet.
+// The value of the key under which the controller of groups publishes its
+// overview of the fleet.
 std::string EncodeFleetOverview(const FleetOverview& overview);
 Decoded<FleetOverview> DecodeFleetOverview(std::string_view text);
 
--- a/protocol/mirror_json.cc
+++ b/protocol/mirror_json.cc
@@ -57,12 +57,12 @@
     deleted.push_back(boost::json::object{
         {"key", deletion.key}, {"revision", ToJson(deletion.revision)}});
   }
-  return boost::json::serialize(
-      boost::json::object{{"revision", ToJson(changes.revision)},
-                          {"changed", EncodeEntries(changes.changed)},
-                          {"deleted", std::move(deleted)},
-                          {"age_ms", changes.age.millis()},
-                          {"lapse_left_ms", changes.lapse_left.millis()}});
+  return boost::json::serialize(boost::json::object{
+      {"revision", ToJson(changes.revision)},
+      {"changed", EncodeEntries(changes.changed)},
+      {"deleted", std::move(deleted)},
+      {"age_ms", changes.age.millis()},
+      {"lapse_left_ms", changes.expiry_grace_left.millis()}});
 }
 
 Decoded<MirrorChanges> DecodeMirrorChanges(std::string_view text) {
@@ -79,21 +79,21 @@
           return deletion;
         });
         changes.age = reader.DurationMillis("age_ms");
-        changes.lapse_left = reader.DurationMillis("lapse_left_ms");
+        changes.expiry_grace_left = reader.DurationMillis("lapse_left_ms");
         return changes;
       },
       JsonBytes::kAny);
 }
 
-std::string EncodeStandstillNotice(const StandstillNotice& notice) {
+std::string EncodeStallNotice(const StallNotice& notice) {
   return boost::json::serialize(
       boost::json::object{{"head", ToJson(notice.head)},
                           {"generation", ToJson(notice.generation)}});
 }
 
-Decoded<StandstillNotice> DecodeStandstillNotice(std::string_view text) {
+Decoded<StallNotice> DecodeStallNotice(std::string_view text) {
   return DecodeJson(text, [](JsonReader& reader) {
-    StandstillNotice notice;
+    StallNotice notice;
     notice.head = reader.TextId<VmId>("head");
     notice.generation = reader.CountOf<Generation>("generation");
     return notice;
--- a/protocol/mirror_json.h
+++ b/protocol/mirror_json.h
@@ -15,8 +15,8 @@
 Decoded<MirrorSnapshot> DecodeMirrorSnapshot(std::string_view text);
 std::string EncodeMirrorChanges(const MirrorChanges& changes);
 Decoded<MirrorChanges> DecodeMirrorChanges(std::string_view text);
-std::string EncodeStandstillNotice(const StandstillNotice& notice);
-Decoded<StandstillNotice> DecodeStandstillNotice(std::string_view text);
+std::string EncodeStallNotice(const StallNotice& notice);
+Decoded<StallNotice> DecodeStallNotice(std::string_view text);
 // The time since a node last saw a group make progress.
 std::string EncodeProgressAge(Duration age);
 Decoded<Duration> DecodeProgressAge(std::string_view text);
--- a/protocol/protocol.h
+++ b/protocol/protocol.h
@@ -13,6 +13,7 @@
 #include "protocol/codec_error.h"
 #include "protocol/config_record_json.h"
 #include "protocol/contract_json.h"
+#include "protocol/desired_model_json.h"
 #include "protocol/domain_record_json.h"
 #include "protocol/engine_headers.h"
 #include "protocol/engine_order_json.h"
@@ -38,7 +39,6 @@
 #include "protocol/trace_file.h"
 #include "protocol/utf8.h"
 #include "protocol/vm_list_json.h"
-#include "protocol/wanted_model_json.h"
 #include "protocol/weight_store_json.h"
 
 #endif  // PROTOCOL_PROTOCOL_H_
--- a/protocol/store_json.h
+++ b/protocol/store_json.h
@@ -30,7 +30,7 @@
 // live is zero.
 StoreReplyMessage EncodeStoreReply(const StoreReply& reply);
 // A status that says that the service does not know the call gives a
-// `StoreBusy`, and any status that the interface does not define a
+// `StoreRefused`, and any status that the interface does not define a
 // `StoreNoAnswer`. A body that cannot be read is an error; a write may have
 // taken effect even then.
 Decoded<StoreReply> DecodeStoreReply(const StoreCall& call,
--- a/protocol/store_reply_json.cc
+++ b/protocol/store_reply_json.cc
@@ -90,7 +90,7 @@
   return MakeMessage(kUnavailable, {{"error", "unavailable"}});
 }
 
-StoreReplyMessage Encode(const StoreBusy& reply) {
+StoreReplyMessage Encode(const StoreRefused& reply) {
   return MakeMessage(kBusy, {{"retry_after_ms", reply.retry_after.millis()}});
 }
 
@@ -106,8 +106,8 @@
 }
 
 StoreReply ReadBusy(JsonReader& reader) {
-  return StoreBusy{.retry_after = reader.DurationMillis("retry_after_ms"),
-                   .reason = StoreRefusal::kRate};
+  return StoreRefused{.retry_after = reader.DurationMillis("retry_after_ms"),
+                      .reason = StoreRefusal::kRateLimited};
 }
 
 StoreReply ReadRangeReply(JsonReader& reader) {
@@ -132,7 +132,7 @@
 }
 
 StoreReply UnknownCall() {
-  return StoreBusy{kUnknownStoreCallWait, StoreRefusal::kUnknownCall};
+  return StoreRefused{kUnknownStoreCallRetryDelay, StoreRefusal::kUnknownCall};
 }
 
 // True if the call names a lease and the reply says that this lease is unknown.
--- a/state/contract.cc
+++ b/state/contract.cc
@@ -119,7 +119,7 @@
   return *this;
 }
 
-std::optional<ContractError> FindFault(const Contract& contract) {
+std::optional<ContractError> Validate(const Contract& contract) {
   if (contract.id.empty()) {
     return ContractError{ContractErrorKind::kIdMissing, "id"};
   }
@@ -167,7 +167,7 @@
 }
 
 Result<Contract, ContractError> ContractBuilder::Build() const {
-  if (const std::optional<ContractError> error = FindFault(contract_)) {
+  if (const std::optional<ContractError> error = Validate(contract_)) {
     return *error;
   }
   return contract_;
--- a/state/contract.h
+++ b/state/contract.h
@@ -62,7 +62,7 @@
 std::string_view ContractErrorKindName(ContractErrorKind kind);
 
 // Returns the first reason why the contract is invalid, if any.
-std::optional<ContractError> FindFault(const Contract& contract);
+std::optional<ContractError> Validate(const Contract& contract);
 
 // Builds and validates a contract.
 class ContractBuilder {
--- a/state/wanted_model.h
+++ b/state/desired_model.h
@@ -1,5 +1,5 @@
-#ifndef STATE_WANTED_MODEL_H_
-#define STATE_WANTED_MODEL_H_
+#ifndef STATE_DESIRED_MODEL_H_
+#define STATE_DESIRED_MODEL_H_
 
 #include <cstdint>
 #include <map>
@@ -12,23 +12,23 @@
 // Number of groups of a model that a zone should have.
 struct GroupTarget {
   // Fewer serving groups than this count as downtime.
-  std::int64_t wanted = 0;
+  std::int64_t min_groups = 0;
   // Free VMs may form groups up to this number, so that accelerators are not
-  // left idle. Groups above `wanted` are the first to give up VMs.
-  std::int64_t most = 0;
+  // left idle. Groups above `min_groups` are the first to give up VMs.
+  std::int64_t max_groups = 0;
 
   friend bool operator==(const GroupTarget&, const GroupTarget&) = default;
 };
 
 // A model that operators want to be served, as configured in settings.
-struct WantedModel {
+struct DesiredModel {
   ModelId model;
   std::int64_t vms_per_group = 1;
   // Priority when VMs are short; a lower number is served first.
   Rank rank;
   std::map<ZoneId, GroupTarget> targets;
 
-  friend bool operator==(const WantedModel&, const WantedModel&) = default;
+  friend bool operator==(const DesiredModel&, const DesiredModel&) = default;
 };
 
 // Cost to an operator of one second of each kind of loss; only the ratio
@@ -44,4 +44,4 @@
 
 }  // namespace gcw
 
-#endif  // STATE_WANTED_MODEL_H_
+#endif  // STATE_DESIRED_MODEL_H_
--- a/state/domain_record.cc
+++ b/state/domain_record.cc
@@ -74,7 +74,7 @@
   return "unknown";
 }
 
-std::optional<DomainRecordError> FindFault(const DomainRecord& record) {
+std::optional<DomainRecordError> Validate(const DomainRecord& record) {
   if (const auto error = ValidateGroups(record)) {
     return error;
   }
--- a/state/domain_record.h
+++ b/state/domain_record.h
@@ -53,7 +53,7 @@
   std::vector<GroupRecord> groups;
   std::vector<LeavingMember> leaving;
   // Fencing token of the controller that wrote the record.
-  FencingToken written_by;
+  FencingToken writer_token;
   // Shows whether a write whose reply was lost took effect.
   ChangeId change;
 
@@ -74,7 +74,7 @@
 };
 
 // Returns the first reason why the record must not be written, if any.
-std::optional<DomainRecordError> FindFault(const DomainRecord& record);
+std::optional<DomainRecordError> Validate(const DomainRecord& record);
 
 }  // namespace gcw
 
--- a/state/fleet_configuration.h
+++ b/state/fleet_configuration.h
@@ -22,11 +22,11 @@
 };
 
 // Whether a request of a route may run again.
-enum class Repetition {
+enum class RetryPolicy {
   // The request runs at most once.
   kNever,
   // The request may run more than once, each time from the start.
-  kWhole,
+  kFullRetry,
   // The response is a stream that another endpoint can resume after its last
   // event.
   kResume,
@@ -38,7 +38,7 @@
   std::string host;
   // Begins and ends with a slash.
   std::string prefix;
-  Repetition repetition = Repetition::kNever;
+  RetryPolicy retry_policy = RetryPolicy::kNever;
   // The response is a stream of numbered events.
   bool streams = false;
   // Maximum time until the response has ended.
@@ -47,14 +47,14 @@
   // than this.
   Duration latency_objective = Duration::Seconds(1);
   // The same objective for the gaps between a stream's events.
-  Duration pause_objective = Duration::Seconds(1);
+  Duration event_gap_objective = Duration::Seconds(1);
   Rank rank;
   // Never empty.
   std::vector<ServiceShare> shares;
   // Maximum number of attempts per request, each at an endpoint.
-  std::int64_t most_attempts = 1;
+  std::int64_t max_attempts = 1;
   // Requests need no customer's key.
-  bool open_to_all = false;
+  bool allows_anonymous = false;
 };
 
 // A model that replica groups can serve, and the durations of such a group.
@@ -64,7 +64,7 @@
   // Fraction of the expected work, 0 to 1.
   double work_share = 0;
   // Factor on all durations of the engine.
-  double pace = 1;
+  double time_factor = 1;
   // Time to load the weights from the weight store onto a VM's host.
   Duration load_time;
   // Time to load the weights from the host into the engine.
@@ -86,14 +86,14 @@
   double ms_per_million_prompt_pairs = 0;
   // Maximum number of prompt tokens computed in one step.
   double chunk_tokens = 2048;
-  Duration form_time;
+  Duration group_formation_time;
   double loads_per_second = 1;
-  std::int64_t loads_at_once = 1;
+  std::int64_t max_concurrent_loads = 1;
   // Maximum number of models whose weights a host keeps.
   std::size_t staged_limit = 1;
   // Size of a typical request in tokens.
-  double usual_prompt_tokens = 1000;
-  double usual_answer_tokens = 100;
+  double typical_prompt_tokens = 1000;
+  double typical_output_tokens = 100;
   std::vector<ModelProfile> models;
 };
 
@@ -101,7 +101,7 @@
   ServiceId id;
   // Maximum number of connections that one endpoint accepts from all nodes
   // together.
-  std::int64_t most_connections = 100;
+  std::int64_t max_connections = 100;
   // Absent for plain services.
   std::optional<EngineProfile> engine;
 };
--- a/state/group_order.cc
+++ b/state/group_order.cc
@@ -18,39 +18,39 @@
   return "unknown";
 }
 
-std::string_view ProbeVerdictName(ProbeVerdict verdict) {
-  switch (verdict) {
-    case ProbeVerdict::kAnswered:
+std::string_view ProbeResultName(ProbeResult result) {
+  switch (result) {
+    case ProbeResult::kAnswered:
       return "answered";
-    case ProbeVerdict::kOtherVm:
+    case ProbeResult::kWrongVm:
       return "other_vm";
-    case ProbeVerdict::kConnected:
+    case ProbeResult::kConnected:
       return "connected";
-    case ProbeVerdict::kRefused:
+    case ProbeResult::kRefused:
       return "refused";
-    case ProbeVerdict::kUnreachable:
+    case ProbeResult::kUnreachable:
       return "unreachable";
   }
   return "unknown";
 }
 
-std::string_view GroupOrderVerdictName(GroupOrderVerdict verdict) {
-  switch (verdict) {
-    case GroupOrderVerdict::kBegun:
+std::string_view GroupOrderResultName(GroupOrderResult result) {
+  switch (result) {
+    case GroupOrderResult::kStarted:
       return "begun";
-    case GroupOrderVerdict::kDone:
+    case GroupOrderResult::kDone:
       return "done";
-    case GroupOrderVerdict::kMisfit:
+    case GroupOrderResult::kStateMismatch:
       return "misfit";
-    case GroupOrderVerdict::kStale:
+    case GroupOrderResult::kStale:
       return "stale";
-    case GroupOrderVerdict::kOtherVm:
+    case GroupOrderResult::kWrongVm:
       return "other_vm";
-    case GroupOrderVerdict::kRefused:
+    case GroupOrderResult::kRefused:
       return "refused";
-    case GroupOrderVerdict::kNoAnswer:
+    case GroupOrderResult::kNoAnswer:
       return "no_answer";
-    case GroupOrderVerdict::kUnreachable:
+    case GroupOrderResult::kUnreachable:
       return "unreachable";
   }
   return "unknown";
--- a/state/group_order.h
+++ b/state/group_order.h
@@ -35,17 +35,17 @@
   FencingToken fence;
 };
 
-enum class GroupOrderVerdict {
+enum class GroupOrderResult {
   // The engine has begun; its registration shows when it is done.
-  kBegun,
+  kStarted,
   // The requested state already holds.
   kDone,
   // The order does not fit the engine's state and was ignored.
-  kMisfit,
+  kStateMismatch,
   // The engine has seen a higher fencing token or generation.
   kStale,
   // The address belongs to another VM.
-  kOtherVm,
+  kWrongVm,
   // The engine did not understand the order.
   kRefused,
   // The order may have been executed, or may still be, much later.
@@ -55,11 +55,11 @@
 };
 
 // Result of probing a VM's engine.
-enum class ProbeVerdict {
+enum class ProbeResult {
   // The engine answered for this VM.
   kAnswered,
   // The address belongs to another VM.
-  kOtherVm,
+  kWrongVm,
   // The VM is alive, but its engine did not answer.
   kConnected,
   // The VM refused the connection: the engine's process is gone.
@@ -68,17 +68,17 @@
   kUnreachable,
 };
 
-std::string_view ProbeVerdictName(ProbeVerdict verdict);
+std::string_view ProbeResultName(ProbeResult result);
 
 struct ProbeReport {
-  ProbeVerdict verdict = ProbeVerdict::kUnreachable;
+  ProbeResult result = ProbeResult::kUnreachable;
   // Factor on the engine's durations; 1 for a healthy engine.
-  double pace = 1;
+  double slowdown = 1;
   // Number of running and queued requests.
   std::int64_t requests = 0;
 };
 
-std::string_view GroupOrderVerdictName(GroupOrderVerdict verdict);
+std::string_view GroupOrderResultName(GroupOrderResult result);
 
 }  // namespace gcw
 
--- a/state/prefix_index.cc
+++ b/state/prefix_index.cc
@@ -223,7 +223,7 @@
       const auto slot = static_cast<std::int64_t>(word * kWordBits + bit);
       matches.push_back({.slot = EndpointSlot(slot),
                          .blocks = static_cast<std::int64_t>(depth),
-                         .is_doubtful = (confirmed[word] & mask) == 0});
+                         .is_unconfirmed = (confirmed[word] & mask) == 0});
     }
   }
 }
--- a/state/prefix_index.h
+++ b/state/prefix_index.h
@@ -22,7 +22,7 @@
   std::int64_t blocks = 0;
   // The entry dates from before a gap in the endpoint's cache events and was
   // not confirmed since.
-  bool is_doubtful = false;
+  bool is_unconfirmed = false;
 };
 
 struct PrefixIndexSettings {
--- a/state/state.h
+++ b/state/state.h
@@ -8,6 +8,7 @@
 #include "state/config_store.h"
 #include "state/contract.h"
 #include "state/contract_entry.h"
+#include "state/desired_model.h"
 #include "state/domain_record.h"
 #include "state/endpoint.h"
 #include "state/engine_order.h"
@@ -23,7 +24,6 @@
 #include "state/store_types.h"
 #include "state/vm_list.h"
 #include "state/vm_registration.h"
-#include "state/wanted_model.h"
 #include "state/weight_store_status.h"
 
 #endif  // STATE_STATE_H_
--- a/state/store_types.h
+++ b/state/store_types.h
@@ -16,7 +16,7 @@
 // Higher than any revision of a key, yet exactly representable as a JSON
 // number. A compare-and-swap that expects it changes nothing, and its conflict
 // returns the key's latest state, which a plain read need not do.
-inline constexpr Revision kNoRevision((std::int64_t{1} << 53) - 1);
+inline constexpr Revision kImpossibleRevision((std::int64_t{1} << 53) - 1);
 
 struct StoreEntry {
   std::string key;
@@ -125,19 +125,19 @@
 
 enum class StoreRefusal {
   // The rate limit is exceeded, or the service rejects this node.
-  kRate,
+  kRateLimited,
   // The service does not know the call: it is another kind of service.
   kUnknownCall,
 };
 
 // Retry delay after an unknown call, which would fail again if it were repeated
 // immediately.
-inline constexpr Duration kUnknownStoreCallWait = Duration::Seconds(5);
+inline constexpr Duration kUnknownStoreCallRetryDelay = Duration::Seconds(5);
 
 // The service refused the call and did not execute it.
-struct StoreBusy {
+struct StoreRefused {
   Duration retry_after;
-  StoreRefusal reason = StoreRefusal::kRate;
+  StoreRefusal reason = StoreRefusal::kRateLimited;
 };
 
 using StoreReply = std::variant<StoreRangeReply,
@@ -147,7 +147,7 @@
                                 StoreLeaseUnknown,
                                 StoreWatchReply,
                                 StoreNoAnswer,
-                                StoreBusy>;
+                                StoreRefused>;
 
 }  // namespace gcw
 
--- a/state/vm_registration.h
+++ b/state/vm_registration.h
@@ -52,7 +52,7 @@
   // The endpoint will stop soon and accepts no new requests.
   bool draining = false;
   // Maximum number of concurrent requests.
-  std::int64_t places = 1;
+  std::int64_t slots = 1;
   // Remaining time for which the endpoint is slow after its start.
   Duration warm_up_left;
   // Empty for plain services.
@@ -68,7 +68,7 @@
   }
   // True if the VM can join a group of the model without loading the weights
   // from the weight store.
-  bool HasAtHand(const ModelId& model) const {
+  bool HasLocalWeights(const ModelId& model) const {
     return HasStaged(model) || (!models.empty() && models.front() == model);
   }
 
--- a/tests/coordination/configuration/config_property_test.cc
+++ b/tests/coordination/configuration/config_property_test.cc
@@ -198,7 +198,7 @@
   RC_ASSERT(operators.SettleAllChanges());
   operators.CheckOutcomes();
   cluster.Run(Duration::Seconds(40));
-  RC_ASSERT(cluster.events(EventKind::kStoreRewound) == 0);
+  RC_ASSERT(cluster.events(EventKind::kStoreRolledBack) == 0);
   RC_ASSERT(!cluster.has_contradiction());
   RC_ASSERT(cluster.Converged());
   for (const ConfigCluster::Node& node : cluster.nodes()) {
--- a/tests/coordination/configuration/config_sync_test.cc
+++ b/tests/coordination/configuration/config_sync_test.cc
@@ -289,15 +289,15 @@
   cluster.Run(Duration::Seconds(5));
   cluster.link().Restore();
   cluster.Run(Duration::Seconds(120));
-  EXPECT_GT(cluster.events(EventKind::kStoreRewound), 0);
+  EXPECT_GT(cluster.events(EventKind::kStoreRolledBack), 0);
   for (std::size_t i = 0; i < 6; ++i) {
     EXPECT_EQ(ValueAt(cluster, i), "b");
-    EXPECT_EQ(cluster.nodes()[i].sync->state(), ConfigState::kStoreRewound);
+    EXPECT_EQ(cluster.nodes()[i].sync->state(), ConfigState::kStoreRolledBack);
   }
   const ChangeOutcome outcome = cluster.Settle(1, kKey, "c", second);
   ASSERT_TRUE(std::holds_alternative<ChangeUnavailable>(outcome));
   EXPECT_EQ(std::get<ChangeUnavailable>(outcome).kind,
-            ChangeUnavailableKind::kStoreRewound);
+            ChangeUnavailableKind::kStoreRolledBack);
   // A node that starts now takes its peers' copy instead of the service's.
   cluster.Restart(2);
   cluster.Run(Duration::Seconds(30));
@@ -321,7 +321,7 @@
   cluster.Run(Duration::Seconds(120));
   for (std::size_t i = 0; i < 4; ++i) {
     EXPECT_EQ(ValueAt(cluster, i), "b");
-    EXPECT_EQ(cluster.nodes()[i].sync->state(), ConfigState::kStoreRewound);
+    EXPECT_EQ(cluster.nodes()[i].sync->state(), ConfigState::kStoreRolledBack);
   }
 }
 
@@ -336,7 +336,7 @@
   cluster.Run(Duration::Seconds(300));
   cluster.link().faults().stale_read = 1;
   cluster.Run(Duration::Seconds(60));
-  EXPECT_EQ(cluster.events(EventKind::kStoreRewound), 0);
+  EXPECT_EQ(cluster.events(EventKind::kStoreRolledBack), 0);
   EXPECT_TRUE(cluster.Converged());
 }
 
--- a/tests/coordination/gateway/change_feed_test.cc
+++ b/tests/coordination/gateway/change_feed_test.cc
@@ -18,11 +18,11 @@
   ChangeFeedTest() { feed_.ResetTo(Revision(10)); }
 
   void AddRequest(std::int64_t after) {
-    feed_.AddRequest(kStart, {ChangeQuestionId(1), Revision(after), kWait});
+    feed_.AddRequest(kStart, {ChangesRequestId(1), Revision(after), kWait});
   }
-  std::vector<AnswerChanges> Take(std::int64_t revision,
-                                  Duration later = Duration(),
-                                  std::optional<Duration> age = kFresh) {
+  std::vector<ChangesReply> Take(std::int64_t revision,
+                                 Duration later = Duration(),
+                                 std::optional<Duration> age = kFresh) {
     return feed_.TakeReplies(kStart + later, Revision(revision), age,
                              Duration());
   }
--- a/tests/coordination/gateway/fleet_keeper_terms_test.cc
+++ b/tests/coordination/gateway/fleet_controller_terms_test.cc
@@ -10,13 +10,13 @@
 namespace gcw {
 namespace {
 
-// A keeper with a manually assigned role and view, and a store that replies at
-// once.
-class FleetKeeperTermsTest : public testing::Test {
+// A controller with a manually assigned role and view, and a store that replies
+// at once.
+class FleetControllerTermsTest : public testing::Test {
  protected:
-  FleetKeeperTermsTest()
+  FleetControllerTermsTest()
       : view_(MakeFleetCodec(), DiscardEvents()),
-        keeper_(
+        controller_(
             {},
             MakeRecordCodec(),
             [](const VmId&, Generation) { return Time(); },
@@ -46,11 +46,12 @@
     const Time end = now_ + time;
     while (now_ < end) {
       now_ = now_ + Duration::Millis(50);
-      keeper_.SetRole(now_, role);
-      for (const FleetKeeperAction& action : keeper_.Tick(now_, view_)) {
+      controller_.SetRole(now_, role);
+      for (const FleetControllerAction& action :
+           controller_.Tick(now_, view_)) {
         if (const auto* request = std::get_if<StoreRequest>(&action)) {
-          keeper_.OnStoreReply(now_, request->id,
-                               *store_.Execute(now_, request->call));
+          controller_.OnStoreReply(now_, request->id,
+                                   *store_.Execute(now_, request->call));
         }
       }
     }
@@ -111,15 +112,15 @@
   FleetView view_;
 
  protected:
-  FleetKeeper keeper_;
+  FleetController controller_;
 };
 
 // Guards against two groups with the same name and generation but different
 // members, so that requests run in a group without one of its members. The
-// key-value service is unavailable for longer than the keeper's lease but keeps
-// leases meanwhile, so the keeper gets its role back with the same fencing
-// number. Group numbers start over only with a new fencing number.
-TEST_F(FleetKeeperTermsTest, ARegainedRoleReusesNoGroupName) {
+// key-value service is unavailable for longer than the controller's lease but
+// keeps leases meanwhile, so the controller gets its role back with the same
+// fencing number. Group numbers start over only with a new fencing number.
+TEST_F(FleetControllerTermsTest, ARegainedRoleReusesNoGroupName) {
   AddDomain("a");
   Run(Duration::Seconds(3), Role());
   const std::size_t planned_before = planned_.size();
--- a/tests/coordination/gateway/fleet_keeper_test.cc
+++ b/tests/coordination/gateway/fleet_controller_test.cc
@@ -11,9 +11,9 @@
 constexpr Duration kSecond = Duration::Seconds(1);
 
 // A fleet whose groups are all open, with requests under way.
-class FleetKeeperTest : public testing::Test {
+class FleetControllerTest : public testing::Test {
  protected:
-  FleetKeeperTest() : world_(3, 2, 11, 7) {
+  FleetControllerTest() : world_(3, 2, 11, 7) {
     EXPECT_TRUE(world_.RunUntil(Duration::Seconds(12), [this] {
       return world_.open_groups("large") == 2 &&
              world_.open_groups("small") == 2;
@@ -31,7 +31,7 @@
   GatewayWorld world_;
 };
 
-TEST_F(FleetKeeperTest, FormsGroupsOfBothModelsAndKeepsStagedSpares) {
+TEST_F(FleetControllerTest, FormsGroupsOfBothModelsAndKeepsStagedSpares) {
   std::size_t staged_spares = 0;
   for (const auto& [id, engine] : world_.engines()) {
     const bool is_spare = !engine.self.membership;
@@ -44,7 +44,8 @@
 // Guards against a plan made only for the VMs seen so far: the VMs of a domain
 // register one after another within two seconds, small groups take the first
 // three at once, and the large model gets too few groups.
-TEST(FleetKeeperStartTest, LargeGroupsGetTheirVmsAlthoughSmallOnesFitFirst) {
+TEST(FleetControllerStartTest,
+     LargeGroupsGetTheirVmsAlthoughSmallOnesFitFirst) {
   GatewayWorld world(3, 1, 3, 11);
   world.Run(Duration::Millis(700));
   for (int v = 3; v < 11; ++v) {
@@ -59,10 +60,10 @@
 
 // Guards against a group that stalls for seconds after a member died while its
 // first member still takes requests. Nothing reports the death, and the
-// registration lapses only 3.6 s later; until then only the streams show it.
-TEST_F(FleetKeeperTest, RepairsAGroupWithASpareSoonAfterAMembersDeath) {
+// registration expires only 3.6 s later; until then only the streams show it.
+TEST_F(FleetControllerTest, RepairsAGroupWithASpareSoonAfterAMembersDeath) {
   const VmId head = world_.OpenHead("large");
-  world_.Kill(world_.MembersOf(head)[3]);
+  world_.Kill(world_.GroupMembersOf(head)[3]);
   EXPECT_EQ(world_.open_groups("large"), 1U);
   const Time died = world_.now();
   EXPECT_TRUE(world_.RunUntil(Duration::Seconds(10), [this] {
@@ -75,7 +76,7 @@
 // Guards against members that stay unused after their group's first member
 // died. Nobody can order that one to leave, but each of the others can leave on
 // its own.
-TEST_F(FleetKeeperTest, RepairsAGroupWhoseFirstMemberDied) {
+TEST_F(FleetControllerTest, RepairsAGroupWhoseFirstMemberDied) {
   world_.Kill(world_.OpenHead("large"));
   const Time died = world_.now();
   EXPECT_TRUE(world_.RunUntil(Duration::Seconds(10), [this] {
@@ -87,12 +88,13 @@
 
 // Guards against a VM in two groups, with requests running in an engine that
 // lost a member: a first member is cut off from the key-value service and all
-// nodes, its registration lapses, the members join other groups, and after the
+// nodes, its registration expires, the members join other groups, and after the
 // cut heals the first member is still open. Silence does not prove that a group
 // has ended.
-TEST_F(FleetKeeperTest, MembersOfACutOffFirstMemberLeaveBeforeTheyJoinAnother) {
+TEST_F(FleetControllerTest,
+       MembersOfACutOffFirstMemberLeaveBeforeTheyJoinAnother) {
   const VmId head = world_.OpenHead("small");
-  world_.Cut(head, true);
+  world_.Partition(head, true);
   world_.Run(Duration::Seconds(8));
   world_.Heal(head);
   world_.Run(Duration::Seconds(5));
@@ -102,12 +104,12 @@
 
 // Guards against closing a group that still serves, which costs a load: a
 // member that loses only its path to the key-value service lets its
-// registration lapse, but its group continues.
-TEST_F(FleetKeeperTest, KeepsAServingGroupWithoutAMembersRegistration) {
+// registration expire, but its group continues.
+TEST_F(FleetControllerTest, KeepsAServingGroupWithoutAMembersRegistration) {
   const VmId head = world_.OpenHead("large");
-  const VmId member = world_.MembersOf(head)[2];
+  const VmId member = world_.GroupMembersOf(head)[2];
   const std::int64_t joins = world_.engine(head).joins;
-  world_.Cut(member, false);
+  world_.Partition(member, false);
   world_.Run(Duration::Seconds(8));
   world_.Heal(member);
   world_.Run(Duration::Seconds(2));
@@ -119,9 +121,9 @@
 // Guards against a group of six that waits 16 s for a load although a VM with
 // the weights comes back one second after the load was ordered. Plans have to
 // be revised.
-TEST_F(FleetKeeperTest, TakesAVmWithTheWeightsInsteadOfWaitingForALoad) {
+TEST_F(FleetControllerTest, TakesAVmWithTheWeightsInsteadOfWaitingForALoad) {
   const VmId head = world_.OpenHead("large");
-  const VmId member = world_.MembersOf(head)[2];
+  const VmId member = world_.GroupMembersOf(head)[2];
   // Leaves the domain without a spare that has the large model's weights.
   for (auto& [id, engine] : world_.engines()) {
     if (engine.self.domain == world_.engine(head).self.domain &&
@@ -133,7 +135,7 @@
   world_.AddEngine("d0", "fresh");
   world_.engine(VmId("fresh")).self.domain = world_.engine(head).self.domain;
   world_.Heal(VmId("fresh"));
-  world_.Cut(member, true);
+  world_.Partition(member, true);
   world_.Run(Duration::Seconds(6));
   world_.Heal(member);
   const Time healed = world_.now();
@@ -148,7 +150,7 @@
 // the group is lost, while the weight store counts both loads. A load that is
 // part of a join ends when the group is given up; a load onto the host
 // continues.
-TEST_F(FleetKeeperTest, ALoadContinuesWhenItsGroupIsGivenUp) {
+TEST_F(FleetControllerTest, ALoadContinuesWhenItsGroupIsGivenUp) {
   const VmId head = world_.OpenHead("large");
   const FabricDomainId domain = world_.engine(head).self.domain;
   for (auto& [id, engine] : world_.engines()) {
@@ -157,13 +159,13 @@
     }
   }
   world_.Run(Duration::Seconds(5));
-  world_.Kill(world_.MembersOf(head)[2]);
+  world_.Kill(world_.GroupMembersOf(head)[2]);
   world_.AddEngine(domain.value(), "loads");
   const Time began = world_.now();
   world_.Run(Duration::Seconds(6));
   world_.AddEngine(domain.value(), "holds");
   world_.engine(VmId("holds")).self.staged = {ModelId("large")};
-  world_.Rewrite(VmId("holds"));
+  world_.RewriteRegistration(VmId("holds"));
   EXPECT_TRUE(world_.RunUntil(Duration::Seconds(5), [this] {
     return world_.open_groups("large") == 2;
   }));
@@ -177,7 +179,7 @@
 // Guards against a VM that waits one and a half seconds before it loads
 // weights, because its arrival in a serving domain is taken for the start of
 // the domain.
-TEST_F(FleetKeeperTest, ANewVmInAServingDomainLoadsAtOnce) {
+TEST_F(FleetControllerTest, ANewVmInAServingDomainLoadsAtOnce) {
   world_.AddEngine("d0", "fresh");
   EXPECT_TRUE(world_.RunUntil(Duration::Seconds(1), [this] {
     return !world_.engine(VmId("fresh")).staging.empty();
@@ -185,11 +187,11 @@
 }
 
 // Guards against treating a restarted VM as the same run: a member crashes and
-// starts again under its id before its registration lapses, and knows nothing
+// starts again under its id before its registration expires, and knows nothing
 // of its group.
-TEST_F(FleetKeeperTest, AMemberThatRestartsUnderItsIdJoinsAgain) {
+TEST_F(FleetControllerTest, AMemberThatRestartsUnderItsIdJoinsAgain) {
   const VmId head = world_.OpenHead("large");
-  const VmId member = world_.MembersOf(head)[3];
+  const VmId member = world_.GroupMembersOf(head)[3];
   world_.Restart(member);
   world_.Run(kSecond);
   EXPECT_TRUE(world_.RunUntil(Duration::Seconds(6), [this] {
@@ -202,14 +204,14 @@
 // the key-value service, crashes and starts again under another id, and a
 // delayed heartbeat of the first run restores its registration. Orders to it
 // reach the new run, and sending them again does not help.
-TEST_F(FleetKeeperTest, AVmWhoseAddressAnotherRunHasIsPutIntoNoGroup) {
+TEST_F(FleetControllerTest, AVmWhoseAddressAnotherRunHasIsPutIntoNoGroup) {
   const VmId head = world_.OpenHead("large");
-  const std::vector<VmId> members = world_.MembersOf(head);
+  const std::vector<VmId> members = world_.GroupMembersOf(head);
   for (auto& [id, engine] : world_.engines()) {
     if (engine.self.domain == world_.engine(head).self.domain &&
         !engine.self.membership) {
       engine.self.staged = {ModelId("large")};
-      world_.Rewrite(id);
+      world_.RewriteRegistration(id);
     }
   }
   world_.Run(kSecond);
@@ -231,39 +233,39 @@
 
 // Guards against one unreadable entry in the key-value service that permanently
 // hides a VM, or all other VMs with it.
-TEST_F(FleetKeeperTest, UnreadableEntriesDoNotDisturbGroups) {
+TEST_F(FleetControllerTest, UnreadableEntriesDoNotDisturbGroups) {
   const VmId head = world_.OpenHead("large");
-  world_.WriteEntry("vm/stranger", "no registration");
-  const int served = world_.served;
+  world_.WriteStoreEntry("vm/stranger", "no registration");
+  const int completed_streams = world_.completed_streams;
   world_.Run(Duration::Seconds(3));
-  EXPECT_GT(world_.served, served);
+  EXPECT_GT(world_.completed_streams, completed_streams);
   EXPECT_EQ(world_.OpenHead("large"), head);
   EXPECT_EQ(world_.open_groups("large"), 2U);
   ExpectNoViolation();
 }
 
-// Guards against repairs that end with the keeper's node: another node has to
-// take the role.
-TEST_F(FleetKeeperTest, AnotherNodeRepairsAfterTheKeepersDeath) {
-  const std::size_t keeper = world_.keeper().value();
-  world_.KillNode(keeper);
-  world_.Kill(world_.MembersOf(world_.OpenHead("small"))[1]);
+// Guards against repairs that end with the controller's node: another node has
+// to take the role.
+TEST_F(FleetControllerTest, AnotherNodeRepairsAfterTheControllersDeath) {
+  const std::size_t controller = world_.controller().value();
+  world_.KillNode(controller);
+  world_.Kill(world_.GroupMembersOf(world_.OpenHead("small"))[1]);
   EXPECT_TRUE(world_.RunUntil(Duration::Seconds(15), [this] {
     return world_.open_groups("small") == 2;
   }));
-  EXPECT_NE(world_.keeper(), keeper);
+  EXPECT_NE(world_.controller(), controller);
   ExpectNoViolation();
 }
 
 // Guards against delayed orders that remove a VM from its current group: orders
 // get no answer and are carried out seconds later, after the VM joined another
 // group. Generations have to grow from order to order.
-TEST_F(FleetKeeperTest, DelayedOrdersDoNotUndoNewerOnes) {
+TEST_F(FleetControllerTest, DelayedOrdersDoNotUndoNewerOnes) {
   const VmId head = world_.OpenHead("large");
-  for (const VmId& member : world_.MembersOf(head)) {
+  for (const VmId& member : world_.GroupMembersOf(head)) {
     world_.engine(member).order_delay = Duration::Seconds(5);
   }
-  world_.Kill(world_.MembersOf(head)[5]);
+  world_.Kill(world_.GroupMembersOf(head)[5]);
   world_.Run(Duration::Seconds(4));
   for (auto& [id, engine] : world_.engines()) {
     engine.order_delay = Duration();
@@ -277,9 +279,9 @@
 }
 
 // Guards against a fleet that does not serve after all nodes were killed and
-// started again while groups stayed open. A new keeper recovers the state from
-// the records and the registrations.
-TEST_F(FleetKeeperTest, GroupsKeepServingAfterAllNodesWereKilled) {
+// started again while groups stayed open. A new controller recovers the state
+// from the records and the registrations.
+TEST_F(FleetControllerTest, GroupsKeepServingAfterAllNodesWereKilled) {
   for (std::size_t i = 0; i < world_.node_count(); ++i) {
     world_.KillNode(i);
   }
@@ -290,48 +292,48 @@
   world_.Run(Duration::Seconds(4));
   EXPECT_EQ(world_.open_groups("large"), 2U);
   EXPECT_EQ(world_.open_groups("small"), 2U);
-  const int served = world_.served;
+  const int completed_streams = world_.completed_streams;
   world_.Run(Duration::Seconds(2));
-  EXPECT_GT(world_.served, served);
+  EXPECT_GT(world_.completed_streams, completed_streams);
   ExpectNoViolation();
 }
 
 // Guards against closing a group that is only full, which cuts all its streams:
-// a node reports it as stalled, and the keeper's node has no stream there that
-// would show its progress.
-TEST_F(FleetKeeperTest, AGroupThatProgressesForOtherNodesIsNotClosed) {
-  const std::size_t keeper = *world_.keeper();
-  world_.idle_nodes.insert(keeper);
-  // Lets the streams of the keeper's node end.
+// a node reports it as stalled, and the controller's node has no stream there
+// that would show its progress.
+TEST_F(FleetControllerTest, AGroupThatProgressesForOtherNodesIsNotClosed) {
+  const std::size_t controller = *world_.controller();
+  world_.idle_nodes.insert(controller);
+  // Lets the streams of the controller's node end.
   world_.Run(Duration::Seconds(3));
   const VmId head = world_.OpenHead("large");
   const Generation before = world_.engine(head).self.membership->generation;
-  world_.SayStandstill(head);
+  world_.ReportStalledGroup(head);
   world_.Run(Duration::Seconds(4));
   ASSERT_TRUE(world_.engine(head).self.membership.has_value());
   EXPECT_EQ(world_.engine(head).self.membership->generation, before);
-  EXPECT_GT(world_.progress_questions, 0);
-  // The keeper stops asking once it has decided.
-  const int asked = world_.progress_questions;
+  EXPECT_GT(world_.progress_requests, 0);
+  // The controller stops asking once it has decided.
+  const int asked = world_.progress_requests;
   world_.Run(Duration::Seconds(2));
-  EXPECT_EQ(world_.progress_questions, asked);
+  EXPECT_EQ(world_.progress_requests, asked);
   ExpectNoViolation();
 }
 
 // Guards against VMs that join a second group while the cut-off first member of
-// their old group still serves it. A keeper orders the other members to leave
-// but loses the key-value service. The next keeper finds the old group in the
-// record, orders the members to join it again, and must not take their older
-// registrations as proof that they left.
-TEST_F(FleetKeeperTest, MembersFreedByAnEarlierKeeperJoinOneGroupOnly) {
+// their old group still serves it. A controller orders the other members to
+// leave but loses the key-value service. The next controller finds the old
+// group in the record, orders the members to join it again, and must not take
+// their older registrations as proof that they left.
+TEST_F(FleetControllerTest, MembersFreedByAnEarlierControllerJoinOneGroupOnly) {
   const VmId head = world_.OpenHead("large");
-  for (const VmId& member : world_.MembersOf(head)) {
+  for (const VmId& member : world_.GroupMembersOf(head)) {
     world_.engine(member).report_delay = Duration::Millis(400);
   }
-  world_.Cut(head, true);
-  // By then the keeper has begun to contact the members.
+  world_.Partition(head, true);
+  // By then the controller has begun to contact the members.
   world_.Run(Duration::Millis(500));
-  world_.node(*world_.keeper()).store_cut = true;
+  world_.node(*world_.controller()).store_cut = true;
   world_.Run(Duration::Seconds(8));
   ExpectNoViolation();
   EXPECT_TRUE(world_.RunUntil(Duration::Seconds(20), [this] {
@@ -343,18 +345,18 @@
 // Guards against a group that is planned and given up again on each review: a
 // spare whose engine last ran the model joins without a load, although its host
 // holds other weights.
-TEST_F(FleetKeeperTest, AGroupOfVmsThatLastRanItsModelIsNotGivenUp) {
+TEST_F(FleetControllerTest, AGroupOfVmsThatLastRanItsModelIsNotGivenUp) {
   const VmId head = world_.OpenHead("large");
   const FabricDomainId domain = world_.engine(head).self.domain;
   for (auto& [id, engine] : world_.engines()) {
     if (engine.self.domain == domain && !engine.self.membership &&
         !engine.self.HasStaged(ModelId("large"))) {
       engine.self.models = {ModelId("large")};
-      world_.Rewrite(id);
+      world_.RewriteRegistration(id);
     }
   }
   world_.Run(kSecond);
-  world_.Kill(world_.MembersOf(head)[3]);
+  world_.Kill(world_.GroupMembersOf(head)[3]);
   const Time died = world_.now();
   EXPECT_TRUE(world_.RunUntil(Duration::Seconds(20), [this] {
     return world_.open_groups("large") == 2;
@@ -368,14 +370,14 @@
 // and given up for members that become free with the weights at hand, in turns
 // every 20 ms, if it is planned before the members of the previous group
 // confirmed that they left.
-TEST_F(FleetKeeperTest, GroupsAreNotGivenUpForEachOtherInTurns) {
+TEST_F(FleetControllerTest, GroupsAreNotGivenUpForEachOtherInTurns) {
   const VmId head = world_.OpenHead("small");
   const FabricDomainId domain = world_.engine(head).self.domain;
-  const std::vector<VmId> members = world_.MembersOf(head);
+  const std::vector<VmId> members = world_.GroupMembersOf(head);
   for (auto& [id, engine] : world_.engines()) {
     if (engine.self.domain == domain && !engine.self.membership) {
       engine.self.staged = {ModelId("small")};
-      world_.Rewrite(id);
+      world_.RewriteRegistration(id);
     }
   }
   for (const char* name : {"fresh1", "fresh2"}) {
@@ -401,14 +403,14 @@
 // second, which cuts its streams each time: a member runs ten times too slowly,
 // its events come half a second apart, and nodes report the group as stalled
 // although every member answers.
-TEST_F(FleetKeeperTest, ASlowGroupIsNotFormedAgainOfTheSameVms) {
+TEST_F(FleetControllerTest, ASlowGroupIsNotFormedAgainOfTheSameVms) {
   const VmId head = world_.OpenHead("large");
   for (auto& [id, engine] : world_.engines()) {
-    engine.pace = 10;
+    engine.slowdown = 10;
   }
   const std::int64_t joins = world_.engine(head).joins;
   for (int i = 0; i < 10; ++i) {
-    world_.SayStandstill(head);
+    world_.ReportStalledGroup(head);
     world_.Run(Duration::Millis(700));
   }
   EXPECT_EQ(world_.engine(head).joins, joins);
@@ -416,22 +418,22 @@
   ExpectNoViolation();
 }
 
-TEST_F(FleetKeeperTest, ASlowMemberIsReplacedByAHealthySpare) {
+TEST_F(FleetControllerTest, ASlowMemberIsReplacedByAHealthySpare) {
   const VmId head = world_.OpenHead("large");
-  const VmId slow = world_.MembersOf(head)[3];
-  world_.engine(slow).pace = 10;
-  world_.SayStandstill(head);
+  const VmId slow = world_.GroupMembersOf(head)[3];
+  world_.engine(slow).slowdown = 10;
+  world_.ReportStalledGroup(head);
   EXPECT_TRUE(world_.RunUntil(Duration::Seconds(8), [&] {
-    return world_.open_groups("large") == 2 && !world_.ServesIn(slow);
+    return world_.open_groups("large") == 2 && !world_.IsInOpenGroup(slow);
   }));
   ExpectNoViolation();
 }
 
 // A group with a draining member is closed, finishes its requests, and is
 // formed again.
-TEST_F(FleetKeeperTest, ADrainingMemberIsReplaced) {
+TEST_F(FleetControllerTest, ADrainingMemberIsReplaced) {
   const VmId head = world_.OpenHead("small");
-  world_.Drain(world_.MembersOf(head)[1]);
+  world_.Drain(world_.GroupMembersOf(head)[1]);
   EXPECT_TRUE(world_.RunUntil(Duration::Seconds(12), [&] {
     for (const auto& [id, engine] : world_.engines()) {
       if (engine.self.draining && engine.self.membership &&
@@ -447,7 +449,9 @@
 // Kills, cuts, delayed orders and outages of the key-value service and of
 // nodes, in random order, never put a VM into a second group while the first
 // one serves, and never open a group without one of its members.
-RC_GTEST_PROP(FleetKeeperProperty, OneGroupPerVmAndOnlyWholeGroupsOpen, ()) {
+RC_GTEST_PROP(FleetControllerProperty,
+              OneGroupPerVmAndOnlyWholeGroupsOpen,
+              ()) {
   GatewayWorld world(3, 2, 11, *rc::gen::inRange<std::uint64_t>(1, 1000000));
   world.Run(Duration::Seconds(5));
   world.traffic = true;
@@ -462,10 +466,10 @@
         break;
       case 1:
       case 2:
-        world.Cut(vm->first, true);
+        world.Partition(vm->first, true);
         break;
       case 3:
-        world.Cut(vm->first, false);
+        world.Partition(vm->first, false);
         break;
       case 4:
         if (vm->second.alive && vm->second.store_cut) {
--- a/tests/coordination/gateway/fleet_overview_test.cc
+++ b/tests/coordination/gateway/fleet_overview_test.cc
@@ -125,8 +125,8 @@
   EXPECT_FALSE(writer.Tick(now + Duration::Seconds(2), describe));
 }
 
-// Guards against an overview that stays outdated after a change of keeper, or
-// after a write whose answer was lost.
+// Guards against an overview that stays outdated after a change of controller,
+// or after a write whose answer was lost.
 TEST(OverviewWriterTest, ContinuesFromTheRevisionOfAConflict) {
   OverviewWriter writer({}, "ov",
                         [](const FleetOverview&) { return std::string("x"); });
--- a/tests/coordination/gateway/fleet_size_test.cc
+++ b/tests/coordination/gateway/fleet_size_test.cc
@@ -6,9 +6,9 @@
 namespace gcw {
 namespace {
 
-class KeeperPlacementTest : public testing::Test {
+class ControllerPlacementTest : public testing::Test {
  protected:
-  KeeperPlacementTest() : world_(4, 2, 11, 5) {
+  ControllerPlacementTest() : world_(4, 2, 11, 5) {
     EXPECT_TRUE(world_.RunUntil(Duration::Seconds(12), [this] {
       return world_.open_groups("large") == 2 &&
              world_.open_groups("small") == 2;
@@ -29,40 +29,40 @@
 
 // Guards against decisions that are late for lack of processor time while a
 // larger node is idle.
-TEST_F(KeeperPlacementTest, TheKeeperHandsItsRoleToALargerNode) {
-  const std::size_t larger = OtherThan(world_.keeper().value());
+TEST_F(ControllerPlacementTest, TheControllerHandsItsRoleToALargerNode) {
+  const std::size_t larger = OtherThan(world_.controller().value());
   RestartWithWeight(larger, 50);
   EXPECT_TRUE(world_.RunUntil(Duration::Seconds(8),
-                              [&] { return world_.keeper() == larger; }));
+                              [&] { return world_.controller() == larger; }));
   world_.Run(Duration::Seconds(8));
-  EXPECT_EQ(world_.keeper(), larger);
+  EXPECT_EQ(world_.controller(), larger);
   EXPECT_EQ(world_.open_groups("large"), 2U);
   EXPECT_EQ(world_.open_groups("small"), 2U);
   EXPECT_TRUE(world_.violations().empty());
 }
 
-TEST_F(KeeperPlacementTest, AFreeRoleGoesToTheLargestNode) {
-  const std::size_t keeper = world_.keeper().value();
-  const std::size_t largest = OtherThan(keeper);
+TEST_F(ControllerPlacementTest, AFreeRoleGoesToTheLargestNode) {
+  const std::size_t controller = world_.controller().value();
+  const std::size_t largest = OtherThan(controller);
   RestartWithWeight(largest, 50);
   world_.Run(Duration::Millis(500));
-  world_.KillNode(keeper);
+  world_.KillNode(controller);
   ASSERT_TRUE(world_.RunUntil(Duration::Seconds(8),
-                              [&] { return world_.keeper().has_value(); }));
-  EXPECT_EQ(world_.keeper(), largest);
+                              [&] { return world_.controller().has_value(); }));
+  EXPECT_EQ(world_.controller(), largest);
 }
 
-// Guards against a fleet without a keeper because the node that would take over
-// the role is about to stop.
-TEST_F(KeeperPlacementTest, ARoleIsNotHandedToAStoppingNode) {
-  const std::size_t keeper = world_.keeper().value();
-  const std::size_t larger = OtherThan(keeper);
+// Guards against a fleet without a controller because the node that would take
+// over the role is about to stop.
+TEST_F(ControllerPlacementTest, ARoleIsNotHandedToAStoppingNode) {
+  const std::size_t controller = world_.controller().value();
+  const std::size_t larger = OtherThan(controller);
   RestartWithWeight(larger, 50);
   world_.Run(Duration::Seconds(1));
-  world_.node(larger).core->OnStopAsked(world_.now());
+  world_.node(larger).core->OnStopRequested(world_.now());
   world_.Run(Duration::Seconds(6));
-  EXPECT_NE(world_.keeper(), larger);
-  EXPECT_TRUE(world_.keeper().has_value());
+  EXPECT_NE(world_.controller(), larger);
+  EXPECT_TRUE(world_.controller().has_value());
 }
 
 TEST(FleetViewDomainsTest, AVmIsListedInTheDomainThatItNamesLast) {
@@ -81,13 +81,13 @@
   const FabricDomainId second("llm.d2");
   view.OnPut(now, {"vm/a", "d1", Revision(1), LeaseId()});
   view.OnPut(now, {"vm/b", "d1", Revision(2), LeaseId()});
-  EXPECT_EQ(view.VmsOf(first).size(), 2U);
+  EXPECT_EQ(view.VmsInDomain(first).size(), 2U);
   view.OnPut(now, {"vm/a", "d2", Revision(3), LeaseId()});
-  EXPECT_EQ(view.VmsOf(first).size(), 1U);
-  ASSERT_EQ(view.VmsOf(second).size(), 1U);
-  EXPECT_EQ(view.VmsOf(second).begin()->second, view.FindVm(VmId("a")));
+  EXPECT_EQ(view.VmsInDomain(first).size(), 1U);
+  ASSERT_EQ(view.VmsInDomain(second).size(), 1U);
+  EXPECT_EQ(view.VmsInDomain(second).begin()->second, view.FindVm(VmId("a")));
   view.OnDeleted(now, "vm/a");
-  EXPECT_TRUE(view.VmsOf(second).empty());
+  EXPECT_TRUE(view.VmsInDomain(second).empty());
 }
 
 }  // namespace
--- a/tests/coordination/gateway/fleet_view_test.cc
+++ b/tests/coordination/gateway/fleet_view_test.cc
@@ -59,7 +59,7 @@
   view.OnFullyLoaded(Revision(9));
   view.OnFullyLoaded(Revision(10));
   view.OnPut(kNow, Entry("vm/d", "ready"));
-  EXPECT_EQ(reported, (std::vector<EventKind>{EventKind::kFleetLearned,
+  EXPECT_EQ(reported, (std::vector<EventKind>{EventKind::kFleetSynced,
                                               EventKind::kVmAppeared}));
 }
 
--- a/tests/coordination/gateway/following_test.cc
+++ b/tests/coordination/gateway/following_test.cc
@@ -28,7 +28,7 @@
   static StoreMirrorSettings Settings() {
     StoreMirrorSettings settings;
     settings.prefixes = {"a/"};
-    settings.lapsing_prefixes = {"a/"};
+    settings.expiring_prefixes = {"a/"};
     return settings;
   }
   // Returns the first action of this type, if any.
@@ -86,13 +86,13 @@
     EXPECT_EQ(std::get<StoreWatch>(request->call).after, Revision(10));
     mirror_.OnStoreReply(now_, request->id,
                          StoreWatchReply{Revision(10), {}, {}, false});
-    now_ = now_ + Settings().watch_interval;
+    now_ = now_ + Settings().min_watch_interval;
     peer_request_ = Find<RequestPeerChanges>(mirror_.Tick(now_));
   }
 }
 
-// Guards against a new keeper that sees losses late because a pending question
-// to the node that it followed delays its next call.
+// Guards against a new controller that sees losses late because a pending
+// question to the node that it followed delays its next call.
 TEST_F(FollowingMirrorTest, StopsWaitingOnceThereIsNoNodeToFollow) {
   ASSERT_TRUE(peer_request_);
   mirror_.SetFollowing(false);
@@ -138,7 +138,7 @@
   void RunWithChanges(Duration span) {
     constexpr Duration kChangeInterval = Duration::Millis(100);
     for (Duration run; run < span; run = run + kChangeInterval) {
-      world_.Rewrite(world_.engines().begin()->first);
+      world_.RewriteRegistration(world_.engines().begin()->first);
       world_.Run(kChangeInterval);
     }
   }
@@ -153,8 +153,8 @@
     }
     return outdated;
   }
-  // Returns the node other than the keeper that makes most calls during five
-  // seconds; other nodes follow it.
+  // Returns the node other than the controller that makes most calls during
+  // five seconds; other nodes follow it.
   std::size_t BusiestWatcher() {
     std::vector<std::int64_t> before;
     for (std::size_t i = 0; i < kNodes; ++i) {
@@ -165,7 +165,7 @@
     std::int64_t most_calls = 0;
     for (std::size_t i = 0; i < kNodes; ++i) {
       const std::int64_t calls = world_.node(i).store_calls - before[i];
-      if (i != world_.keeper() && calls > most_calls) {
+      if (i != world_.controller() && calls > most_calls) {
         most_calls = calls;
         busiest = i;
       }
@@ -182,8 +182,8 @@
 TEST_F(FollowingFleetTest, OneNodeWatchesForMany) {
   const std::int64_t before = StoreCalls();
   RunWithChanges(Duration::Seconds(10));
-  // The keeper makes two to seven calls a second, the followed node two, and
-  // the other eighteen hardly any.
+  // The controller makes two to seven calls a second, the followed node two,
+  // and the other eighteen hardly any.
   EXPECT_LT(StoreCalls() - before, 110);
   const Revision revision = world_.store().revision();
   world_.Run(Duration::Millis(700));
@@ -197,7 +197,7 @@
   const std::size_t watcher = BusiestWatcher();
   ASSERT_LT(watcher, kNodes);
   world_.KillNode(watcher);
-  world_.Rewrite(world_.engines().begin()->first);
+  world_.RewriteRegistration(world_.engines().begin()->first);
   const Revision revision = world_.store().revision();
   world_.Run(kMaxPropagationDelay);
   EXPECT_EQ(CountOutdatedNodes(revision), 0U);
@@ -212,7 +212,7 @@
   world_.node(watcher).store_cut = true;
   RunWithChanges(Duration::Seconds(1));
   for (int i = 0; i < 20; ++i) {
-    world_.Rewrite(world_.engines().begin()->first);
+    world_.RewriteRegistration(world_.engines().begin()->first);
     const Revision revision = world_.store().revision();
     world_.Run(kMaxPropagationDelay);
     EXPECT_LE(CountOutdatedNodes(revision), 1U);
@@ -223,12 +223,12 @@
 // while the service refuses some nodes.
 TEST_F(FollowingFleetTest, RefusedNodesAskOtherNodesForChanges) {
   for (std::size_t i = 0; i < kNodes; i += 3) {
-    world_.node(i).store_refuses = true;
+    world_.node(i).store_rejects = true;
   }
   RunWithChanges(Duration::Seconds(3));
   const int before = world_.snapshot_requests;
   for (int i = 0; i < 5; ++i) {
-    world_.Rewrite(world_.engines().begin()->first);
+    world_.RewriteRegistration(world_.engines().begin()->first);
     const Revision revision = world_.store().revision();
     world_.Run(kMaxPropagationDelay);
     EXPECT_EQ(CountOutdatedNodes(revision), 0U);
@@ -245,7 +245,7 @@
       refused = i;
     }
   }
-  world_.node(refused).store_refuses = true;
+  world_.node(refused).store_rejects = true;
   world_.Run(Duration::Seconds(3));
   const GatewayWorld::Node& node = world_.node(refused);
   const std::int64_t before = node.store_calls + node.store_renewals;
@@ -301,7 +301,7 @@
   world.Run(Duration::Seconds(20));
   const std::int64_t before = world.role_reads;
   world.Run(Duration::Seconds(60));
-  // The keeper makes one such read in ten seconds.
+  // The controller makes one such read in ten seconds.
   EXPECT_LE(world.role_reads - before, 8);
 }
 
--- a/tests/coordination/gateway/gateway_core_test.cc
+++ b/tests/coordination/gateway/gateway_core_test.cc
@@ -35,29 +35,29 @@
 // no open request after three seconds.
 TEST_F(GatewayCoreTest, StoppingNodeEndsOnceNoRequestIsOpen) {
   GatewayCore& core = *world_.node(0).core;
-  core.OnStopAsked(world_.now());
+  core.OnStopRequested(world_.now());
   ForwardRequest request;
   request.id = RequestId("q");
   request.host = "h";
   request.path = "/m/x";
   request.model = ModelId("large");
-  const ForwardBegun begun = core.OnArrived(world_.now(), request);
-  ASSERT_TRUE(std::holds_alternative<SendForward>(begun.step));
+  const ForwardAdmission admission = core.OnArrived(world_.now(), request);
+  ASSERT_TRUE(std::holds_alternative<SendForward>(admission.step));
   world_.Run(Duration::Millis(3300));
-  EXPECT_FALSE(core.is_stop_over(world_.now()));
+  EXPECT_FALSE(core.is_drain_complete(world_.now()));
   ForwardEnd end;
   end.kind = ForwardEndKind::kSucceeded;
-  core.OnEnded(world_.now(), begun.id, end);
-  EXPECT_TRUE(core.is_stop_over(world_.now()));
+  core.OnEnded(world_.now(), admission.id, end);
+  EXPECT_TRUE(core.is_drain_complete(world_.now()));
 }
 
 TEST_F(GatewayCoreTest, StoppingNodeWaitsForCallersThatCacheItsAddress) {
   GatewayCore& core = *world_.node(0).core;
-  core.OnStopAsked(world_.now());
+  core.OnStopRequested(world_.now());
   world_.Run(Duration::Millis(3000));
-  EXPECT_FALSE(core.is_stop_over(world_.now()));
+  EXPECT_FALSE(core.is_drain_complete(world_.now()));
   world_.Run(Duration::Millis(300));
-  EXPECT_TRUE(core.is_stop_over(world_.now()));
+  EXPECT_TRUE(core.is_drain_complete(world_.now()));
 }
 
 // Guards against a stream that is cut off when its node ends: 3.5 s after
@@ -65,7 +65,7 @@
 // whose stream takes 4 s, and the node accepts it although it has to end
 // before.
 TEST_F(GatewayCoreTest, StoppingNodeRefusesRequestsItCouldNotFinish) {
-  world_.node(0).core->OnStopAsked(world_.now());
+  world_.node(0).core->OnStopRequested(world_.now());
   EXPECT_FALSE(world_.node(0).core->ready());
   world_.Run(Duration::Millis(2500));
   EXPECT_TRUE(std::holds_alternative<SendForward>(SendRequest(0)));
@@ -74,19 +74,20 @@
   ASSERT_TRUE(std::holds_alternative<ForwardRefused>(late));
   EXPECT_EQ(std::get<ForwardRefused>(late).kind, RefusalKind::kDraining);
   EXPECT_GT(std::get<ForwardRefused>(late).retry_after, Duration());
-  EXPECT_FALSE(world_.node(0).core->is_stop_over(world_.now()));
+  EXPECT_FALSE(world_.node(0).core->is_drain_complete(world_.now()));
   world_.Run(Duration::Millis(4500));
-  EXPECT_TRUE(world_.node(0).core->is_stop_over(world_.now()));
+  EXPECT_TRUE(world_.node(0).core->is_drain_complete(world_.now()));
 }
 
 TEST_F(GatewayCoreTest, AdvertisesOnlyNodesThatAreNotStopping) {
-  EXPECT_EQ(world_.node(0).core->Entries().size(), 2U);
-  world_.node(1).core->OnStopAsked(world_.now());
+  EXPECT_EQ(world_.node(0).core->AdvertisedAddresses().size(), 2U);
+  world_.node(1).core->OnStopRequested(world_.now());
   world_.Run(Duration::Seconds(1));
-  const std::vector<Address> entries = world_.node(0).core->Entries();
+  const std::vector<Address> entries =
+      world_.node(0).core->AdvertisedAddresses();
   EXPECT_EQ(entries, std::vector<Address>{Address("c0")});
   // A stopping node does not advertise itself either.
-  EXPECT_EQ(world_.node(1).core->Entries(),
+  EXPECT_EQ(world_.node(1).core->AdvertisedAddresses(),
             std::vector<Address>{Address("c0")});
 }
 
@@ -97,7 +98,7 @@
   world.Run(Duration::Seconds(5));
   std::map<Address, int> times_advertised;
   for (std::size_t i = 0; i < world.node_count(); ++i) {
-    for (const Address& address : world.node(i).core->Entries()) {
+    for (const Address& address : world.node(i).core->AdvertisedAddresses()) {
       ++times_advertised[address];
     }
   }
--- a/tests/coordination/gateway/load_pacer_test.cc
+++ b/tests/coordination/gateway/load_pacer_test.cc
@@ -8,7 +8,7 @@
 EngineProfile Profile() {
   EngineProfile profile;
   profile.loads_per_second = 4;
-  profile.loads_at_once = 8;
+  profile.max_concurrent_loads = 8;
   return profile;
 }
 
--- a/tests/coordination/gateway/overload_test.cc
+++ b/tests/coordination/gateway/overload_test.cc
@@ -13,7 +13,7 @@
 constexpr std::size_t kNodes = 9;
 constexpr std::size_t kZones = 3;
 constexpr std::size_t kGroups = 6;
-constexpr std::size_t kPlaces = 26;
+constexpr std::size_t kSlots = 26;
 // A batch admits requests and sends events once in a pass.
 constexpr Duration kPass = Duration::Millis(50);
 constexpr Duration kStreamTime = Duration::Millis(1100);
@@ -38,7 +38,7 @@
       replica.service = ServiceId("s");
       replica.model = ModelId("m");
       replica.zone = Zone(i);
-      replica.places = kPlaces;
+      replica.slots = kSlots;
       replica.pass_ms = static_cast<double>(kPass.millis());
       replica.prompt_tokens_per_ms = 93;
       replica.service_ms = static_cast<double>(kStreamTime.millis());
@@ -81,10 +81,10 @@
     Node(const ZoneId& zone, const Random& random)
         : selector({}, zone, random, DiscardEvents()),
           budget({0.2, 136, Duration::Seconds(10), 0.8}),
-          desk({}, &selector, &budget, random, DiscardEvents()) {}
+          controller({}, &selector, &budget, random, DiscardEvents()) {}
     ReplicaSelector selector;
     SharedRetryBudget budget;
-    ForwardDesk desk;
+    ForwardController controller;
   };
   struct Request {
     std::size_t node = 0;
@@ -117,7 +117,7 @@
     RouteRule route;
     route.host = "h";
     route.prefix = "/";
-    route.repetition = Repetition::kResume;
+    route.retry_policy = RetryPolicy::kResume;
     route.streams = true;
     route.latency_objective = kObjective;
     route.shares = {{ServiceId("s"), 1}};
@@ -134,8 +134,8 @@
     request.path = "/x";
     request.model = ModelId("m");
     request.prompt_tokens = TokenCount(700);
-    const ForwardBegun admission =
-        nodes_[node]->desk.OnArrived(now_, std::move(request), routes_);
+    const ForwardAdmission admission =
+        nodes_[node]->controller.OnArrived(now_, std::move(request), routes_);
     if (const auto* send = std::get_if<SendForward>(&admission.step)) {
       Request run;
       run.node = node;
@@ -181,7 +181,7 @@
         ForwardEnd end;
         end.kind = ForwardEndKind::kSucceeded;
         end.delivered = true;
-        nodes_[request.node]->desk.OnEnded(now_, request.id, end);
+        nodes_[request.node]->controller.OnEnded(now_, request.id, end);
         return true;
       }
       return false;
@@ -190,14 +190,14 @@
       if (now_ - request.sent < kCallerTimeout) {
         return false;
       }
-      nodes_[request.node]->desk.OnCallerGone(now_, request.id);
+      nodes_[request.node]->controller.OnCallerGone(now_, request.id);
       return true;
     });
     std::stable_sort(group.waiting.begin(), group.waiting.end(),
                      [](const Request& a, const Request& b) {
                        return a.urgency < b.urgency;
                      });
-    while (!group.waiting.empty() && group.running.size() < kPlaces) {
+    while (!group.waiting.empty() && group.running.size() < kSlots) {
       Request request = group.waiting.front();
       group.waiting.erase(group.waiting.begin());
       request.starts = now_ + kPromptTime;
@@ -208,11 +208,12 @@
 
   void StartStream(const Group& group, Request& request) {
     request.started = true;
-    ForwardDesk& desk = nodes_[request.node]->desk;
-    desk.OnLoad(now_, request.id,
-                {static_cast<std::int64_t>(group.running.size()),
-                 static_cast<std::int64_t>(group.waiting.size()), kPlaces});
-    desk.OnProgress(now_, request.id);
+    ForwardController& controller = nodes_[request.node]->controller;
+    controller.OnLoad(
+        now_, request.id,
+        {static_cast<std::int64_t>(group.running.size()),
+         static_cast<std::int64_t>(group.waiting.size()), kSlots});
+    controller.OnProgress(now_, request.id);
     in_time_ += now_ - request.asked <= kObjective ? 1 : 0;
   }
 
--- a/tests/coordination/gateway/regrouping_test.cc
+++ b/tests/coordination/gateway/regrouping_test.cc
@@ -199,7 +199,7 @@
     }
   }
   world.Run(Duration::Seconds(5));
-  world.Kill(world.MembersOf(head)[2]);
+  world.Kill(world.GroupMembersOf(head)[2]);
   const Time died = world.now();
   EXPECT_TRUE(world.RunUntil(Duration::Seconds(20),
                              [&] { return world.open_groups("large") == 2; }));
--- a/tests/coordination/gateway/replica_selector_test.cc
+++ b/tests/coordination/gateway/replica_selector_test.cc
@@ -17,7 +17,7 @@
   replica.group = GroupId("g" + vm);
   replica.generation = Generation(1);
   replica.zone = ZoneId("z");
-  replica.places = 26;
+  replica.slots = 26;
   replica.pass_ms = 50;
   replica.prompt_tokens_per_ms = 56;
   replica.service_ms = 1500;
@@ -124,7 +124,7 @@
     }
   }
   EXPECT_EQ(selector_.Tick(now_), std::vector<AttemptNumber>{stalled});
-  const std::vector<Replica> found = selector_.TakeStandstills();
+  const std::vector<Replica> found = selector_.TakeStalledReplicas();
   ASSERT_EQ(found.size(), 1U);
   EXPECT_EQ(found.front().vm, VmId("a"));
   for (int i = 0; i < 20; ++i) {
@@ -152,18 +152,18 @@
   Send("a");
   Advance(1600);
   EXPECT_TRUE(selector_.Tick(now_).empty());
-  const std::vector<Replica> suspected = selector_.TakeSuspicions();
+  const std::vector<Replica> suspected = selector_.TakeSuspectedStalls();
   ASSERT_EQ(suspected.size(), 1U);
   EXPECT_EQ(suspected.front().vm, VmId("a"));
   Advance(20);
-  selector_.OnProgressHeard(now_, VmId("a"), Generation(1),
-                            Duration::Millis(60));
+  selector_.OnPeerProgress(now_, VmId("a"), Generation(1),
+                           Duration::Millis(60));
   Advance(400);
   EXPECT_TRUE(selector_.Tick(now_).empty());
-  EXPECT_TRUE(selector_.TakeSuspicions().empty());
-  EXPECT_TRUE(selector_.TakeStandstills().empty());
+  EXPECT_TRUE(selector_.TakeSuspectedStalls().empty());
+  EXPECT_TRUE(selector_.TakeStalledReplicas().empty());
   // Progress that another node saw does not count as this node's own.
-  EXPECT_FALSE(selector_.OwnProgress(VmId("a"), Generation(1)).has_value());
+  EXPECT_FALSE(selector_.LocalProgress(VmId("a"), Generation(1)).has_value());
 }
 
 TEST_F(ReplicaSelectorTest, GroupCountsAsStalledIfNoOtherNodeSawProgress) {
@@ -173,12 +173,12 @@
   Advance(450);
   EXPECT_TRUE(selector_.Tick(now_).empty());
   // An old report, or one of an earlier group, is no evidence of progress.
-  selector_.OnProgressHeard(now_, VmId("a"), Generation(1),
-                            Duration::Millis(460));
-  selector_.OnProgressHeard(now_, VmId("a"), Generation(9), Duration());
+  selector_.OnPeerProgress(now_, VmId("a"), Generation(1),
+                           Duration::Millis(460));
+  selector_.OnPeerProgress(now_, VmId("a"), Generation(9), Duration());
   Advance(80);
   EXPECT_EQ(selector_.Tick(now_), std::vector<AttemptNumber>{stalled});
-  EXPECT_EQ(selector_.TakeStandstills().size(), 1U);
+  EXPECT_EQ(selector_.TakeStalledReplicas().size(), 1U);
 }
 
 TEST_F(ReplicaSelectorTest, NewGenerationStartsWithoutHistory) {
@@ -191,24 +191,22 @@
   selector_.SetReplicas(now_, {regrouped});
   EXPECT_TRUE(IsOk(Choose()));
   // The old attempt's end says nothing about the new group.
-  selector_.OnEnded(now_, stalled, ForwardEndKind::kBroke);
+  selector_.OnEnded(now_, stalled, ForwardEndKind::kConnectionBroken);
   EXPECT_TRUE(IsOk(Choose()));
 }
 
 TEST_F(ReplicaSelectorTest, RecentProgressOutweighsAnotherNodesReport) {
   const AttemptNumber active = Send("a");
   selector_.OnProgress(now_, active);
-  EXPECT_TRUE(
-      selector_.OnStandstillHeard(now_, VmId("a"), Generation(1)).empty());
-  EXPECT_TRUE(
-      selector_.OnStandstillHeard(now_, VmId("b"), Generation(9)).empty());
+  EXPECT_TRUE(selector_.OnPeerStall(now_, VmId("a"), Generation(1)).empty());
+  EXPECT_TRUE(selector_.OnPeerStall(now_, VmId("b"), Generation(9)).empty());
 }
 
 // Guards against a replica that fails at once and attracts all requests because
 // it looks idle.
 TEST_F(ReplicaSelectorTest, LeavesOutAFailingReplicaAndRetriesItLater) {
   const AttemptNumber failed = Send("a");
-  selector_.OnEnded(now_, failed, ForwardEndKind::kFailedThere);
+  selector_.OnEnded(now_, failed, ForwardEndKind::kEndpointFailed);
   for (int i = 0; i < 20; ++i) {
     EXPECT_NE(ValueOf(Choose()).replica.vm, VmId("a"));
   }
--- a/tests/coordination/gateway/store_mirror_test.cc
+++ b/tests/coordination/gateway/store_mirror_test.cc
@@ -32,7 +32,7 @@
   static StoreMirrorSettings Settings() {
     StoreMirrorSettings settings;
     settings.prefixes = {"a/", "b/"};
-    settings.lapsing_prefixes = {"b/"};
+    settings.expiring_prefixes = {"b/"};
     return settings;
   }
 
@@ -97,7 +97,7 @@
 
 // Guards against a watch whose full wait counts as silence: whenever nothing
 // changed for a second, every node reported the service unreachable, and its
-// keeper gave the role up.
+// controller gave the role up.
 TEST_F(StoreMirrorTest, WaitingWatchIsNoOutage) {
   Load();
   for (int i = 0; i < 20; ++i) {
@@ -221,7 +221,7 @@
 TEST(StoreMirrorBoundTest, AShortBoundDoesNotStopTheWatches) {
   StoreMirrorSettings settings;
   settings.prefixes = {"a/"};
-  settings.known_within = Duration::Millis(200);
+  settings.max_propagation_delay = Duration::Millis(200);
   StoreMirror mirror(settings, SeededRandom(1),
                      {[](Time, const StoreEntry&) {},
                       [](Time, const std::string&) {}, [](bool) {}});
@@ -306,7 +306,7 @@
   Tick();
   int calls = 0;
   for (int i = 0; i < 100; ++i) {
-    calls += Answer(StoreBusy{Duration::Millis(150)}) ? 1 : 0;
+    calls += Answer(StoreRefused{Duration::Millis(150)}) ? 1 : 0;
     Wait(50);
     calls += Tick() ? 1 : 0;
   }
--- a/tests/coordination/groups/domain_writer_test.cc
+++ b/tests/coordination/groups/domain_writer_test.cc
@@ -13,7 +13,7 @@
 DomainRecordCodec Codec() {
   return {[](const DomainRecord& record) {
             return record.change.value() + ":" +
-                   std::to_string(record.written_by.value());
+                   std::to_string(record.writer_token.value());
           },
           [](std::string_view text) -> std::optional<DomainRecord> {
             const std::string all(text);
@@ -21,7 +21,8 @@
             DomainRecord record;
             record.domain = FabricDomainId("d");
             record.change = ChangeId(all.substr(0, colon));
-            record.written_by = FencingToken(std::stoll(all.substr(colon + 1)));
+            record.writer_token =
+                FencingToken(std::stoll(all.substr(colon + 1)));
             return record;
           }};
 }
--- a/tests/coordination/groups/group_keeper_test.cc
+++ b/tests/coordination/groups/group_controller_test.cc
@@ -15,7 +15,7 @@
 // record says. Returns an empty string if there is none.
 std::string FindViolation(GroupsWorld& world) {
   for (const DomainRecord& record : world.Records()) {
-    if (FindFault(record)) {
+    if (Validate(record)) {
       return "faulty record of " + record.domain.value();
     }
     for (const GroupRecord& group : record.groups) {
@@ -70,7 +70,7 @@
   return "";
 }
 
-TEST(GroupKeeperTest, FormsTheWantedGroups) {
+TEST(GroupControllerTest, FormsTheDesiredGroups) {
   GroupsWorld world(1, true);
   ASSERT_EQ(RunChecked(world, Duration::Seconds(30)), "");
   EXPECT_EQ(CountServing(world), 3);
@@ -78,7 +78,7 @@
 
 // Guards against a group that stays down although its domain has spare VMs. A
 // VM dies; its domain holds three spares.
-TEST(GroupKeeperTest, ReplacesADeadVmByASpare) {
+TEST(GroupControllerTest, ReplacesADeadVmByASpare) {
   GroupsWorld world(2, true);
   ASSERT_EQ(RunChecked(world, Duration::Seconds(30)), "");
   ASSERT_EQ(CountServing(world), 3);
@@ -89,24 +89,24 @@
 }
 
 // Guards against two groups that share a VM, and serving groups that lose one.
-// A keeper pauses longer than its lease with orders not yet written, another
-// takes over and moves VMs, and the first resumes. Engines that ignore fencing
-// tokens would obey its late orders; the check of `send_before` right before
-// the write withholds them.
-TEST(GroupKeeperTest, KeeperResumedInTheMiddleOfAnOrderSendsNothing) {
+// A controller pauses longer than its lease with orders not yet written,
+// another takes over and moves VMs, and the first resumes. Engines that ignore
+// fencing tokens would obey its late orders; the check of `send_before` right
+// before the write withholds them.
+TEST(GroupControllerTest, ControllerResumedInTheMiddleOfAnOrderSendsNothing) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     GroupsWorld world(seed, false);
-    // Pauses the keeper in the step in which it first sends orders.
+    // Pauses the controller in the step in which it first sends orders.
     for (int step = 0; step < 400 && world.orders_sent() == 0; ++step) {
       world.Step();
     }
-    GroupsWorld::Node* keeper = world.KeeperOf("d1");
-    ASSERT_NE(keeper, nullptr);
-    keeper->is_paused = true;
+    GroupsWorld::Node* controller = world.ControllerOf("d1");
+    ASSERT_NE(controller, nullptr);
+    controller->is_paused = true;
     ASSERT_EQ(RunChecked(world, Duration::Seconds(25)), "");
     world.engines().Restart(world.now(), VmId("d1-v0"));
     ASSERT_EQ(RunChecked(world, Duration::Seconds(15)), "");
-    keeper->is_paused = false;
+    controller->is_paused = false;
     ASSERT_EQ(RunChecked(world, Duration::Seconds(40)), "");
     EXPECT_EQ(CountServing(world), 3) << "seed " << seed;
   }
@@ -114,9 +114,9 @@
 
 // Covers what no check of the clock prevents: the sender pauses between the
 // check and the write. Engines that check fencing tokens refuse the order. Some
-// of those that ignore them leave their group's generation until the new keeper
-// has read their state back and ordered them again.
-TEST(GroupKeeperTest, OrderWrittenLateIsRefusedOrReconciled) {
+// of those that ignore them leave their group's generation until the new
+// controller has read their state back and ordered them again.
+TEST(GroupControllerTest, OrderWrittenLateIsRefusedOrReconciled) {
   for (const bool checks_fences : {true, false}) {
     Duration longest;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
@@ -125,13 +125,13 @@
       for (int step = 0; step < 400 && world.orders_sent() == 0; ++step) {
         world.Step();
       }
-      GroupsWorld::Node* keeper = world.KeeperOf("d1");
-      ASSERT_NE(keeper, nullptr);
-      keeper->is_paused = true;
+      GroupsWorld::Node* controller = world.ControllerOf("d1");
+      ASSERT_NE(controller, nullptr);
+      controller->is_paused = true;
       world.Run(Duration::Seconds(25));
       world.engines().Restart(world.now(), VmId("d1-v0"));
       world.Run(Duration::Seconds(15));
-      keeper->is_paused = false;
+      controller->is_paused = false;
       Duration violation_time;
       for (int step = 0; step < 400; ++step) {
         world.Step();
@@ -152,7 +152,7 @@
 // Guards against treating a committed change as refused and making it twice.
 // The service writes the record, but the answer is lost; the change id that is
 // read back shows that the write took effect.
-TEST(GroupKeeperTest, ReadsBackAfterLostWriteReplies) {
+TEST(GroupControllerTest, ReadsBackAfterLostWriteReplies) {
   GroupsWorld world(3, true);
   world.link().faults().reply_lost = 0.5;
   ASSERT_EQ(RunChecked(world, Duration::Seconds(60)), "");
@@ -164,14 +164,14 @@
 // Guards against taking serving groups apart after the service was restored to
 // a state from before they formed. A record older than one already seen must
 // not be acted on.
-TEST(GroupKeeperTest, RejectsRestoredStore) {
+TEST(GroupControllerTest, RejectsRestoredStore) {
   GroupsWorld world(4, true);
   ASSERT_EQ(RunChecked(world, Duration::Seconds(5)), "");
   world.link().Snapshot();
   ASSERT_EQ(RunChecked(world, Duration::Seconds(30)), "");
   ASSERT_EQ(CountServing(world), 3);
   world.link().Restore();
-  // The lease outlives the restore, so that the same keeper continues.
+  // The lease outlives the restore, so that the same controller continues.
   world.link().store().ExtendLeases(world.now());
   world.engines().Restart(world.now(), VmId("d1-v0"));
   for (int step = 0; step < 200; ++step) {
@@ -181,8 +181,8 @@
 }
 
 // Injects faults, also several at once and repeatedly: engines die, restart,
-// pause and resume, also a whole domain at once; keepers pause, are cut off and
-// lose their lease without noticing; the service fails, loses requests and
+// pause and resume, also a whole domain at once; controllers pause, are cut off
+// and lose their lease without noticing; the service fails, loses requests and
 // answers, and reads stale; the VM list is late in both directions.
 class FaultInjector {
  public:
@@ -296,12 +296,12 @@
   return violation;
 }
 
-RC_GTEST_PROP(GroupKeeperProperty, OneGroupPerVmWithFencingTokens, ()) {
+RC_GTEST_PROP(GroupControllerProperty, OneGroupPerVmWithFencingTokens, ()) {
   const auto seed = *rc::gen::inRange<std::uint64_t>(0, 1000000);
   RC_ASSERT(RunWithFaults(seed, true) == "");
 }
 
-RC_GTEST_PROP(GroupKeeperProperty, OneGroupPerVmWithoutFencingTokens, ()) {
+RC_GTEST_PROP(GroupControllerProperty, OneGroupPerVmWithoutFencingTokens, ()) {
   const auto seed = *rc::gen::inRange<std::uint64_t>(0, 1000000);
   RC_ASSERT(RunWithFaults(seed, false) == "");
 }
--- a/tests/coordination/groups/order_sender_test.cc
+++ b/tests/coordination/groups/order_sender_test.cc
@@ -7,11 +7,11 @@
 
 constexpr Time kStart = Time::FromMillis(100000);
 
-// Guards against two keepers that order the same engines at the same time. The
-// service drops a keeper's lease early, or is restored, and another node takes
-// the role while the first still believes that it holds it; the new keeper must
-// wait as long as that can last.
-TEST(OrderSenderTest, NewKeeperWaitsOutItsPredecessor) {
+// Guards against two controllers that order the same engines at the same time.
+// The service drops a controller's lease early, or is restored, and another
+// node takes the role while the first still believes that it holds it; the new
+// controller must wait as long as that can last.
+TEST(OrderSenderTest, NewControllerWaitsOutItsPredecessor) {
   const OrderSettings settings;
   OrderSender sender(settings);
   const Time valid = kStart + Duration::Seconds(3600);
--- a/tests/coordination/groups/repair_planner_test.cc
+++ b/tests/coordination/groups/repair_planner_test.cc
@@ -28,14 +28,14 @@
                                              .assignable = true};
       }
     }
-    AddWantedModel("high", 1);
-    AddWantedModel("low", 2);
+    AddDesiredModel("high", 1);
+    AddDesiredModel("low", 2);
   }
 
-  void AddWantedModel(const char* model, int rank) {
-    WantedModel wanted{ModelId(model), 2, Rank(rank), {}};
-    wanted.targets[kZone] = GroupTarget{0, 0};
-    view_.wanted.push_back(wanted);
+  void AddDesiredModel(const char* model, int rank) {
+    DesiredModel desired{ModelId(model), 2, Rank(rank), {}};
+    desired.targets[kZone] = GroupTarget{0, 0};
+    view_.desired_models.push_back(desired);
   }
 
   // Adds a serving group of two VMs of `domain`, starting with VM `first`.
@@ -50,10 +50,10 @@
     for (const int number : {first, first + 1}) {
       view_.vms[Vm(domain, number)].assignable = false;
     }
-    for (WantedModel& wanted : view_.wanted) {
-      if (wanted.model == ModelId(model)) {
-        ++wanted.targets[kZone].wanted;
-        ++wanted.targets[kZone].most;
+    for (DesiredModel& desired : view_.desired_models) {
+      if (desired.model == ModelId(model)) {
+        ++desired.targets[kZone].min_groups;
+        ++desired.targets[kZone].max_groups;
       }
     }
   }
--- a/tests/coordination/node/node_core_test.cc
+++ b/tests/coordination/node/node_core_test.cc
@@ -38,7 +38,7 @@
     fleet_.AddService("s1", "z1");
     fleet_.RunFor(Duration::Seconds(3));
     fleet_.AddContract(NodeId("n1"), PaidContract());
-    WantedModel model;
+    DesiredModel model;
     model.model = ModelId("notes");
     model.vms_per_group = 2;
     model.targets[ZoneId("z1")] = GroupTarget{2, 2};
@@ -104,10 +104,10 @@
 }
 
 // Guards against a crash with std::out_of_range of every node when the first
-// groups of two data centres were written. The keeper planned over records of
-// domains in which its own zone has no VM, and the planner looked up the VMs of
-// such a domain.
-TEST_F(NodeCoreTest, KeepersOfTwoZonesHandleEachOthersRecords) {
+// groups of two data centres were written. The controller planned over records
+// of domains in which its own zone has no VM, and the planner looked up the VMs
+// of such a domain.
+TEST_F(NodeCoreTest, ControllersOfTwoZonesHandleEachOthersRecords) {
   fleet_.AddNode("n1", "z1");
   fleet_.AddNode("n2", "z2");
   for (const char* zone : {"1", "2"}) {
@@ -117,7 +117,7 @@
     }
   }
   fleet_.RunFor(Duration::Seconds(3));
-  WantedModel model;
+  DesiredModel model;
   model.model = ModelId("notes");
   model.vms_per_group = 2;
   model.targets[ZoneId("z1")] = GroupTarget{1, 1};
--- a/tests/coordination/roles/role_leases_test.cc
+++ b/tests/coordination/roles/role_leases_test.cc
@@ -97,8 +97,9 @@
     node.paused = false;
   }
   for (std::size_t i = 0; i < cluster.nodes().size(); ++i) {
-    cluster.SetDesired(i, RolesOf(cluster.nodes()[i].id, kRoles,
-                                  {NodeId("n0"), NodeId("n1"), NodeId("n2")}));
+    cluster.SetDesired(
+        i, RolesAssignedTo(cluster.nodes()[i].id, kRoles,
+                           {NodeId("n0"), NodeId("n1"), NodeId("n2")}));
   }
   cluster.Run(Duration::Seconds(60));
   for (const RoleName& role : kRoles) {
--- a/tests/core/event_log_test.cc
+++ b/tests/core/event_log_test.cc
@@ -119,17 +119,17 @@
   const EventId group = Append("group-1", vm);
   Append("group-2", vm);
   std::vector<EventRelation> relations;
-  const Explanation explanation = log_.Why("group-1");
+  const Explanation explanation = log_.Explain("group-1");
   for (const ExplainedEvent& explained : explanation.events) {
     relations.push_back(explained.relation);
   }
   // group-2 shares the cause but is neither cause nor effect of group-1.
   EXPECT_EQ(relations,
             (std::vector{EventRelation::kCause, EventRelation::kSubject}));
-  EXPECT_EQ(log_.Why("vm-1").events.size(), 3U);
+  EXPECT_EQ(log_.Explain("vm-1").events.size(), 3U);
   // The log drops the first event, which is then listed as a missing cause.
   Append("request-1", group);
-  const Explanation later = log_.Why("request-1");
+  const Explanation later = log_.Explain("request-1");
   EXPECT_EQ(later.events.size(), 2U);
   EXPECT_EQ(later.missing_causes, std::vector{vm});
 }
--- a/tests/platform/platform_wire_test.cc
+++ b/tests/platform/platform_wire_test.cc
@@ -40,12 +40,12 @@
   EXPECT_EQ(configuration.version, ConfigurationVersion(7));
   const RouteRule& stream = configuration.routes[0];
   EXPECT_TRUE(stream.streams);
-  EXPECT_EQ(stream.repetition, Repetition::kResume);
+  EXPECT_EQ(stream.retry_policy, RetryPolicy::kResume);
   EXPECT_EQ(stream.shares[0].weight, 90);
-  EXPECT_EQ(stream.pause_objective, Duration::Millis(250));
+  EXPECT_EQ(stream.event_gap_objective, Duration::Millis(250));
   const RouteRule& once = configuration.routes[1];
-  EXPECT_EQ(once.repetition, Repetition::kNever);
-  EXPECT_TRUE(once.open_to_all);
+  EXPECT_EQ(once.retry_policy, RetryPolicy::kNever);
+  EXPECT_TRUE(once.allows_anonymous);
   EXPECT_EQ(once.shares[0].service, ServiceId("b2"));
   const EngineProfile& engine = *configuration.services[0].engine;
   EXPECT_EQ(engine.models[0].load_time, Duration::Seconds(16));
@@ -138,7 +138,7 @@
   EXPECT_EQ(read.prompt_tokens, TokenCount(1460));
   EXPECT_EQ(read.max_generated_tokens, TokenCount(80));
   EXPECT_EQ(read.resume_after, 12);
-  EXPECT_EQ(read.patience, Duration::Seconds(8));
+  EXPECT_EQ(read.caller_timeout, Duration::Seconds(8));
 }
 
 TEST(RequestWireTest, NonNumericHeadersCountAsAbsent) {
@@ -149,16 +149,16 @@
                        {"Last-Event-Id", ""}},
                       ""};
   const ForwardRequest read = ReadCallerRequest(request);
-  EXPECT_FALSE(read.patience.has_value());
+  EXPECT_FALSE(read.caller_timeout.has_value());
   EXPECT_FALSE(read.resume_after.has_value());
   EXPECT_EQ(read.prompt_tokens, TokenCount());
 }
 
 TEST(RequestWireTest, RefusalsAndUnknownOutcomesHaveDistinctStatuses) {
-  const HttpResponse busy =
+  const HttpResponse refused =
       MakeRefusalAnswer({RefusalKind::kNoCapacity, Duration::Millis(1250)});
-  EXPECT_EQ(busy.status, 503);
-  EXPECT_EQ(busy.Header("Retry-After"), "1.250");
+  EXPECT_EQ(refused.status, 503);
+  EXPECT_EQ(refused.Header("Retry-After"), "1.250");
   EXPECT_EQ(MakeRefusalAnswer({RefusalKind::kUnknownKey, {}}).status, 401);
   EXPECT_EQ(MakeRefusalAnswer({RefusalKind::kUnknownService, {}}).status, 404);
   EXPECT_EQ(MakeUnknownAnswer({false}).status, 502);
@@ -222,7 +222,7 @@
                     ""};
   const AnswerHead good = ReadEndpointAnswer(head, RequestId("q1"));
   EXPECT_TRUE(good.is_ours && good.is_signed && !good.is_not_run);
-  EXPECT_EQ(good.load->places, 8);
+  EXPECT_EQ(good.load->slots, 8);
   EXPECT_FALSE(ReadEndpointAnswer(head, RequestId("q2")).is_ours);
   head.headers.push_back({"Content-Encoding", "gzip"});
   EXPECT_TRUE(ReadEndpointAnswer(head, RequestId("q1")).is_altered);
@@ -255,10 +255,10 @@
   EXPECT_EQ(MakeGroupOrderRequest(VmId("i-1"), order).body,
             R"({"op":"join","fencing_token":5,"model":"m",)"
             R"("members":["i-1","i-2"],"group":"g1","epoch":12})");
-  EXPECT_EQ(ReadGroupOrderStatus(202), GroupOrderVerdict::kBegun);
-  EXPECT_EQ(ReadGroupOrderStatus(412), GroupOrderVerdict::kStale);
-  EXPECT_EQ(ReadGroupOrderStatus(421), GroupOrderVerdict::kOtherVm);
-  EXPECT_EQ(ReadGroupOrderStatus(400), GroupOrderVerdict::kRefused);
+  EXPECT_EQ(ReadGroupOrderStatus(202), GroupOrderResult::kStarted);
+  EXPECT_EQ(ReadGroupOrderStatus(412), GroupOrderResult::kStale);
+  EXPECT_EQ(ReadGroupOrderStatus(421), GroupOrderResult::kWrongVm);
+  EXPECT_EQ(ReadGroupOrderStatus(400), GroupOrderResult::kRefused);
 }
 
 TEST(StoreWireTest, DistinguishesOutageRefusalAndConflict) {
@@ -275,14 +275,14 @@
   EXPECT_TRUE(std::holds_alternative<StoreLeaseUnknown>(
       ReadStoreReply(put, {404, {}, ""})));
   for (const int status : {429, 503}) {
-    EXPECT_TRUE(std::holds_alternative<StoreBusy>(
+    EXPECT_TRUE(std::holds_alternative<StoreRefused>(
         ReadStoreReply(put, {status, {}, ""})));
   }
   EXPECT_TRUE(std::holds_alternative<StoreNoAnswer>(
       ReadStoreReply(put, {200, {}, "not json"})));
   // An unknown call must not be repeated immediately.
   const StoreReply unknown = ReadStoreReply(StoreRange{"x"}, {400, {}, ""});
-  EXPECT_GE(std::get<StoreBusy>(unknown).retry_after, Duration::Seconds(1));
+  EXPECT_GE(std::get<StoreRefused>(unknown).retry_after, Duration::Seconds(1));
 }
 
 TEST(StoreWireTest, ReadsWatchesWithDeletionsAndCompaction) {
@@ -325,15 +325,15 @@
 TEST(GroupOrderWireTest, ReadsPaceAndRequests) {
   const ProbeReport report = ReadProbeAnswer(
       {200, {}, R"({"pace":2.5,"active":12,"queued":3,"busy":false})"});
-  EXPECT_EQ(report.verdict, ProbeVerdict::kAnswered);
-  EXPECT_DOUBLE_EQ(report.pace, 2.5);
+  EXPECT_EQ(report.result, ProbeResult::kAnswered);
+  EXPECT_DOUBLE_EQ(report.slowdown, 2.5);
   EXPECT_EQ(report.requests, 15);
 }
 
 TEST(GroupOrderWireTest, AnUnreadableAnswerStillCountsAsAnswered) {
   const ProbeReport report = ReadProbeAnswer({200, {}, R"({"active":"many"})"});
-  EXPECT_EQ(report.verdict, ProbeVerdict::kAnswered);
-  EXPECT_DOUBLE_EQ(report.pace, 1);
+  EXPECT_EQ(report.result, ProbeResult::kAnswered);
+  EXPECT_DOUBLE_EQ(report.slowdown, 1);
   EXPECT_EQ(report.requests, 0);
 }
 
--- a/tests/programs/event_log_reader_test.cc
+++ b/tests/programs/event_log_reader_test.cc
@@ -72,7 +72,7 @@
            Line("n2", "vm_lost", 2500, "v1"));
   const auto context = FindContext(events, ExplainSubject(events, "r"), {});
   ASSERT_EQ(context.size(), 2U);
-  EXPECT_EQ(context[0].draft.kind, EventKind::kConnectionSilent);
+  EXPECT_EQ(context[0].draft.kind, EventKind::kConnectionStalled);
   EXPECT_EQ(context[1].draft.kind, EventKind::kVmLost);
 }
 
--- a/tests/programs/gateway_explained_test.cc
+++ b/tests/programs/gateway_explained_test.cc
@@ -129,7 +129,7 @@
     ReadLogs();
     const auto context = ContextOf(unknown.draft.subject);
     return Contains(context, EventKind::kVmLost) ||
-           Contains(context, EventKind::kConnectionSilent) ||
+           Contains(context, EventKind::kConnectionStalled) ||
            Contains(context, EventKind::kEndpointEjected);
   }));
 }
--- a/tests/programs/gateway_settings_test.cc
+++ b/tests/programs/gateway_settings_test.cc
@@ -47,7 +47,8 @@
       "store.configuration_known_within_ms = 2500\n");
   const auto* settings = std::get_if<GatewayProcessSettings>(&read);
   ASSERT_NE(settings, nullptr);
-  EXPECT_EQ(settings->core.mirror.known_within, Duration::Millis(2500));
+  EXPECT_EQ(settings->core.mirror.max_propagation_delay,
+            Duration::Millis(2500));
 }
 
 // Guards against nodes that do not start on a platform that sets its own bound,
--- a/tests/programs/node_settings_test.cc
+++ b/tests/programs/node_settings_test.cc
@@ -49,8 +49,8 @@
 
 // Guards against settings with which no replica group ever starts and nothing
 // is logged. An order is sent only while the lease outlives the order's timeout
-// and margin; with a lease of 3 s, a node became a keeper and wrote the record
-// of a group, but never sent the load orders.
+// and margin; with a lease of 3 s, a node became a controller and wrote the
+// record of a group, but never sent the load orders.
 TEST_F(NodeSettingsTest, RejectsLeaseTooShortForOrders) {
   const std::vector<SettingError> errors = ErrorsWith(
       "lease.time_to_live_ms = 3000\nlease.renew_interval_ms = 800\n"
--- a/tests/programs/standin_store_test.cc
+++ b/tests/programs/standin_store_test.cc
@@ -112,7 +112,7 @@
   const StorePut put{"a", "v", Revision(), LeaseId()};
   EXPECT_EQ(store.OnCall(At(0), Ticket(1), put).size(), 1U);
   const auto refused = store.OnCall(At(0), Ticket(2), put);
-  EXPECT_EQ(std::get<StoreBusy>(refused.at(0).reply).retry_after,
+  EXPECT_EQ(std::get<StoreRefused>(refused.at(0).reply).retry_after,
             Duration::Millis(250));
   const auto read = store.OnCall(At(0), Ticket(3), StoreRange{""});
   EXPECT_EQ(std::get<StoreRangeReply>(read.at(0).reply).entries.size(), 1U);
--- a/tests/programs/whole_path_test.cc
+++ b/tests/programs/whole_path_test.cc
@@ -213,7 +213,7 @@
   }
 
   static bool PutModel(const Node& node) {
-    WantedModel model;
+    DesiredModel model;
     model.model = ModelId("notes");
     model.vms_per_group = 2;
     model.targets[ZoneId("lj-1")] = {1, 1};
@@ -419,8 +419,8 @@
 
 // The VM of a group's second member is killed during a long answer. Guards
 // against an incomplete group that still gets requests, so that they hang or
-// are cut, a broken stream that is closed as if it were complete, and a keeper
-// that does not replace the lost VM although another is free.
+// are cut, a broken stream that is closed as if it were complete, and a
+// controller that does not replace the lost VM although another is free.
 TEST_F(WholePathTest, GroupWithLostVmGetsNoRequestsAndIsRepaired) {
   const Node node = StartNode("n1");
   ASSERT_NO_FATAL_FAILURE(WaitUntilServing(node));
--- a/tests/protocol/mirror_json_test.cc
+++ b/tests/protocol/mirror_json_test.cc
@@ -36,7 +36,7 @@
   EXPECT_EQ(ValueOf(read).deleted[0].key, "vm/2");
   EXPECT_EQ(ValueOf(read).deleted[0].revision, Revision(9));
   EXPECT_EQ(ValueOf(read).age, changes.age);
-  EXPECT_EQ(ValueOf(read).lapse_left, changes.lapse_left);
+  EXPECT_EQ(ValueOf(read).expiry_grace_left, changes.expiry_grace_left);
 }
 
 // Guards against a copy that loses entries or goes back in time, because fields
--- a/tests/protocol/record_json_test.cc
+++ b/tests/protocol/record_json_test.cc
@@ -63,7 +63,7 @@
   const DomainRecord record{.domain = AnyId<FabricDomainId>(),
                             .groups = AnyList(AnyGroup),
                             .leaving = AnyList(AnyLeavingMember),
-                            .written_by = AnyNumber<FencingToken>(),
+                            .writer_token = AnyNumber<FencingToken>(),
                             .change = AnyId<ChangeId>()};
   const auto decoded = DecodeDomainRecord(EncodeDomainRecord(record));
   RC_ASSERT(IsOk(decoded));
@@ -135,7 +135,7 @@
   engine.service = ServiceId("llm");
   engine.address = Address("10.0.0.1:80");
   engine.zone = ZoneId("z");
-  engine.places = 13;
+  engine.slots = 13;
   engine.models = {ModelId("m")};
   engine.membership =
       GroupMembership{GroupId("g"), Generation(4), 0, MemberPhase::kOpen};
--- a/tests/protocol/store_json_test.cc
+++ b/tests/protocol/store_json_test.cc
@@ -64,7 +64,7 @@
     case 5:
       return {StoreLeaseKeepAlive{}, StoreLeaseUnknown{}};
     case 6:
-      return {StoreRange{}, StoreBusy{AnyDuration()}};
+      return {StoreRange{}, StoreRefused{AnyDuration()}};
     default:
       return {
           StoreWatch{},
@@ -148,10 +148,11 @@
   const auto is_unknown_call = [](const StoreCall& call, int status,
                                   std::string_view body) {
     const auto reply = DecodeStoreReply(call, status, body);
-    const auto* busy =
-        IsOk(reply) ? std::get_if<StoreBusy>(&ValueOf(reply)) : nullptr;
-    return busy != nullptr && busy->reason == StoreRefusal::kUnknownCall &&
-           busy->retry_after == kUnknownStoreCallWait;
+    const auto* refused =
+        IsOk(reply) ? std::get_if<StoreRefused>(&ValueOf(reply)) : nullptr;
+    return refused != nullptr &&
+           refused->reason == StoreRefusal::kUnknownCall &&
+           refused->retry_after == kUnknownStoreCallRetryDelay;
   };
   EXPECT_TRUE(is_unknown_call(StoreLeaseGrant{}, 404, ""));
   EXPECT_TRUE(
--- a/tests/protocol/timeline_test.cc
+++ b/tests/protocol/timeline_test.cc
@@ -31,8 +31,8 @@
 }
 
 TEST(EventKindTest, EachKindIsFoundByItsName) {
-  for (int number = 0; number <= static_cast<int>(EventKind::kConnectionSilent);
-       ++number) {
+  for (int number = 0;
+       number <= static_cast<int>(EventKind::kConnectionStalled); ++number) {
     const auto kind = static_cast<EventKind>(number);
     EXPECT_EQ(EventKindFromName(EventKindName(kind)), kind);
   }
--- a/tests/state/prefix_index_test.cc
+++ b/tests/state/prefix_index_test.cc
@@ -66,7 +66,7 @@
       At(2), kFirstSlot, Batch(9, {{9, CacheEventKind::kStored, 1}})));
   index.Tick(At(3));
   ASSERT_EQ(MatchesOf(index, prompt).size(), 1U);
-  EXPECT_TRUE(MatchesOf(index, prompt)[0].is_doubtful);
+  EXPECT_TRUE(MatchesOf(index, prompt)[0].is_unconfirmed);
   index.Tick(At(23));
   EXPECT_TRUE(MatchesOf(index, prompt).empty());
 }
@@ -86,7 +86,7 @@
   index.OnDispatched(At(4), kFirstSlot, prompt);
   index.Tick(At(30));
   ASSERT_EQ(MatchesOf(index, prompt).size(), 1U);
-  EXPECT_FALSE(MatchesOf(index, prompt)[0].is_doubtful);
+  EXPECT_FALSE(MatchesOf(index, prompt)[0].is_unconfirmed);
 }
 
 // Batches are polled, so a late response and a repeated poll deliver a batch
--- a/tests/support/core_fleet.h
+++ b/tests/support/core_fleet.h
@@ -98,7 +98,7 @@
     settings.self = node.record;
     settings.incarnation = Incarnation(now_.millis());
     settings.router.zone = node.record.zone;
-    settings.keeper.planner.usual_load = kLoadTime;
+    settings.controller.planner.expected_load_time = kLoadTime;
     for (const auto& [other, peer] : nodes_) {
       if (other != id) {
         settings.seeds.push_back(peer.record);
@@ -157,7 +157,7 @@
     ChangeConfig(node, "contract/" + contract.id.value(),
                  contracts_.Encode(contract), Revision());
   }
-  void SetModel(const NodeId& node, const WantedModel& model) {
+  void SetModel(const NodeId& node, const DesiredModel& model) {
     ChangeConfig(node, "setting/model/" + model.model.value(),
                  models_.Encode(model), Revision());
   }
@@ -501,7 +501,7 @@
   NumberedCodec<ConfigRecord> configs_;
   NumberedCodec<DomainRecord> domains_;
   NumberedCodec<Contract> contracts_;
-  NumberedCodec<WantedModel> models_;
+  NumberedCodec<DesiredModel> models_;
   std::int64_t last_call_ = 0;
 };
 
--- a/tests/support/fake_store_link.h
+++ b/tests/support/fake_store_link.h
@@ -156,7 +156,7 @@
 
   std::optional<StoreReply> Answer(Time now, const PendingCall& pending) {
     if (Chance(faults_.busy)) {
-      return StoreBusy{Duration::Millis(200)};
+      return StoreRefused{Duration::Millis(200)};
     }
     if (const auto* range = std::get_if<StoreRange>(&pending.call);
         range != nullptr && Chance(faults_.stale_read)) {
--- a/tests/support/gateway_world.h
+++ b/tests/support/gateway_world.h
@@ -12,7 +12,7 @@
 
 #include "coordination/coordination.h"
 #include "tests/support/fake_store.h"
-#include "tests/support/played_engines.h"
+#include "tests/support/simulated_engines.h"
 
 namespace gcw {
 
@@ -24,13 +24,13 @@
   static constexpr Duration kHeartbeat = Duration::Millis(1200);
   static constexpr Duration kRegistrationTtl = Duration::Millis(3600);
 
-  using Engine = PlayedEngines::Engine;
+  using Engine = SimulatedEngines::Engine;
   struct Node {
     std::unique_ptr<GatewayCore> core;
     bool alive = true;
     bool store_cut = false;
     // The service refuses this node's calls.
-    bool store_refuses = false;
+    bool store_rejects = false;
     // Calls to the service, without renewals of leases, which cost less.
     std::int64_t store_calls = 0;
     std::int64_t store_renewals = 0;
@@ -121,7 +121,7 @@
       open += engine.alive && membership &&
                       membership->phase == MemberPhase::kOpen &&
                       engine.self.models.front() == ModelId(model) &&
-                      engine_simulation_.IsWhole(engine)
+                      engine_simulation_.HasAllMembers(engine)
                   ? 1
                   : 0;
     }
@@ -142,7 +142,7 @@
   }
 
   // Whether the VM is a member of an open group.
-  bool ServesIn(const VmId& vm) const {
+  bool IsInOpenGroup(const VmId& vm) const {
     for (const auto& [id, engine] : engines_) {
       const auto& membership = engine.self.membership;
       if (membership && membership->phase == MemberPhase::kOpen &&
@@ -155,13 +155,13 @@
   }
 
   // Returns the members of the VM's group; the first has rank 0.
-  std::vector<VmId> MembersOf(const VmId& vm) const {
+  std::vector<VmId> GroupMembersOf(const VmId& vm) const {
     return engines_.at(vm).group_members;
   }
 
-  std::optional<std::size_t> keeper() const {
+  std::optional<std::size_t> controller() const {
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
-      if (nodes_[i].alive && nodes_[i].core->is_keeper(now_)) {
+      if (nodes_[i].alive && nodes_[i].core->is_controller(now_)) {
         return i;
       }
     }
@@ -171,13 +171,13 @@
   void Kill(const VmId& vm) {
     Engine& engine = engines_.at(vm);
     engine.alive = false;
-    engine.silent_since = now_;
+    engine.unreachable_since = now_;
   }
-  void Cut(const VmId& vm, bool from_nodes) {
+  void Partition(const VmId& vm, bool from_nodes) {
     Engine& engine = engines_.at(vm);
     engine.store_cut = true;
     engine.node_cut = from_nodes;
-    engine.silent_since = now_;
+    engine.unreachable_since = now_;
   }
   void Heal(const VmId& vm) {
     Engine& engine = engines_.at(vm);
@@ -192,7 +192,7 @@
     engine.self.address = Address(name + ":1");
     engine.self.zone = ZoneId("z");
     engine.self.domain = FabricDomainId(domain);
-    engine.self.places = 26;
+    engine.self.slots = 26;
     Publish(engines_.emplace(VmId(name), std::move(engine)).first->second);
   }
   void Drain(const VmId& vm) {
@@ -205,18 +205,19 @@
     Publish(engines_.at(vm));
   }
   // Writes an entry as another client of the store.
-  void WriteEntry(const std::string& key, const std::string& value) {
+  void WriteStoreEntry(const std::string& key, const std::string& value) {
     Put(key, value);
   }
   // Writes the registration again, as if its numbers had changed.
-  void Rewrite(const VmId& vm) { Publish(engines_.at(vm)); }
+  void RewriteRegistration(const VmId& vm) { Publish(engines_.at(vm)); }
 
-  // Notifies the keeper's node that the group of this first member is stalled.
-  void SayStandstill(const VmId& head) {
-    if (const auto node = keeper()) {
+  // Notifies the controller's node that the group of this first member is
+  // stalled.
+  void ReportStalledGroup(const VmId& head) {
+    if (const auto node = controller()) {
       const auto& membership = engines_.at(head).self.membership;
       if (membership) {
-        Execute(*node, nodes_[*node].core->OnNotice(
+        Execute(*node, nodes_[*node].core->OnStallNotice(
                            now_, {head, membership->generation}));
       }
     }
@@ -241,7 +242,7 @@
     settings.self.peer_address = Address(std::to_string(index));
     settings.self.caller_address = Address("c" + std::to_string(index));
     settings.mirror.prefixes = {"cfg", "vm/", "node/", "role/"};
-    settings.mirror.lapsing_prefixes = {"vm/", "node/"};
+    settings.mirror.expiring_prefixes = {"vm/", "node/"};
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       settings.seeds.emplace_back(std::to_string(i));
     }
@@ -287,10 +288,10 @@
   // Nodes that get no requests.
   std::set<std::size_t> idle_nodes;
   // Streams that completed, and those that were cut off or never answered.
-  int served = 0;
+  int completed_streams = 0;
   int lost_streams = 0;
   int failed_over_streams = 0;
-  int progress_questions = 0;
+  int progress_requests = 0;
   int change_requests = 0;
   // Requests for a snapshot of all keys.
   int snapshot_requests = 0;
@@ -303,9 +304,9 @@
     profile.steps_per_pass = 6;
     profile.step_ms = 6.45;
     profile.prompt_tokens_per_ms = 56;
-    profile.form_time = Duration::Millis(300);
+    profile.group_formation_time = Duration::Millis(300);
     profile.loads_per_second = 5.5;
-    profile.loads_at_once = 8;
+    profile.max_concurrent_loads = 8;
     profile.models = {{ModelId("large"), 6, 0.67, 1.0, Duration::Seconds(16),
                        Duration::Millis(1600)},
                       {ModelId("small"), 3, 0.33, 0.6, Duration::Seconds(12),
@@ -316,11 +317,11 @@
     route.name = "r";
     route.host = "h";
     route.prefix = "/m/";
-    route.repetition = Repetition::kResume;
+    route.retry_policy = RetryPolicy::kResume;
     route.streams = true;
     route.time_limit = Duration::Seconds(8);
     route.shares = {{ServiceId("llm"), 1}};
-    route.most_attempts = 2;
+    route.max_attempts = 2;
     configuration_.routes = {route};
     Put("cfg", "0");
   }
@@ -355,7 +356,7 @@
       const std::string key = "vm/" + id.value();
       const auto found = store_.entries().find(key);
       if (silent && found != store_.entries().end() &&
-          now_ - engine.silent_since >= kRegistrationTtl) {
+          now_ - engine.unreachable_since >= kRegistrationTtl) {
         store_.Execute(now_, StoreDelete{key, found->second.revision});
       }
     }
@@ -409,8 +410,8 @@
                           std::holds_alternative<StoreRange>(call.request.call)
                       ? 1
                       : 0;
-    if (nodes_[index].store_refuses) {
-      Reply(index, run, call, StoreBusy{}, kNetworkDelay * 2);
+    if (nodes_[index].store_rejects) {
+      Reply(index, run, call, StoreRefused{}, kNetworkDelay * 2);
       return;
     }
     if (store_down || nodes_[index].store_cut) {
@@ -461,7 +462,7 @@
     }
   }
 
-  void Perform(std::size_t index, const AskNodeSnapshot& ask) {
+  void Perform(std::size_t index, const RequestNodeSnapshot& ask) {
     const std::size_t other = std::stoul(ask.address.value());
     ++snapshot_requests;
     if (!nodes_[other].alive) {
@@ -478,54 +479,56 @@
     }
   }
 
-  void Perform(std::size_t index, const AskNodeChanges& ask) {
+  void Perform(std::size_t index, const RequestNodeChanges& ask) {
     const std::size_t other = std::stoul(ask.address.value());
     ++change_requests;
-    const ChangeQuestionId question(++last_changes_request_);
-    pending_changes_requests_[question] = {index, nodes_[index].run, ask.id};
-    Schedule(ask.wait + ask.timeout, [this, question] {
-      ReplyToChangesRequest(question, std::nullopt);
+    const ChangesRequestId changes_request(++last_changes_request_);
+    pending_changes_requests_[changes_request] = {index, nodes_[index].run,
+                                                  ask.id};
+    Schedule(ask.wait + ask.timeout, [this, changes_request] {
+      ReplyToChangesRequest(changes_request, std::nullopt);
     });
     const int run = nodes_[other].run;
-    Schedule(kNetworkDelay, [this, other, run, question, ask] {
+    Schedule(kNetworkDelay, [this, other, run, changes_request, ask] {
       RunAtNode(other, run, [&](GatewayCore& core) {
-        return core.OnChangesAsked(now_, {question, ask.after, ask.wait});
+        return core.OnChangesRequest(now_,
+                                     {changes_request, ask.after, ask.wait});
       });
     });
   }
 
-  void Perform(std::size_t /*index*/, const AnswerChanges& answer) {
+  void Perform(std::size_t /*index*/, const ChangesReply& answer) {
     Schedule(kNetworkDelay, [this, answer] {
       ReplyToChangesRequest(answer.id, answer.changes);
     });
   }
 
-  void ReplyToChangesRequest(ChangeQuestionId id,
+  void ReplyToChangesRequest(ChangesRequestId id,
                              const std::optional<MirrorChanges>& changes) {
-    const auto question = pending_changes_requests_.find(id);
-    if (question == pending_changes_requests_.end()) {
+    const auto changes_request = pending_changes_requests_.find(id);
+    if (changes_request == pending_changes_requests_.end()) {
       return;
     }
-    const PendingChangesRequest pending = question->second;
-    pending_changes_requests_.erase(question);
+    const PendingChangesRequest pending = changes_request->second;
+    pending_changes_requests_.erase(changes_request);
     RunAtNode(pending.node, pending.run, [&](GatewayCore& core) {
-      return core.OnChangesHeard(now_, pending.call, changes);
+      return core.OnChangesReply(now_, pending.call, changes);
     });
   }
 
-  void Perform(std::size_t /*index*/, const TellNode& tell) {
+  void Perform(std::size_t /*index*/, const NotifyNode& tell) {
     const std::size_t other = std::stoul(tell.address.value());
     const int run = nodes_[other].run;
     Schedule(kNetworkDelay, [this, other, run, tell] {
       RunAtNode(other, run, [&](GatewayCore& core) {
-        return core.OnNotice(now_, tell.notice);
+        return core.OnStallNotice(now_, tell.notice);
       });
     });
   }
 
-  void Perform(std::size_t index, const AskProgress& ask) {
+  void Perform(std::size_t index, const RequestGroupProgress& ask) {
     const std::size_t other = std::stoul(ask.address.value());
-    ++progress_questions;
+    ++progress_requests;
     if (!nodes_[other].alive) {
       return;
     }
@@ -533,14 +536,15 @@
     const auto age = nodes_[other].core->ProgressAge(now_, ask.group);
     Schedule(kNetworkDelay * 2, [this, index, run, ask, age] {
       RunAtNode(index, run, [&](GatewayCore& core) {
-        return age ? core.OnProgressHeard(now_, ask.group, *age)
+        return age ? core.OnProgressReply(now_, ask.group, *age)
                    : GatewayActions();
       });
     });
   }
 
-  void Perform(std::size_t /*index*/, const ForgetConnections& /*forget*/) {}
-  void Perform(std::size_t index, const MoveForward& move) {
+  void Perform(std::size_t /*index*/, const DropPooledConnections& /*forget*/) {
+  }
+  void Perform(std::size_t index, const FailOverForward& move) {
     const auto stream = std::find_if(
         streams_.begin(), streams_.end(),
         [&](const Stream& s) { return s.node == index && s.id == move.id; });
@@ -573,8 +577,8 @@
       RunAtNode(index, run, [&](GatewayCore& core) {
         return core.OnProbeReply(
             now_, probe.vm,
-            {answers ? ProbeVerdict::kAnswered : ProbeVerdict::kUnreachable,
-             engines_.at(probe.vm).pace});
+            {answers ? ProbeResult::kAnswered : ProbeResult::kUnreachable,
+             engines_.at(probe.vm).slowdown});
       });
     });
   }
@@ -582,29 +586,28 @@
   void Perform(std::size_t index, const SendGroupOrder& send) {
     const int run = nodes_[index].run;
     const auto answer = [this, index, run,
-                         id = send.id](GroupOrderVerdict verdict) {
+                         id = send.id](GroupOrderResult result) {
       RunAtNode(index, run, [&](GatewayCore& core) {
-        return core.OnOrderReply(now_, id, verdict);
+        return core.OnOrderReply(now_, id, result);
       });
     };
     const Engine& engine = engines_.at(send.vm);
     if (!engine.alive || engine.node_cut) {
       Schedule(send.timeout,
-               [answer] { answer(GroupOrderVerdict::kUnreachable); });
+               [answer] { answer(GroupOrderResult::kUnreachable); });
       return;
     }
     if (engine.order_delay > Duration()) {
-      Schedule(send.timeout,
-               [answer] { answer(GroupOrderVerdict::kNoAnswer); });
+      Schedule(send.timeout, [answer] { answer(GroupOrderResult::kNoAnswer); });
       Schedule(engine.order_delay, [this, send] {
         engine_simulation_.Apply(send.vm, send.order, traffic);
       });
       return;
     }
     Schedule(kNetworkDelay, [this, send, answer] {
-      const GroupOrderVerdict verdict =
+      const GroupOrderResult result =
           engine_simulation_.Apply(send.vm, send.order, traffic);
-      Schedule(kNetworkDelay, [answer, verdict] { answer(verdict); });
+      Schedule(kNetworkDelay, [answer, result] { answer(result); });
     });
   }
 
@@ -620,10 +623,10 @@
         request.path = "/m/x";
         request.model = ModelId(model);
         request.prompt_tokens = TokenCount(500);
-        const ForwardBegun begun =
+        const ForwardAdmission admission =
             nodes_[i].core->OnArrived(now_, std::move(request));
-        if (const auto* send = std::get_if<SendForward>(&begun.step)) {
-          streams_.push_back({i, begun.id, send->vm,
+        if (const auto* send = std::get_if<SendForward>(&admission.step)) {
+          streams_.push_back({i, admission.id, send->vm,
                               engine_simulation_.GroupAt(send->vm), 0,
                               nodes_[i].run});
         }
@@ -640,7 +643,7 @@
       const bool makes_progress =
           engine.alive && !engine.node_cut && engine.self.membership &&
           engine.self.membership->group == stream.group &&
-          engine_simulation_.IsWhole(engine);
+          engine_simulation_.HasAllMembers(engine);
       if (!makes_progress) {
         ++it;
         continue;
@@ -656,7 +659,7 @@
       end.kind = ForwardEndKind::kSucceeded;
       end.delivered = true;
       core.OnEnded(now_, stream.id, end);
-      ++served;
+      ++completed_streams;
       it = streams_.erase(it);
     }
   }
@@ -668,7 +671,7 @@
   std::vector<VmRegistration> registrations_;
   std::vector<NodeRecord> node_records_;
   std::vector<DomainRecord> domain_records_;
-  PlayedEngines engine_simulation_{
+  SimulatedEngines engine_simulation_{
       [this](const Engine& engine) { Publish(engine); },
       [this](Duration delay, std::function<void()> run) {
         Schedule(delay, std::move(run));
@@ -684,7 +687,7 @@
     int run;
     StoreCallId call;
   };
-  std::map<ChangeQuestionId, PendingChangesRequest> pending_changes_requests_;
+  std::map<ChangesRequestId, PendingChangesRequest> pending_changes_requests_;
   std::int64_t last_changes_request_ = 0;
   std::int64_t last_request_id_ = 0;
 };
--- a/tests/support/groups_world.h
+++ b/tests/support/groups_world.h
@@ -34,7 +34,7 @@
   struct Node {
     NodeId id;
     ZoneId zone;
-    GroupKeeper keeper;
+    GroupController controller;
     ServingGate gate;
     bool is_paused = false;
     bool is_cut_off = false;
@@ -76,12 +76,12 @@
 
   // Short times, so that many cases fit; they are in the same order as the
   // defaults.
-  static KeeperSettings Settings() {
-    KeeperSettings settings;
+  static GroupControllerSettings Settings() {
+    GroupControllerSettings settings;
     settings.order.timeout = Duration::Millis(500);
     settings.order.margin = Duration::Millis(500);
     settings.order.takeover_wait = kLease;
-    settings.tracker.list_lag = Duration::Seconds(10);
+    settings.tracker.max_list_lag = Duration::Seconds(10);
     settings.tracker.idle_interval = Duration::Seconds(3);
     settings.writer.call_timeout = Duration::Millis(500);
     settings.writer.retry_interval = Duration::Millis(500);
@@ -107,8 +107,8 @@
     for (auto& delivery : link_.Deliver(now_)) {
       Node& node = nodes_.at(NodeId(delivery.caller));
       if (!node.is_paused) {
-        ApplyActions(
-            node, node.keeper.OnStoreReply(now_, delivery.id, delivery.reply));
+        ApplyActions(node, node.controller.OnStoreReply(now_, delivery.id,
+                                                        delivery.reply));
       }
     }
     for (auto& delivery : network_.Deliver(now_)) {
@@ -155,8 +155,8 @@
     return records_.at(std::stoul(std::string(text)));
   }
 
-  // Returns the holder of a domain's keeper role according to the service.
-  Node* KeeperOf(const char* domain) {
+  // Returns the holder of a domain's controller role according to the service.
+  Node* ControllerOf(const char* domain) {
     const auto it =
         link_.store().entries().find("role/keeper/" + std::string(domain));
     return it == link_.store().entries().end()
@@ -191,11 +191,11 @@
         [this](std::string_view text) { return Decode(text); }};
     Node node{.id = NodeId(id),
               .zone = ZoneId(zone),
-              .keeper = GroupKeeper::Builder()
-                            .SetZone(ZoneId("z1"))
-                            .SetSettings(Settings())
-                            .SetCodec(codec)
-                            .Build(),
+              .controller = GroupController::Builder()
+                                .SetZone(ZoneId("z1"))
+                                .SetSettings(Settings())
+                                .SetCodec(codec)
+                                .Build(),
               .gate = ServingGate::Builder()
                           .SetSelf(NodeId(id), Incarnation(1), ZoneId(zone))
                           .Build(),
@@ -204,9 +204,9 @@
               .roles = {},
               .next_renewal = {},
               .next_list = {}};
-    WantedModel model{ModelId("m"), 3, Rank(1), {}};
+    DesiredModel model{ModelId("m"), 3, Rank(1), {}};
     model.targets[ZoneId("z1")] = GroupTarget{3, 3};
-    node.keeper.OnWantedModels({model});
+    node.controller.OnDesiredModels({model});
     nodes_.emplace(NodeId(id), std::move(node));
   }
 
@@ -233,7 +233,7 @@
       for (const auto& [key, entry] : link_.store().entries()) {
         if (key.starts_with("domain/")) {
           const DomainRecord record = Decode(entry.value);
-          node.keeper.OnDomainRecord(record, entry.revision);
+          node.controller.OnDomainRecord(record, entry.revision);
           ApplyActions(node,
                        node.gate.OnDomainRecord(now_, record, entry.revision));
         }
@@ -242,7 +242,7 @@
     if (now_ >= node.valid_until) {
       DropRoles(node);
     }
-    ApplyActions(node, node.keeper.Tick(now_));
+    ApplyActions(node, node.controller.Tick(now_));
     ApplyActions(node, node.gate.Tick(now_));
   }
 
@@ -283,13 +283,13 @@
       }
     }
     for (const auto& [domain, fence] : node.roles) {
-      node.keeper.OnRoleHeld(now_, domain, fence, node.valid_until);
+      node.controller.OnRoleHeld(now_, domain, fence, node.valid_until);
     }
   }
 
   void DropRoles(Node& node) {
     for (const auto& [domain, fence] : node.roles) {
-      node.keeper.OnRoleLost(domain);
+      node.controller.OnRoleLost(domain);
     }
     node.roles.clear();
   }
@@ -306,7 +306,7 @@
     if (old != lists_.begin()) {
       --old;
     }
-    node.keeper.OnVmList(now_, old->second);
+    node.controller.OnVmList(now_, old->second);
     ApplyActions(node, node.gate.OnVmList(now_, old->second));
   }
 
@@ -340,7 +340,7 @@
         ApplyActions(node,
                      node.gate.OnProbeReply(now_, pending.id, pending.status));
       } else {
-        node.keeper.OnProbeReply(now_, pending.id, pending.status);
+        node.controller.OnProbeReply(now_, pending.id, pending.status);
       }
     }
   }
@@ -380,7 +380,7 @@
       if (in_flight.is_written) {
         Arrive(node, in_flight);
       } else if (now_ >= in_flight.send.send_before && !faults_.writes_late) {
-        node.keeper.OnOrderReply(now_, in_flight.send.id, OrderWithheld{});
+        node.controller.OnOrderReply(now_, in_flight.send.id, OrderWithheld{});
       } else if (!node.is_cut_off) {
         in_flight.is_written = true;
         in_flight.at = now_ + Delay(in_flight.send.timeout);
@@ -393,7 +393,7 @@
     const auto reply =
         engines_.Execute(now_, in_flight.send.vm, in_flight.send.order);
     if (reply && !node.is_paused && !node.is_cut_off) {
-      node.keeper.OnOrderReply(now_, in_flight.send.id, *reply);
+      node.controller.OnOrderReply(now_, in_flight.send.id, *reply);
     }
   }
 
--- a/tests/support/played_engines.h
+++ b/tests/support/simulated_engines.h
@@ -1,5 +1,5 @@
-#ifndef TESTS_SUPPORT_PLAYED_ENGINES_H_
-#define TESTS_SUPPORT_PLAYED_ENGINES_H_
+#ifndef TESTS_SUPPORT_SIMULATED_ENGINES_H_
+#define TESTS_SUPPORT_SIMULATED_ENGINES_H_
 
 #include <algorithm>
 #include <functional>
@@ -16,7 +16,7 @@
 
 // Simulated engines that follow the platform's rules for orders and groups.
 // Each violation of a guarantee about groups is recorded.
-class PlayedEngines {
+class SimulatedEngines {
  public:
   struct Engine {
     VmRegistration self;
@@ -34,8 +34,8 @@
     Generation seen_generation;
     FencingToken seen_fence;
     // Slowdown factor; a slow engine emits events only rarely.
-    double pace = 1;
-    Time silent_since;
+    double slowdown = 1;
+    Time unreachable_since;
     std::vector<VmId> group_members;
     std::int64_t joins = 0;
     // The model that its host is loading, and the join that waits for the load.
@@ -47,25 +47,25 @@
 
   // `publish` writes an engine's registration; `after` runs a callback after a
   // delay.
-  PlayedEngines(Publish publish, After after)
+  SimulatedEngines(Publish publish, After after)
       : publish_(std::move(publish)), after_(std::move(after)) {}
 
   std::map<VmId, Engine>& engines() { return engines_; }
   const std::vector<std::string>& violations() const { return violations_; }
 
   // Carries out an order. Before the first request, a load takes one second.
-  GroupOrderVerdict Apply(const VmId& vm,
-                          const GroupOrder& order,
-                          bool has_traffic) {
+  GroupOrderResult Apply(const VmId& vm,
+                         const GroupOrder& order,
+                         bool has_traffic) {
     Engine& engine = engines_.at(vm);
     if (!engine.alive) {
-      return GroupOrderVerdict::kNoAnswer;
+      return GroupOrderResult::kNoAnswer;
     }
     if (engine.replaced) {
-      return GroupOrderVerdict::kOtherVm;
+      return GroupOrderResult::kWrongVm;
     }
     if (order.fence < engine.seen_fence) {
-      return GroupOrderVerdict::kStale;
+      return GroupOrderResult::kStale;
     }
     engine.seen_fence = order.fence;
     auto& membership = engine.self.membership;
@@ -78,29 +78,29 @@
         return Open(engine, order, is_member);
       case GroupOrderKind::kClose:
         if (!is_member || membership->phase != MemberPhase::kOpen) {
-          return GroupOrderVerdict::kMisfit;
+          return GroupOrderResult::kStateMismatch;
         }
         membership->phase = MemberPhase::kReady;
         publish_(engine);
-        return GroupOrderVerdict::kBegun;
+        return GroupOrderResult::kStarted;
       case GroupOrderKind::kLeave:
         if (!is_member) {
-          return GroupOrderVerdict::kMisfit;
+          return GroupOrderResult::kStateMismatch;
         }
         membership.reset();
         engine.group_members.clear();
         publish_(engine);
-        return GroupOrderVerdict::kBegun;
+        return GroupOrderResult::kStarted;
       case GroupOrderKind::kStage:
         if (engine.staging == order.model) {
-          return GroupOrderVerdict::kDone;
+          return GroupOrderResult::kDone;
         }
         engine.staging = order.model;
         after_(Duration::Seconds(has_traffic ? 12 : 1),
                [this, vm, order] { FinishStaging(vm, order.model); });
-        return GroupOrderVerdict::kBegun;
+        return GroupOrderResult::kStarted;
     }
-    return GroupOrderVerdict::kRefused;
+    return GroupOrderResult::kRefused;
   }
 
   // Restarts the engine; only the weights on its host are kept.
@@ -114,7 +114,7 @@
     engine = std::move(fresh);
   }
 
-  bool IsWhole(const Engine& head) const {
+  bool HasAllMembers(const Engine& head) const {
     return std::all_of(head.group_members.begin(), head.group_members.end(),
                        [&](const VmId& member) {
                          const Engine& engine = engines_.at(member);
@@ -130,15 +130,15 @@
   }
 
  private:
-  GroupOrderVerdict Join(Engine& engine,
-                         const GroupOrder& order,
-                         bool has_traffic) {
+  GroupOrderResult Join(Engine& engine,
+                        const GroupOrder& order,
+                        bool has_traffic) {
     if (order.generation < engine.seen_generation) {
-      return GroupOrderVerdict::kStale;
+      return GroupOrderResult::kStale;
     }
     auto& membership = engine.self.membership;
     if (membership && membership->group == order.group) {
-      return GroupOrderVerdict::kDone;
+      return GroupOrderResult::kDone;
     }
     if (membership) {
       CheckOldGroupEnded(engine);
@@ -162,10 +162,10 @@
     publish_(engine);
     if (!has_model_loaded && engine.staging == order.model) {
       engine.waiting_join = order;
-      return GroupOrderVerdict::kBegun;
+      return GroupOrderResult::kStarted;
     }
     FinishJoinAfter(time, engine.self.id, order);
-    return GroupOrderVerdict::kBegun;
+    return GroupOrderResult::kStarted;
   }
 
   // Ends a load onto the host and continues the join that waits for it.
@@ -213,18 +213,18 @@
     }
   }
 
-  GroupOrderVerdict Open(Engine& engine,
-                         const GroupOrder& order,
-                         bool is_member) {
+  GroupOrderResult Open(Engine& engine,
+                        const GroupOrder& order,
+                        bool is_member) {
     auto& membership = engine.self.membership;
     if (!is_member || membership->rank != 0) {
-      return GroupOrderVerdict::kMisfit;
+      return GroupOrderResult::kStateMismatch;
     }
     if (membership->phase == MemberPhase::kOpen) {
-      return GroupOrderVerdict::kDone;
+      return GroupOrderResult::kDone;
     }
     if (membership->phase != MemberPhase::kReady) {
-      return GroupOrderVerdict::kMisfit;
+      return GroupOrderResult::kStateMismatch;
     }
     for (const VmId& member : engine.group_members) {
       if (!ever_ready_.contains({member, order.group})) {
@@ -234,7 +234,7 @@
     }
     membership->phase = MemberPhase::kOpen;
     publish_(engine);
-    return GroupOrderVerdict::kBegun;
+    return GroupOrderResult::kStarted;
   }
 
   Publish publish_;
@@ -246,4 +246,4 @@
 
 }  // namespace gcw
 
-#endif  // TESTS_SUPPORT_PLAYED_ENGINES_H_
+#endif  // TESTS_SUPPORT_SIMULATED_ENGINES_H_
--- a/tests/transport/platform_clients_test.cc
+++ b/tests/transport/platform_clients_test.cc
@@ -78,8 +78,8 @@
 TEST_F(PlatformClientsTest, BusyStoreReplyHasRetryDelay) {
   const StoreReply reply = CallStore(
       Serve({429, {}, R"({"retry_after_ms":30})"}), StoreRange{"contract/"});
-  ASSERT_TRUE(std::holds_alternative<StoreBusy>(reply));
-  EXPECT_EQ(std::get<StoreBusy>(reply).retry_after, Duration::Millis(30));
+  ASSERT_TRUE(std::holds_alternative<StoreRefused>(reply));
+  EXPECT_EQ(std::get<StoreRefused>(reply).retry_after, Duration::Millis(30));
 }
 
 // Guards against a wrong conclusion about a write. An outage, a malformed
--- a/tests/transport/store_belief_test.cc
+++ b/tests/transport/store_belief_test.cc
@@ -24,8 +24,8 @@
   Observe(StoreWritten{}, 5);
   EXPECT_TRUE(changes_.empty());
   Observe(StoreNoAnswer{}, 50);
-  Observe(StoreBusy{Duration::Millis(100)}, 50);
-  Observe(StoreBusy{Duration::Seconds(5), StoreRefusal::kUnknownCall}, 50);
+  Observe(StoreRefused{Duration::Millis(100)}, 50);
+  Observe(StoreRefused{Duration::Seconds(5), StoreRefusal::kUnknownCall}, 50);
   Observe(StoreConflict{}, 50);
   EXPECT_EQ(changes_, (std::vector<StoreBelief>{
                           StoreBelief::kSilent, StoreBelief::kRefuses,
@@ -36,7 +36,7 @@
 // call: a single answer is not yet a change of its state.
 TEST_F(StoreBeliefTest, OccasionalRefusalsAreNoChange) {
   for (int i = 0; i < 100; ++i) {
-    Observe(StoreBusy{}, 1);
+    Observe(StoreRefused{}, 1);
     Observe(StoreWritten{}, 1);
   }
   EXPECT_TRUE(changes_.empty());
--- a/transport/engine_client.h
+++ b/transport/engine_client.h
@@ -20,7 +20,7 @@
 
   // Sends an order only if `may_send` returns true right before the first byte
   // is passed to the kernel. The order uses a new connection: a pooled one may
-  // delay it and deliver it when its sender is no longer the keeper. If the
+  // delay it and deliver it when its sender is no longer the controller. If the
   // error's progress is not `kNothingSent`, the engine may act on the order.
   void SendOrder(const Address& engine,
                  const EngineOrder& order,
--- a/transport/gateway/forward_exchange.cc
+++ b/transport/gateway/forward_exchange.cc
@@ -49,7 +49,8 @@
   ForwardRequest request = parts_.dialect->read_request(request_);
   request_id_ = request.id;
   arrived_ = parts_.clock();
-  ForwardBegun started = parts_.core->OnArrived(arrived_, std::move(request));
+  ForwardAdmission started =
+      parts_.core->OnArrived(arrived_, std::move(request));
   id_ = started.id;
   responder_->OnCallerGone([weak = weak_from_this()] {
     if (const auto self = weak.lock()) {
@@ -67,7 +68,7 @@
     RespondWithAnswer();
   } else if (const auto* refused = std::get_if<ForwardRefused>(&step)) {
     Respond(parts_.dialect->make_refusal(*refused), ForwardOutcome::kRefused);
-  } else if (const auto* unknown = std::get_if<ForwardUnknown>(&step)) {
+  } else if (const auto* unknown = std::get_if<ForwardOutcomeUnknown>(&step)) {
     Respond(parts_.dialect->make_unknown(*unknown), ForwardOutcome::kUnknown);
   } else {
     responder_->Abort();
@@ -125,7 +126,7 @@
   // run of the request. Any other answer that may come from a run breaks it.
   if (stream_started_ && !is_good && !attempt_.answer.is_not_run &&
       !attempt_.answer.is_other_vm) {
-    EndAttempt(ForwardEndKind::kBroke);
+    EndAttempt(ForwardEndKind::kConnectionBroken);
     return;
   }
   if (is_good && attempt_.send.streams) {
@@ -138,13 +139,13 @@
   if (!attempt_.streams_events) {
     attempt_.buffered_body += chunk;
     if (attempt_.buffered_body.size() > settings_.max_buffered_bytes) {
-      EndAttempt(ForwardEndKind::kBroke);
+      EndAttempt(ForwardEndKind::kConnectionBroken);
     }
     return;
   }
   const std::optional<std::string_view> events = attempt_.cutter->Feed(chunk);
   if (!events) {
-    EndAttempt(ForwardEndKind::kBroke);
+    EndAttempt(ForwardEndKind::kConnectionBroken);
     return;
   }
   if (!events->empty()) {
@@ -177,24 +178,25 @@
   // nothing about this request, which may have run.
   if (!answer.is_ours || !answer.is_signed || answer.is_altered ||
       (attempt_.streams_events && attempt_.cutter->has_rest())) {
-    EndAttempt(ForwardEndKind::kBroke);
+    EndAttempt(ForwardEndKind::kConnectionBroken);
     return;
   }
   EndAttempt(IsSuccess(attempt_.head.status) ? ForwardEndKind::kSucceeded
-                                             : ForwardEndKind::kFailedThere);
+                                             : ForwardEndKind::kEndpointFailed);
 }
 
 void ForwardExchange::OnFailure(const HttpFailure& failure) {
   if (failure.kind == HttpFailureKind::kDeadline) {
-    EndAttempt(ForwardEndKind::kOutOfTime);
+    EndAttempt(ForwardEndKind::kDeadlineExceeded);
     return;
   }
   if (failure.progress == HttpProgress::kNothingSent) {
     EndAttempt(ForwardEndKind::kNothingSent);
     return;
   }
-  EndAttempt(failure.kind == HttpFailureKind::kSilent ? ForwardEndKind::kSilent
-                                                      : ForwardEndKind::kBroke);
+  EndAttempt(failure.kind == HttpFailureKind::kSilent
+                 ? ForwardEndKind::kSilent
+                 : ForwardEndKind::kConnectionBroken);
 }
 
 void ForwardExchange::EndStalledAttempt() {
@@ -215,7 +217,7 @@
   end.at_fault = attempt_.answer.at_fault;
   end.delivered = stream_started_;
   end.last_event = last_event_;
-  end.is_callers_fault =
+  end.is_client_error =
       attempt_.has_head && IsClientError(attempt_.head.status);
   PerformStep(parts_.core->OnEnded(parts_.clock(), id_, end));
 }
--- a/transport/gateway/gateway_dialect.h
+++ b/transport/gateway/gateway_dialect.h
@@ -37,7 +37,7 @@
   // Messages exchanged with callers.
   std::function<ForwardRequest(const HttpRequest&)> read_request;
   std::function<HttpResponse(const ForwardRefused&)> make_refusal;
-  std::function<HttpResponse(const ForwardUnknown&)> make_unknown;
+  std::function<HttpResponse(const ForwardOutcomeUnknown&)> make_unknown;
   std::function<HttpResponse(const std::vector<Address>&, Duration keep)>
       make_entries;
 
@@ -47,7 +47,7 @@
   std::function<AnswerHead(const HttpResponse& head, const RequestId&)>
       read_answer;
   std::function<HttpRequest(const VmId&, const GroupOrder&)> make_order;
-  std::function<GroupOrderVerdict(int status)> read_order;
+  std::function<GroupOrderResult(int status)> read_order;
   std::function<HttpRequest(const VmId&)> make_probe;
   std::function<ProbeReport(const HttpResponse&)> read_probe;
 
--- a/transport/gateway/gateway_runtime.cc
+++ b/transport/gateway/gateway_runtime.cc
@@ -11,13 +11,13 @@
 constexpr int kUnavailable = 503;
 constexpr std::size_t kMaxOtherConnections = 512;
 
-ProbeVerdict ProbeVerdictFor(const HttpFailure& failure) {
+ProbeResult ProbeVerdictFor(const HttpFailure& failure) {
   if (failure.kind == HttpFailureKind::kConnectRefused) {
-    return ProbeVerdict::kRefused;
+    return ProbeResult::kRefused;
   }
   return failure.progress == HttpProgress::kNothingSent
-             ? ProbeVerdict::kUnreachable
-             : ProbeVerdict::kConnected;
+             ? ProbeResult::kUnreachable
+             : ProbeResult::kConnected;
 }
 
 }  // namespace
@@ -127,7 +127,7 @@
 void GatewayRuntime::Tick() {
   Execute(parts_.core->Tick(Now()));
   ApplyCallerLimits();
-  if (!parts_.core->is_stop_over(Now())) {
+  if (!parts_.core->is_drain_complete(Now())) {
     stop_completed_at_.reset();
   } else if (!stop_completed_at_) {
     stop_completed_at_ = Now();
@@ -157,7 +157,7 @@
 }
 
 void GatewayRuntime::BeginStop() {
-  parts_.core->OnStopAsked(Now());
+  parts_.core->OnStopRequested(Now());
   const auto callers = servers_.find(GatewayListener::kCallers);
   if (callers != servers_.end()) {
     callers->second->AnnounceStop();
@@ -203,13 +203,13 @@
 
 void GatewayRuntime::ServeEntries(
     const std::shared_ptr<HttpResponder>& responder) {
-  const std::vector<Address> addresses = parts_.core->Entries();
+  const std::vector<Address> addresses = parts_.core->AdvertisedAddresses();
   if (addresses.empty()) {
     responder->Respond({kUnavailable, {}, {}});
     return;
   }
-  responder->Respond(
-      parts_.dialect.make_entries(addresses, parts_.core->entries_keep()));
+  responder->Respond(parts_.dialect.make_entries(
+      addresses, parts_.core->advertised_addresses_ttl()));
 }
 
 void GatewayRuntime::ServeMetrics(
@@ -258,13 +258,13 @@
       action.address, parts_.dialect.make_order(action.vm, action.order),
       OptionsWithTimeout(action.timeout),
       [this, id = action.id](const Result<HttpResponse, HttpFailure>& answer) {
-        GroupOrderVerdict verdict = GroupOrderVerdict::kNoAnswer;
+        GroupOrderResult result = GroupOrderResult::kNoAnswer;
         if (IsOk(answer)) {
-          verdict = parts_.dialect.read_order(ValueOf(answer).status);
+          result = parts_.dialect.read_order(ValueOf(answer).status);
         } else if (ErrorOf(answer).progress == HttpProgress::kNothingSent) {
-          verdict = GroupOrderVerdict::kUnreachable;
+          result = GroupOrderResult::kUnreachable;
         }
-        Execute(parts_.core->OnOrderReply(Now(), id, verdict));
+        Execute(parts_.core->OnOrderReply(Now(), id, result));
       });
 }
 
@@ -281,12 +281,12 @@
       });
 }
 
-void GatewayRuntime::Execute(const ForgetConnections& action) {
+void GatewayRuntime::Execute(const DropPooledConnections& action) {
   endpoint_client_.ForgetConnections(action.address);
   engine_client_.ForgetConnections(action.address);
 }
 
-void GatewayRuntime::Execute(const MoveForward& action) {
+void GatewayRuntime::Execute(const FailOverForward& action) {
   const auto found = exchanges_.find(action.id);
   if (found != exchanges_.end()) {
     const std::shared_ptr<ForwardExchange> exchange = found->second;
--- a/transport/gateway/gateway_runtime.h
+++ b/transport/gateway/gateway_runtime.h
@@ -103,23 +103,21 @@
                     const std::shared_ptr<HttpResponder>& responder);
   // Handle another node's notice of a stalled group and its query for the
   // progress of a group.
-  void ServeStallNotice(const StandstillNotice& notice,
-                        HttpResponder& responder);
-  void ServeProgressQuery(const StandstillNotice& group,
-                          HttpResponder& responder);
+  void ServeStallNotice(const StallNotice& notice, HttpResponder& responder);
+  void ServeProgressQuery(const StallNotice& group, HttpResponder& responder);
   void ServeMetrics(const std::shared_ptr<HttpResponder>& responder);
 
   void Execute(const GatewayActions& actions);
   void Execute(const CallGatewayStore& action);
-  void Execute(const AskNodeSnapshot& action);
-  void Execute(const AskNodeChanges& action);
-  void Execute(const AnswerChanges& action);
-  void Execute(const TellNode& action);
-  void Execute(const AskProgress& action);
+  void Execute(const RequestNodeSnapshot& action);
+  void Execute(const RequestNodeChanges& action);
+  void Execute(const ChangesReply& action);
+  void Execute(const NotifyNode& action);
+  void Execute(const RequestGroupProgress& action);
   void Execute(const SendGroupOrder& action);
   void Execute(const ProbeEngine& action);
-  void Execute(const MoveForward& action);
-  void Execute(const ForgetConnections& action);
+  void Execute(const FailOverForward& action);
+  void Execute(const DropPooledConnections& action);
   static HttpCallOptions OptionsWithTimeout(Duration limit);
   Time Now() const { return parts_.clock(); }
 
@@ -135,9 +133,9 @@
   std::unordered_map<GatewayListener, std::string> ips_;
   std::unordered_map<ForwardId, std::shared_ptr<ForwardExchange>> exchanges_;
   // Pending long polls of other nodes for changes.
-  std::unordered_map<ChangeQuestionId, std::shared_ptr<HttpResponder>>
+  std::unordered_map<ChangesRequestId, std::shared_ptr<HttpResponder>>
       pending_change_requests_;
-  ChangeQuestionId last_change_request_id_;
+  ChangesRequestId last_change_request_id_;
   // The configuration version of the caller limits in force.
   ConfigurationVersion caller_limits_version_;
   StoreBeliefObserver store_health_{LogStoreBelief};
--- a/transport/gateway/gateway_runtime_peers.cc
+++ b/transport/gateway/gateway_runtime_peers.cc
@@ -14,7 +14,7 @@
 
 constexpr std::string_view kMirrorPath = "/v1/mirror";
 constexpr std::string_view kChangesPath = "/v1/changes";
-constexpr std::string_view kStandstillPath = "/v1/standstill";
+constexpr std::string_view kStallPath = "/v1/standstill";
 constexpr std::string_view kProgressPath = "/v1/progress";
 constexpr std::string_view kNewerThanParameter = "newer_than";
 constexpr std::string_view kWaitParameter = "wait_ms";
@@ -52,18 +52,18 @@
     ServeChanges(request, responder);
     return;
   }
-  if (path != kStandstillPath && path != kProgressPath) {
+  if (path != kStallPath && path != kProgressPath) {
     responder->Respond({kNotFound, {}, {}});
     return;
   }
-  const auto notice = DecodeStandstillNotice(request.body);
+  const auto notice = DecodeStallNotice(request.body);
   if (!IsOk(notice)) {
     LogEvent(LogSeverity::kWarning, "peer_message_malformed",
              {{"field", ErrorOf(notice).field}});
     responder->Respond({kBadRequest, {}, {}});
     return;
   }
-  if (path == kStandstillPath) {
+  if (path == kStallPath) {
     ServeStallNotice(ValueOf(notice), *responder);
   } else {
     ServeProgressQuery(ValueOf(notice), *responder);
@@ -86,23 +86,23 @@
 void GatewayRuntime::ServeChanges(
     const HttpRequest& request,
     const std::shared_ptr<HttpResponder>& responder) {
-  const ChangeQuestion question{
+  const ChangesRequest changes_request{
       ++last_change_request_id_,
       Revision(IntegerParameter(request.target, kNewerThanParameter)),
       std::min(
           Duration::Millis(IntegerParameter(request.target, kWaitParameter)),
           kMaxChangesWait)};
-  pending_change_requests_[question.id] = responder;
-  Execute(parts_.core->OnChangesAsked(Now(), question));
+  pending_change_requests_[changes_request.id] = responder;
+  Execute(parts_.core->OnChangesRequest(Now(), changes_request));
 }
 
-void GatewayRuntime::ServeStallNotice(const StandstillNotice& notice,
+void GatewayRuntime::ServeStallNotice(const StallNotice& notice,
                                       HttpResponder& responder) {
   responder.Respond({kNoContent, {}, {}});
-  Execute(parts_.core->OnNotice(Now(), notice));
+  Execute(parts_.core->OnStallNotice(Now(), notice));
 }
 
-void GatewayRuntime::ServeProgressQuery(const StandstillNotice& group,
+void GatewayRuntime::ServeProgressQuery(const StallNotice& group,
                                         HttpResponder& responder) {
   const auto age = parts_.core->ProgressAge(Now(), group);
   if (!age) {
@@ -113,7 +113,7 @@
       {kOk, {{"Content-Type", "application/json"}}, EncodeProgressAge(*age)});
 }
 
-void GatewayRuntime::Execute(const AskNodeSnapshot& action) {
+void GatewayRuntime::Execute(const RequestNodeSnapshot& action) {
   HttpRequest request{"GET",
                       std::string(kMirrorPath) + "?" +
                           std::string(kNewerThanParameter) + "=" +
@@ -137,7 +137,7 @@
       });
 }
 
-void GatewayRuntime::Execute(const AskNodeChanges& action) {
+void GatewayRuntime::Execute(const RequestNodeChanges& action) {
   HttpRequest request{"GET",
                       std::string(kChangesPath) + "?" +
                           std::string(kNewerThanParameter) + "=" +
@@ -163,17 +163,17 @@
                      {{"field", ErrorOf(decoded).field}});
           }
         }
-        Execute(parts_.core->OnChangesHeard(Now(), action.id, changes));
+        Execute(parts_.core->OnChangesReply(Now(), action.id, changes));
       });
 }
 
-void GatewayRuntime::Execute(const AnswerChanges& action) {
-  const auto question = pending_change_requests_.find(action.id);
-  if (question == pending_change_requests_.end()) {
+void GatewayRuntime::Execute(const ChangesReply& action) {
+  const auto changes_request = pending_change_requests_.find(action.id);
+  if (changes_request == pending_change_requests_.end()) {
     return;
   }
-  const std::shared_ptr<HttpResponder> responder = question->second;
-  pending_change_requests_.erase(question);
+  const std::shared_ptr<HttpResponder> responder = changes_request->second;
+  pending_change_requests_.erase(changes_request);
   if (!action.changes) {
     responder->Respond({kNoContent, {}, {}});
     return;
@@ -183,11 +183,11 @@
                       EncodeMirrorChanges(*action.changes)});
 }
 
-void GatewayRuntime::Execute(const TellNode& action) {
+void GatewayRuntime::Execute(const NotifyNode& action) {
   HttpRequest request{"POST",
-                      std::string(kStandstillPath),
+                      std::string(kStallPath),
                       {{"Content-Type", "application/json"}},
-                      EncodeStandstillNotice(action.notice)};
+                      EncodeStallNotice(action.notice)};
   // A lost notice costs only time, because each node also detects stalled
   // groups by itself.
   peer_client_.Fetch(action.address, std::move(request),
@@ -195,11 +195,11 @@
                      [](const Result<HttpResponse, HttpFailure>&) {});
 }
 
-void GatewayRuntime::Execute(const AskProgress& action) {
+void GatewayRuntime::Execute(const RequestGroupProgress& action) {
   HttpRequest request{"POST",
                       std::string(kProgressPath),
                       {{"Content-Type", "application/json"}},
-                      EncodeStandstillNotice(action.group)};
+                      EncodeStallNotice(action.group)};
   peer_client_.Fetch(
       action.address, std::move(request),
       OptionsWithTimeout(settings_.peer_timeout),
@@ -214,7 +214,7 @@
                    {{"field", ErrorOf(age).field}});
           return;
         }
-        Execute(parts_.core->OnProgressHeard(Now(), group, ValueOf(age)));
+        Execute(parts_.core->OnProgressReply(Now(), group, ValueOf(age)));
       });
 }
 
--- a/transport/node_metrics.cc
+++ b/transport/node_metrics.cc
@@ -15,7 +15,7 @@
       return "configuration";
     case NodeModule::kOnceOwner:
       return "once_owner";
-    case NodeModule::kGroupKeeper:
+    case NodeModule::kGroupController:
       return "group_keeper";
     case NodeModule::kServingGate:
       return "serving_gate";
--- a/transport/operator_service.cc
+++ b/transport/operator_service.cc
@@ -67,7 +67,7 @@
                          DescribeError(ErrorOf(decoded)));
   }
   const Contract& contract = ValueOf(decoded);
-  if (const std::optional<ContractError> fault = FindFault(contract)) {
+  if (const std::optional<ContractError> fault = Validate(contract)) {
     return ErrorResponse(kStatusBadRequest, "invalid_contract",
                          std::string(fault->field) + ": " +
                              std::string(ContractErrorKindName(fault->kind)));
@@ -81,7 +81,7 @@
 
 Result<std::string, HttpResponse> NormalizeModel(const std::string& id,
                                                  std::string_view text) {
-  const Decoded<WantedModel> decoded = DecodeWantedModel(text);
+  const Decoded<DesiredModel> decoded = DecodeWantedModel(text);
   if (!IsOk(decoded)) {
     return ErrorResponse(kStatusBadRequest, "invalid_model",
                          DescribeError(ErrorOf(decoded)));
@@ -329,7 +329,7 @@
   const std::string subject = QueryValue(request.target, "subject");
   runtime_.RunOnControlThread(
       [responder, subject](NodeCore&, EventLog& log, Time) {
-        const Explanation explanation = log.Why(subject);
+        const Explanation explanation = log.Explain(subject);
         json::array events;
         for (const ExplainedEvent& explained : explanation.events) {
           json::object event = EventToJson(explained.event);
--- a/transport/store_belief.cc
+++ b/transport/store_belief.cc
@@ -12,12 +12,13 @@
   if (std::holds_alternative<StoreNoAnswer>(reply)) {
     return StoreBelief::kSilent;
   }
-  const auto* busy = std::get_if<StoreBusy>(&reply);
-  if (busy == nullptr) {
+  const auto* refused = std::get_if<StoreRefused>(&reply);
+  if (refused == nullptr) {
     return StoreBelief::kAnswers;
   }
-  return busy->reason == StoreRefusal::kUnknownCall ? StoreBelief::kKnowsNoCall
-                                                    : StoreBelief::kRefuses;
+  return refused->reason == StoreRefusal::kUnknownCall
+             ? StoreBelief::kKnowsNoCall
+             : StoreBelief::kRefuses;
 }
 
 }  // namespace
