--- a/bench/admission_bench.cc
+++ b/bench/admission_bench.cc
@@ -75,7 +75,7 @@
            .paid = 10,
            .cache_share = 0});
     }
-    admission_.OnCapacity(now_, kModel, std::move(headroom));
+    admission_.OnHeadroom(now_, kModel, std::move(headroom));
     profile_.target = ModelTarget{kModel, {}};
     profile_.prompt_tokens = TokenCount(300);
     profile_.max_generated_tokens = TokenCount(500);
--- a/bench/configuration_bench.cc
+++ b/bench/configuration_bench.cc
@@ -35,10 +35,11 @@
 std::vector<Scenario> Scenarios() {
   return {
       {"steady", [](ConfigCluster&) {}},
-      {"loss10", [](ConfigCluster& c) { c.network().faults().lost = 0.1; }},
+      {"loss10",
+       [](ConfigCluster& c) { c.network().faults().loss_rate = 0.1; }},
       {"zone_without_store",
        [](ConfigCluster& c) {
-         c.link().SetReaches([&c](const std::string& caller) {
+         c.link().SetReachable([&c](const std::string& caller) {
            return c.nodes()[std::stoul(caller)].zone != ZoneId("z0");
          });
        }},
--- a/bench/limit_wire_size.cc
+++ b/bench/limit_wire_size.cc
@@ -32,7 +32,7 @@
   // Only a relay names the ceding nodes; a node that cedes only for itself is
   // already named as the sender.
   if (report.kind == LimitReporter::kRelay) {
-    for (const NodeId& node : report.ceding) {
+    for (const NodeId& node : report.ceding_nodes) {
       bytes += static_cast<double>(node.value().size()) + kFieldBytes;
     }
   }
--- a/bench/limits_world.cc
+++ b/bench/limits_world.cc
@@ -53,7 +53,7 @@
   admitted_.resize(buckets);
   offered_.resize(buckets);
   if (!settings_.relays) {
-    limit_settings_.relay_above_nodes = 100000;
+    limit_settings_.max_direct_nodes = 100000;
   }
   MakeNodes();
   AssignShardOwners(0);
@@ -223,7 +223,7 @@
       RequestFromCentral(node);
       return;
     case LimitPolicy::kStatic:
-      if (nodes_[node].static_bucket.Has(events_.time(), 1)) {
+      if (nodes_[node].static_bucket.CanTake(events_.time(), 1)) {
         nodes_[node].static_bucket.Take(1);
         CountAdmission();
       }
@@ -250,7 +250,7 @@
   CountMessage(nodes_[central_node_], kCentralMessageBytes);
   CountMessage(nodes_[central_node_], kCentralMessageBytes);
   events_.ScheduleAfter(2 * kNetworkDelay, [this] {
-    if (central_bucket_.Has(events_.time(), 1)) {
+    if (central_bucket_.CanTake(events_.time(), 1)) {
       central_bucket_.Take(1);
       CountAdmission();
     }
@@ -262,7 +262,7 @@
     return;
   }
   const auto attempt =
-      attempts == 0 ? AcquireAttempt::kFirst : AcquireAttempt::kRepeated;
+      attempts == 0 ? AcquireAttempt::kFirst : AcquireAttempt::kRetry;
   const ShareDecision decision = nodes_[node].limits->TryAcquire(
       events_.time(), kMeasured, TokenCount(200), attempt);
   if (decision.outcome == ShareOutcome::kGranted) {
--- a/bench/membership_bench.cc
+++ b/bench/membership_bench.cc
@@ -83,17 +83,17 @@
   cluster.nodes()[failed_node].up = false;
   const std::size_t others = cluster.nodes().size() - 1;
   const auto avoiding = [&] {
-    return cluster.Seeing(failed_node, MemberState::kSuspect) +
-           cluster.Seeing(failed_node, MemberState::kDead);
+    return cluster.CountNodesSeeing(failed_node, MemberState::kSuspect) +
+           cluster.CountNodesSeeing(failed_node, MemberState::kDead);
   };
   Detection detection;
   detection.first_suspect = RunUntil(cluster, [&] { return avoiding() > 0; });
   detection.all_avoid = detection.first_suspect +
                         RunUntil(cluster, [&] { return avoiding() == others; });
-  detection.all_dead =
-      detection.all_avoid + RunUntil(cluster, [&] {
-        return cluster.Seeing(failed_node, MemberState::kDead) == others;
-      });
+  detection.all_dead = detection.all_avoid + RunUntil(cluster, [&] {
+                         return cluster.CountNodesSeeing(
+                                    failed_node, MemberState::kDead) == others;
+                       });
   return detection;
 }
 
@@ -106,7 +106,8 @@
   --others;
   cluster.Leave(leaving_node);
   return RunUntil(cluster, [&] {
-    return cluster.Seeing(leaving_node, MemberState::kLeaving) == others;
+    return cluster.CountNodesSeeing(leaving_node, MemberState::kLeaving) ==
+           others;
   });
 }
 
@@ -126,7 +127,7 @@
   }
   ZoneLoss loss;
   const auto alive = static_cast<double>(cluster.nodes().size() - lost.size());
-  while (!cluster.Agrees() && loss.all_dead_seconds < Seconds(kTimeout)) {
+  while (!cluster.HasConverged() && loss.all_dead_seconds < Seconds(kTimeout)) {
     const std::int64_t before = cluster.sent_bytes();
     cluster.Run(Duration::Seconds(1));
     loss.all_dead_seconds += 1;
--- a/bench/once_bench.cc
+++ b/bench/once_bench.cc
@@ -18,7 +18,7 @@
 
 using gcw::Duration;
 using gcw::OnceWorld;
-using gcw::Told;
+using gcw::SendOutcome;
 
 constexpr std::int64_t kNodes = 8;
 constexpr Duration kLength = Duration::Seconds(420);
@@ -37,9 +37,11 @@
       {"owner_paused_30s",
        [](OnceWorld& world) { world.Pause(0, Duration::Seconds(30)); }},
       {"owner_cut_30s",
-       [](OnceWorld& world) { world.Cut(0, Duration::Seconds(30)); }},
+       [](OnceWorld& world) { world.Partition(0, Duration::Seconds(30)); }},
       {"owner_cut_from_store_30s",
-       [](OnceWorld& world) { world.CutFromStore(0, Duration::Seconds(30)); }},
+       [](OnceWorld& world) {
+         world.PartitionFromStore(0, Duration::Seconds(30));
+       }},
       {"false_suspicion_30s",
        [](OnceWorld& world) { world.Suspect(0, Duration::Seconds(30)); }},
       {"all_replaced_in_turn",
@@ -66,9 +68,9 @@
          world.store().faults().max_delay = Duration::Millis(1000);
        }},
       {"store_answers_lost_20pct",
-       [](OnceWorld& world) { world.store().faults().reply_lost = 0.2; }},
+       [](OnceWorld& world) { world.store().faults().reply_loss_rate = 0.2; }},
       {"messages_lost_5pct",
-       [](OnceWorld& world) { world.network().faults().lost = 0.05; }},
+       [](OnceWorld& world) { world.network().faults().loss_rate = 0.05; }},
   };
 }
 
@@ -87,20 +89,20 @@
 };
 
 bool IsRefused(const OnceWorld::Send& send) {
-  if (send.told == Told::kEarlier) {
+  if (send.outcome == SendOutcome::kEarlier) {
     return true;
   }
-  return send.told == Told::kNotRun &&
+  return send.outcome == SendOutcome::kNotRun &&
          send.refusal != gcw::RefusalKind::kNoCapacity;
 }
 
 void CountSend(const OnceWorld::Send& send, Counts& counts) {
   ++counts.sends;
-  counts.untold += send.told == Told::kNothing ? 1 : 0;
+  counts.untold += send.outcome == SendOutcome::kNothing ? 1 : 0;
   const int refused = IsRefused(send) ? 1 : 0;
   if (!send.first) {
     ++counts.repeats;
-    counts.replayed += send.told == Told::kReplayed ? 1 : 0;
+    counts.replayed += send.outcome == SendOutcome::kReplayed ? 1 : 0;
     counts.repeats_refused += refused;
   } else if (send.key.starts_with("gcw1.")) {
     ++counts.issued_first;
@@ -177,8 +179,8 @@
     settings.nodes = kNodes;
     settings.seed = seed;
     settings.sends_per_second = rate;
-    settings.issued_keys = 0;
-    settings.repeated = 0;
+    settings.issued_key_probability = 0;
+    settings.repeat_probability = 0;
     OnceWorld world(settings);
     constexpr std::int64_t kSeconds = 30;
     world.Run(Duration::Seconds(kSeconds));
--- a/bench/repair_world.cc
+++ b/bench/repair_world.cc
@@ -208,7 +208,7 @@
              vm.is_up && vm.group != group->id) {
     described.condition = VmCondition::kRestarted;
   }
-  described.assignable = vm.is_up && !IsRecorded(record, id);
+  described.assignable = vm.is_up && !IsMemberOrLeaving(record, id);
   return described;
 }
 
--- a/bench/retry_world.cc
+++ b/bench/retry_world.cc
@@ -268,8 +268,8 @@
   const FailedAttempt failed{.attempts = send->attempts,
                              .was_not_run = false,
                              .expected_first_byte = Duration::Millis(100)};
-  return nodes_[send->node].budget->Spend(events_.time(), send->profile,
-                                          failed) == RetryVerdict::kAllowed;
+  return nodes_[send->node].budget->TrySpend(events_.time(), send->profile,
+                                             failed) == RetryVerdict::kAllowed;
 }
 
 void RetryWorld::OnDeadline(const SendPointer& send) {
--- a/bench/tier_world.cc
+++ b/bench/tier_world.cc
@@ -62,7 +62,7 @@
 void TierWorld::MakeNodes(std::uint64_t seed) {
   for (std::size_t i = 0; i < settings_.nodes; ++i) {
     LimitSettings limit_settings;
-    limit_settings.floor_nodes = static_cast<std::int64_t>(settings_.nodes);
+    limit_settings.min_floor_nodes = static_cast<std::int64_t>(settings_.nodes);
     auto limits =
         std::make_unique<Limits>(Limits::Builder()
                                      .SetSelf(NodeId("n" + std::to_string(i)),
@@ -347,7 +347,7 @@
                                   .paid = report.paid,
                                   .cache_share = 0});
   }
-  Apply(nodes_[node].admission->OnCapacity(events_.time(), kModel,
+  Apply(nodes_[node].admission->OnHeadroom(events_.time(), kModel,
                                            std::move(headroom)));
 }
 
--- a/coordination/admission/admission.cc
+++ b/coordination/admission/admission.cc
@@ -115,7 +115,7 @@
       decision.outcome == ShareOutcome::kPending &&
       std::ssize(awaiting_share_) < settings_->share_queue_limit;
   if (!may_wait) {
-    EmitRefusal(id, RefusalOfShare(decision.outcome), decision.wait, actions);
+    EmitRefusal(id, ShareRefusalKind(decision.outcome), decision.wait, actions);
     requests_.erase(id);
     return;
   }
@@ -168,7 +168,7 @@
                              request.target->room.endpoints(request.tier)});
 }
 
-std::vector<AdmissionAction> Admission::OnCapacity(Time now,
+std::vector<AdmissionAction> Admission::OnHeadroom(Time now,
                                                    const ModelId& model,
                                                    Headroom headroom) {
   Actions actions;
@@ -177,7 +177,7 @@
   return actions;
 }
 
-std::vector<AdmissionAction> Admission::OnCapacity(Time now,
+std::vector<AdmissionAction> Admission::OnHeadroom(Time now,
                                                    const ServiceId& service,
                                                    Headroom headroom) {
   Actions actions;
--- a/coordination/admission/admission.h
+++ b/coordination/admission/admission.h
@@ -77,10 +77,10 @@
   // Takes in a new request. `profile.contract` is the id of the contract that
   // `FindContract` returned; tier, rank and limits come from the contract.
   std::vector<AdmissionAction> Offer(Time now, const RequestProfile& profile);
-  std::vector<AdmissionAction> OnCapacity(Time now,
+  std::vector<AdmissionAction> OnHeadroom(Time now,
                                           const ModelId& model,
                                           Headroom headroom);
-  std::vector<AdmissionAction> OnCapacity(Time now,
+  std::vector<AdmissionAction> OnHeadroom(Time now,
                                           const ServiceId& service,
                                           Headroom headroom);
   // Called when an admitted request was sent to this endpoint.
--- a/coordination/admission/admission_waiting.cc
+++ b/coordination/admission/admission_waiting.cc
@@ -30,7 +30,7 @@
                            Request& request,
                            Actions& actions) {
   const ShareDecision decision = limits_->TryAcquire(
-      now, request.contract, request.estimate, AcquireAttempt::kRepeated);
+      now, request.contract, request.estimate, AcquireAttempt::kRetry);
   if (decision.outcome == ShareOutcome::kGranted) {
     request.wait_deadline = request.deadline;
     StartOrQueue(now, id, request, actions);
@@ -41,7 +41,7 @@
     awaiting_share_.push_back(id);
     return;
   }
-  DropAndRefuse(id, RefusalOfShare(decision.outcome), decision.wait, actions);
+  DropAndRefuse(id, ShareRefusalKind(decision.outcome), decision.wait, actions);
 }
 
 Duration Admission::ExpectedWait(const Target& target,
@@ -178,7 +178,7 @@
 }
 
 Duration Admission::RetryAfter(RefusalKind kind, Duration wait) const {
-  if (!ComingBackHelps(kind)) {
+  if (!CanSucceedLater(kind)) {
     return {};
   }
   const Duration base_delay =
--- a/coordination/at_most_once/once_client.cc
+++ b/coordination/at_most_once/once_client.cc
@@ -66,12 +66,12 @@
   }
   ++send.unanswered;
   send.next_claim = now + settings_.claim_retry;
-  const Duration runs_at_most =
+  const Duration max_run_duration =
       std::max(send.send.deadline - now, settings_.grant_ttl);
   actions.emplace_back(
       OncePeerSend{OwnerOf(send.key),
                    OnceClaimRequest{send.claim, send.key, send.send.fingerprint,
-                                    runs_at_most, seen_}});
+                                    max_run_duration, seen_}});
 }
 
 NodeId OnceClient::OwnerOf(const IdempotencyKey& key) const {
@@ -107,7 +107,7 @@
     return actions;
   }
   send.unanswered = 0;
-  if (!std::holds_alternative<OnceElsewhere>(reply.verdict) &&
+  if (!std::holds_alternative<OnceRedirect>(reply.verdict) &&
       !std::holds_alternative<OnceUndecided>(reply.verdict)) {
     owners_[OnceShardOf(send.key, settings_.shard_count)] = from;
   }
@@ -127,7 +127,7 @@
                    actions.emplace_back(OnceReplay{request, replayed.answer});
                    Report(EventKind::kOnceReplayed, request, "replayed");
                  },
-                 [&](const OnceAnswerGone&) {
+                 [&](const OnceAnswerEvicted&) {
                    Drop(request);
                    actions.emplace_back(OnceReportEarlier{request, true});
                    Report(EventKind::kOnceReplayed, request, "answer_gone");
@@ -147,7 +147,7 @@
                  },
                  // `Tick` sends the claim again or gives it back.
                  [&](const OnceUndecided&) {},
-                 [&](const OnceElsewhere& elsewhere) {
+                 [&](const OnceRedirect& elsewhere) {
                    owners_[OnceShardOf(send.key, settings_.shard_count)] =
                        elsewhere.owner;
                    if (++send.redirects <= kMaxRedirects) {
@@ -261,7 +261,7 @@
 
 void OnceClient::RedirectReport(const OnceClaimReply& reply) {
   const auto report = reports_.find(reply.claim);
-  const auto* elsewhere = std::get_if<OnceElsewhere>(&reply.verdict);
+  const auto* elsewhere = std::get_if<OnceRedirect>(&reply.verdict);
   if (report == reports_.end() || elsewhere == nullptr) {
     return;
   }
--- a/coordination/at_most_once/once_messages.h
+++ b/coordination/at_most_once/once_messages.h
@@ -54,7 +54,7 @@
   OnceAnswer answer;
 };
 // An earlier send ran, and its answer is not available any more.
-struct OnceAnswerGone {};
+struct OnceAnswerEvicted {};
 // An earlier send may have run. This can no longer be determined.
 struct OnceEarlierUnknown {};
 // An earlier send is still running.
@@ -65,18 +65,18 @@
 // and its node will give the claim back.
 struct OnceUndecided {};
 // Redirects the sender to the node that is believed to own the key.
-struct OnceElsewhere {
+struct OnceRedirect {
   NodeId owner;
 };
 
 using OnceVerdict = std::variant<OnceGranted,
                                  OnceReplayed,
-                                 OnceAnswerGone,
+                                 OnceAnswerEvicted,
                                  OnceEarlierUnknown,
                                  OnceStillRunning,
                                  OnceMismatch,
                                  OnceUndecided,
-                                 OnceElsewhere>;
+                                 OnceRedirect>;
 
 // Asks the owner for permission to run. Sent with the same claim id until
 // answered.
@@ -88,7 +88,7 @@
   Fingerprint fingerprint;
   // Maximum time from now until the send has ended. After it, the owner treats
   // an unreported outcome as unknown.
-  Duration runs_at_most;
+  Duration max_run_duration;
   // Highest revision of the key-value service that the sender has seen. It lets
   // the receiver detect that the service was restored to an earlier state.
   Revision seen;
--- a/coordination/at_most_once/once_owner.cc
+++ b/coordination/at_most_once/once_owner.cc
@@ -85,7 +85,7 @@
     if (issued->home == self_.node) {
       Reply(from, request.claim, issued_.Claim(now, request));
     } else {
-      Reply(from, request.claim, OnceElsewhere{issued->home});
+      Reply(from, request.claim, OnceRedirect{issued->home});
     }
     return TakeActions();
   }
--- a/coordination/at_most_once/once_shard.cc
+++ b/coordination/at_most_once/once_shard.cc
@@ -72,7 +72,7 @@
       if (holder) {
         return OnceRecorded{claimed.version};
       }
-      if (now < claimed.claimed_at + claimed.runs_at_most) {
+      if (now < claimed.claimed_at + claimed.max_run_duration) {
         return OnceVerdict(OnceStillRunning{});
       }
       return OnceVerdict(OnceEarlierUnknown{});
@@ -85,7 +85,7 @@
       if (claimed.answer) {
         return OnceVerdict(OnceReplayed{*claimed.answer});
       }
-      return OnceVerdict(OnceAnswerGone{});
+      return OnceVerdict(OnceAnswerEvicted{});
     case OnceClaimState::kMayHaveRun:
       return OnceVerdict(OnceEarlierUnknown{});
   }
@@ -100,7 +100,7 @@
   claimed.holder = request.claim;
   claimed.state = OnceClaimState::kClaimed;
   claimed.claimed_at = now;
-  claimed.runs_at_most = request.runs_at_most;
+  claimed.max_run_duration = request.max_run_duration;
   claimed.version = ++version_;
   expiries_.push_back(Expiry{now + settings_.window, request.key});
   return OnceRecorded{claimed.version};
@@ -216,7 +216,7 @@
     claimed.holder = entry.holder;
     claimed.state = entry.state;
     claimed.claimed_at = now;
-    claimed.runs_at_most = kLoadedClaimRunDuration;
+    claimed.max_run_duration = kLoadedClaimRunDuration;
     claimed.version = version_;
     claims_[entry.key] = std::move(claimed);
     journal_bytes_ += OnceEntryBytes(entry.key, entry.holder);
--- a/coordination/at_most_once/once_shard.h
+++ b/coordination/at_most_once/once_shard.h
@@ -89,7 +89,7 @@
     OnceClaimId holder;
     OnceClaimState state = OnceClaimState::kClaimed;
     Time claimed_at;
-    Duration runs_at_most;
+    Duration max_run_duration;
     // Version of the shard at which the holder was recorded.
     std::int64_t version = 0;
     std::optional<OnceAnswer> answer;
--- a/coordination/at_most_once/once_shard_owner.cc
+++ b/coordination/at_most_once/once_shard_owner.cc
@@ -25,7 +25,7 @@
     return;
   }
   if (state_ == State::kNone && KnowsOwner(now)) {
-    hooks_.reply(claim, OnceElsewhere{known_owner_.node});
+    hooks_.reply(claim, OnceRedirect{known_owner_.node});
     return;
   }
   // The sender repeats its claim while it waits. Only the latest copy is kept.
@@ -95,7 +95,7 @@
     OncePendingClaim sender;
     sender.from = from;
     sender.request.claim = finish.claim;
-    hooks_.reply(sender, OnceElsewhere{known_owner_.node});
+    hooks_.reply(sender, OnceRedirect{known_owner_.node});
     return false;
   }
   if (state_ != State::kOwned) {
@@ -171,14 +171,14 @@
   if (journal.owner != self_ && hooks_.alive(journal.owner)) {
     known_owner_ = journal.owner;
     known_until_ = now + settings_.owner_cache_ttl;
-    ReplyToPending(OnceElsewhere{journal.owner.node});
+    ReplyToPending(OnceRedirect{journal.owner.node});
     return;
   }
   const OnceMember preferred = hooks_.preferred();
   if (preferred != self_) {
     ReplyToPending(preferred.node.empty()
                        ? OnceVerdict(OnceUndecided{})
-                       : OnceVerdict(OnceElsewhere{preferred.node}));
+                       : OnceVerdict(OnceRedirect{preferred.node}));
     return;
   }
   TakeOver(now, revision, journal);
@@ -221,7 +221,7 @@
   open_changes_.clear();
   unanswered_since_.reset();
   shard_ = OnceShard(settings_.shard);
-  ReplyToPending(KnowsOwner(now) ? OnceVerdict(OnceElsewhere{owner.node})
+  ReplyToPending(KnowsOwner(now) ? OnceVerdict(OnceRedirect{owner.node})
                                  : OnceVerdict(OnceUndecided{}));
 }
 
--- a/coordination/configuration/config_gossip.cc
+++ b/coordination/configuration/config_gossip.cc
@@ -117,10 +117,10 @@
   if (equal) {
     MarkSettled(from);
   }
-  if (digest.reply) {
+  if (digest.is_reply) {
     return {};
   }
-  own.reply = true;
+  own.is_reply = true;
   if (equal) {
     return {PeerSend<ConfigMessage>{from, own}};
   }
@@ -190,7 +190,7 @@
   if (!entries.answers_pull) {
     return actions;
   }
-  if (!merged_any && !entries.more) {
+  if (!merged_any && !entries.is_truncated) {
     MarkSettled(from);
     return actions;
   }
@@ -199,7 +199,7 @@
   const auto survey = surveys_.find(from);
   const bool continues_survey =
       surveying_ && survey != surveys_.end() && !survey->second.settled;
-  if (continues_survey || entries.more) {
+  if (continues_survey || entries.is_truncated) {
     if (continues_survey) {
       survey->second.attempts = 1;
       survey->second.asked = now;
@@ -255,7 +255,7 @@
     const std::vector<std::string>& keys) const {
   ConfigEntries message;
   message.digest = hooks_.digest();
-  message.digest.reply = true;
+  message.digest.is_reply = true;
   std::size_t bytes = 0;
   for (const std::string& key : keys) {
     const ConfigEntry* entry = hooks_.store().Find(key);
@@ -265,7 +265,7 @@
     bytes += EstimatedSize(*entry);
     // At least one entry is sent, regardless of its size.
     if (bytes > settings_.max_message_bytes && !message.entries.empty()) {
-      message.more = true;
+      message.is_truncated = true;
       break;
     }
     message.entries.push_back(*entry);
@@ -284,7 +284,7 @@
   return actions;
 }
 
-std::vector<ConfigGossipAction> ConfigGossip::AskFloors(
+std::vector<ConfigGossipAction> ConfigGossip::RequestFloors(
     Revision revision) const {
   std::vector<ConfigGossipAction> actions;
   for (const NodeId& peer : peers_) {
--- a/coordination/configuration/config_gossip.h
+++ b/coordination/configuration/config_gossip.h
@@ -63,7 +63,7 @@
                                        const ConfigPush& push) const;
   // Sends a digest to each peer that is not known to hold every change up to
   // `revision`; the replies carry their floors.
-  std::vector<ConfigGossipAction> AskFloors(Revision revision) const;
+  std::vector<ConfigGossipAction> RequestFloors(Revision revision) const;
 
   // During a survey, every peer is asked until its copy holds nothing that this
   // node lacks; the peer is then settled.
--- a/coordination/configuration/config_messages.h
+++ b/coordination/configuration/config_messages.h
@@ -18,7 +18,7 @@
   // The sender holds every change up to this revision; see `ConfigSync::floor`.
   Revision floor;
   bool ready = false;
-  bool reply = false;
+  bool is_reply = false;
 };
 
 // Answers a digest that differs from the answering node's own.
@@ -41,9 +41,9 @@
   // Keys whose newer versions the sender requests from the receiver.
   std::vector<std::string> wanted;
   // True if entries were omitted to limit the size of the message.
-  bool more = false;
-  // True if this answers a pull. Unless `more` is set, the sender then holds no
-  // other newer entries.
+  bool is_truncated = false;
+  // True if this answers a pull. Unless `is_truncated` is set, the sender then
+  // holds no other newer entries.
   bool answers_pull = false;
 };
 
--- a/coordination/configuration/config_proposer.cc
+++ b/coordination/configuration/config_proposer.cc
@@ -75,7 +75,7 @@
 
 std::vector<ConfigProposerAction> ConfigProposer::Propose(Time now,
                                                           ConfigChange change) {
-  if (proposals_.contains(change.change)) {
+  if (proposals_.contains(change.id)) {
     return {};
   }
   Proposal proposal{.change = std::move(change),
@@ -94,14 +94,14 @@
   const ConfigEntry* own = hooks_.find(proposal.change.key);
   if (own != nullptr) {
     // The operator asks again about a change that is known to be committed.
-    if (const auto revision = FindChange(*own, proposal.change.change)) {
+    if (const auto revision = FindChange(*own, proposal.change.id)) {
       proposal.latest_entry = *own;
       return {Finish(proposal, ChangeAccepted{*revision})};
     }
   }
   StartFromOwnCopy(proposal);
   const auto [it, inserted] =
-      proposals_.emplace(proposal.change.change, std::move(proposal));
+      proposals_.emplace(proposal.change.id, std::move(proposal));
   std::optional<ConfigProposerAction> action = Advance(now, it->second);
   if (!action) {
     return {};
@@ -119,7 +119,7 @@
   // The node's own copy may be out of date, so it never decides a conflict. A
   // version that the operator expects is a good first guess for the
   // compare-and-swap.
-  if (!MatchesExpected(current, proposal.change.expected)) {
+  if (!MatchesExpected(current, proposal.change.expected_revision)) {
     return;
   }
   proposal.base_revision = current ? current->revision : Revision();
@@ -194,7 +194,7 @@
 
 ConfigRecord ConfigProposer::NewRecord(const Proposal& proposal) const {
   return {.value = proposal.change.value,
-          .change = proposal.change.change,
+          .change = proposal.change.id,
           .history = proposal.history};
 }
 
@@ -279,11 +279,11 @@
     const std::optional<ConfigEntry>& current) {
   proposal.latest_entry = current;
   if (current) {
-    if (const auto revision = FindChange(*current, proposal.change.change)) {
+    if (const auto revision = FindChange(*current, proposal.change.id)) {
       return ChangeAccepted{*revision};
     }
   }
-  if (MatchesExpected(current, proposal.change.expected)) {
+  if (MatchesExpected(current, proposal.change.expected_revision)) {
     proposal.base_revision = current ? current->revision : Revision();
     proposal.history =
         current ? VersionsOf(*current) : std::vector<ConfigVersion>();
@@ -295,7 +295,7 @@
   const bool may_be_committed =
       proposal.may_be_written || proposal.change.repeated;
   if (may_be_committed && current &&
-      !HistoryReaches(*current, proposal.change.expected)) {
+      !HistoryReaches(*current, proposal.change.expected_revision)) {
     return ChangeUnavailable{ChangeUnavailableKind::kOutcomeUnknown};
   }
   return ChangeConflict{current};
@@ -333,13 +333,13 @@
            .subject = proposal.change.key,
            .cause = {},
            .fields = {{"revision", accepted->revision.value()},
-                      {"change", proposal.change.change.value()}}});
+                      {"change", proposal.change.id.value()}}});
   } else if (std::holds_alternative<ChangeConflict>(finished.outcome)) {
     sink_({.kind = EventKind::kContractConflict,
            .subject = proposal.change.key,
            .cause = {},
-           .fields = {{"expected", proposal.change.expected.value()},
-                      {"change", proposal.change.change.value()}}});
+           .fields = {{"expected", proposal.change.expected_revision.value()},
+                      {"change", proposal.change.id.value()}}});
   }
   return finished;
 }
--- a/coordination/configuration/config_proposer.h
+++ b/coordination/configuration/config_proposer.h
@@ -23,10 +23,10 @@
   // The revision of the key that the operator saw, which may be a tombstone's,
   // or zero if the key was never written. The change takes effect only if the
   // key still has this revision.
-  Revision expected;
+  Revision expected_revision;
   // Chosen by the operator's client. The same change may be proposed again
   // under the same id through any node to learn its outcome.
-  ChangeId change;
+  ChangeId id;
   // True if the operator proposed the change before without a final outcome.
   bool repeated = false;
 };
--- a/coordination/configuration/config_sync.cc
+++ b/coordination/configuration/config_sync.cc
@@ -231,9 +231,10 @@
   }
 }
 
-std::vector<ConfigSyncAction> ConfigSync::AskFloors(Revision revision) const {
+std::vector<ConfigSyncAction> ConfigSync::RequestFloors(
+    Revision revision) const {
   std::vector<ConfigSyncAction> actions;
-  for (const ConfigGossipAction& action : gossip_.AskFloors(revision)) {
+  for (const ConfigGossipAction& action : gossip_.RequestFloors(revision)) {
     actions.emplace_back(std::get<PeerSend<ConfigMessage>>(action));
   }
   return actions;
--- a/coordination/configuration/config_sync.h
+++ b/coordination/configuration/config_sync.h
@@ -104,7 +104,7 @@
 
   // Asks the peers that may lack `revision` for their floors. The answers
   // update `Confirmation`.
-  std::vector<ConfigSyncAction> AskFloors(Revision revision) const;
+  std::vector<ConfigSyncAction> RequestFloors(Revision revision) const;
   ConfigConfirmation Confirmation(Revision revision) const;
 
   const ConfigStore& store() const { return store_; }
--- a/coordination/configuration/config_sync_store.cc
+++ b/coordination/configuration/config_sync_store.cc
@@ -237,7 +237,7 @@
   return {.digest = store_.Digest(),
           .floor = floor_,
           .ready = ready_,
-          .reply = false};
+          .is_reply = false};
 }
 
 }  // namespace gcw
--- a/coordination/configuration/record_changes.cc
+++ b/coordination/configuration/record_changes.cc
@@ -24,7 +24,7 @@
     }
   }
   for (const VmId& vm : move.added) {
-    if (!Contains(move.removed, vm) && IsRecorded(record, vm)) {
+    if (!Contains(move.removed, vm) && IsMemberOrLeaving(record, vm)) {
       return false;
     }
   }
@@ -48,7 +48,7 @@
     return false;
   }
   for (const VmId& vm : move.members) {
-    if (IsRecorded(record, vm)) {
+    if (IsMemberOrLeaving(record, vm)) {
       return false;
     }
   }
@@ -109,7 +109,7 @@
   return nullptr;
 }
 
-bool IsRecorded(const DomainRecord& record, const VmId& vm) {
+bool IsMemberOrLeaving(const DomainRecord& record, const VmId& vm) {
   return FindGroupOf(record, vm) != nullptr ||
          std::any_of(
              record.leaving.begin(), record.leaving.end(),
--- a/coordination/configuration/record_changes.h
+++ b/coordination/configuration/record_changes.h
@@ -14,7 +14,7 @@
 const GroupRecord* FindGroupOf(const DomainRecord& record, const VmId& vm);
 
 // Returns true if the VM is a member of a group or is still leaving one.
-bool IsRecorded(const DomainRecord& record, const VmId& vm);
+bool IsMemberOrLeaving(const DomainRecord& record, const VmId& vm);
 
 // Applies the move to `record`. Returns false and changes nothing if the move
 // is no longer valid, for example because its group does not exist, a VM that
--- a/coordination/gateway/replica_selector.cc
+++ b/coordination/gateway/replica_selector.cc
@@ -72,7 +72,7 @@
   if (state.stalled_until && now < *state.stalled_until) {
     return false;
   }
-  return state.backoff.IsOpen(now);
+  return state.backoff.AllowsRequest(now);
 }
 
 double ReplicaSelector::ExpectedRequests(Time now, const State& state) const {
@@ -283,7 +283,7 @@
     case ForwardEndKind::kNothingSent:
     case ForwardEndKind::kConnectionBroken:
     case ForwardEndKind::kSilent: {
-      const bool was_open = state->backoff.IsOpen(now);
+      const bool was_open = state->backoff.AllowsRequest(now);
       state->backoff.OnFailed(now);
       if (was_open) {
         events_({EventKind::kEndpointEjected,
--- a/coordination/groups/domain_reconciler.cc
+++ b/coordination/groups/domain_reconciler.cc
@@ -218,7 +218,7 @@
   const VmFacts* facts = tracker.Find(vm);
   return facts != nullptr && facts->listed &&
          facts->entry.state == VmState::kLive &&
-         !IsRecorded(writer_.record(), vm) &&
+         !IsMemberOrLeaving(writer_.record(), vm) &&
          !order_sender_.IsPending(now, vm) &&
          tracker.IsIdleSince(vm, std::max(order_sender_.SettledAt(vm),
                                           order_sender_.earliest_order_time()));
--- a/coordination/groups/domain_reconciler_orders.cc
+++ b/coordination/groups/domain_reconciler_orders.cc
@@ -166,7 +166,7 @@
     const bool is_unrecorded_member =
         it == rates.end() && facts.status && !facts.status->group.empty();
     if (is_unrecorded_member || (it != rates.end() && facts.failing_since) ||
-        IsRecorded(writer_.record(), vm) != (it != rates.end())) {
+        IsMemberOrLeaving(writer_.record(), vm) != (it != rates.end())) {
       rate = ProbeRate::kFast;
     }
     tracker.SetProbeRate(vm, rate);
--- a/coordination/groups/group_controller.cc
+++ b/coordination/groups/group_controller.cc
@@ -252,7 +252,7 @@
   described.condition = is_live ? VmCondition::kHealthy : VmCondition::kLeaving;
   const auto other = other_records_.find(facts.entry.domain);
   described.assignable = is_live && other != other_records_.end() &&
-                         !IsRecorded(other->second.record, vm);
+                         !IsMemberOrLeaving(other->second.record, vm);
   return described;
 }
 
--- a/coordination/groups/serving_gate_reports.cc
+++ b/coordination/groups/serving_gate_reports.cc
@@ -7,7 +7,7 @@
 namespace gcw {
 
 void ServingGate::UpdateOwnLog(Time now) {
-  const bool is_cut_off = prober_.SeemsCutOff();
+  const bool is_cut_off = prober_.IsLikelyIsolated();
   for (const auto& [id, tracked] : endpoints_) {
     const auto finding = prober_.Find(now, id);
     // A node that loses most VMs at once is probably cut off itself. It
@@ -84,7 +84,7 @@
   }
   const auto presence_it = peer_presence_.find(peer.id);
   return presence_it != peer_presence_.end() &&
-         now - presence_it->second.last_heard() < settings_.peer_timeout;
+         now - presence_it->second.last_report_time() < settings_.peer_timeout;
 }
 
 PresenceReport ServingGate::MakeReport(Time now,
--- a/coordination/limits/contract_share.cc
+++ b/coordination/limits/contract_share.cc
@@ -83,10 +83,10 @@
       share_[LimitResource::kConcurrency] + kRoundingTolerance) {
     return {ShareOutcome::kConcurrency, {}};
   }
-  if (!requests_.Has(now, 1)) {
+  if (!requests_.CanTake(now, 1)) {
     return {ShareOutcome::kRequestRate, requests_.WaitFor(now, 1)};
   }
-  if (!tokens_.Has(now, estimate)) {
+  if (!tokens_.CanTake(now, estimate)) {
     return {ShareOutcome::kTokenRate, tokens_.WaitFor(now, estimate)};
   }
   return {ShareOutcome::kGranted, {}};
@@ -119,7 +119,7 @@
 
 bool ContractShare::IsIdle(Time now, Duration idle_timeout) {
   return running_ == 0 && last_attempt_ + idle_timeout < now &&
-         tokens_.Has(now, 0);
+         tokens_.CanTake(now, 0);
 }
 
 }  // namespace gcw
--- a/coordination/limits/limit_client.cc
+++ b/coordination/limits/limit_client.cc
@@ -27,10 +27,10 @@
           .shard = shard_,
           .sequence = last_sequence_,
           .sent_at = now,
-          .applied = applied_,
+          .applied_sequence = applied_,
           .echo = echo_,
-          .ceding = {},
-          .ceded_for = {},
+          .ceding_nodes = {},
+          .cession_duration = {},
           .weight = 1,
           .demands = {}};
 }
--- a/coordination/limits/limit_granter.cc
+++ b/coordination/limits/limit_granter.cc
@@ -38,7 +38,7 @@
                             .running = demand.running,
                             .weight = static_cast<double>(report.weight),
                             .valid_until = now + valid_for});
-    ledger->second.Acknowledge(party.index, report.applied);
+    ledger->second.Acknowledge(party.index, report.applied_sequence);
     party.contracts.insert(demand.contract);
   }
   return true;
@@ -53,8 +53,8 @@
   if (!report.echo || report.echo->granter != self_) {
     return;
   }
-  const Time until = report.echo->granted_at + report.ceded_for;
-  for (const NodeId& node : report.ceding) {
+  const Time until = report.echo->granted_at + report.cession_duration;
+  for (const NodeId& node : report.ceding_nodes) {
     cessions_.Cede(node, until);
   }
 }
@@ -66,7 +66,7 @@
       continue;
     }
     ledger->second.Observe(party.index, {});
-    ledger->second.Acknowledge(party.index, report.applied);
+    ledger->second.Acknowledge(party.index, report.applied_sequence);
   }
 }
 
--- a/coordination/limits/limit_messages.h
+++ b/coordination/limits/limit_messages.h
@@ -60,13 +60,14 @@
   // lifetime from a time before they were given, without comparing clocks.
   Time sent_at;
   // Newest grants that the sender applied; it never goes back to older ones.
-  LimitSequence applied;
+  LimitSequence applied_sequence;
   // Copied from the newest grants of this receiver; cessions are counted from
   // its time. Unset on first contact.
   std::optional<LimitEcho> echo;
-  // Nodes that use no floor in this shard for `ceded_for` after the echo.
-  std::vector<NodeId> ceding;
-  Duration ceded_for;
+  // Nodes that use no floor in this shard for `cession_duration` after the
+  // echo.
+  std::vector<NodeId> ceding_nodes;
+  Duration cession_duration;
   // Number of nodes that the demand comes from.
   std::int64_t weight = 1;
   // Lists only contracts with demand.
--- a/coordination/limits/limit_relay.cc
+++ b/coordination/limits/limit_relay.cc
@@ -93,15 +93,15 @@
   relayed.is_urgent = false;
   LimitReport report = relayed.client.StartReport(now);
   UpdateAcknowledged(now, relayed);
-  report.applied = relayed.acknowledged;
+  report.applied_sequence = relayed.acknowledged;
   report.weight = std::max<std::int64_t>(1, std::ssize(relayed.reporters));
   // The owner counts the cession from the time in the echo on its clock, which
   // is before the echo arrived here.
   if (const auto answered = relayed.client.answered_at()) {
-    report.ceded_for =
+    report.cession_duration =
         topology_->settings().RelayCessionLifetime(topology_->live_nodes());
-    report.ceding = relayed.granter.cessions().NodesCoveredUntil(
-        *answered + report.ceded_for);
+    report.ceding_nodes = relayed.granter.cessions().NodesCoveredUntil(
+        *answered + report.cession_duration);
   }
   for (const LimitDemandTotal& total : relayed.granter.TotalDemands(now)) {
     report.demands.push_back({total.contract, total.demand, total.running});
--- a/coordination/limits/limit_settings.h
+++ b/coordination/limits/limit_settings.h
@@ -31,13 +31,13 @@
   // Without a grant a node may use its floor, limit / nodes. The number of
   // nodes is taken to be at least this, so that the floor of a node that joins
   // unnoticed is free.
-  std::int64_t floor_nodes = 1;
+  std::int64_t min_floor_nodes = 1;
   // How long the floor of a node that left the view stays reserved. It exceeds
   // any outage during which the node may still serve callers on its floor.
   Duration floor_reservation_ttl = Duration::Seconds(7200);
   // In fleets of more nodes than this, nodes report through relays of their
   // zone.
-  std::int64_t relay_above_nodes = 32;
+  std::int64_t max_direct_nodes = 32;
   // Maximum number of nodes that one relay serves.
   std::int64_t max_nodes_per_relay = 24;
   // A contract without requests for this long is no longer reported; its next
@@ -55,7 +55,7 @@
   Duration CessionLifetime(std::int64_t nodes) const;
   // Duration of a cession that a relay passes on to the owner.
   Duration RelayCessionLifetime(std::int64_t nodes) const;
-  bool HasRelays(std::int64_t nodes) const { return nodes > relay_above_nodes; }
+  bool HasRelays(std::int64_t nodes) const { return nodes > max_direct_nodes; }
 };
 
 // The shard whose owner grants the contract's limits.
--- a/coordination/limits/limit_shares.cc
+++ b/coordination/limits/limit_shares.cc
@@ -203,11 +203,12 @@
   LimitReport report = shard.client.StartReport(now);
   if (MayCede(now, shard)) {
     const LimitSettings& settings = topology_->settings();
-    report.ceding = {topology_->self()};
-    report.ceded_for = is_leaving_
-                           ? settings.floor_reservation_ttl
-                           : settings.CessionLifetime(topology_->live_nodes());
-    shard.ceded_until = std::max(shard.ceded_until, now + report.ceded_for);
+    report.ceding_nodes = {topology_->self()};
+    report.cession_duration =
+        is_leaving_ ? settings.floor_reservation_ttl
+                    : settings.CessionLifetime(topology_->live_nodes());
+    shard.ceded_until =
+        std::max(shard.ceded_until, now + report.cession_duration);
   }
   for (auto& [contract, state] : contracts_) {
     if (state.shard == report.shard) {
@@ -257,7 +258,7 @@
     views.push_back({.contract = contract,
                      .limit = state.share.limit(),
                      .share = ShareOf(now, contract),
-                     .floor = state.is_on_floor,
+                     .is_floor = state.is_on_floor,
                      .running = state.share.running()});
   }
   return views;
--- a/coordination/limits/limit_shares.h
+++ b/coordination/limits/limit_shares.h
@@ -21,7 +21,7 @@
   LimitVector limit;
   LimitVector share;
   // True if the share is the floor, because no grant is in force.
-  bool floor = false;
+  bool is_floor = false;
   std::int64_t running = 0;
 };
 
--- a/coordination/limits/limit_topology.cc
+++ b/coordination/limits/limit_topology.cc
@@ -100,7 +100,7 @@
 }
 
 std::int64_t LimitTopology::FloorNodes() const {
-  return std::max(settings_.floor_nodes, std::ssize(last_seen_));
+  return std::max(settings_.min_floor_nodes, std::ssize(last_seen_));
 }
 
 std::int64_t LimitTopology::FloorConcurrency(const ContractId& contract,
--- a/coordination/limits/limit_topology.h
+++ b/coordination/limits/limit_topology.h
@@ -34,7 +34,7 @@
   // Number of live nodes; it sets the periods and whether there are relays.
   std::int64_t live_nodes() const { return live_nodes_; }
   // Number of nodes that may be using a floor: those that were in the view
-  // within `floor_reservation_ttl`, and at least `floor_nodes`.
+  // within `floor_reservation_ttl`, and at least `min_floor_nodes`.
   std::int64_t FloorNodes() const;
   // This node's floor of a concurrency limit in whole requests. The remainder
   // of the division goes to the first nodes by rendezvous hashing.
--- a/coordination/limits/limits.cc
+++ b/coordination/limits/limits.cc
@@ -156,7 +156,7 @@
   shares_.Leave();
 }
 
-std::vector<ShareView> Limits::View(Time now) const {
+std::vector<ShareView> Limits::ShareViews(Time now) const {
   return shares_.View(now);
 }
 
--- a/coordination/limits/limits.h
+++ b/coordination/limits/limits.h
@@ -66,7 +66,7 @@
   // Called once the node takes no new requests.
   void Leave();
 
-  std::vector<ShareView> View(Time now) const;
+  std::vector<ShareView> ShareViews(Time now) const;
   // Sum of this node's unexpired grants to all parties.
   LimitVector GrantedBy(Time now, const ContractId& contract) const;
   // What this node may use of the contract now.
--- a/coordination/limits/share_decision.h
+++ b/coordination/limits/share_decision.h
@@ -24,7 +24,7 @@
 };
 
 // Only a request's first attempt counts as demand.
-enum class AcquireAttempt { kFirst, kRepeated };
+enum class AcquireAttempt { kFirst, kRetry };
 
 }  // namespace gcw
 
--- a/coordination/limits/token_bucket.cc
+++ b/coordination/limits/token_bucket.cc
@@ -31,7 +31,7 @@
   level_ = std::min(level_, depth_);
 }
 
-bool TokenBucket::Has(Time now, double amount) {
+bool TokenBucket::CanTake(Time now, double amount) {
   Refill(now);
   return level_ + kRoundingTolerance >= std::min(amount, depth_);
 }
@@ -41,7 +41,7 @@
 }
 
 Duration TokenBucket::WaitFor(Time now, double amount) {
-  if (Has(now, amount)) {
+  if (CanTake(now, amount)) {
     return {};
   }
   const double missing = std::min(amount, depth_) - level_;
--- a/coordination/limits/token_bucket.h
+++ b/coordination/limits/token_bucket.h
@@ -15,11 +15,11 @@
   void SetLevel(double level) { level_ = level; }
 
   // True if the bucket holds `amount`, or is full with a depth below `amount`.
-  bool Has(Time now, double amount);
+  bool CanTake(Time now, double amount);
   void Take(double amount) { level_ -= amount; }
   void Return(double amount);
-  // Time until `Has(amount)` at the present rate; at most a day, also if the
-  // rate is zero.
+  // Time until `CanTake(amount)` at the present rate; at most a day, also if
+  // the rate is zero.
   Duration WaitFor(Time now, double amount);
 
   double rate() const { return rate_; }
--- a/coordination/membership/peer_presence.cc
+++ b/coordination/membership/peer_presence.cc
@@ -17,7 +17,7 @@
     return false;
   }
   newest_stamp_ = report.stamp;
-  last_heard_ = now;
+  last_report_time_ = now;
   // An echo or acknowledgement that refers to an earlier run of this node is
   // void.
   const bool knows_this_run = report.receiver == self_;
--- a/coordination/membership/peer_presence.h
+++ b/coordination/membership/peer_presence.h
@@ -27,7 +27,7 @@
   // peer has answered a report of this run of the node.
   std::optional<Time> evidence_time() const { return evidence_time_; }
 
-  Time last_heard() const { return last_heard_; }
+  Time last_report_time() const { return last_report_time_; }
 
   // Fills in the fields by which the next report to this peer acknowledges its
   // reports.
@@ -42,7 +42,7 @@
   Incarnation self_;
   Incarnation sender_;
   Time newest_stamp_;
-  Time last_heard_;
+  Time last_report_time_;
   std::optional<Time> evidence_time_;
   std::int64_t version_ = 0;
   std::int64_t acknowledged_ = 0;
--- a/coordination/membership/presence_prober.cc
+++ b/coordination/membership/presence_prober.cc
@@ -231,7 +231,7 @@
 // Considers first VMs only: they are all probed within one interval, so that
 // after a network failure all probes have failed before the evidence of the
 // first one expires.
-bool PresenceProber::SeemsCutOff() const {
+bool PresenceProber::IsLikelyIsolated() const {
   // A single VM that does not answer is no evidence about this node.
   constexpr std::size_t kMinVms = 2;
   std::size_t total = 0;
--- a/coordination/membership/presence_prober.h
+++ b/coordination/membership/presence_prober.h
@@ -74,7 +74,7 @@
 
   // Returns true if at least half of the first VMs do not answer, which more
   // likely means that this node is isolated than that all of them failed.
-  bool SeemsCutOff() const;
+  bool IsLikelyIsolated() const;
 
  private:
   struct VmView {
--- a/coordination/membership/suspect_table.cc
+++ b/coordination/membership/suspect_table.cc
@@ -7,13 +7,13 @@
 
 SuspectTable::SuspectTable(SuspectSettings settings) : settings_(settings) {}
 
-void SuspectTable::AddLossInCompany(Time now, Fingerprint fingerprint) {
+void SuspectTable::AddSharedLoss(Time now, Fingerprint fingerprint) {
   const std::int64_t losses =
       std::max<std::int64_t>(1, Losses(now, fingerprint));
   Set(fingerprint, losses, now + settings_.expiry);
 }
 
-void SuspectTable::AddLossAlone(Time now, Fingerprint fingerprint) {
+void SuspectTable::AddSoleSuspectLoss(Time now, Fingerprint fingerprint) {
   Set(fingerprint, Losses(now, fingerprint) + 1, now + settings_.expiry);
 }
 
--- a/coordination/membership/suspect_table.h
+++ b/coordination/membership/suspect_table.h
@@ -28,9 +28,9 @@
   explicit SuspectTable(SuspectSettings settings);
 
   // An endpoint was lost while several requests ran on it, this one among them.
-  void AddLossInCompany(Time now, Fingerprint fingerprint);
+  void AddSharedLoss(Time now, Fingerprint fingerprint);
   // An endpoint was lost while this was the only suspect on it.
-  void AddLossAlone(Time now, Fingerprint fingerprint);
+  void AddSoleSuspectLoss(Time now, Fingerprint fingerprint);
   // The request ended normally while its endpoint was watched. A blocked
   // fingerprint stays blocked.
   void Clear(Time now, Fingerprint fingerprint);
--- a/coordination/node/entry_directory.cc
+++ b/coordination/node/entry_directory.cc
@@ -9,14 +9,14 @@
                                Random random)
     : settings_(settings), self_(std::move(self)), random_(std::move(random)) {}
 
-EntryAnswer EntryDirectory::SelectEntries(const View& view) const {
+AdvertisedNodes EntryDirectory::SelectEntries(const View& view) const {
   std::vector<const NodeRecord*> usable;
   for (const auto& [node, member] : view.members()) {
     if (member.state == MemberState::kAlive) {
       usable.push_back(&member.record);
     }
   }
-  EntryAnswer answer{.entries = {}, .keep = settings_.keep};
+  AdvertisedNodes answer{.entries = {}, .ttl = settings_.ttl};
   for (std::size_t i = 0; i < usable.size() && i < settings_.max_entries; ++i) {
     std::swap(usable[i], usable[i + DrawBelow(random_, usable.size() - i)]);
     answer.entries.push_back({usable[i]->caller_address, usable[i]->zone,
@@ -26,7 +26,7 @@
 }
 
 Time EntryDirectory::ServeUntil(Time leaving_since) const {
-  return leaving_since + settings_.spread_time + settings_.keep;
+  return leaving_since + settings_.propagation_delay + settings_.ttl;
 }
 
 }  // namespace gcw
--- a/coordination/node/entry_directory.h
+++ b/coordination/node/entry_directory.h
@@ -12,10 +12,10 @@
 
 struct EntryDirectorySettings {
   // How long callers may cache an answer.
-  Duration keep = Duration::Seconds(30);
+  Duration ttl = Duration::Seconds(30);
   // How long the news that a node is leaving takes to reach every node that
   // answers callers.
-  Duration spread_time = Duration::Seconds(10);
+  Duration propagation_delay = Duration::Seconds(10);
   // Maximum number of addresses in an answer. If there are more nodes, each
   // answer holds a new random selection.
   std::size_t max_entries = 32;
@@ -29,9 +29,9 @@
 };
 
 // The nodes that a caller may connect to, and how long it may cache the list.
-struct EntryAnswer {
+struct AdvertisedNodes {
   std::vector<EntryAddress> entries;
-  Duration keep;
+  Duration ttl;
 };
 
 // Selects the nodes whose addresses are given to callers. Leaving, suspect and
@@ -40,7 +40,7 @@
  public:
   EntryDirectory(EntryDirectorySettings settings, NodeId self, Random random);
 
-  EntryAnswer SelectEntries(const View& view) const;
+  AdvertisedNodes SelectEntries(const View& view) const;
   // Returns until when a node that began to leave at `leaving_since` must go on
   // serving callers: until then some of them may still have its address cached.
   Time ServeUntil(Time leaving_since) const;
--- a/coordination/node/node_actions.h
+++ b/coordination/node/node_actions.h
@@ -40,38 +40,38 @@
 // request's id is forgotten after each of them.
 
 // The request was not run.
-struct TellRefused {
+struct RespondRefused {
   RequestId request;
   Refusal refusal;
 };
 
 // The request may have run.
-struct TellUnknown {
+struct RespondOutcomeUnknown {
   RequestId request;
 };
 
 // The caller has received a part of the answer and gets no more of it.
-struct TellStreamBroken {
+struct RespondStreamBroken {
   RequestId request;
 };
 
 // A trial request was stopped to make room for paid work. A part of it has run.
-struct TellPreempted {
+struct RespondPreempted {
   RequestId request;
   Duration retry_after;
 };
 
 // An earlier send with the same idempotency key ran; `answer` is its answer.
-struct TellReplay {
+struct RespondReplay {
   RequestId request;
   OnceAnswer answer;
 };
 
-// This send was not run. An earlier send with the same key ran if `certain` is
-// true and may have run otherwise; its answer is no longer stored.
-struct TellEarlierSend {
+// This send was not run. An earlier send with the same key ran if `earlier_ran`
+// is true and may have run otherwise; its answer is no longer stored.
+struct RespondDuplicate {
   RequestId request;
-  bool certain = false;
+  bool earlier_ran = false;
 };
 
 struct CallStore {
@@ -129,12 +129,12 @@
 
 using NodeAction = std::variant<DispatchAttempt,
                                 CancelAttempt,
-                                TellRefused,
-                                TellUnknown,
-                                TellStreamBroken,
-                                TellPreempted,
-                                TellReplay,
-                                TellEarlierSend,
+                                RespondRefused,
+                                RespondOutcomeUnknown,
+                                RespondStreamBroken,
+                                RespondPreempted,
+                                RespondReplay,
+                                RespondDuplicate,
                                 CallStore,
                                 SendToPeer,
                                 SendProbe,
--- a/coordination/node/node_core.cc
+++ b/coordination/node/node_core.cc
@@ -152,7 +152,7 @@
   return std::exchange(actions_, {});
 }
 
-EntryAnswer NodeCore::Entries() const {
+AdvertisedNodes NodeCore::AdvertisedAddresses() const {
   return entries_.SelectEntries(membership_.view());
 }
 
@@ -198,9 +198,9 @@
   once_owner_->OnRevisionSeen(configuration_->highest_revision());
   once_client_->OnRevisionSeen(once_owner_->seen());
   Apply(now, endpoints_.Tick(now));
-  Apply(now, requests_.OnOnce(now, once_client_->Tick(now)));
-  Apply(now, requests_.OnGuard(now, guard_->Tick(now)));
-  Apply(now, requests_.OnAdmission(now, admission_.Tick(now)));
+  Apply(now, requests_.OnOnceActions(now, once_client_->Tick(now)));
+  Apply(now, requests_.OnGuardActions(now, guard_->Tick(now)));
+  Apply(now, requests_.OnAdmissionActions(now, admission_.Tick(now)));
   router_->Tick(now);
   retries_.Tick(now);
   Apply(now, requests_.Tick(now));
@@ -212,7 +212,7 @@
   Apply(now, requests_.OnArrived(now, event));
 }
 
-void NodeCore::OnEvent(Time now, const CallerGone& event) {
+void NodeCore::OnEvent(Time now, const CallerDisconnected& event) {
   Apply(now, requests_.OnCallerGone(now, event.request));
 }
 
@@ -244,7 +244,7 @@
       Apply(now, once_owner_->OnStoreReply(now, event.id, event.reply));
       break;
     case NodeModule::kGroupController:
-      Apply(now, endpoints_.OnStore(now, event.id, event.reply));
+      Apply(now, endpoints_.OnStoreReply(now, event.id, event.reply));
       break;
     case NodeModule::kServingGate:
     case NodeModule::kRequests:
@@ -264,18 +264,18 @@
 
 void NodeCore::OnEvent(Time now, const ProbeAnswered& event) {
   if (event.module == NodeModule::kRequests) {
-    Apply(now, requests_.OnChecked(now, event.id, event.reply));
+    Apply(now, requests_.OnProbeReply(now, event.id, event.reply));
     return;
   }
-  Apply(now, endpoints_.OnProbe(now, event.module, event.id, event.reply));
+  Apply(now, endpoints_.OnProbeReply(now, event.module, event.id, event.reply));
 }
 
 void NodeCore::OnEvent(Time now, const OrderAnswered& event) {
-  Apply(now, endpoints_.OnOrder(now, event.id, event.reply));
+  Apply(now, endpoints_.OnOrderReply(now, event.id, event.reply));
 }
 
 void NodeCore::OnEvent(Time now, const LoadReportRead& event) {
-  Apply(now, endpoints_.OnLoad(now, event.report));
+  Apply(now, endpoints_.OnLoadReport(now, event.report));
 }
 
 void NodeCore::OnEvent(Time now, const CacheEventsRead& event) {
@@ -287,7 +287,7 @@
 }
 
 void NodeCore::OnEvent(Time now, const OperatorChange& event) {
-  operator_calls_[event.change.change].push_back(event.call);
+  operator_calls_[event.change.id].push_back(event.call);
   Apply(now, configuration_->Propose(now, event.change));
 }
 
@@ -295,11 +295,11 @@
   controller_.OnDrainRequested(event.group);
 }
 
-void NodeCore::OnEvent(Time now, const OperatorAskRevision& event) {
-  Apply(now, configuration_->AskFloors(event.revision));
+void NodeCore::OnEvent(Time now, const OperatorQueryRevision& event) {
+  Apply(now, configuration_->RequestFloors(event.revision));
 }
 
-void NodeCore::OnEvent(Time now, const StopAsked&) {
+void NodeCore::OnEvent(Time now, const StopRequested&) {
   if (leaving_since_) {
     return;
   }
@@ -356,7 +356,7 @@
   }
   limits_.OnView(now, limit_peers);
   Apply(now, once_owner_->OnMembers(now, once_members));
-  Apply(now, requests_.OnOnce(
+  Apply(now, requests_.OnOnceActions(
                  now, once_client_->OnMembers(now, std::move(once_members))));
   guard_->OnMembers(now, view.Owners());
   Apply(now, endpoints_.OnView(now, view));
--- a/coordination/node/node_core.h
+++ b/coordination/node/node_core.h
@@ -22,11 +22,11 @@
 #include "coordination/node/node_events.h"
 #include "coordination/node/node_keys.h"
 #include "coordination/requests/fingerprint_guard.h"
-#include "coordination/requests/request_desk.h"
+#include "coordination/requests/request_pipeline.h"
 #include "coordination/roles/node_lease.h"
 #include "coordination/roles/role_assignment.h"
 #include "coordination/roles/role_leases.h"
-#include "coordination/routing/endpoint_desk.h"
+#include "coordination/routing/endpoint_registry.h"
 #include "state/state.h"
 
 namespace gcw {
@@ -62,8 +62,8 @@
   FingerprintGuardSettings guard;
   GateSettings gate;
   GroupControllerSettings controller;
-  EndpointDeskSettings endpoints;
-  RequestDeskSettings requests;
+  EndpointRegistrySettings endpoints;
+  RequestPipelineSettings requests;
   // How long this node keeps a controller role that is assigned to another
   // node.
   Duration role_release_delay = Duration::Seconds(10);
@@ -85,7 +85,7 @@
   NodeActions Handle(Time now, const NodeEvent& event);
 
   // Returns the answer to `GET /v1/entries`.
-  EntryAnswer Entries() const;
+  AdvertisedNodes AdvertisedAddresses() const;
   // Returns a key for `POST /v1/idempotency-keys`, or an empty one if no
   // contract has the digest `key`.
   IdempotencyKey IssueKey(Time now, const KeyDigest& key);
@@ -98,13 +98,15 @@
   bool store_reachable() const { return lease_.store_reachable(); }
   std::size_t open_requests() const { return requests_.open_requests(); }
   bool HasRequest(const RequestId& request) const {
-    return requests_.Has(request);
+    return requests_.Contains(request);
   }
   const View& view() const { return membership_.view(); }
   const ConfigSync& configuration() const { return *configuration_; }
   const OnceOwner& once_owner() const { return *once_owner_; }
-  std::vector<ShareView> Shares(Time now) const { return limits_.View(now); }
-  std::vector<EndpointView> Endpoints(Time now) const {
+  std::vector<ShareView> Shares(Time now) const {
+    return limits_.ShareViews(now);
+  }
+  std::vector<EndpointStatus> Endpoints(Time now) const {
     return router_->Endpoints(now);
   }
   std::vector<RoleName> Roles(Time now) const { return roles_.HeldRoles(now); }
@@ -123,7 +125,7 @@
   // Events.
   void OnEvent(Time now, const TimePassed& event);
   void OnEvent(Time now, const CallerArrived& event);
-  void OnEvent(Time now, const CallerGone& event);
+  void OnEvent(Time now, const CallerDisconnected& event);
   void OnEvent(Time now, const AttemptFirstByte& event);
   void OnEvent(Time now, const AttemptEnded& event);
   void OnEvent(Time now, const StoreAnswered& event);
@@ -136,8 +138,8 @@
   void OnEvent(Time now, const WeightStoreRead& event);
   void OnEvent(Time now, const OperatorChange& event);
   void OnEvent(Time now, const OperatorDrainGroup& event);
-  void OnEvent(Time now, const OperatorAskRevision& event);
-  void OnEvent(Time now, const StopAsked& event);
+  void OnEvent(Time now, const OperatorQueryRevision& event);
+  void OnEvent(Time now, const StopRequested& event);
 
   // Messages from other nodes.
   void OnPeer(Time now, const NodeId& from, const MembershipMessage& message);
@@ -155,8 +157,8 @@
   void Apply(Time now, std::vector<ConfigSyncAction> actions);
   void Apply(Time now, std::vector<LimitsAction> actions);
   void Apply(Time now, OnceOwnerActions actions);
-  void Apply(Time now, EndpointDeskActions actions);
-  void Apply(Time now, RequestDeskActions actions);
+  void Apply(Time now, EndpointRegistryActions actions);
+  void Apply(Time now, RequestPipelineActions actions);
 
   void OnDelta(Time now, const DeltaReceived& received);
   void OnConfigApplied(Time now, const ConfigEntry& entry);
@@ -194,8 +196,8 @@
   std::unique_ptr<FingerprintGuard> guard_;
   ServingGate gate_;
   GroupController controller_;
-  EndpointDesk endpoints_;
-  RequestDesk requests_;
+  EndpointRegistry endpoints_;
+  RequestPipeline requests_;
 
   std::uint64_t handled_view_version_ = 0;
   // Roles that were held at the last tick, with the time of their last
--- a/coordination/node/node_core_actions.cc
+++ b/coordination/node/node_core_actions.cc
@@ -55,7 +55,7 @@
             Apply(now, once_owner_->OnClaim(now, from, request));
           },
           [&](const OnceClaimReply& reply) {
-            Apply(now, requests_.OnOnce(
+            Apply(now, requests_.OnOnceActions(
                            now, once_client_->OnReply(now, from, reply)));
           },
           [&](const OnceFinish& finish) {
@@ -68,17 +68,18 @@
 void NodeCore::OnPeer(Time now,
                       const NodeId& from,
                       const GuardMessage& message) {
-  Apply(now, requests_.OnGuard(now, guard_->OnMessage(now, from, message)));
+  Apply(now,
+        requests_.OnGuardActions(now, guard_->OnMessage(now, from, message)));
 }
 
 void NodeCore::OnPeer(Time now,
                       const NodeId& from,
                       const PresenceReport& message) {
-  Apply(now, endpoints_.OnPresence(now, from, message));
+  Apply(now, endpoints_.OnPresenceReport(now, from, message));
 }
 
 void NodeCore::OnPeer(Time now, const NodeId&, const LoadDigest& message) {
-  Apply(now, endpoints_.OnLoads(now, message));
+  Apply(now, endpoints_.OnLoadDigest(now, message));
 }
 
 void NodeCore::CallStoreFor(NodeModule module,
@@ -145,8 +146,8 @@
   }
 }
 
-void NodeCore::Apply(Time now, EndpointDeskActions actions) {
-  for (EndpointDeskAction& action : actions) {
+void NodeCore::Apply(Time now, EndpointRegistryActions actions) {
+  for (EndpointRegistryAction& action : actions) {
     std::visit(
         Overloaded{[this, now](NodeAction& node_action) {
                      if (const auto* record =
@@ -164,31 +165,32 @@
                      Send(send.to, std::move(send.message));
                    },
                    [this, now](std::vector<AdmissionAction>& admissions) {
-                     Apply(now, requests_.OnAdmission(now, admissions));
+                     Apply(now, requests_.OnAdmissionActions(now, admissions));
                    }},
         action);
   }
 }
 
-void NodeCore::Apply(Time now, RequestDeskActions actions) {
-  for (RequestDeskAction& action : actions) {
+void NodeCore::Apply(Time now, RequestPipelineActions actions) {
+  for (RequestPipelineAction& action : actions) {
     std::visit(
         Overloaded{[this](NodeAction& node_action) {
                      actions_.push_back(std::move(node_action));
                    },
-                   [this, now](EndpointFoundLost& lost) {
-                     Apply(now, endpoints_.OnFoundLost(now, lost.endpoint));
+                   [this, now](EndpointLossDetected& lost) {
+                     Apply(now, endpoints_.OnEndpointUnreachable(
+                                    now, lost.endpoint));
                    },
-                   [this](RequestStartedAt& started) {
+                   [this](RequestStartedOnEndpoint& started) {
                      endpoints_.OnRequestStarted(started.endpoint);
                    },
-                   [this, now](RequestEndedAt& ended) {
+                   [this, now](RequestEndedOnEndpoint& ended) {
                      Apply(now, endpoints_.OnRequestEnded(now, ended.endpoint));
                    },
                    [this](OncePeerSend& send) {
                      Send(send.to, std::move(send.message));
                    },
-                   [this, now](GuardSpread& spread) {
+                   [this, now](GuardBroadcast& spread) {
                      membership_.Broadcast(spread.delta);
                    },
                    [this](GuardPeerSend& send) {
@@ -230,7 +232,7 @@
   if (entry.record.value) {
     contract = codecs_.decode_contract(*entry.record.value);
   }
-  Apply(now, requests_.OnAdmission(
+  Apply(now, requests_.OnAdmissionActions(
                  now, contract ? admission_.OnContract(now, *contract)
                                : admission_.OnContractWithdrawn(now, id)));
 }
@@ -251,7 +253,7 @@
 }
 
 void NodeCore::OnProposalFinished(const ProposalFinished& finished) {
-  const auto calls = operator_calls_.find(finished.change.change);
+  const auto calls = operator_calls_.find(finished.change.id);
   if (calls == operator_calls_.end()) {
     return;
   }
--- a/coordination/node/node_events.cc
+++ b/coordination/node/node_events.cc
@@ -2,23 +2,23 @@
 
 namespace gcw {
 
-std::string_view AttemptBreakKindName(AttemptBreakKind kind) {
+std::string_view AttemptFailureKindName(AttemptFailureKind kind) {
   switch (kind) {
-    case AttemptBreakKind::kConnectRefused:
+    case AttemptFailureKind::kConnectRefused:
       return "connect_refused";
-    case AttemptBreakKind::kConnectTimeout:
+    case AttemptFailureKind::kConnectTimeout:
       return "connect_timeout";
-    case AttemptBreakKind::kReset:
+    case AttemptFailureKind::kReset:
       return "reset";
-    case AttemptBreakKind::kSilent:
+    case AttemptFailureKind::kStalled:
       return "silent";
-    case AttemptBreakKind::kDeadline:
+    case AttemptFailureKind::kDeadline:
       return "deadline";
-    case AttemptBreakKind::kMalformed:
+    case AttemptFailureKind::kMalformed:
       return "malformed";
-    case AttemptBreakKind::kTruncated:
+    case AttemptFailureKind::kTruncated:
       return "truncated";
-    case AttemptBreakKind::kWithheld:
+    case AttemptFailureKind::kWithheld:
       return "withheld";
   }
   return "unknown";
--- a/coordination/node/node_events.h
+++ b/coordination/node/node_events.h
@@ -39,7 +39,7 @@
 };
 
 // The caller closed its connection.
-struct CallerGone {
+struct CallerDisconnected {
   RequestId request;
 };
 
@@ -61,11 +61,11 @@
 // run the request.
 struct AttemptRefused {};
 
-enum class AttemptBreakKind {
+enum class AttemptFailureKind {
   kConnectRefused,
   kConnectTimeout,
   kReset,
-  kSilent,
+  kStalled,
   kDeadline,
   // The answer violated the protocol: another attempt's id, a gap, or a wrong
   // length.
@@ -76,16 +76,16 @@
   kWithheld,
 };
 
-std::string_view AttemptBreakKindName(AttemptBreakKind kind);
+std::string_view AttemptFailureKindName(AttemptFailureKind kind);
 
-struct AttemptBroke {
-  AttemptBreakKind kind = AttemptBreakKind::kReset;
+struct AttemptFailed {
+  AttemptFailureKind kind = AttemptFailureKind::kReset;
   AttemptProgress progress = AttemptProgress::kNothingSent;
   // Number of tokens of the answer that were passed to the caller's connection.
   TokenCount delivered;
 };
 
-using AttemptEnd = std::variant<AttemptAnswered, AttemptRefused, AttemptBroke>;
+using AttemptEnd = std::variant<AttemptAnswered, AttemptRefused, AttemptFailed>;
 
 struct AttemptEnded {
   RequestId request;
@@ -148,16 +148,16 @@
 };
 
 // An operator requests the list of nodes on which a revision is in force.
-struct OperatorAskRevision {
+struct OperatorQueryRevision {
   Revision revision;
 };
 
 // A planned stop of this node was requested by SIGTERM or `gcwctl node drain`.
-struct StopAsked {};
+struct StopRequested {};
 
 using NodeEvent = std::variant<TimePassed,
                                CallerArrived,
-                               CallerGone,
+                               CallerDisconnected,
                                AttemptFirstByte,
                                AttemptEnded,
                                StoreAnswered,
@@ -170,8 +170,8 @@
                                WeightStoreRead,
                                OperatorChange,
                                OperatorDrainGroup,
-                               OperatorAskRevision,
-                               StopAsked>;
+                               OperatorQueryRevision,
+                               StopRequested>;
 
 }  // namespace gcw
 
--- a/coordination/requests/fingerprint_guard.cc
+++ b/coordination/requests/fingerprint_guard.cc
@@ -155,9 +155,9 @@
                                GuardActions& actions) {
   const SuspectLevel before = suspects_.Level(now, running.fingerprint);
   if (running.permitted) {
-    suspects_.AddLossAlone(now, running.fingerprint);
+    suspects_.AddSoleSuspectLoss(now, running.fingerprint);
   } else if (proven_.erase(running.fingerprint) == 0) {
-    suspects_.AddLossInCompany(now, running.fingerprint);
+    suspects_.AddSharedLoss(now, running.fingerprint);
   } else {
     // The fingerprint completed before, so another request is the likelier
     // cause. The next loss counts.
@@ -176,7 +176,7 @@
 void FingerprintGuard::BroadcastSuspect(Time now,
                                         Fingerprint fingerprint,
                                         GuardActions& actions) {
-  actions.emplace_back(GuardSpread{suspects_.Delta(now, fingerprint)});
+  actions.emplace_back(GuardBroadcast{suspects_.Delta(now, fingerprint)});
 }
 
 void FingerprintGuard::OnDelta(Time now, const FingerprintDelta& delta) {
--- a/coordination/requests/fingerprint_guard.h
+++ b/coordination/requests/fingerprint_guard.h
@@ -60,12 +60,12 @@
   Refusal refusal;
 };
 // Sent to every node by the membership's gossip.
-struct GuardSpread {
+struct GuardBroadcast {
   FingerprintDelta delta;
 };
 
 using GuardAction =
-    std::variant<GuardPermit, GuardRefuse, GuardSpread, GuardPeerSend>;
+    std::variant<GuardPermit, GuardRefuse, GuardBroadcast, GuardPeerSend>;
 using GuardActions = std::vector<GuardAction>;
 
 // Limits how many endpoints a crashing request can take down, without refusing
--- a/coordination/requests/refusals.cc
+++ b/coordination/requests/refusals.cc
@@ -2,7 +2,7 @@
 
 namespace gcw {
 
-RefusalKind RefusalOfShare(ShareOutcome outcome) {
+RefusalKind ShareRefusalKind(ShareOutcome outcome) {
   switch (outcome) {
     case ShareOutcome::kRequestRate:
       return RefusalKind::kRequestRate;
@@ -19,7 +19,7 @@
   return RefusalKind::kNoCapacity;
 }
 
-bool ComingBackHelps(RefusalKind kind) {
+bool CanSucceedLater(RefusalKind kind) {
   return kind != RefusalKind::kUnknownKey &&
          kind != RefusalKind::kContractNotValid &&
          kind != RefusalKind::kModelNotAllowed &&
--- a/coordination/requests/refusals.h
+++ b/coordination/requests/refusals.h
@@ -8,10 +8,10 @@
 
 // Returns the reason for refusing a request that its contract's share does not
 // cover.
-RefusalKind RefusalOfShare(ShareOutcome outcome);
+RefusalKind ShareRefusalKind(ShareOutcome outcome);
 
 // False if the request would be refused again at any time.
-bool ComingBackHelps(RefusalKind kind);
+bool CanSucceedLater(RefusalKind kind);
 
 }  // namespace gcw
 
--- a/coordination/requests/request_desk.cc
+++ b/coordination/requests/request_pipeline.cc
@@ -1,4 +1,4 @@
-#include "coordination/requests/request_desk.h"
+#include "coordination/requests/request_pipeline.h"
 
 #include <algorithm>
 #include <utility>
@@ -28,17 +28,18 @@
 
 }  // namespace
 
-RequestDesk::RequestDesk(RequestDeskSettings settings,
-                         RequestModules modules,
-                         std::string attempt_prefix,
-                         EventSink events)
+RequestPipeline::RequestPipeline(RequestPipelineSettings settings,
+                                 RequestModules modules,
+                                 std::string attempt_prefix,
+                                 EventSink events)
     : settings_(settings),
       modules_(std::move(modules)),
       attempt_prefix_(std::move(attempt_prefix)),
       events_(std::move(events)) {}
 
-RequestDeskActions RequestDesk::OnArrived(Time now,
-                                          const CallerArrived& arrived) {
+RequestPipelineActions RequestPipeline::OnArrived(
+    Time now,
+    const CallerArrived& arrived) {
   RequestProfile profile = arrived.profile;
   const Contract* contract = modules_.admission->FindContract(arrived.key);
   if (contract != nullptr) {
@@ -72,7 +73,8 @@
   return TakeActions();
 }
 
-RequestDeskActions RequestDesk::OnCallerGone(Time now, const RequestId& id) {
+RequestPipelineActions RequestPipeline::OnCallerGone(Time now,
+                                                     const RequestId& id) {
   Request* request = Find(id);
   if (request == nullptr) {
     return TakeActions();
@@ -91,8 +93,9 @@
   return TakeActions();
 }
 
-RequestDeskActions RequestDesk::OnFirstByte(Time now,
-                                            const AttemptFirstByte& first) {
+RequestPipelineActions RequestPipeline::OnFirstByte(
+    Time now,
+    const AttemptFirstByte& first) {
   Request* request = Find(first.request);
   if (request != nullptr && request->attempt &&
       request->attempt->id == first.attempt && !request->attempt->first_byte) {
@@ -102,7 +105,8 @@
   return TakeActions();
 }
 
-RequestDeskActions RequestDesk::OnEnded(Time now, const AttemptEnded& ended) {
+RequestPipelineActions RequestPipeline::OnEnded(Time now,
+                                                const AttemptEnded& ended) {
   Request* request = Find(ended.request);
   if (request == nullptr || !request->attempt ||
       request->attempt->id != ended.attempt ||
@@ -119,14 +123,14 @@
             OnAttemptFailed(now, *request,
                             AttemptFailure{AttemptProgress::kMaybeSent, true});
           },
-          [&](const AttemptBroke& broke) { OnBroke(now, *request, broke); }},
+          [&](const AttemptFailed& failed) { OnBroke(now, *request, failed); }},
       ended.end);
   return TakeActions();
 }
 
-RequestDeskActions RequestDesk::OnChecked(Time now,
-                                          ProbeId id,
-                                          const ProbeReply& reply) {
+RequestPipelineActions RequestPipeline::OnProbeReply(Time now,
+                                                     ProbeId id,
+                                                     const ProbeReply& reply) {
   const auto check = checks_.find(id);
   if (check == checks_.end()) {
     return TakeActions();
@@ -137,25 +141,28 @@
   return TakeActions();
 }
 
-RequestDeskActions RequestDesk::OnAdmission(
+RequestPipelineActions RequestPipeline::OnAdmissionActions(
     Time now,
     const std::vector<AdmissionAction>& actions) {
   Apply(now, actions);
   return TakeActions();
 }
 
-RequestDeskActions RequestDesk::OnOnce(Time now,
-                                       const OnceClientActions& actions) {
+RequestPipelineActions RequestPipeline::OnOnceActions(
+    Time now,
+    const OnceClientActions& actions) {
   Apply(now, actions);
   return TakeActions();
 }
 
-RequestDeskActions RequestDesk::OnGuard(Time now, const GuardActions& actions) {
+RequestPipelineActions RequestPipeline::OnGuardActions(
+    Time now,
+    const GuardActions& actions) {
   Apply(now, actions);
   return TakeActions();
 }
 
-RequestDeskActions RequestDesk::Tick(Time now) {
+RequestPipelineActions RequestPipeline::Tick(Time now) {
   while (!deadlines_.empty() && deadlines_.begin()->first <= now) {
     const RequestId id = deadlines_.begin()->second;
     deadlines_.erase(deadlines_.begin());
@@ -182,32 +189,32 @@
   return TakeActions();
 }
 
-void RequestDesk::SetRefusal(std::optional<RefusalKind> refusal) {
+void RequestPipeline::SetRefusal(std::optional<RefusalKind> refusal) {
   refusal_ = refusal;
 }
 
-RequestDesk::Request* RequestDesk::Find(const RequestId& id) {
+RequestPipeline::Request* RequestPipeline::Find(const RequestId& id) {
   const auto found = requests_.find(id);
   return found == requests_.end() ? nullptr : &found->second;
 }
 
-bool RequestDesk::IsKeyed(const RequestProfile& profile) const {
+bool RequestPipeline::IsKeyed(const RequestProfile& profile) const {
   return !profile.repeatable && !profile.idempotency_key.empty();
 }
 
-void RequestDesk::Offer(Time now, Request& request) {
+void RequestPipeline::Offer(Time now, Request& request) {
   request.phase = Phase::kOffered;
   Apply(now, modules_.admission->Offer(now, request.profile));
 }
 
-void RequestDesk::Report(Request& request,
-                         EventKind kind,
-                         std::vector<EventField> fields) {
+void RequestPipeline::Report(Request& request,
+                             EventKind kind,
+                             std::vector<EventField> fields) {
   request.last_event = events_(EventDraft{
       kind, request.profile.id.value(), request.last_event, std::move(fields)});
 }
 
-RequestDeskActions RequestDesk::TakeActions() {
+RequestPipelineActions RequestPipeline::TakeActions() {
   return std::exchange(actions_, {});
 }
 
--- a/coordination/requests/request_desk.h
+++ b/coordination/requests/request_pipeline.h
@@ -1,5 +1,5 @@
-#ifndef COORDINATION_REQUESTS_REQUEST_DESK_H_
-#define COORDINATION_REQUESTS_REQUEST_DESK_H_
+#ifndef COORDINATION_REQUESTS_REQUEST_PIPELINE_H_
+#define COORDINATION_REQUESTS_REQUEST_PIPELINE_H_
 
 #include <cstdint>
 #include <functional>
@@ -22,7 +22,7 @@
 
 namespace gcw {
 
-struct RequestDeskSettings {
+struct RequestPipelineSettings {
   int max_attempts = 3;
   // Number of endpoints that a suspect offers to the permit issuer as
   // candidates.
@@ -37,7 +37,7 @@
   Duration preempted_retry_after = Duration::Seconds(5);
 };
 
-// The modules that decide on requests. All of them outlive `RequestDesk`.
+// The modules that decide on requests. All of them outlive `RequestPipeline`.
 struct RequestModules {
   Admission* admission = nullptr;
   Router* router = nullptr;
@@ -50,53 +50,57 @@
 };
 
 // An endpoint was found to be lost when an attempt there broke.
-struct EndpointFoundLost {
+struct EndpointLossDetected {
   EndpointId endpoint;
 };
-struct RequestStartedAt {
+struct RequestStartedOnEndpoint {
   EndpointId endpoint;
 };
-struct RequestEndedAt {
+struct RequestEndedOnEndpoint {
   EndpointId endpoint;
 };
 
-using RequestDeskAction = std::variant<NodeAction,
-                                       EndpointFoundLost,
-                                       RequestStartedAt,
-                                       RequestEndedAt,
-                                       OncePeerSend,
-                                       GuardSpread,
-                                       GuardPeerSend>;
-using RequestDeskActions = std::vector<RequestDeskAction>;
+using RequestPipelineAction = std::variant<NodeAction,
+                                           EndpointLossDetected,
+                                           RequestStartedOnEndpoint,
+                                           RequestEndedOnEndpoint,
+                                           OncePeerSend,
+                                           GuardBroadcast,
+                                           GuardPeerSend>;
+using RequestPipelineActions = std::vector<RequestPipelineAction>;
 
 // Takes each request of a caller through claim, admission, routing, attempts
 // and retries to exactly one final answer.
-class RequestDesk {
+class RequestPipeline {
  public:
   // `attempt_prefix` makes attempt ids unique over nodes and their
   // incarnations.
-  RequestDesk(RequestDeskSettings settings,
-              RequestModules modules,
-              std::string attempt_prefix,
-              EventSink events);
-
-  RequestDeskActions OnArrived(Time now, const CallerArrived& arrived);
-  RequestDeskActions OnCallerGone(Time now, const RequestId& request);
-  RequestDeskActions OnFirstByte(Time now, const AttemptFirstByte& first);
-  RequestDeskActions OnEnded(Time now, const AttemptEnded& ended);
-  RequestDeskActions OnChecked(Time now, ProbeId id, const ProbeReply& reply);
-
-  RequestDeskActions OnAdmission(Time now,
-                                 const std::vector<AdmissionAction>& actions);
-  RequestDeskActions OnOnce(Time now, const OnceClientActions& actions);
-  RequestDeskActions OnGuard(Time now, const GuardActions& actions);
-  RequestDeskActions Tick(Time now);
+  RequestPipeline(RequestPipelineSettings settings,
+                  RequestModules modules,
+                  std::string attempt_prefix,
+                  EventSink events);
+
+  RequestPipelineActions OnArrived(Time now, const CallerArrived& arrived);
+  RequestPipelineActions OnCallerGone(Time now, const RequestId& request);
+  RequestPipelineActions OnFirstByte(Time now, const AttemptFirstByte& first);
+  RequestPipelineActions OnEnded(Time now, const AttemptEnded& ended);
+  RequestPipelineActions OnProbeReply(Time now,
+                                      ProbeId id,
+                                      const ProbeReply& reply);
+
+  RequestPipelineActions OnAdmissionActions(
+      Time now,
+      const std::vector<AdmissionAction>& actions);
+  RequestPipelineActions OnOnceActions(Time now,
+                                       const OnceClientActions& actions);
+  RequestPipelineActions OnGuardActions(Time now, const GuardActions& actions);
+  RequestPipelineActions Tick(Time now);
 
   // Refuses new requests for this reason from now on, or accepts them again if
   // it is nullopt.
   void SetRefusal(std::optional<RefusalKind> refusal);
   std::size_t open_requests() const { return requests_.size(); }
-  bool Has(const RequestId& request) const {
+  bool Contains(const RequestId& request) const {
     return requests_.contains(request);
   }
 
@@ -138,7 +142,7 @@
     std::int64_t attempts = 0;
     TokenCount resume_from;
     // The failure of an attempt that waits for the endpoint's probe.
-    std::optional<AttemptBroke> broke;
+    std::optional<AttemptFailed> unprobed_failure;
     OnceOutcome outcome = OnceNotRun{};
     EventId last_event;
   };
@@ -161,7 +165,7 @@
   bool MayDispatch(Time now, Request& request);
   void EndAttempt(Time now, Request& request, bool completed);
   void OnAnswered(Time now, Request& request, const AttemptAnswered& answered);
-  void OnBroke(Time now, Request& request, const AttemptBroke& broke);
+  void OnBroke(Time now, Request& request, const AttemptFailed& failed);
   void StartCheck(Time now, Request& request);
   void FinishCheck(Time now, ProbeId id, bool lost, bool alive);
   void OnAttemptFailed(Time now,
@@ -181,9 +185,9 @@
   void Apply(Time now, const GuardAction& action);
   void Preempt(Time now, Request& request);
   void Report(Request& request, EventKind kind, std::vector<EventField> fields);
-  RequestDeskActions TakeActions();
+  RequestPipelineActions TakeActions();
 
-  RequestDeskSettings settings_;
+  RequestPipelineSettings settings_;
   RequestModules modules_;
   std::string attempt_prefix_;
   EventSink events_;
@@ -196,9 +200,9 @@
   std::multimap<Time, RequestId> deadlines_;
   std::int64_t last_attempt_ = 0;
   ProbeId last_probe_;
-  RequestDeskActions actions_;
+  RequestPipelineActions actions_;
 };
 
 }  // namespace gcw
 
-#endif  // COORDINATION_REQUESTS_REQUEST_DESK_H_
+#endif  // COORDINATION_REQUESTS_REQUEST_PIPELINE_H_
--- a/coordination/requests/request_desk_attempts.cc
+++ b/coordination/requests/request_pipeline_attempts.cc
@@ -1,7 +1,7 @@
-// The part of `RequestDesk` that starts and ends attempts and decides on
+// The part of `RequestPipeline` that starts and ends attempts and decides on
 // retries.
 
-#include "coordination/requests/request_desk.h"
+#include "coordination/requests/request_pipeline.h"
 
 #include <algorithm>
 #include <utility>
@@ -10,18 +10,18 @@
 namespace {
 
 // True if an attempt that broke this way may have taken its endpoint down.
-bool MayHaveLostEndpoint(const AttemptBroke& broke) {
-  if (broke.progress == AttemptProgress::kNothingSent) {
+bool MayHaveLostEndpoint(const AttemptFailed& failed) {
+  if (failed.progress == AttemptProgress::kNothingSent) {
     return false;
   }
-  return broke.kind == AttemptBreakKind::kReset ||
-         broke.kind == AttemptBreakKind::kSilent ||
-         broke.kind == AttemptBreakKind::kTruncated;
+  return failed.kind == AttemptFailureKind::kReset ||
+         failed.kind == AttemptFailureKind::kStalled ||
+         failed.kind == AttemptFailureKind::kTruncated;
 }
 
 }  // namespace
 
-void RequestDesk::StartAttempt(Time now, Request& request) {
+void RequestPipeline::StartAttempt(Time now, Request& request) {
   if (now >= request.profile.deadline) {
     GiveUp(now, request, RefusalKind::kDeadline);
     return;
@@ -57,9 +57,9 @@
 // Checks the serving gate again and excludes endpoints that fail the check: a
 // node that resumes from a pause may get here before its next tick, with
 // endpoints that opened long ago and have no fresh evidence.
-std::optional<Route> RequestDesk::ChooseRoute(Time now,
-                                              Request& request,
-                                              RefusalKind& reason) {
+std::optional<Route> RequestPipeline::ChooseRoute(Time now,
+                                                  Request& request,
+                                                  RefusalKind& reason) {
   while (true) {
     const Result<Route, RefusalKind> route = modules_.router->ChooseAmong(
         now, request.profile, request.excluded, request.allowed);
@@ -75,7 +75,7 @@
   }
 }
 
-void RequestDesk::RequestPermit(Time now, Request& request) {
+void RequestPipeline::RequestPermit(Time now, Request& request) {
   std::vector<EndpointId> excluded = request.excluded;
   std::vector<EndpointId> candidates;
   while (candidates.size() < settings_.max_permit_candidates) {
@@ -98,10 +98,10 @@
                                            std::move(candidates)));
 }
 
-void RequestDesk::Dispatch(Time now,
-                           Request& request,
-                           const Route& route,
-                           AttemptId id) {
+void RequestPipeline::Dispatch(Time now,
+                               Request& request,
+                               const Route& route,
+                               AttemptId id) {
   if (!MayDispatch(now, request)) {
     GiveUp(now, request, RefusalKind::kOnceUnavailable);
     return;
@@ -129,7 +129,7 @@
          {{"endpoint", attempt.endpoint.id.value()},
           {"attempt", attempt.id.value()}});
   attempts_.emplace(attempt.id, request.profile.id);
-  actions_.emplace_back(RequestStartedAt{attempt.endpoint.id});
+  actions_.emplace_back(RequestStartedOnEndpoint{attempt.endpoint.id});
   actions_.emplace_back(NodeAction(DispatchAttempt{
       request.profile.id, attempt.id, attempt.endpoint, request.priority,
       request.profile.deadline,
@@ -141,28 +141,28 @@
   request.attempt = std::move(attempt);
 }
 
-AttemptId RequestDesk::NextAttemptId() {
+AttemptId RequestPipeline::NextAttemptId() {
   return AttemptId(attempt_prefix_ + std::to_string(++last_attempt_));
 }
 
-bool RequestDesk::MayDispatch(Time now, Request& request) {
+bool RequestPipeline::MayDispatch(Time now, Request& request) {
   return !request.claimed || modules_.once->MayWrite(now, request.profile.id);
 }
 
-void RequestDesk::EndAttempt(Time now, Request& request, bool completed) {
+void RequestPipeline::EndAttempt(Time now, Request& request, bool completed) {
   const Attempt attempt = std::move(*request.attempt);
   request.attempt.reset();
   attempts_.erase(attempt.id);
-  actions_.emplace_back(RequestEndedAt{attempt.endpoint.id});
+  actions_.emplace_back(RequestEndedOnEndpoint{attempt.endpoint.id});
   if (!completed) {
     request.excluded.push_back(attempt.endpoint.id);
   }
   Apply(now, modules_.guard->OnFinished(now, attempt.id, completed));
 }
 
-void RequestDesk::OnAnswered(Time now,
-                             Request& request,
-                             const AttemptAnswered& answered) {
+void RequestPipeline::OnAnswered(Time now,
+                                 Request& request,
+                                 const AttemptAnswered& answered) {
   const RequestId id = request.profile.id;
   modules_.router->OnFinished(now, request.attempt->ticket, answered.generated);
   request.log.OnAnswered(request.attempt->id);
@@ -177,29 +177,29 @@
   Forget(now, id, answered.generated);
 }
 
-void RequestDesk::OnBroke(Time now,
-                          Request& request,
-                          const AttemptBroke& broke) {
+void RequestPipeline::OnBroke(Time now,
+                              Request& request,
+                              const AttemptFailed& failed) {
   const bool cancelled = request.abandoned || request.preempted;
-  if (cancelled || broke.kind == AttemptBreakKind::kWithheld ||
-      broke.kind == AttemptBreakKind::kDeadline) {
+  if (cancelled || failed.kind == AttemptFailureKind::kWithheld ||
+      failed.kind == AttemptFailureKind::kDeadline) {
     modules_.router->OnCancelled(now, request.attempt->ticket);
   } else {
     modules_.router->OnFailed(now, request.attempt->ticket);
   }
-  request.broke = broke;
-  if (broke.kind == AttemptBreakKind::kConnectRefused) {
-    actions_.emplace_back(EndpointFoundLost{request.attempt->endpoint.id});
+  request.unprobed_failure = failed;
+  if (failed.kind == AttemptFailureKind::kConnectRefused) {
+    actions_.emplace_back(EndpointLossDetected{request.attempt->endpoint.id});
   }
-  if (!cancelled && MayHaveLostEndpoint(broke)) {
+  if (!cancelled && MayHaveLostEndpoint(failed)) {
     StartCheck(now, request);
     return;
   }
   EndAttempt(now, request, false);
-  OnAttemptFailed(now, request, AttemptFailure{broke.progress, false});
+  OnAttemptFailed(now, request, AttemptFailure{failed.progress, false});
 }
 
-void RequestDesk::StartCheck(Time now, Request& request) {
+void RequestPipeline::StartCheck(Time now, Request& request) {
   request.phase = Phase::kChecking;
   const Endpoint& endpoint = request.attempt->endpoint;
   const auto running = check_by_endpoint_.find(endpoint.id);
@@ -222,7 +222,7 @@
       NodeAction(SendProbe{NodeModule::kRequests, std::move(probe)}));
 }
 
-void RequestDesk::FinishCheck(Time now, ProbeId id, bool lost, bool alive) {
+void RequestPipeline::FinishCheck(Time now, ProbeId id, bool lost, bool alive) {
   const auto found = checks_.find(id);
   if (found == checks_.end()) {
     return;
@@ -233,7 +233,7 @@
   if (alive) {
     actions_.emplace_back(NodeAction(DropConnections{check.endpoint.address}));
   } else {
-    actions_.emplace_back(EndpointFoundLost{check.endpoint.id});
+    actions_.emplace_back(EndpointLossDetected{check.endpoint.id});
   }
   if (lost) {
     Apply(now, modules_.guard->OnEndpointLost(now, check.endpoint.id));
@@ -245,23 +245,24 @@
     }
     EndAttempt(now, *request, false);
     OnAttemptFailed(now, *request,
-                    AttemptFailure{request->broke->progress, false});
+                    AttemptFailure{request->unprobed_failure->progress, false});
   }
 }
 
-void RequestDesk::OnAttemptFailed(Time now,
-                                  Request& request,
-                                  const AttemptFailure& failure) {
+void RequestPipeline::OnAttemptFailed(Time now,
+                                      Request& request,
+                                      const AttemptFailure& failure) {
   const RequestId id = request.profile.id;
-  if (request.broke) {
-    const TokenCount news = request.broke->delivered - request.log.delivered();
+  if (request.unprobed_failure) {
+    const TokenCount news =
+        request.unprobed_failure->delivered - request.log.delivered();
     if (news > TokenCount()) {
       request.log.OnPiece(request.last_attempt, request.log.delivered(), news);
     }
   }
   const AttemptDecision decision =
       request.log.OnFailed(now, request.last_attempt, failure);
-  request.broke.reset();
+  request.unprobed_failure.reset();
   if (request.abandoned) {
     request.outcome = request.log.may_have_run() ? OnceOutcome(OnceMayHaveRun{})
                                                  : OnceOutcome(OnceNotRun{});
@@ -270,7 +271,7 @@
   }
   if (request.preempted) {
     actions_.emplace_back(
-        NodeAction(TellPreempted{id, settings_.preempted_retry_after}));
+        NodeAction(RespondPreempted{id, settings_.preempted_retry_after}));
     Report(request, EventKind::kTrialPreempted, {});
     Forget(now, id, request.log.delivered());
     return;
@@ -278,11 +279,13 @@
   Conclude(now, request, decision);
 }
 
-void RequestDesk::Retry(Time now, Request& request, const AttemptRetry& again) {
+void RequestPipeline::Retry(Time now,
+                            Request& request,
+                            const AttemptRetry& again) {
   const FailedAttempt failed{request.attempts, !request.log.may_have_run(),
                              Duration()};
   const RetryVerdict verdict =
-      modules_.retries->Spend(now, request.profile, failed);
+      modules_.retries->TrySpend(now, request.profile, failed);
   if (verdict != RetryVerdict::kAllowed) {
     GiveUp(now, request, RefusalKind::kRetryBudget);
     return;
@@ -291,13 +294,13 @@
   StartAttempt(now, request);
 }
 
-void RequestDesk::GiveUp(Time now, Request& request, RefusalKind reason) {
+void RequestPipeline::GiveUp(Time now, Request& request, RefusalKind reason) {
   Conclude(now, request, request.log.GiveUp(reason));
 }
 
-void RequestDesk::Conclude(Time now,
-                           Request& request,
-                           const AttemptDecision& decision) {
+void RequestPipeline::Conclude(Time now,
+                               Request& request,
+                               const AttemptDecision& decision) {
   const RequestId id = request.profile.id;
   std::visit(
       Overloaded{[&](const AttemptRetry& again) { Retry(now, request, again); },
@@ -308,13 +311,13 @@
                  },
                  [&](const TellOutcomeUnknown&) {
                    request.outcome = OnceMayHaveRun{};
-                   actions_.emplace_back(NodeAction(TellUnknown{id}));
+                   actions_.emplace_back(NodeAction(RespondOutcomeUnknown{id}));
                    Report(request, EventKind::kRequestOutcomeUnknown, {});
                    Forget(now, id, request.log.delivered());
                  },
                  [&](const TellBroken&) {
                    request.outcome = OnceMayHaveRun{};
-                   actions_.emplace_back(NodeAction(TellStreamBroken{id}));
+                   actions_.emplace_back(NodeAction(RespondStreamBroken{id}));
                    Report(request, EventKind::kRequestOutcomeUnknown,
                           {{"delivered", request.log.delivered().value()}});
                    Forget(now, id, request.log.delivered());
@@ -323,17 +326,19 @@
       decision);
 }
 
-void RequestDesk::TellRefusal(Time now, Request& request, Refusal refusal) {
+void RequestPipeline::TellRefusal(Time now, Request& request, Refusal refusal) {
   const RequestId id = request.profile.id;
   request.outcome = OnceNotRun{};
   Report(request, EventKind::kRequestRefused,
          {{"reason", std::string(RefusalKindName(refusal.kind))},
           {"retry_after_ms", refusal.retry_after.millis()}});
-  actions_.emplace_back(NodeAction(TellRefused{id, refusal}));
+  actions_.emplace_back(NodeAction(RespondRefused{id, refusal}));
   Forget(now, id, TokenCount());
 }
 
-void RequestDesk::Forget(Time now, const RequestId& id, TokenCount generated) {
+void RequestPipeline::Forget(Time now,
+                             const RequestId& id,
+                             TokenCount generated) {
   const auto found = requests_.find(id);
   const Request request = std::move(found->second);
   requests_.erase(found);
--- a/coordination/requests/request_desk_modules.cc
+++ b/coordination/requests/request_pipeline_modules.cc
@@ -1,31 +1,33 @@
-// The part of `RequestDesk` that applies the decisions of the other modules.
+// The part of `RequestPipeline` that applies the decisions of the other
+// modules.
 
-#include "coordination/requests/request_desk.h"
+#include "coordination/requests/request_pipeline.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace gcw {
 
-void RequestDesk::Apply(Time now, const std::vector<AdmissionAction>& actions) {
+void RequestPipeline::Apply(Time now,
+                            const std::vector<AdmissionAction>& actions) {
   for (const AdmissionAction& action : actions) {
     Apply(now, action);
   }
 }
 
-void RequestDesk::Apply(Time now, const OnceClientActions& actions) {
+void RequestPipeline::Apply(Time now, const OnceClientActions& actions) {
   for (const OnceClientAction& action : actions) {
     Apply(now, action);
   }
 }
 
-void RequestDesk::Apply(Time now, const GuardActions& actions) {
+void RequestPipeline::Apply(Time now, const GuardActions& actions) {
   for (const GuardAction& action : actions) {
     Apply(now, action);
   }
 }
 
-void RequestDesk::Apply(Time now, const AdmissionAction& action) {
+void RequestPipeline::Apply(Time now, const AdmissionAction& action) {
   std::visit(Overloaded{[&](const Admit& admit) {
                           Request* request = Find(admit.request);
                           if (request == nullptr) {
@@ -57,7 +59,7 @@
              action);
 }
 
-void RequestDesk::Apply(Time now, const OnceClientAction& action) {
+void RequestPipeline::Apply(Time now, const OnceClientAction& action) {
   std::visit(
       Overloaded{[&](const OncePeerSend& send) { actions_.emplace_back(send); },
                  [&](const OnceRun& run) {
@@ -71,8 +73,8 @@
                    if (Request* request = Find(replay.request)) {
                      request->phase = Phase::kOffered;
                      Report(*request, EventKind::kOnceReplayed, {});
-                     actions_.emplace_back(
-                         NodeAction(TellReplay{replay.request, replay.answer}));
+                     actions_.emplace_back(NodeAction(
+                         RespondReplay{replay.request, replay.answer}));
                      Forget(now, replay.request, TokenCount());
                    }
                  },
@@ -88,14 +90,14 @@
                      request->phase = Phase::kOffered;
                      Report(*request, EventKind::kOnceRefused, {});
                      actions_.emplace_back(NodeAction(
-                         TellEarlierSend{earlier.request, earlier.certain}));
+                         RespondDuplicate{earlier.request, earlier.certain}));
                      Forget(now, earlier.request, TokenCount());
                    }
                  }},
       action);
 }
 
-void RequestDesk::Apply(Time now, const GuardAction& action) {
+void RequestPipeline::Apply(Time now, const GuardAction& action) {
   const auto request_of = [this](const AttemptId& attempt) -> Request* {
     const auto found = attempts_.find(attempt);
     if (found == attempts_.end()) {
@@ -129,12 +131,12 @@
               GiveUp(now, *request, refuse.refusal.kind);
             }
           },
-          [&](const GuardSpread& spread) { actions_.emplace_back(spread); },
+          [&](const GuardBroadcast& spread) { actions_.emplace_back(spread); },
           [&](const GuardPeerSend& send) { actions_.emplace_back(send); }},
       action);
 }
 
-void RequestDesk::Preempt(Time now, Request& request) {
+void RequestPipeline::Preempt(Time now, Request& request) {
   const RequestId id = request.profile.id;
   if (!request.attempt) {
     GiveUp(now, request, RefusalKind::kTrialNoHeadroom);
--- a/coordination/requests/retry_budget.cc
+++ b/coordination/requests/retry_budget.cc
@@ -55,9 +55,9 @@
       std::min(settings_.node_burst, node_.balance + settings_.node_share);
 }
 
-RetryVerdict RetryBudget::Spend(Time now,
-                                const RequestProfile& profile,
-                                const FailedAttempt& failed) {
+RetryVerdict RetryBudget::TrySpend(Time now,
+                                   const RequestProfile& profile,
+                                   const FailedAttempt& failed) {
   if (!profile.repeatable && !failed.was_not_run) {
     return RetryVerdict::kNotRepeatable;
   }
--- a/coordination/requests/retry_budget.h
+++ b/coordination/requests/retry_budget.h
@@ -63,9 +63,9 @@
   void OnFirstAttempt(Time now, const ContractId& contract);
   // Decides whether the request may be retried, and takes one retry from the
   // budgets if so.
-  RetryVerdict Spend(Time now,
-                     const RequestProfile& profile,
-                     const FailedAttempt& failed);
+  RetryVerdict TrySpend(Time now,
+                        const RequestProfile& profile,
+                        const FailedAttempt& failed);
   // Drops idle contracts.
   void Tick(Time now);
 
--- a/coordination/routing/endpoint_pool.cc
+++ b/coordination/routing/endpoint_pool.cc
@@ -68,7 +68,7 @@
     return false;
   }
   const EndpointSlot slot = stragglers_.FindDueProbe(input.now);
-  if (slot.value() < 0 || !StateOf(slot).backoff.IsOpen(input.now)) {
+  if (slot.value() < 0 || !StateOf(slot).backoff.AllowsRequest(input.now)) {
     return false;
   }
   probe =
@@ -137,7 +137,8 @@
 }
 
 bool EndpointPool::IsHealthy(Time now, EndpointSlot slot) const {
-  return !stragglers_.IsEjected(slot) && StateOf(slot).backoff.IsOpen(now);
+  return !stragglers_.IsEjected(slot) &&
+         StateOf(slot).backoff.AllowsRequest(now);
 }
 
 EndpointPool::Candidate EndpointPool::CandidateFor(const ChooseInput& input,
--- a/coordination/routing/endpoint_desk.cc
+++ b/coordination/routing/endpoint_registry.cc
@@ -1,4 +1,4 @@
-#include "coordination/routing/endpoint_desk.h"
+#include "coordination/routing/endpoint_registry.h"
 
 #include <algorithm>
 #include <utility>
@@ -15,16 +15,16 @@
 
 }  // namespace
 
-EndpointDesk::EndpointDesk(EndpointDeskSettings settings,
-                           const NodeId& self,
-                           const ZoneId& zone,
-                           EndpointModules modules)
+EndpointRegistry::EndpointRegistry(EndpointRegistrySettings settings,
+                                   const NodeId& self,
+                                   const ZoneId& zone,
+                                   EndpointModules modules)
     : settings_(settings),
       self_{self, zone},
       modules_(modules),
       load_exchange_(settings_.load_exchange, self, zone) {}
 
-EndpointDeskActions EndpointDesk::OnView(Time now, const View& view) {
+EndpointRegistryActions EndpointRegistry::OnView(Time now, const View& view) {
   nodes_.clear();
   std::vector<GatePeer> peers;
   for (const NodeId& node : view.Owners()) {
@@ -39,16 +39,18 @@
   return TakeActions();
 }
 
-EndpointDeskActions EndpointDesk::OnDomainRecord(Time now,
-                                                 const DomainRecord& record,
-                                                 Revision revision) {
+EndpointRegistryActions EndpointRegistry::OnDomainRecord(
+    Time now,
+    const DomainRecord& record,
+    Revision revision) {
   modules_.controller->OnDomainRecord(record, revision);
   Apply(now, modules_.gate->OnDomainRecord(now, record, revision));
   return TakeActions();
 }
 
-EndpointDeskActions EndpointDesk::OnVmList(Time now,
-                                           const VmListSnapshot& snapshot) {
+EndpointRegistryActions EndpointRegistry::OnVmList(
+    Time now,
+    const VmListSnapshot& snapshot) {
   for (const VmEntry& vm : snapshot.vms) {
     if (vm.purpose == VmPurpose::kModelEngine && vm.zone == self_.zone) {
       domains_.insert(vm.domain);
@@ -59,10 +61,11 @@
   return TakeActions();
 }
 
-EndpointDeskActions EndpointDesk::OnProbe(Time now,
-                                          NodeModule module,
-                                          ProbeId id,
-                                          const ProbeReply& reply) {
+EndpointRegistryActions EndpointRegistry::OnProbeReply(
+    Time now,
+    NodeModule module,
+    ProbeId id,
+    const ProbeReply& reply) {
   if (module == NodeModule::kGroupController) {
     modules_.controller->OnProbeReply(now, id, reply);
   } else {
@@ -71,43 +74,49 @@
   return TakeActions();
 }
 
-EndpointDeskActions EndpointDesk::OnOrder(Time now,
-                                          OrderId id,
-                                          const OrderReply& reply) {
+EndpointRegistryActions
+EndpointRegistry::OnOrderReply(Time now, OrderId id, const OrderReply& reply) {
   modules_.controller->OnOrderReply(now, id, reply);
   return TakeActions();
 }
 
-EndpointDeskActions EndpointDesk::OnStore(Time now,
-                                          StoreCallId id,
-                                          const StoreReply& reply) {
+EndpointRegistryActions EndpointRegistry::OnStoreReply(
+    Time now,
+    StoreCallId id,
+    const StoreReply& reply) {
   Apply(modules_.controller->OnStoreReply(now, id, reply));
   return TakeActions();
 }
 
-EndpointDeskActions EndpointDesk::OnPresence(Time now,
-                                             const NodeId& from,
-                                             const PresenceReport& report) {
+EndpointRegistryActions EndpointRegistry::OnPresenceReport(
+    Time now,
+    const NodeId& from,
+    const PresenceReport& report) {
   Apply(now, modules_.gate->OnPresenceReport(now, from, report));
   return TakeActions();
 }
 
-EndpointDeskActions EndpointDesk::OnLoad(Time now, const LoadReport& report) {
+EndpointRegistryActions EndpointRegistry::OnLoadReport(
+    Time now,
+    const LoadReport& report) {
   load_exchange_.OnLocalReport(now, report);
   ApplyLoadReport(now, report);
   return TakeActions();
 }
 
-EndpointDeskActions EndpointDesk::OnLoads(Time now, const LoadDigest& digest) {
+EndpointRegistryActions EndpointRegistry::OnLoadDigest(
+    Time now,
+    const LoadDigest& digest) {
   for (const LoadReport& report : load_exchange_.OnDigest(now, digest)) {
     ApplyLoadReport(now, report);
   }
   return TakeActions();
 }
 
-EndpointDeskActions EndpointDesk::OnCacheEvents(Time now,
-                                                const EndpointId& endpoint,
-                                                const CacheEventBatch& batch) {
+EndpointRegistryActions EndpointRegistry::OnCacheEvents(
+    Time now,
+    const EndpointId& endpoint,
+    const CacheEventBatch& batch) {
   const auto cursor = cache_cursors_.find(endpoint);
   if (cursor != cache_cursors_.end()) {
     cursor->second.after = batch.next - 1;
@@ -117,7 +126,7 @@
   return TakeActions();
 }
 
-void EndpointDesk::OnRequestStarted(const EndpointId& endpoint) {
+void EndpointRegistry::OnRequestStarted(const EndpointId& endpoint) {
   modules_.gate->OnRequestStarted(endpoint);
   const auto report = reports_.find(endpoint);
   if (report != reports_.end()) {
@@ -125,19 +134,21 @@
   }
 }
 
-EndpointDeskActions EndpointDesk::OnRequestEnded(Time now,
-                                                 const EndpointId& endpoint) {
+EndpointRegistryActions EndpointRegistry::OnRequestEnded(
+    Time now,
+    const EndpointId& endpoint) {
   Apply(now, modules_.gate->OnRequestEnded(now, endpoint));
   return TakeActions();
 }
 
-EndpointDeskActions EndpointDesk::OnFoundLost(Time now,
-                                              const EndpointId& endpoint) {
+EndpointRegistryActions EndpointRegistry::OnEndpointUnreachable(
+    Time now,
+    const EndpointId& endpoint) {
   Apply(now, modules_.gate->OnUnreachable(now, endpoint));
   return TakeActions();
 }
 
-EndpointDeskActions EndpointDesk::Tick(Time now) {
+EndpointRegistryActions EndpointRegistry::Tick(Time now) {
   Apply(now, modules_.gate->Tick(now));
   Apply(modules_.controller->Tick(now));
   if (std::exchange(subset_is_stale_, false)) {
@@ -160,7 +171,7 @@
   return TakeActions();
 }
 
-void EndpointDesk::Apply(Time now, std::vector<ServingGateAction> actions) {
+void EndpointRegistry::Apply(Time now, std::vector<ServingGateAction> actions) {
   for (ServingGateAction& action : actions) {
     std::visit(Overloaded{[this](EndpointOpened& opened) {
                             open_endpoints_.insert_or_assign(opened.endpoint.id,
@@ -193,7 +204,7 @@
   }
 }
 
-void EndpointDesk::Apply(std::vector<GroupControllerAction> actions) {
+void EndpointRegistry::Apply(std::vector<GroupControllerAction> actions) {
   for (GroupControllerAction& action : actions) {
     std::visit(
         Overloaded{[this](StoreRequest& request) {
@@ -216,7 +227,7 @@
   }
 }
 
-void EndpointDesk::UpdateSubset(Time now) {
+void EndpointRegistry::UpdateSubset(Time now) {
   std::map<std::string, std::vector<Endpoint>> pools;
   for (const auto& [id, endpoint] : open_endpoints_) {
     pools[PoolOf(endpoint)].push_back(endpoint);
@@ -250,7 +261,7 @@
   capacity_is_stale_ = true;
 }
 
-void EndpointDesk::ApplyLoadReport(Time now, const LoadReport& report) {
+void EndpointRegistry::ApplyLoadReport(Time now, const LoadReport& report) {
   if (!subset_.contains(report.endpoint)) {
     return;
   }
@@ -259,7 +270,7 @@
   capacity_is_stale_ = true;
 }
 
-void EndpointDesk::UpdateCapacity(Time now) {
+void EndpointRegistry::UpdateCapacity(Time now) {
   std::map<ModelId, std::vector<const Endpoint*>> by_model;
   for (const auto& [id, endpoint] : subset_) {
     if (endpoint.service.empty()) {
@@ -268,11 +279,11 @@
   }
   for (const auto& [model, endpoints] : by_model) {
     actions_.emplace_back(
-        modules_.admission->OnCapacity(now, model, HeadroomOf(endpoints)));
+        modules_.admission->OnHeadroom(now, model, HeadroomOf(endpoints)));
   }
 }
 
-Headroom EndpointDesk::HeadroomOf(
+Headroom EndpointRegistry::HeadroomOf(
     const std::vector<const Endpoint*>& endpoints) const {
   Headroom headroom;
   headroom.sharing_nodes =
@@ -300,7 +311,7 @@
   return headroom;
 }
 
-void EndpointDesk::RequestPlatformReads(Time now) {
+void EndpointRegistry::RequestPlatformReads(Time now) {
   if (now >= next_vm_list_) {
     next_vm_list_ = now + settings_.vm_list_interval;
     actions_.emplace_back(NodeAction(ReadVmList{}));
@@ -318,7 +329,7 @@
   }
 }
 
-EndpointDeskActions EndpointDesk::TakeActions() {
+EndpointRegistryActions EndpointRegistry::TakeActions() {
   return std::exchange(actions_, {});
 }
 
--- a/coordination/routing/endpoint_desk.h
+++ b/coordination/routing/endpoint_registry.h
@@ -1,5 +1,5 @@
-#ifndef COORDINATION_ROUTING_ENDPOINT_DESK_H_
-#define COORDINATION_ROUTING_ENDPOINT_DESK_H_
+#ifndef COORDINATION_ROUTING_ENDPOINT_REGISTRY_H_
+#define COORDINATION_ROUTING_ENDPOINT_REGISTRY_H_
 
 #include <map>
 #include <set>
@@ -17,7 +17,7 @@
 
 namespace gcw {
 
-struct EndpointDeskSettings {
+struct EndpointRegistrySettings {
   EndpointSubsetSettings subset;
   LoadExchangeSettings load_exchange;
   // Intervals between reads of the platform's VM list and of the weight store.
@@ -27,7 +27,7 @@
   Duration cache_events_interval = Duration::Seconds(2);
 };
 
-// The modules that the desk coordinates. All of them outlive the desk.
+// The modules that the registry coordinates. All of them outlive the registry.
 struct EndpointModules {
   ServingGate* gate = nullptr;
   GroupController* controller = nullptr;
@@ -35,49 +35,52 @@
   Admission* admission = nullptr;
 };
 
-using EndpointDeskAction = std::variant<NodeAction,
-                                        PeerSend<PresenceReport>,
-                                        PeerSend<LoadDigest>,
-                                        std::vector<AdmissionAction>>;
-using EndpointDeskActions = std::vector<EndpointDeskAction>;
+using EndpointRegistryAction = std::variant<NodeAction,
+                                            PeerSend<PresenceReport>,
+                                            PeerSend<LoadDigest>,
+                                            std::vector<AdmissionAction>>;
+using EndpointRegistryActions = std::vector<EndpointRegistryAction>;
 
 // Tracks the endpoints that serve and their load. It feeds events to the
 // serving gate, the group controller and the exchange of load reports, and
 // passes their results on to the router and to admission.
-class EndpointDesk {
+class EndpointRegistry {
  public:
-  EndpointDesk(EndpointDeskSettings settings,
-               const NodeId& self,
-               const ZoneId& zone,
-               EndpointModules modules);
+  EndpointRegistry(EndpointRegistrySettings settings,
+                   const NodeId& self,
+                   const ZoneId& zone,
+                   EndpointModules modules);
 
-  EndpointDeskActions OnView(Time now, const View& view);
-  EndpointDeskActions OnDomainRecord(Time now,
-                                     const DomainRecord& record,
-                                     Revision revision);
-  EndpointDeskActions OnVmList(Time now, const VmListSnapshot& snapshot);
-  EndpointDeskActions OnProbe(Time now,
-                              NodeModule module,
-                              ProbeId id,
-                              const ProbeReply& reply);
-  EndpointDeskActions OnOrder(Time now, OrderId id, const OrderReply& reply);
-  EndpointDeskActions OnStore(Time now,
-                              StoreCallId id,
-                              const StoreReply& reply);
-  EndpointDeskActions OnPresence(Time now,
-                                 const NodeId& from,
-                                 const PresenceReport& report);
-  EndpointDeskActions OnLoad(Time now, const LoadReport& report);
-  EndpointDeskActions OnLoads(Time now, const LoadDigest& digest);
-  EndpointDeskActions OnCacheEvents(Time now,
-                                    const EndpointId& endpoint,
-                                    const CacheEventBatch& batch);
+  EndpointRegistryActions OnView(Time now, const View& view);
+  EndpointRegistryActions OnDomainRecord(Time now,
+                                         const DomainRecord& record,
+                                         Revision revision);
+  EndpointRegistryActions OnVmList(Time now, const VmListSnapshot& snapshot);
+  EndpointRegistryActions OnProbeReply(Time now,
+                                       NodeModule module,
+                                       ProbeId id,
+                                       const ProbeReply& reply);
+  EndpointRegistryActions OnOrderReply(Time now,
+                                       OrderId id,
+                                       const OrderReply& reply);
+  EndpointRegistryActions OnStoreReply(Time now,
+                                       StoreCallId id,
+                                       const StoreReply& reply);
+  EndpointRegistryActions OnPresenceReport(Time now,
+                                           const NodeId& from,
+                                           const PresenceReport& report);
+  EndpointRegistryActions OnLoadReport(Time now, const LoadReport& report);
+  EndpointRegistryActions OnLoadDigest(Time now, const LoadDigest& digest);
+  EndpointRegistryActions OnCacheEvents(Time now,
+                                        const EndpointId& endpoint,
+                                        const CacheEventBatch& batch);
 
   void OnRequestStarted(const EndpointId& endpoint);
-  EndpointDeskActions OnRequestEnded(Time now, const EndpointId& endpoint);
+  EndpointRegistryActions OnRequestEnded(Time now, const EndpointId& endpoint);
   // A request could not reach the endpoint.
-  EndpointDeskActions OnFoundLost(Time now, const EndpointId& endpoint);
-  EndpointDeskActions Tick(Time now);
+  EndpointRegistryActions OnEndpointUnreachable(Time now,
+                                                const EndpointId& endpoint);
+  EndpointRegistryActions Tick(Time now);
 
   // The fabric domains of this node's zone that have appeared in a VM list.
   const std::set<FabricDomainId>& domains() const { return domains_; }
@@ -101,9 +104,9 @@
   void UpdateCapacity(Time now);
   Headroom HeadroomOf(const std::vector<const Endpoint*>& endpoints) const;
   void RequestPlatformReads(Time now);
-  EndpointDeskActions TakeActions();
+  EndpointRegistryActions TakeActions();
 
-  EndpointDeskSettings settings_;
+  EndpointRegistrySettings settings_;
   NodeLocation self_;
   EndpointModules modules_;
   LoadExchange load_exchange_;
@@ -119,9 +122,9 @@
   bool capacity_is_stale_ = false;
   Time next_vm_list_;
   Time next_weight_store_;
-  EndpointDeskActions actions_;
+  EndpointRegistryActions actions_;
 };
 
 }  // namespace gcw
 
-#endif  // COORDINATION_ROUTING_ENDPOINT_DESK_H_
+#endif  // COORDINATION_ROUTING_ENDPOINT_REGISTRY_H_
--- a/coordination/routing/failure_backoff.cc
+++ b/coordination/routing/failure_backoff.cc
@@ -12,7 +12,7 @@
 FailureBackoff::FailureBackoff(const FailureBackoffSettings& settings)
     : settings_(settings) {}
 
-bool FailureBackoff::IsOpen(Time now) const {
+bool FailureBackoff::AllowsRequest(Time now) const {
   if (failures_ == 0) {
     return true;
   }
--- a/coordination/routing/failure_backoff.h
+++ b/coordination/routing/failure_backoff.h
@@ -25,7 +25,7 @@
  public:
   explicit FailureBackoff(const FailureBackoffSettings& settings);
 
-  bool IsOpen(Time now) const;
+  bool AllowsRequest(Time now) const;
   void OnSent(Time now);
   void OnSucceeded();
   void OnFailed(Time now);
--- a/coordination/routing/route.h
+++ b/coordination/routing/route.h
@@ -24,7 +24,7 @@
 };
 
 // The router's state of one endpoint, for the status page.
-struct EndpointView {
+struct EndpointStatus {
   EndpointId id;
   Generation generation;
   ZoneId zone;
--- a/coordination/routing/router.cc
+++ b/coordination/routing/router.cc
@@ -268,8 +268,8 @@
   return pool == nullptr ? 0 : pool->SpareRequestsPerSecond(now, node_count_);
 }
 
-std::vector<EndpointView> Router::Endpoints(Time now) const {
-  std::vector<EndpointView> views;
+std::vector<EndpointStatus> Router::Endpoints(Time now) const {
+  std::vector<EndpointStatus> views;
   for (const auto& [id, slot] : slots_) {
     const EndpointState& state =
         endpoints_[static_cast<std::size_t>(slot.value())];
@@ -285,7 +285,7 @@
          .is_ejected = state.pool->stragglers().IsEjected(slot),
          .backing_off_until = state.backoff.ends_at()});
   }
-  std::ranges::sort(views, {}, &EndpointView::id);
+  std::ranges::sort(views, {}, &EndpointStatus::id);
   return views;
 }
 
--- a/coordination/routing/router.h
+++ b/coordination/routing/router.h
@@ -81,7 +81,7 @@
   // serve.
   double SpareRequestsPerSecond(Time now, const RequestTarget& target) const;
   // Returns the state of all endpoints for the status page, ordered by id.
-  std::vector<EndpointView> Endpoints(Time now) const;
+  std::vector<EndpointStatus> Endpoints(Time now) const;
 
  private:
   struct Attempt {
--- a/programs/daemon/daemon_command_line.cc
+++ b/programs/daemon/daemon_command_line.cc
@@ -37,7 +37,7 @@
     return DaemonExitCode::kInvalidSettings;
   }
   std::cout << file << ": all settings are valid\n";
-  return DaemonExitCode::kSuccess;
+  return DaemonExitCode::kRequestProgress;
 }
 
 }  // namespace
@@ -64,11 +64,11 @@
   }
   if (values.count("help") > 0) {
     std::cout << description << '\n' << program.examples << kExitCodes;
-    return DaemonExitCode::kSuccess;
+    return DaemonExitCode::kRequestProgress;
   }
   if (values.count("settings-reference") > 0) {
     program.write_reference(std::cout);
-    return DaemonExitCode::kSuccess;
+    return DaemonExitCode::kRequestProgress;
   }
   if (values.count("check-settings") > 0) {
     return CheckSettings(program, values["check-settings"].as<std::string>());
--- a/programs/daemon/daemon_command_line.h
+++ b/programs/daemon/daemon_command_line.h
@@ -12,7 +12,7 @@
 namespace gcw {
 
 enum class DaemonExitCode {
-  kSuccess = 0,
+  kRequestProgress = 0,
   kInvalidCommandLine = 2,
   kInvalidSettings = 3,
   kListenFailed = 4,
--- a/programs/daemon/setting_items.cc
+++ b/programs/daemon/setting_value_error.cc
@@ -1,4 +1,4 @@
-#include "programs/daemon/setting_items.h"
+#include "programs/daemon/setting_value_error.h"
 
 namespace gcw {
 
--- a/programs/daemon/setting_items.h
+++ b/programs/daemon/setting_value_error.h
@@ -1,5 +1,5 @@
-#ifndef PROGRAMS_DAEMON_SETTING_ITEMS_H_
-#define PROGRAMS_DAEMON_SETTING_ITEMS_H_
+#ifndef PROGRAMS_DAEMON_SETTING_VALUE_ERROR_H_
+#define PROGRAMS_DAEMON_SETTING_VALUE_ERROR_H_
 
 #include <string>
 #include <string_view>
@@ -17,4 +17,4 @@
 
 }  // namespace gcw
 
-#endif  // PROGRAMS_DAEMON_SETTING_ITEMS_H_
+#endif  // PROGRAMS_DAEMON_SETTING_VALUE_ERROR_H_
--- a/programs/gcw_gateway/gateway_process.cc
+++ b/programs/gcw_gateway/gateway_process.cc
@@ -22,11 +22,11 @@
 
 std::string_view LogClassName(LogClass log_class) {
   switch (log_class) {
-    case LogClass::kBelief:
+    case LogClass::kStateChange:
       return "belief";
-    case LogClass::kTrouble:
+    case LogClass::kRequestFailure:
       return "trouble";
-    case LogClass::kSuccess:
+    case LogClass::kRequestProgress:
       return "success";
   }
   return "unknown";
@@ -68,7 +68,9 @@
         line_writer(STDOUT_FILENO, kMaxBufferedLogBytes),
         json_log({settings.core.self.id, "gcw-gateway", settings.log_severity,
                   [this](std::string_view line) { line_writer.Write(line); }}),
-        budget(settings.log_budget, LogTimelineEvent, LogDroppedLines),
+        log_limiter(settings.log_rate_limiter,
+                    LogTimelineEvent,
+                    LogDroppedLines),
         log(EventLog::Builder()
                 .SetNode(settings.core.self.id)
                 .SetIncarnation(Incarnation(clock().millis()))
@@ -76,7 +78,7 @@
                 .SetCapacity(static_cast<std::size_t>(settings.events_kept))
                 .SetObserver([this](const TimelineEvent& event) {
                   metrics.CountEvent(event);
-                  budget.Take(event);
+                  log_limiter.Write(event);
                 })
                 .Build()),
         core(settings.core,
@@ -96,7 +98,7 @@
   LineWriter line_writer;
   JsonLog json_log;
   GatewayMetrics metrics;
-  LogBudget budget;
+  LogRateLimiter log_limiter;
   EventLog log;
   boost::asio::io_context context{kThreads};
   GatewayCore core;
--- a/programs/gcw_gateway/gateway_settings.cc
+++ b/programs/gcw_gateway/gateway_settings.cc
@@ -8,7 +8,7 @@
 #include <optional>
 #include <utility>
 
-#include "programs/daemon/setting_items.h"
+#include "programs/daemon/setting_value_error.h"
 
 namespace gcw {
 namespace {
@@ -47,25 +47,25 @@
   NodeRecord& self = settings.core.self;
   reader.Add("node.id", &self.id, kIdText,
              "Name of this node, stable over restarts.",
-             SettingNeed::kRequired);
+             SettingPresence::kRequired);
   reader.Add("node.zone", &self.zone, kIdText, "Data centre of this node.",
-             SettingNeed::kRequired);
+             SettingPresence::kRequired);
   reader.Add("node.region", &self.region, kIdText, "Region of the data centre.",
-             SettingNeed::kRequired);
+             SettingPresence::kRequired);
   reader.Add("node.processor_share", &raw.processor_share,
              NumberRange{0.01, 1000},
              "Share of a processor core that the node has; nodes with a larger "
              "share are preferred as the keeper of groups.");
   reader.Add("listen.callers", &raw.callers, kAddressText,
-             "\"ip:port\" for callers' requests.", SettingNeed::kRequired);
+             "\"ip:port\" for callers' requests.", SettingPresence::kRequired);
   reader.Add("listen.readiness", &raw.readiness, kAddressText,
              "\"ip:port\" for the platform's readiness probes.",
-             SettingNeed::kRequired);
+             SettingPresence::kRequired);
   reader.Add("listen.entries", &raw.entries, kAddressText,
              "\"ip:port\" where callers request the list of node addresses.",
-             SettingNeed::kRequired);
+             SettingPresence::kRequired);
   reader.Add("listen.peers", &raw.peers, kAddressText,
-             "\"ip:port\" for other nodes.", SettingNeed::kRequired);
+             "\"ip:port\" for other nodes.", SettingPresence::kRequired);
   reader.Add("listen.metrics", &raw.metrics, kAddressText,
              "\"ip:port\" where metrics are served.");
   reader.Add("peers.seeds", &raw.seeds, kAnyList,
@@ -77,7 +77,7 @@
                   RawSettings& raw,
                   SettingsReader& reader) {
   reader.Add("store.address", &settings.runtime.store, kAddressText,
-             "Address of the key-value service.", SettingNeed::kRequired);
+             "Address of the key-value service.", SettingPresence::kRequired);
   reader.Add("store.timeout_ms", &settings.runtime.store_timeout,
              kShortDuration, "Timeout for an answer of the key-value service.");
   StoreMirrorSettings& mirror = settings.core.mirror;
@@ -284,15 +284,15 @@
                                  {"warning", LogSeverity::kWarning},
                                  {"error", LogSeverity::kError}},
                                 "Lowest severity that is logged.");
-  LogBudgetSettings& budget = settings.log_budget;
+  LogRateLimiterSettings& log_limits = settings.log_rate_limiter;
   constexpr IntegerRange kLines{0, 100000};
   reader.Add(
-      "log.belief_lines", &budget.state_change_lines, kLines,
+      "log.belief_lines", &log_limits.state_change_lines, kLines,
       "Maximum log lines per second for changes in what the node knows.");
-  reader.Add("log.trouble_lines", &budget.request_failure_lines, kLines,
+  reader.Add("log.trouble_lines", &log_limits.request_failure_lines, kLines,
              "Maximum log lines per second for requests that were refused, "
              "failed or retried.");
-  reader.Add("log.success_lines", &budget.request_progress_lines, kLines,
+  reader.Add("log.success_lines", &log_limits.request_progress_lines, kLines,
              "Maximum log lines per second for other decisions on requests.");
 }
 
--- a/programs/gcw_gateway/gateway_settings.h
+++ b/programs/gcw_gateway/gateway_settings.h
@@ -17,7 +17,7 @@
   GatewayRuntimeSettings runtime;
   std::int64_t events_kept = 2000;
   LogSeverity log_severity = LogSeverity::kInfo;
-  LogBudgetSettings log_budget;
+  LogRateLimiterSettings log_rate_limiter;
 };
 
 // Reads and checks the settings file. On failure, returns all errors.
--- a/programs/gcw_gateway/main.cc
+++ b/programs/gcw_gateway/main.cc
@@ -62,7 +62,7 @@
     return gcw::DaemonExitCode::kListenFailed;
   }
   std::get<0>(started)->Run(file);
-  return gcw::DaemonExitCode::kSuccess;
+  return gcw::DaemonExitCode::kRequestProgress;
 }
 
 }  // namespace
--- a/programs/gcw_load/chat_exchange.cc
+++ b/programs/gcw_load/chat_exchange.cc
@@ -23,7 +23,7 @@
 void ChatExchange::Start(const std::string& prompt) {
   const ChatRequest chat = MakeChatRequest(prompt);
   if (context_.settings.reference) {
-    expected_.text = ReferenceAnswer(PromptOf(chat), chat.max_tokens);
+    expected_.text = ReferenceAnswer(BuildPrompt(chat), chat.max_tokens);
   }
   if (context_.settings.generation) {
     expected_.attempt = AttemptId(planned_.name);
--- a/programs/gcw_load/load_run.cc
+++ b/programs/gcw_load/load_run.cc
@@ -23,7 +23,7 @@
 std::string MakeRunName() {
   std::random_device device;
   const std::uint64_t high = device();
-  return HexOf(high << 32 | device());
+  return ToHex(high << 32 | device());
 }
 
 PromptMaker::Settings WithRunName(PromptMaker::Settings settings,
--- a/programs/gcw_node/main.cc
+++ b/programs/gcw_node/main.cc
@@ -97,7 +97,7 @@
       node.BeginStop();
     }
   }
-  return gcw::DaemonExitCode::kSuccess;
+  return gcw::DaemonExitCode::kRequestProgress;
 }
 
 }  // namespace
--- a/programs/gcw_node/node_process.cc
+++ b/programs/gcw_node/node_process.cc
@@ -51,7 +51,7 @@
     return ValueIfOk(DecodeContract(text));
   };
   codecs.decode_model = [](std::string_view text) {
-    return ValueIfOk(DecodeWantedModel(text));
+    return ValueIfOk(DecodeDesiredModel(text));
   };
   return codecs;
 }
@@ -295,7 +295,7 @@
 }
 
 void NodeProcess::BeginStop() {
-  parts_->runtime->Post(StopAsked{});
+  parts_->runtime->Post(StopRequested{});
 }
 
 bool NodeProcess::stopped() const {
--- a/programs/gcw_node/node_settings.cc
+++ b/programs/gcw_node/node_settings.cc
@@ -5,7 +5,7 @@
 #include <optional>
 #include <utility>
 
-#include "programs/daemon/setting_items.h"
+#include "programs/daemon/setting_value_error.h"
 
 namespace gcw {
 namespace {
@@ -30,11 +30,11 @@
   NodeRecord& self = settings.core.self;
   reader.Add("node.id", &self.id, kIdText,
              "Name of this node, stable over restarts.",
-             SettingNeed::kRequired);
+             SettingPresence::kRequired);
   reader.Add("node.zone", &self.zone, kIdText, "Data centre of this node.",
-             SettingNeed::kRequired);
+             SettingPresence::kRequired);
   reader.Add("node.region", &self.region, kIdText, "Region of the data centre.",
-             SettingNeed::kRequired);
+             SettingPresence::kRequired);
   reader.Add("node.weight", &self.weight, IntegerRange{1, 1000},
              "Weight of this node when callers are distributed over nodes.");
   reader.Add("node.traffic_threads", &settings.traffic_threads,
@@ -58,29 +58,29 @@
              "Port for operators; 0 lets the kernel choose.");
   reader.AddSecret("peers.secret_file", &settings.peer_secret, kSecretText,
                    "File with the secret that all nodes share.",
-                   SettingNeed::kRequired);
+                   SettingPresence::kRequired);
   reader.AddSecret("operators.credential_file", &settings.operator_credential,
                    kSecretText, "File with the operators' credential.",
-                   SettingNeed::kRequired);
+                   SettingPresence::kRequired);
 }
 
 void DeclarePlatform(NodeSettings& settings, SettingsReader& reader) {
   reader.Add("store.address", &settings.store, kAddressText,
-             "Address of the key-value service.", SettingNeed::kRequired);
+             "Address of the key-value service.", SettingPresence::kRequired);
   reader.Add("store.timeout_ms", &settings.store_timeout, kShortDuration,
              "Timeout for an answer of the key-value service.");
   reader.Add("vm_list.address", &settings.vm_list, kAddressText,
-             "Address of the VM list.", SettingNeed::kRequired);
+             "Address of the VM list.", SettingPresence::kRequired);
   reader.Add("vm_list.interval_ms", &settings.core.endpoints.vm_list_interval,
              kLongDuration, "Time between reads of the VM list.");
   reader.Add("weights.address", &settings.weights, kAddressText,
-             "Address of the weight store.", SettingNeed::kRequired);
+             "Address of the weight store.", SettingPresence::kRequired);
 }
 
 void DeclareCallers(NodeSettings& settings, SettingsReader& reader) {
-  reader.Add("entries.keep_ms", &settings.core.entries.keep, kLongDuration,
+  reader.Add("entries.keep_ms", &settings.core.entries.ttl, kLongDuration,
              "Time for which callers may cache an answer of GET /v1/entries.");
-  reader.Add("entries.spread_ms", &settings.core.entries.spread_time,
+  reader.Add("entries.spread_ms", &settings.core.entries.propagation_delay,
              kLongDuration,
              "Time until all nodes know that a node is leaving.");
   reader.Add("callers.connect_timeout_ms", &settings.callers.connect_timeout,
--- a/programs/gcw_standin/commands.cc
+++ b/programs/gcw_standin/commands.cc
@@ -10,10 +10,10 @@
 #include <boost/asio/signal_set.hpp>
 
 #include "programs/gcw_standin/command_line.h"
-#include "programs/gcw_standin/engine_shell.h"
+#include "programs/gcw_standin/engine_http_frontend.h"
 #include "programs/gcw_standin/platform_http_frontend.h"
 #include "programs/gcw_standin/service_http_frontend.h"
-#include "programs/gcw_standin/store_shell.h"
+#include "programs/gcw_standin/store_http_frontend.h"
 #include "programs/gcw_standin/vm_list_http_frontend.h"
 #include "programs/gcw_standin/weight_store_http_frontend.h"
 
@@ -86,7 +86,7 @@
   settings.first_revision =
       Revision(Get<std::int64_t>(parsed, "first-revision"));
   return Serve("store", parsed.common, [&](StandinServer& server) {
-    return std::make_unique<StoreShell>(server, settings);
+    return std::make_unique<StoreHttpFrontend>(server, settings);
   });
 }
 
@@ -183,8 +183,8 @@
   return description;
 }
 
-EngineShell::Settings EngineSettings(const ParsedCommand& parsed) {
-  EngineShell::Settings settings;
+EngineHttpFrontend::Settings EngineSettings(const ParsedCommand& parsed) {
+  EngineHttpFrontend::Settings settings;
   settings.weight_store = Address(Get<std::string>(parsed, "weights"));
   settings.shard_bytes = Get<std::int64_t>(parsed, "shard-bytes");
   EngineMember::Settings& member = settings.engine.member;
@@ -205,7 +205,7 @@
 }
 
 int RunEngine(const ParsedCommand& parsed) {
-  const EngineShell::Settings settings = EngineSettings(parsed);
+  const EngineHttpFrontend::Settings settings = EngineSettings(parsed);
   const Batch::Settings& batch = settings.engine.batch;
   if (batch.step <= Duration() || batch.prefill_tokens_per_second <= 0) {
     std::cerr << "gcw-standin engine: --step-ms and --prefill-tokens-per-s "
@@ -215,7 +215,7 @@
   CommonOptions common = parsed.common;
   common.faults.ignore_fence |= parsed.values.count("ignore-fence") > 0;
   return Serve("engine", common, [&](StandinServer& server) {
-    return std::make_unique<EngineShell>(server, settings);
+    return std::make_unique<EngineHttpFrontend>(server, settings);
   });
 }
 
--- a/programs/gcw_standin/engine_shell.cc
+++ b/programs/gcw_standin/engine_http_frontend.cc
@@ -1,4 +1,4 @@
-#include "programs/gcw_standin/engine_shell.h"
+#include "programs/gcw_standin/engine_http_frontend.h"
 
 #include <algorithm>
 #include <utility>
@@ -70,7 +70,7 @@
 
 }  // namespace
 
-EngineShell::EngineShell(StandinServer& server, Settings settings)
+EngineHttpFrontend::EngineHttpFrontend(StandinServer& server, Settings settings)
     : server_(server),
       settings_(std::move(settings)),
       engine_(settings_.engine, server.faults()),
@@ -79,7 +79,7 @@
                   [this](Time now) { Execute(engine_.Tick(now)); });
 }
 
-StandinServer::Hooks EngineShell::MakeHooks() {
+StandinServer::Hooks EngineHttpFrontend::MakeHooks() {
   StandinServer::Hooks hooks;
   hooks.handle = [this](Time now, const HttpRequest& request,
                         std::shared_ptr<HttpResponder> responder) {
@@ -91,9 +91,9 @@
   return hooks;
 }
 
-void EngineShell::Handle(Time now,
-                         const HttpRequest& request,
-                         std::shared_ptr<HttpResponder> responder) {
+void EngineHttpFrontend::Handle(Time now,
+                                const HttpRequest& request,
+                                std::shared_ptr<HttpResponder> responder) {
   if (request.target == "/v1/chat/completions") {
     HandleChat(now, request, std::move(responder));
   } else if (request.target == "/orders") {
@@ -105,15 +105,16 @@
   }
 }
 
-bool EngineShell::HandleRead(Time now,
-                             const HttpRequest& request,
-                             HttpResponder& responder) const {
+bool EngineHttpFrontend::HandleRead(Time now,
+                                    const HttpRequest& request,
+                                    HttpResponder& responder) const {
   const std::string_view path = TargetPath(request.target);
   if (path == "/status") {
     responder.Respond(
         JsonResponse(200, EncodeEngineStatus(engine_.Status(now))));
   } else if (path == "/load") {
-    responder.Respond(JsonResponse(200, EncodeLoadReport(engine_.Load(now))));
+    responder.Respond(
+        JsonResponse(200, EncodeLoadReport(engine_.DelayedLoadReport(now))));
   } else if (path == "/cache_events") {
     const auto requested = QueryNumber(request.target, "after").value_or(0);
     const std::int64_t after = std::max<std::int64_t>(requested, 0);
@@ -128,9 +129,9 @@
   return true;
 }
 
-void EngineShell::HandleOrder(Time now,
-                              const HttpRequest& request,
-                              HttpResponder& responder) {
+void EngineHttpFrontend::HandleOrder(Time now,
+                                     const HttpRequest& request,
+                                     HttpResponder& responder) {
   const auto order = DecodeEngineOrder(request.body);
   if (!IsOk(order)) {
     responder.Respond(MalformedResponse(ErrorOf(order)));
@@ -142,8 +143,8 @@
   Execute(result.actions);
 }
 
-void EngineShell::HandleCancel(const HttpRequest& request,
-                               HttpResponder& responder) {
+void EngineHttpFrontend::HandleCancel(const HttpRequest& request,
+                                      HttpResponder& responder) {
   const auto attempt = DecodeCancel(request.body);
   if (!IsOk(attempt)) {
     responder.Respond(MalformedResponse(ErrorOf(attempt)));
@@ -155,9 +156,9 @@
   Execute(actions);
 }
 
-void EngineShell::HandleChat(Time now,
-                             const HttpRequest& request,
-                             std::shared_ptr<HttpResponder> responder) {
+void EngineHttpFrontend::HandleChat(Time now,
+                                    const HttpRequest& request,
+                                    std::shared_ptr<HttpResponder> responder) {
   auto chat = DecodeChatRequest(request.body);
   if (!IsOk(chat)) {
     responder->Respond(MalformedResponse(ErrorOf(chat)));
@@ -173,13 +174,13 @@
   Execute(engine_.OnChat(now, ticket, std::move(call)));
 }
 
-void EngineShell::Execute(const std::vector<EngineAction>& actions) {
+void EngineHttpFrontend::Execute(const std::vector<EngineAction>& actions) {
   for (const EngineAction& action : actions) {
     std::visit([this](const auto& typed) { Execute(typed); }, action);
   }
 }
 
-void EngineShell::Execute(const SendToken& action) {
+void EngineHttpFrontend::Execute(const SendToken& action) {
   const auto found = exchanges_.find(action.ticket);
   if (found == exchanges_.end()) {
     return;
@@ -191,7 +192,7 @@
   responder->Write(EncodeChatTokenEvent(action.token));
 }
 
-void EngineShell::Execute(const FinishAnswer& action) {
+void EngineHttpFrontend::Execute(const FinishAnswer& action) {
   Exchange exchange = TakeExchange(action.ticket);
   if (!exchange.responder) {
     return;
@@ -207,14 +208,14 @@
   exchange.responder->Respond(std::move(response));
 }
 
-void EngineShell::Execute(const BreakAnswer& action) {
+void EngineHttpFrontend::Execute(const AbortAnswer& action) {
   const Exchange exchange = TakeExchange(action.ticket);
   if (exchange.responder) {
     exchange.responder->Abort();
   }
 }
 
-void EngineShell::Execute(const RefuseCall& action) {
+void EngineHttpFrontend::Execute(const RejectCall& action) {
   const Exchange exchange = TakeExchange(action.ticket);
   if (!exchange.responder) {
     return;
@@ -227,7 +228,7 @@
   exchange.responder->Respond(std::move(response));
 }
 
-void EngineShell::Execute(const PollMember& action) {
+void EngineHttpFrontend::Execute(const PollMember& action) {
   HttpRequest request;
   request.method = "GET";
   request.target = "/status";
@@ -244,7 +245,7 @@
       });
 }
 
-void EngineShell::Execute(const FetchWeights& action) {
+void EngineHttpFrontend::Execute(const FetchWeights& action) {
   HttpRequest request;
   request.method = "POST";
   request.target = "/fetch";
@@ -265,7 +266,7 @@
       });
 }
 
-void EngineShell::StartStream(Exchange& exchange) {
+void EngineHttpFrontend::StartStream(Exchange& exchange) {
   if (exchange.stream_started) {
     return;
   }
@@ -274,7 +275,7 @@
                                         AttemptHeader(exchange.attempt)});
 }
 
-EngineShell::Exchange EngineShell::TakeExchange(Ticket ticket) {
+EngineHttpFrontend::Exchange EngineHttpFrontend::TakeExchange(Ticket ticket) {
   const auto found = exchanges_.find(ticket);
   if (found == exchanges_.end()) {
     return {};
@@ -284,7 +285,7 @@
   return exchange;
 }
 
-void EngineShell::OnFaultsChanged() {
+void EngineHttpFrontend::OnFaultsChanged() {
   if (cache_gaps_ != server_.faults().cache_gaps) {
     cache_gaps_ = server_.faults().cache_gaps;
     engine_.DropCacheEvents();
--- a/programs/gcw_standin/engine_shell.h
+++ b/programs/gcw_standin/engine_http_frontend.h
@@ -1,5 +1,5 @@
-#ifndef PROGRAMS_GCW_STANDIN_ENGINE_SHELL_H_
-#define PROGRAMS_GCW_STANDIN_ENGINE_SHELL_H_
+#ifndef PROGRAMS_GCW_STANDIN_ENGINE_HTTP_FRONTEND_H_
+#define PROGRAMS_GCW_STANDIN_ENGINE_HTTP_FRONTEND_H_
 
 #include <cstdint>
 #include <map>
@@ -14,7 +14,7 @@
 
 // Serves a `StandinEngine` over HTTP. `GET /executions` returns the counts of
 // the requests that were executed.
-class EngineShell {
+class EngineHttpFrontend {
  public:
   struct Settings {
     StandinEngine::Settings engine;
@@ -23,7 +23,7 @@
     std::int64_t shard_bytes = 1000000000;
   };
 
-  EngineShell(StandinServer& server, Settings settings);
+  EngineHttpFrontend(StandinServer& server, Settings settings);
 
   StandinServer::Hooks MakeHooks();
 
@@ -53,8 +53,8 @@
   void Execute(const std::vector<EngineAction>& actions);
   void Execute(const SendToken& action);
   void Execute(const FinishAnswer& action);
-  void Execute(const BreakAnswer& action);
-  void Execute(const RefuseCall& action);
+  void Execute(const AbortAnswer& action);
+  void Execute(const RejectCall& action);
   void Execute(const PollMember& action);
   void Execute(const FetchWeights& action);
 
@@ -75,4 +75,4 @@
 
 }  // namespace gcw
 
-#endif  // PROGRAMS_GCW_STANDIN_ENGINE_SHELL_H_
+#endif  // PROGRAMS_GCW_STANDIN_ENGINE_HTTP_FRONTEND_H_
--- a/programs/gcw_standin/execution_counts.cc
+++ b/programs/gcw_standin/execution_counts.cc
@@ -29,15 +29,15 @@
   if (!name.empty()) {
     ++by_name_[name];
   }
-  ++by_content_[HexOf(HashOf(content))];
+  ++by_content_[ToHex(Xxh3Hash(content))];
 }
 
-std::int64_t ExecutionCounts::OfName(const std::string& name) const {
+std::int64_t ExecutionCounts::CountByName(const std::string& name) const {
   return CountIn(by_name_, name);
 }
 
 std::int64_t ExecutionCounts::OfContent(std::string_view content) const {
-  return CountIn(by_content_, HexOf(HashOf(content)));
+  return CountIn(by_content_, ToHex(Xxh3Hash(content)));
 }
 
 std::string ExecutionCounts::ToJson(std::string_view names) const {
--- a/programs/gcw_standin/execution_counts.h
+++ b/programs/gcw_standin/execution_counts.h
@@ -17,7 +17,7 @@
   void Count(const std::string& name, std::string_view content);
 
   std::int64_t total() const { return total_; }
-  std::int64_t OfName(const std::string& name) const;
+  std::int64_t CountByName(const std::string& name) const;
   std::int64_t OfContent(std::string_view content) const;
 
   // Returns {"total", "<names>": {name: count}, "contents": {hash: count}}.
--- a/programs/gcw_standin/faults.cc
+++ b/programs/gcw_standin/faults.cc
@@ -17,7 +17,7 @@
                   Faults& faults) { faults.outage = reader.Bool(kValue); }},
     {"slow_ms",
      [](JsonReader& reader, Faults& faults) {
-       faults.slow = reader.DurationMillis(kValue);
+       faults.request_delay = reader.DurationMillis(kValue);
      }},
     {"lose_answer",
      [](JsonReader& reader, Faults& faults) {
@@ -72,7 +72,7 @@
   return boost::json::serialize(
       boost::json::object{{"refuse", faults.refuse},
                           {"outage", faults.outage},
-                          {"slow_ms", ToJson(faults.slow)},
+                          {"slow_ms", ToJson(faults.request_delay)},
                           {"lose_answer", faults.lose_answer},
                           {"silent", faults.silent},
                           {"crash_on", faults.crash_on},
--- a/programs/gcw_standin/faults.h
+++ b/programs/gcw_standin/faults.h
@@ -15,7 +15,7 @@
   bool refuse = false;
   bool outage = false;
   // Delay before a request is handled.
-  Duration slow;
+  Duration request_delay;
   // Number of writes still to come that take effect but get no answer.
   std::int64_t lose_answer = 0;
   // No request gets an answer, on open and on new connections.
--- a/programs/gcw_standin/faulty_responder.cc
+++ b/programs/gcw_standin/faulty_responder.cc
@@ -6,7 +6,7 @@
 
 FaultyResponder::FaultyResponder(std::shared_ptr<HttpResponder> inner,
                                  const Faults& faults,
-                                 Silenced& silenced,
+                                 SilencedResponders& silenced,
                                  bool loses_answer)
     : inner_(std::move(inner)),
       faults_(&faults),
@@ -17,7 +17,7 @@
 std::shared_ptr<FaultyResponder> FaultyResponder::Wrap(
     std::shared_ptr<HttpResponder> inner,
     const Faults& faults,
-    Silenced& silenced,
+    SilencedResponders& silenced,
     bool loses_answer) {
   std::shared_ptr<FaultyResponder> responder(
       new FaultyResponder(std::move(inner), faults, silenced, loses_answer));
--- a/programs/gcw_standin/faulty_responder.h
+++ b/programs/gcw_standin/faulty_responder.h
@@ -21,14 +21,14 @@
  public:
   // Responders of silenced exchanges. The set keeps them alive, because a
   // connection closes when its responder is destroyed.
-  using Silenced = std::set<std::shared_ptr<FaultyResponder>>;
+  using SilencedResponders = std::set<std::shared_ptr<FaultyResponder>>;
 
   // `faults` and `silenced` must outlive the exchange. With `loses_answer` the
   // connection is closed instead of answered.
   static std::shared_ptr<FaultyResponder> Wrap(
       std::shared_ptr<HttpResponder> inner,
       const Faults& faults,
-      Silenced& silenced,
+      SilencedResponders& silenced,
       bool loses_answer);
 
   // Suppresses the answer and keeps the connection open.
@@ -45,7 +45,7 @@
  private:
   FaultyResponder(std::shared_ptr<HttpResponder> inner,
                   const Faults& faults,
-                  Silenced& silenced,
+                  SilencedResponders& silenced,
                   bool loses_answer);
 
   // Returns whether the exchange is silenced or its caller is gone. A silenced
@@ -56,7 +56,7 @@
 
   std::shared_ptr<HttpResponder> inner_;
   const Faults* faults_;
-  Silenced* silenced_;
+  SilencedResponders* silenced_;
   bool loses_answer_;
   std::int64_t silenced_epoch_at_start_;
   bool is_silenced_ = false;
--- a/programs/gcw_standin/platform_documents.cc
+++ b/programs/gcw_standin/platform_documents.cc
@@ -227,7 +227,7 @@
 }
 
 std::optional<StoreCall> DecodePlatformStoreCall(const HttpRequest& request) {
-  const std::string path = PathOf(request.target);
+  const std::string path = ExtractPath(request.target);
   if (path == kStoreRangePath) {
     return StoreRange{QueryValue(request.target, "prefix"),
                       QueryValue(request.target, "after")};
--- a/programs/gcw_standin/platform_engine.cc
+++ b/programs/gcw_standin/platform_engine.cc
@@ -75,7 +75,7 @@
          {}});
     return;
   }
-  const std::string path = PathOf(request.target);
+  const std::string path = ExtractPath(request.target);
   if (path == kReportPath) {
     responder->Respond({kOk, {{"Content-Type", "application/json"}}, "{}"});
   } else if (path == kOrderPath) {
--- a/programs/gcw_standin/platform_http_frontend.cc
+++ b/programs/gcw_standin/platform_http_frontend.cc
@@ -16,7 +16,7 @@
 constexpr int kNotFound = 404;
 
 bool IsWrite(const HttpRequest& request) {
-  return PathOf(request.target) == kStoreChangePath;
+  return ExtractPath(request.target) == kStoreChangePath;
 }
 
 }  // namespace
@@ -103,7 +103,7 @@
 
 void PlatformHttpFrontend::HandleTestRequest(const HttpRequest& request,
                                              HttpResponder& responder) {
-  const std::string path = PathOf(request.target);
+  const std::string path = ExtractPath(request.target);
   if (path == "/standin/kill") {
     const VmId vm(QueryValue(request.target, "vm"));
     const auto found = engines_.find(vm);
--- a/programs/gcw_standin/service_http_frontend.cc
+++ b/programs/gcw_standin/service_http_frontend.cc
@@ -26,9 +26,9 @@
                                          StandinService::Settings settings,
                                          Duration delay)
     : server_(server), service_(std::move(settings)), delay_(delay) {
-  load_reports_.Append(server.now(), service_.Load(server.now()));
+  load_reports_.Append(server.now(), service_.CurrentLoadReport(server.now()));
   server.RunEvery(kReportInterval, [this](Time now) {
-    load_reports_.Append(now, service_.Load(now));
+    load_reports_.Append(now, service_.CurrentLoadReport(now));
   });
 }
 
@@ -63,11 +63,11 @@
       .target = request.target,
       .idempotency_key = request.Header(kIdempotencyKeyHeader),
       .body = request.body};
-  HttpResponse response = JsonResponse(200, service_.Begin(call));
+  HttpResponse response = JsonResponse(200, service_.BeginCall(call));
   response.headers.push_back(
       {std::string(kAttemptHeader), request.Header(kAttemptHeader)});
   server_.RunAfter(delay_, [this, responder, response](Time) {
-    service_.End();
+    service_.EndCall();
     responder->Respond(response);
   });
 }
--- a/programs/gcw_standin/standin_engine.cc
+++ b/programs/gcw_standin/standin_engine.cc
@@ -31,12 +31,12 @@
                                                 EngineCall call) {
   now_ = now;
   if (const auto reason = FindRefusal(call)) {
-    return {RefuseCall{ticket, *reason}};
+    return {RejectCall{ticket, *reason}};
   }
   PendingRequest pending;
   pending.call = std::move(call);
-  pending.prompt = PromptOf(pending.call.chat);
-  pending.prompt_hash = HashOf(pending.prompt);
+  pending.prompt = BuildPrompt(pending.call.chat);
+  pending.prompt_hash = Xxh3Hash(pending.prompt);
   batch_.Add(now, MakeBatchRequest(ticket, pending));
   pending_requests_.emplace(ticket, std::move(pending));
   return {};
@@ -57,7 +57,7 @@
   }
   const Ticket ticket = found->first;
   DropRequest(ticket);
-  actions.emplace_back(BreakAnswer{ticket});
+  actions.emplace_back(AbortAnswer{ticket});
   return true;
 }
 
@@ -93,7 +93,7 @@
   return status;
 }
 
-LoadReport StandinEngine::Load(Time now) const {
+LoadReport StandinEngine::DelayedLoadReport(Time now) const {
   return load_reports_.empty() ? LoadReport{}
                                : load_reports_.At(now - faults_->lag).value;
 }
@@ -127,7 +127,7 @@
   request.ticket = ticket;
   request.priority = pending.call.priority;
   request.blocks = PrefixBlocks(pending.prompt);
-  request.prompt_tokens = PromptTokens(pending.prompt).value();
+  request.prompt_tokens = EstimatePromptTokens(pending.prompt).value();
   request.end_token = pending.call.chat.max_tokens.value();
   request.next_token = std::min(pending.call.resume_from, request.end_token);
   request.deadline = pending.call.deadline;
@@ -151,7 +151,7 @@
                  [&](const BatchExpired& expired) {
                    pending_requests_.erase(expired.ticket);
                    actions.emplace_back(
-                       RefuseCall{expired.ticket, NotRunReason::kDeadline});
+                       RejectCall{expired.ticket, NotRunReason::kDeadline});
                  }},
       event);
 }
@@ -165,7 +165,7 @@
   PendingRequest& pending = found->second;
   const std::int64_t cut_after = faults_->cut_stream_after;
   if (cut_after > 0 && pending.tokens_sent >= cut_after) {
-    actions.emplace_back(BreakAnswer{token.ticket});
+    actions.emplace_back(AbortAnswer{token.ticket});
     DropRequest(token.ticket);
     return;
   }
@@ -190,7 +190,7 @@
   ChatAnswer answer{.attempt = pending.call.attempt,
                     .model = pending.call.chat.model,
                     .text = std::move(pending.text),
-                    .prompt_tokens = PromptTokens(pending.prompt),
+                    .prompt_tokens = EstimatePromptTokens(pending.prompt),
                     .generated_tokens = TokenCount(pending.tokens_sent)};
   actions.emplace_back(FinishAnswer{ticket, std::move(answer)});
 }
@@ -207,7 +207,7 @@
 
 void StandinEngine::AbortAll(std::vector<EngineAction>& actions) {
   for (const auto& [ticket, pending] : pending_requests_) {
-    actions.emplace_back(BreakAnswer{ticket});
+    actions.emplace_back(AbortAnswer{ticket});
   }
   pending_requests_.clear();
   batch_.DropRequests();
--- a/programs/gcw_standin/standin_engine.h
+++ b/programs/gcw_standin/standin_engine.h
@@ -41,7 +41,7 @@
   ChatAnswer answer;
 };
 // The answer is aborted and cannot be completed.
-struct BreakAnswer {
+struct AbortAnswer {
   Ticket ticket;
 };
 
@@ -55,15 +55,15 @@
 };
 
 // The request was rejected without running.
-struct RefuseCall {
+struct RejectCall {
   Ticket ticket;
   NotRunReason reason = NotRunReason::kNotServing;
 };
 
 using EngineAction = std::variant<SendToken,
                                   FinishAnswer,
-                                  BreakAnswer,
-                                  RefuseCall,
+                                  AbortAnswer,
+                                  RejectCall,
                                   PollMember,
                                   FetchWeights>;
 
@@ -101,7 +101,7 @@
   std::vector<EngineAction> Tick(Time now);
 
   EngineStatus Status(Time now) const;
-  LoadReport Load(Time now) const;
+  LoadReport DelayedLoadReport(Time now) const;
   CacheEventBatch CacheEvents(Time now, std::int64_t after) const;
   // Drops all cache events published so far, as the fault `cache_gap` does.
   void DropCacheEvents() { cache_events_.Drop(); }
--- a/programs/gcw_standin/standin_server.cc
+++ b/programs/gcw_standin/standin_server.cc
@@ -107,13 +107,12 @@
     faulty->Silence();
     return;
   }
-  if (faults_.slow == Duration()) {
+  if (faults_.request_delay == Duration()) {
     Dispatch(std::move(request), faulty);
     return;
   }
-  RunAfter(faults_.slow, [this, request = std::move(request), faulty](Time) {
-    Dispatch(request, faulty);
-  });
+  RunAfter(faults_.request_delay, [this, request = std::move(request), faulty](
+                                      Time) { Dispatch(request, faulty); });
 }
 
 void StandinServer::OnFaultsRequest(const HttpRequest& request,
--- a/programs/gcw_standin/standin_server.h
+++ b/programs/gcw_standin/standin_server.h
@@ -61,7 +61,7 @@
   Faults faults_;
   Clock clock_;
   Hooks hooks_;
-  FaultyResponder::Silenced silenced_;
+  FaultyResponder::SilencedResponders silenced_;
   std::unique_ptr<HttpServer> server_;
 };
 
--- a/programs/gcw_standin/standin_service.cc
+++ b/programs/gcw_standin/standin_service.cc
@@ -9,7 +9,7 @@
 StandinService::StandinService(Settings settings)
     : settings_(std::move(settings)) {}
 
-std::string StandinService::Begin(const ServiceCall& call) {
+std::string StandinService::BeginCall(const ServiceCall& call) {
   ++running_;
   const std::string content =
       call.method + ' ' + call.target + '\n' + call.body;
@@ -19,15 +19,15 @@
                           {"method", call.method},
                           {"target", call.target},
                           {"key", call.idempotency_key},
-                          {"content", HexOf(HashOf(content))},
+                          {"content", ToHex(Xxh3Hash(content))},
                           {"execution", executions_.OfContent(content)}});
 }
 
-void StandinService::End() {
+void StandinService::EndCall() {
   --running_;
 }
 
-LoadReport StandinService::Load(Time now) const {
+LoadReport StandinService::CurrentLoadReport(Time now) const {
   LoadReport report;
   report.endpoint = settings_.endpoint;
   report.taken_at = now;
--- a/programs/gcw_standin/standin_service.h
+++ b/programs/gcw_standin/standin_service.h
@@ -31,12 +31,12 @@
   explicit StandinService(Settings settings);
 
   // Runs the call and returns the body of its answer.
-  std::string Begin(const ServiceCall& call);
+  std::string BeginCall(const ServiceCall& call);
   // Must be called when the answer to a call has been sent or its caller has
   // disconnected.
-  void End();
+  void EndCall();
 
-  LoadReport Load(Time now) const;
+  LoadReport CurrentLoadReport(Time now) const;
   const ExecutionCounts& executions() const { return executions_; }
 
  private:
--- a/programs/gcw_standin/standin_weights.cc
+++ b/programs/gcw_standin/standin_weight_store.cc
@@ -1,4 +1,4 @@
-#include "programs/gcw_standin/standin_weights.h"
+#include "programs/gcw_standin/standin_weight_store.h"
 
 #include <algorithm>
 
@@ -9,10 +9,10 @@
 
 }  // namespace
 
-StandinWeights::StandinWeights(std::int64_t bytes_per_second)
+StandinWeightStore::StandinWeightStore(std::int64_t bytes_per_second)
     : bytes_per_second_(bytes_per_second) {}
 
-Time StandinWeights::Enqueue(Time now, std::int64_t bytes) {
+Time StandinWeightStore::Enqueue(Time now, std::int64_t bytes) {
   const double seconds =
       static_cast<double>(bytes) / static_cast<double>(bytes_per_second_);
   const auto millis = static_cast<std::int64_t>(seconds * kMillisPerSecond);
@@ -20,7 +20,7 @@
   return idle_at_;
 }
 
-WeightStoreStatus StandinWeights::Status(Time now) const {
+WeightStoreStatus StandinWeightStore::Status(Time now) const {
   const auto wait =
       static_cast<double>(std::max(idle_at_ - now, Duration()).millis());
   const double bytes =
--- a/programs/gcw_standin/standin_weights.h
+++ b/programs/gcw_standin/standin_weight_store.h
@@ -1,5 +1,5 @@
-#ifndef PROGRAMS_GCW_STANDIN_STANDIN_WEIGHTS_H_
-#define PROGRAMS_GCW_STANDIN_STANDIN_WEIGHTS_H_
+#ifndef PROGRAMS_GCW_STANDIN_STANDIN_WEIGHT_STORE_H_
+#define PROGRAMS_GCW_STANDIN_STANDIN_WEIGHT_STORE_H_
 
 #include <cstdint>
 
@@ -9,10 +9,10 @@
 
 // The queue of the weight store, which serves one fetch at a time at a fixed
 // rate.
-class StandinWeights {
+class StandinWeightStore {
  public:
   // `bytes_per_second` must be positive.
-  explicit StandinWeights(std::int64_t bytes_per_second);
+  explicit StandinWeightStore(std::int64_t bytes_per_second);
 
   // Returns the time at which a fetch that arrives now is complete.
   Time Enqueue(Time now, std::int64_t bytes);
@@ -25,4 +25,4 @@
 
 }  // namespace gcw
 
-#endif  // PROGRAMS_GCW_STANDIN_STANDIN_WEIGHTS_H_
+#endif  // PROGRAMS_GCW_STANDIN_STANDIN_WEIGHT_STORE_H_
--- a/programs/gcw_standin/store_shell.cc
+++ b/programs/gcw_standin/store_http_frontend.cc
@@ -1,4 +1,4 @@
-#include "programs/gcw_standin/store_shell.h"
+#include "programs/gcw_standin/store_http_frontend.h"
 
 #include <utility>
 
@@ -22,13 +22,14 @@
 
 }  // namespace
 
-StoreShell::StoreShell(StandinServer& server, StandinStore::Settings settings)
+StoreHttpFrontend::StoreHttpFrontend(StandinServer& server,
+                                     StandinStore::Settings settings)
     : store_(settings) {
   server.RunEvery(kTickInterval,
                   [this](Time now) { Deliver(store_.Tick(now)); });
 }
 
-StandinServer::Hooks StoreShell::MakeHooks() {
+StandinServer::Hooks StoreHttpFrontend::MakeHooks() {
   StandinServer::Hooks hooks;
   hooks.handle = [this](Time now, const HttpRequest& request,
                         std::shared_ptr<HttpResponder> responder) {
@@ -39,9 +40,9 @@
   return hooks;
 }
 
-void StoreShell::Handle(Time now,
-                        const HttpRequest& request,
-                        std::shared_ptr<HttpResponder> responder) {
+void StoreHttpFrontend::Handle(Time now,
+                               const HttpRequest& request,
+                               std::shared_ptr<HttpResponder> responder) {
   if (request.target == "/counts") {
     RespondCounts(*responder);
     return;
@@ -59,9 +60,9 @@
   HandleCall(now, ValueOf(call), std::move(responder));
 }
 
-void StoreShell::HandleCall(Time now,
-                            const StoreCall& call,
-                            std::shared_ptr<HttpResponder> responder) {
+void StoreHttpFrontend::HandleCall(Time now,
+                                   const StoreCall& call,
+                                   std::shared_ptr<HttpResponder> responder) {
   const Ticket ticket = ++last_ticket_;
   responder->OnCallerGone([this, ticket] {
     store_.DropWatch(ticket);
@@ -71,7 +72,7 @@
   Deliver(store_.OnCall(now, ticket, call));
 }
 
-void StoreShell::Deliver(const std::vector<StoreAnswer>& answers) {
+void StoreHttpFrontend::Deliver(const std::vector<StoreAnswer>& answers) {
   for (const StoreAnswer& answer : answers) {
     const auto found = responders_.find(answer.ticket);
     if (found == responders_.end()) {
@@ -84,7 +85,7 @@
   }
 }
 
-void StoreShell::RespondCounts(HttpResponder& responder) const {
+void StoreHttpFrontend::RespondCounts(HttpResponder& responder) const {
   const StoreCounts& counts = store_.counts();
   responder.Respond(JsonResponse(
       200, boost::json::serialize(boost::json::object{{"calls", counts.calls},
--- a/programs/gcw_standin/store_shell.h
+++ b/programs/gcw_standin/store_http_frontend.h
@@ -1,5 +1,5 @@
-#ifndef PROGRAMS_GCW_STANDIN_STORE_SHELL_H_
-#define PROGRAMS_GCW_STANDIN_STORE_SHELL_H_
+#ifndef PROGRAMS_GCW_STANDIN_STORE_HTTP_FRONTEND_H_
+#define PROGRAMS_GCW_STANDIN_STORE_HTTP_FRONTEND_H_
 
 #include <map>
 #include <memory>
@@ -12,9 +12,9 @@
 
 // Serves a `StandinStore` over HTTP. `GET /counts` returns its counters of
 // calls, writes and refusals.
-class StoreShell {
+class StoreHttpFrontend {
  public:
-  StoreShell(StandinServer& server, StandinStore::Settings settings);
+  StoreHttpFrontend(StandinServer& server, StandinStore::Settings settings);
 
   StandinServer::Hooks MakeHooks();
 
@@ -35,4 +35,4 @@
 
 }  // namespace gcw
 
-#endif  // PROGRAMS_GCW_STANDIN_STORE_SHELL_H_
+#endif  // PROGRAMS_GCW_STANDIN_STORE_HTTP_FRONTEND_H_
--- a/programs/gcw_standin/weight_store_http_frontend.h
+++ b/programs/gcw_standin/weight_store_http_frontend.h
@@ -5,12 +5,12 @@
 #include <memory>
 
 #include "programs/gcw_standin/standin_server.h"
-#include "programs/gcw_standin/standin_weights.h"
+#include "programs/gcw_standin/standin_weight_store.h"
 
 namespace gcw {
 
-// Serves a `StandinWeights` over HTTP. `POST /fetch {"bytes"}` is answered when
-// the fetch is complete.
+// Serves a `StandinWeightStore` over HTTP. `POST /fetch {"bytes"}` is answered
+// when the fetch is complete.
 class WeightStoreHttpFrontend {
  public:
   WeightStoreHttpFrontend(StandinServer& server, std::int64_t bytes_per_second);
@@ -26,7 +26,7 @@
              const std::shared_ptr<HttpResponder>& responder);
 
   StandinServer& server_;
-  StandinWeights weights_;
+  StandinWeightStore weights_;
 };
 
 }  // namespace gcw
--- a/programs/gcwctl/setting_files.cc
+++ b/programs/gcwctl/setting_files.cc
@@ -32,7 +32,7 @@
   if (!std::getline(in, key) || key.size() < kMinKeyLength) {
     return std::nullopt;
   }
-  return DigestOfKey(key);
+  return ComputeKeyDigest(key);
 }
 
 // A contract and those settings of its file that are converted after parsing.
@@ -49,13 +49,13 @@
 void DeclareContract(RawContract& raw, SettingsReader& reader) {
   Contract& contract = raw.contract;
   reader.Add("id", &contract.id, kIdText, "Name of the contract.",
-             SettingNeed::kRequired);
+             SettingPresence::kRequired);
   reader.Add("customer", &contract.customer, TextRange{1, 256},
-             "Customer of the contract.", SettingNeed::kRequired);
+             "Customer of the contract.", SettingPresence::kRequired);
   reader.AddChoice<Tier>("tier", &contract.tier,
                          {{"paid", Tier::kPaid}, {"trial", Tier::kTrial}},
                          "Paid requests have priority over trial requests.",
-                         SettingNeed::kRequired);
+                         SettingPresence::kRequired);
   reader.Add("rank", &contract.rank, IntegerRange{0, ContractBuilder::kMaxRank},
              "Priority within the tier; lower numbers are served first.");
   reader.Add("models", &raw.models, ListRange{},
@@ -64,14 +64,14 @@
              "Plain services that the contract may call.");
   reader.Add("requests_per_second", &contract.requests_per_second,
              NumberRange{0, ContractBuilder::kMaxRequestsPerSecond},
-             "Maximum, over all nodes.", SettingNeed::kRequired);
+             "Maximum, over all nodes.", SettingPresence::kRequired);
   reader.Add("tokens_per_second", &contract.tokens_per_second,
              NumberRange{0, ContractBuilder::kMaxTokensPerSecond},
              "Maximum of prompt and generated tokens, over all nodes.");
   reader.Add("concurrency", &contract.concurrency,
              IntegerRange{1, ContractBuilder::kMaxConcurrency},
              "Maximum concurrent requests, over all nodes.",
-             SettingNeed::kRequired);
+             SettingPresence::kRequired);
   reader.Add("valid_from_ms", &raw.valid_from_ms, IntegerRange{0},
              "Start of validity in Unix milliseconds.");
   reader.Add("valid_until_ms", &raw.valid_until_ms, IntegerRange{0},
@@ -218,7 +218,7 @@
   if (!errors.empty()) {
     return errors;
   }
-  return SettingDocument{model.model.value(), EncodeWantedModel(model)};
+  return SettingDocument{model.model.value(), EncodeDesiredModel(model)};
 }
 
 }  // namespace gcw
--- a/protocol/cache_event_json.cc
+++ b/protocol/cache_event_json.cc
@@ -24,7 +24,7 @@
 CacheEvent ReadEvent(JsonReader& reader) {
   CacheEvent event;
   event.sequence = reader.Count("sequence");
-  event.kind = reader.OneOf("kind", kKinds);
+  event.kind = reader.Enum("kind", kKinds);
   event.block = ReadBlock(reader);
   return event;
 }
@@ -37,7 +37,7 @@
     events.push_back(
         boost::json::object{{"sequence", event.sequence},
                             {"kind", ChoiceToJson(event.kind, kKinds)},
-                            {"block", HexOf(event.block)}});
+                            {"block", ToHex(event.block)}});
   }
   return boost::json::serialize(
       boost::json::object{{"first", batch.first},
--- a/protocol/chat_event.cc
+++ b/protocol/chat_event.cc
@@ -66,12 +66,12 @@
   return json::serialize(event.body);
 }
 
-std::string WriteWholeAnswer(const RequestId& request,
-                             const ModelTarget& target,
-                             std::string_view content,
-                             std::string_view finish_reason,
-                             TokenCount prompt_tokens,
-                             TokenCount generated_tokens) {
+std::string WriteChatCompletion(const RequestId& request,
+                                const ModelTarget& target,
+                                std::string_view content,
+                                std::string_view finish_reason,
+                                TokenCount prompt_tokens,
+                                TokenCount generated_tokens) {
   const json::object message{{"role", "assistant"}, {"content", content}};
   const json::object choice{
       {"index", 0}, {"message", message}, {"finish_reason", finish_reason}};
--- a/protocol/chat_event.h
+++ b/protocol/chat_event.h
@@ -41,12 +41,12 @@
 std::string WriteCallerEvent(ChatEvent event, const RequestId& request);
 
 // Returns the complete answer to a request that did not ask for a stream.
-std::string WriteWholeAnswer(const RequestId& request,
-                             const ModelTarget& target,
-                             std::string_view content,
-                             std::string_view finish_reason,
-                             TokenCount prompt_tokens,
-                             TokenCount generated_tokens);
+std::string WriteChatCompletion(const RequestId& request,
+                                const ModelTarget& target,
+                                std::string_view content,
+                                std::string_view finish_reason,
+                                TokenCount prompt_tokens,
+                                TokenCount generated_tokens);
 
 // Returns a caller's chat request as it is sent to an engine: with all of the
 // caller's fields, but always as a stream, so that progress tracking and
--- a/protocol/chat_request.cc
+++ b/protocol/chat_request.cc
@@ -59,7 +59,7 @@
   return DecodeJson(text, ReadChatRequest);
 }
 
-std::string PromptOf(const ChatRequest& request) {
+std::string BuildPrompt(const ChatRequest& request) {
   std::string prompt;
   for (const ChatMessage& message : request.messages) {
     prompt += message.role;
@@ -70,7 +70,7 @@
   return prompt;
 }
 
-TokenCount PromptTokens(std::string_view prompt) {
+TokenCount EstimatePromptTokens(std::string_view prompt) {
   const std::size_t tokens =
       (prompt.size() + kBytesPerToken - 1) / kBytesPerToken;
   return TokenCount(static_cast<std::int64_t>(tokens));
--- a/protocol/chat_request.h
+++ b/protocol/chat_request.h
@@ -39,10 +39,10 @@
 
 // Builds the prompt that prefix blocks are computed from: for each message its
 // role, a colon, its content and a line feed.
-std::string PromptOf(const ChatRequest& request);
+std::string BuildPrompt(const ChatRequest& request);
 
 // Estimates the length of a prompt: one token per 4 bytes, rounded up.
-TokenCount PromptTokens(std::string_view prompt);
+TokenCount EstimatePromptTokens(std::string_view prompt);
 
 }  // namespace gcw
 
--- a/protocol/config_wire.cc
+++ b/protocol/config_wire.cc
@@ -11,7 +11,7 @@
   out->set_digest(digest.digest);
   out->set_floor(digest.floor.value());
   out->set_ready(digest.ready);
-  out->set_reply(digest.reply);
+  out->set_reply(digest.is_reply);
 }
 
 ConfigDigest Get(const wire::ConfigDigest& in, WireFieldChecker& checker) {
@@ -94,7 +94,7 @@
   for (const std::string& key : message.wanted) {
     out->add_wanted(key);
   }
-  out->set_more(message.more);
+  out->set_more(message.is_truncated);
   out->set_answers_pull(message.answers_pull);
 }
 
--- a/protocol/contract_json.cc
+++ b/protocol/contract_json.cc
@@ -61,7 +61,7 @@
   Contract contract;
   contract.id = reader.TextId<ContractId>("id");
   contract.customer = reader.String("customer");
-  contract.tier = reader.OneOf("tier", kTiers);
+  contract.tier = reader.Enum("tier", kTiers);
   if (reader.Has("rank")) {
     contract.rank = Rank(reader.Integer("rank"));
   }
--- a/protocol/desired_model_json.cc
+++ b/protocol/desired_model_json.cc
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-std::string EncodeWantedModel(const DesiredModel& model) {
+std::string EncodeDesiredModel(const DesiredModel& model) {
   boost::json::array targets;
   for (const auto& [zone, target] : model.targets) {
     targets.emplace_back(boost::json::object{{"zone", ToJson(zone)},
@@ -36,7 +36,7 @@
                           {"targets", targets}});
 }
 
-Decoded<DesiredModel> DecodeWantedModel(std::string_view text) {
+Decoded<DesiredModel> DecodeDesiredModel(std::string_view text) {
   return DecodeJson(text, [](JsonReader& reader) {
     DesiredModel model;
     model.model = reader.TextId<ModelId>("model");
--- a/protocol/desired_model_json.h
+++ b/protocol/desired_model_json.h
@@ -14,11 +14,11 @@
 //
 //   {"model":"notes","vms_per_group":4,"rank":1,
 //    "targets":[{"zone":"lj-1","wanted":2,"most":3}]}
-std::string EncodeWantedModel(const DesiredModel& model);
+std::string EncodeDesiredModel(const DesiredModel& model);
 
 // Rejects an empty model name, groups without VMs, negative numbers, a `most`
 // below `wanted`, and a zone that occurs twice.
-Decoded<DesiredModel> DecodeWantedModel(std::string_view text);
+Decoded<DesiredModel> DecodeDesiredModel(std::string_view text);
 
 }  // namespace gcw
 
--- a/protocol/domain_record_json.cc
+++ b/protocol/domain_record_json.cc
@@ -31,7 +31,7 @@
   group.id = reader.TextId<GroupId>("id");
   group.model = reader.TextId<ModelId>("model");
   group.generation = reader.CountOf<Generation>("generation");
-  group.state = reader.OneOf("state", kStates);
+  group.state = reader.Enum("state", kStates);
   for (std::string& vm : reader.Strings("members")) {
     group.members.emplace_back(std::move(vm));
   }
--- a/protocol/engine_order_json.cc
+++ b/protocol/engine_order_json.cc
@@ -37,7 +37,7 @@
 }
 
 EngineOrderReply ReadRefusal(JsonReader& reader) {
-  switch (reader.OneOf("error", kRefusals)) {
+  switch (reader.Enum("error", kRefusals)) {
     case OrderRefusal::kStaleFence:
       return EngineOrderStale{.seen = reader.CountOf<FencingToken>("seen")};
     case OrderRefusal::kBusy:
@@ -71,7 +71,7 @@
 Decoded<EngineOrder> DecodeEngineOrder(std::string_view text) {
   return DecodeJson(text, [](JsonReader& reader) {
     EngineOrder order;
-    order.kind = reader.OneOf("order", kKinds);
+    order.kind = reader.Enum("order", kKinds);
     order.group = reader.TextId<GroupId>("group");
     order.model = reader.TextId<ModelId>("model");
     order.generation = reader.CountOf<Generation>("generation");
--- a/protocol/engine_status_json.cc
+++ b/protocol/engine_status_json.cc
@@ -47,7 +47,7 @@
     status.model = reader.TextId<ModelId>("model");
     status.generation = reader.CountOf<Generation>("generation");
     status.rank = reader.Count("rank");
-    status.state = reader.OneOf("state", kStates);
+    status.state = reader.Enum("state", kStates);
     status.fence = reader.CountOf<FencingToken>("fence");
     status.members_seen = ReadVms(reader, "members_seen");
     status.active = reader.Count("active");
--- a/protocol/hex.cc
+++ b/protocol/hex.cc
@@ -9,7 +9,7 @@
 
 }  // namespace
 
-std::string HexOf(std::uint64_t number) {
+std::string ToHex(std::uint64_t number) {
   std::string text(kDigitCount, '0');
   for (std::size_t i = kDigitCount; i > 0; --i) {
     text[i - 1] = kDigits[number % kDigits.size()];
--- a/protocol/hex.h
+++ b/protocol/hex.h
@@ -9,7 +9,7 @@
 namespace gcw {
 
 // Returns 16 lower-case hexadecimal digits.
-std::string HexOf(std::uint64_t number);
+std::string ToHex(std::uint64_t number);
 // Returns nullopt unless `text` is exactly 16 lower-case hexadecimal digits.
 std::optional<std::uint64_t> ParseHex(std::string_view text);
 
--- a/protocol/json_reader.h
+++ b/protocol/json_reader.h
@@ -58,7 +58,7 @@
   Duration DurationMillis(std::string_view name);
 
   template <typename Choice, std::size_t kSize>
-  Choice OneOf(std::string_view name, const ChoiceNames<Choice, kSize>& names) {
+  Choice Enum(std::string_view name, const ChoiceNames<Choice, kSize>& names) {
     const std::string text = String(name);
     for (const auto& [choice, choice_name] : names) {
       if (choice_name == text) {
--- a/protocol/limit_wire.cc
+++ b/protocol/limit_wire.cc
@@ -53,14 +53,14 @@
   out->set_shard(report.shard.value());
   out->set_sequence(report.sequence.value());
   out->set_sent_at(report.sent_at.millis());
-  out->set_applied(report.applied.value());
+  out->set_applied(report.applied_sequence.value());
   if (report.echo) {
     Put(*report.echo, out->mutable_echo());
   }
-  for (const NodeId& node : report.ceding) {
+  for (const NodeId& node : report.ceding_nodes) {
     out->add_ceding(node.value());
   }
-  out->set_ceded_for_ms(report.ceded_for.millis());
+  out->set_ceded_for_ms(report.cession_duration.millis());
   out->set_weight(report.weight);
   for (const LimitDemand& demand : report.demands) {
     wire::LimitDemand* const added = out->add_demands();
@@ -80,15 +80,16 @@
   report.sequence =
       checker.CountOf<LimitSequence>(in.sequence(), "report.sequence");
   report.sent_at = checker.TimeMillis(in.sent_at(), "report.sent_at");
-  report.applied =
+  report.applied_sequence =
       checker.CountOf<LimitSequence>(in.applied(), "report.applied");
   if (in.has_echo()) {
     report.echo = Get(in.echo(), checker);
   }
   for (const std::string& node : in.ceding()) {
-    report.ceding.push_back(checker.RequiredId<NodeId>(node, "report.ceding"));
+    report.ceding_nodes.push_back(
+        checker.RequiredId<NodeId>(node, "report.ceding"));
   }
-  report.ceded_for =
+  report.cession_duration =
       checker.DurationMillis(in.ceded_for_ms(), "report.ceded_for_ms");
   report.weight = checker.Count(in.weight(), "report.weight");
   for (const wire::LimitDemand& demand : in.demands()) {
--- a/protocol/once_wire.cc
+++ b/protocol/once_wire.cc
@@ -34,7 +34,7 @@
   out->set_claim(message.claim.value());
   out->set_key(message.key.value());
   out->set_fingerprint(static_cast<std::uint64_t>(message.fingerprint.value()));
-  out->set_runs_at_most_ms(message.runs_at_most.millis());
+  out->set_runs_at_most_ms(message.max_run_duration.millis());
   out->set_seen(message.seen.value());
 }
 
@@ -44,12 +44,12 @@
                  [out](const OnceReplayed& replayed) {
                    Put(replayed.answer, out->mutable_replayed());
                  },
-                 [out](OnceAnswerGone) { out->mutable_answer_gone(); },
+                 [out](OnceAnswerEvicted) { out->mutable_answer_gone(); },
                  [out](OnceEarlierUnknown) { out->mutable_earlier_unknown(); },
                  [out](OnceStillRunning) { out->mutable_still_running(); },
                  [out](OnceMismatch) { out->mutable_mismatch(); },
                  [out](OnceUndecided) { out->mutable_undecided(); },
-                 [out](const OnceElsewhere& elsewhere) {
+                 [out](const OnceRedirect& elsewhere) {
                    out->set_elsewhere(elsewhere.owner.value());
                  }},
       verdict);
@@ -90,7 +90,7 @@
     case wire::OnceClaimReply::kReplayed:
       return OnceReplayed{Get(in.replayed(), checker)};
     case wire::OnceClaimReply::kAnswerGone:
-      return OnceAnswerGone{};
+      return OnceAnswerEvicted{};
     case wire::OnceClaimReply::kEarlierUnknown:
       return OnceEarlierUnknown{};
     case wire::OnceClaimReply::kStillRunning:
@@ -100,7 +100,7 @@
     case wire::OnceClaimReply::kUndecided:
       return OnceUndecided{};
     case wire::OnceClaimReply::kElsewhere:
-      return OnceElsewhere{
+      return OnceRedirect{
           checker.RequiredId<NodeId>(in.elsewhere(), "elsewhere")};
     case wire::OnceClaimReply::VERDICT_NOT_SET:
       break;
--- a/protocol/prefix_blocks.cc
+++ b/protocol/prefix_blocks.cc
@@ -33,7 +33,7 @@
   return blocks;
 }
 
-std::uint64_t HashOf(std::string_view text) {
+std::uint64_t Xxh3Hash(std::string_view text) {
   return XXH3_64bits(text.data(), text.size());
 }
 
--- a/protocol/prefix_blocks.h
+++ b/protocol/prefix_blocks.h
@@ -17,7 +17,7 @@
 std::vector<std::uint64_t> PrefixBlocks(std::string_view prompt);
 
 // Returns the XXH3-64 hash of `text` with seed 0.
-std::uint64_t HashOf(std::string_view text);
+std::uint64_t Xxh3Hash(std::string_view text);
 
 }  // namespace gcw
 
--- a/protocol/event_cutter.cc
+++ b/protocol/sse_event_splitter.cc
@@ -1,4 +1,4 @@
-#include "protocol/event_cutter.h"
+#include "protocol/sse_event_splitter.h"
 
 #include <charconv>
 
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-std::optional<std::string_view> EventCutter::Feed(std::string_view bytes) {
+std::optional<std::string_view> SseEventSplitter::Feed(std::string_view bytes) {
   if (failed_) {
     return std::nullopt;
   }
@@ -40,7 +40,7 @@
   return std::string_view(buffer_).substr(0, returned_bytes_);
 }
 
-bool EventCutter::ReadEventId(std::string_view event) {
+bool SseEventSplitter::ReadEventId(std::string_view event) {
   std::size_t position = 0;
   while (position < event.size()) {
     const std::size_t end = event.find('\n', position);
--- a/protocol/event_cutter.h
+++ b/protocol/sse_event_splitter.h
@@ -1,5 +1,5 @@
-#ifndef PROTOCOL_EVENT_CUTTER_H_
-#define PROTOCOL_EVENT_CUTTER_H_
+#ifndef PROTOCOL_SSE_EVENT_SPLITTER_H_
+#define PROTOCOL_SSE_EVENT_SPLITTER_H_
 
 #include <cstdint>
 #include <optional>
@@ -12,14 +12,14 @@
 // byte, and tracks their ids. An endpoint may fail in the middle of an event.
 // If the caller had already received the beginning of that event, it could not
 // be continued with the events of another run.
-class EventCutter {
+class SseEventSplitter {
  public:
   // Bounds the buffer: an endpoint that never ends an event would otherwise
   // exhaust the memory.
   static constexpr std::size_t kMaxEventBytes = 1024UL * 1024;
 
   // `resumed_after` is the id of the last event that the caller has, if any.
-  explicit EventCutter(std::optional<std::int64_t> resumed_after)
+  explicit SseEventSplitter(std::optional<std::int64_t> resumed_after)
       : last_id_(resumed_after) {}
 
   // Returns the events that `bytes` completes; the view is valid until the next
@@ -31,7 +31,7 @@
   // The id of the last whole event.
   std::optional<std::int64_t> last_id() const { return last_id_; }
   // True if the buffer holds the beginning of an unfinished event.
-  bool has_rest() const { return returned_bytes_ < buffer_.size(); }
+  bool has_partial_event() const { return returned_bytes_ < buffer_.size(); }
 
  private:
   bool ReadEventId(std::string_view event);
@@ -45,4 +45,4 @@
 
 }  // namespace gcw
 
-#endif  // PROTOCOL_EVENT_CUTTER_H_
+#endif  // PROTOCOL_SSE_EVENT_SPLITTER_H_
--- a/protocol/vm_list_json.cc
+++ b/protocol/vm_list_json.cc
@@ -30,8 +30,8 @@
 VmEntry ReadVm(JsonReader& reader) {
   VmEntry vm;
   vm.id = reader.TextId<VmId>("id");
-  vm.state = reader.OneOf("state", kStates);
-  vm.purpose = reader.OneOf("purpose", kPurposes);
+  vm.state = reader.Enum("state", kStates);
+  vm.purpose = reader.Enum("purpose", kPurposes);
   vm.domain = reader.TextId<FabricDomainId>("domain");
   vm.zone = reader.TextId<ZoneId>("zone");
   vm.address = reader.TextId<Address>("address");
--- a/tests/coordination/admission/admission_test.cc
+++ b/tests/coordination/admission/admission_test.cc
@@ -17,7 +17,7 @@
  protected:
   AdmissionTest() {
     LimitSettings limit_settings;
-    limit_settings.floor_nodes = 1;
+    limit_settings.min_floor_nodes = 1;
     // The node started long ago, so that it uses its floor without an owner.
     // The floor of a single node is the whole limit.
     limits_ = std::make_unique<Limits>(
@@ -76,7 +76,7 @@
            .paid = paid_here,
            .cache_share = 0});
     }
-    return admission_->OnCapacity(now_, kModel, headroom);
+    return admission_->OnHeadroom(now_, kModel, headroom);
   }
   static RefusalKind KindOf(const std::vector<AdmissionAction>& actions) {
     return std::get<Refuse>(actions.at(0)).refusal.kind;
--- a/tests/coordination/at_most_once/once_failure_test.cc
+++ b/tests/coordination/at_most_once/once_failure_test.cc
@@ -54,9 +54,9 @@
   const RequestId second = world.SendKey((owner + 2) % 3, "key");
   world.Run(Duration::Seconds(20));
   EXPECT_EQ(world.Executions("key"), 1);
-  EXPECT_EQ(Find(world, first).told, Told::kAnswered);
+  EXPECT_EQ(Find(world, first).outcome, SendOutcome::kAnswered);
   // The new owner learns the answer from the first sender's report.
-  EXPECT_EQ(Find(world, second).told, Told::kReplayed);
+  EXPECT_EQ(Find(world, second).outcome, SendOutcome::kReplayed);
   EXPECT_EQ(world.violation(), "");
 }
 
@@ -77,8 +77,8 @@
   world.Run(Duration::Seconds(90));
   const RequestId second = world.SendKey((sender + 1) % 3, "key");
   world.Run(Duration::Seconds(30));
-  EXPECT_EQ(Find(world, second).told, Told::kAnswered);
-  EXPECT_EQ(Find(world, first).told, Told::kNotRun);
+  EXPECT_EQ(Find(world, second).outcome, SendOutcome::kAnswered);
+  EXPECT_EQ(Find(world, first).outcome, SendOutcome::kNotRun);
   EXPECT_EQ(world.Executions("key"), 1);
   EXPECT_EQ(world.violation(), "");
 }
@@ -102,7 +102,7 @@
   const RequestId again = world.SendKey(alive, "key3");
   world.Run(Duration::Seconds(10));
   EXPECT_EQ(world.Executions("key3"), 1);
-  EXPECT_EQ(Find(world, again).told, Told::kNotRun);
+  EXPECT_EQ(Find(world, again).outcome, SendOutcome::kNotRun);
 
   // After an operator accepts the loss, keys that are not in the journal are
   // still refused.
@@ -115,7 +115,7 @@
   const RequestId later = world.SendKey(alive, "key3");
   world.Run(Duration::Seconds(10));
   EXPECT_EQ(world.Executions("key3"), 1);
-  EXPECT_NE(Find(world, later).told, Told::kAnswered);
+  EXPECT_NE(Find(world, later).outcome, SendOutcome::kAnswered);
   EXPECT_EQ(world.violation(), "");
 }
 
@@ -136,10 +136,10 @@
   world.Run(Duration::Seconds(10));
   const RequestId second = world.SendKey(2, issued);
   world.Run(Duration::Seconds(10));
-  EXPECT_EQ(Find(world, first).told, Told::kAnswered);
-  EXPECT_EQ(Find(world, second).told, Told::kReplayed);
-  EXPECT_EQ(Find(world, known).told, Told::kReplayed);
-  EXPECT_EQ(Find(world, fresh).told, Told::kNotRun);
+  EXPECT_EQ(Find(world, first).outcome, SendOutcome::kAnswered);
+  EXPECT_EQ(Find(world, second).outcome, SendOutcome::kReplayed);
+  EXPECT_EQ(Find(world, known).outcome, SendOutcome::kReplayed);
+  EXPECT_EQ(Find(world, fresh).outcome, SendOutcome::kNotRun);
   EXPECT_EQ(Find(world, fresh).refusal, RefusalKind::kOnceUnavailable);
   EXPECT_EQ(world.violation(), "");
 }
@@ -201,7 +201,7 @@
   const RequestId again = world.SendKey(0, key);
   const RequestId guessed = world.SendKey(0, "gcw1.n1.2.1.12345");
   world.Run(Duration::Seconds(10));
-  EXPECT_EQ(Find(world, again).told, Told::kEarlier);
+  EXPECT_EQ(Find(world, again).outcome, SendOutcome::kEarlier);
   EXPECT_EQ(Find(world, guessed).refusal, RefusalKind::kOnceMismatch);
   EXPECT_EQ(world.Executions(key), 1);
 }
@@ -214,8 +214,8 @@
   const RequestId second = world.SendKey(1, "key");
   world.Run(Duration::Seconds(5));
   EXPECT_EQ(world.Executions("key"), 1);
-  EXPECT_TRUE((Find(world, first).told == Told::kAnswered) !=
-              (Find(world, second).told == Told::kAnswered));
+  EXPECT_TRUE((Find(world, first).outcome == SendOutcome::kAnswered) !=
+              (Find(world, second).outcome == SendOutcome::kAnswered));
 }
 
 // Guards against refusals after a planned stop: the stopping owner must release
@@ -232,7 +232,7 @@
   world.Run(Duration::Seconds(5));
   const RequestId again = world.SendKey((owner + 1) % 3, "key");
   world.Run(Duration::Seconds(2));
-  EXPECT_EQ(Find(world, again).told, Told::kEarlier);
+  EXPECT_EQ(Find(world, again).outcome, SendOutcome::kEarlier);
   EXPECT_EQ(world.violation(), "");
 }
 
--- a/tests/coordination/at_most_once/once_random_test.cc
+++ b/tests/coordination/at_most_once/once_random_test.cc
@@ -57,9 +57,9 @@
     case FaultKind::kPause:
       return world.Pause(fault.node, length);
     case FaultKind::kCut:
-      return world.Cut(fault.node, length / 2);
+      return world.Partition(fault.node, length / 2);
     case FaultKind::kCutFromStore:
-      return world.CutFromStore(fault.node, length);
+      return world.PartitionFromStore(fault.node, length);
     case FaultKind::kSuspect:
       return world.Suspect(fault.node, length / 2);
     case FaultKind::kOutage:
@@ -88,14 +88,14 @@
 
 void RunRandomFaults(OnceWorldSettings settings) {
   OnceWorld world(settings);
-  world.network().faults().lost = *rc::gen::element(0.0, 0.05, 0.3);
-  world.network().faults().doubled = *rc::gen::element(0.0, 0.2);
+  world.network().faults().loss_rate = *rc::gen::element(0.0, 0.05, 0.3);
+  world.network().faults().duplication_rate = *rc::gen::element(0.0, 0.2);
   world.network().faults().max_delay =
       Duration::Millis(*rc::gen::element(3, 300, 4000));
-  world.store().faults().reply_lost = *rc::gen::element(0.0, 0.2);
-  world.store().faults().request_lost = *rc::gen::element(0.0, 0.1);
-  world.store().faults().busy = *rc::gen::element(0.0, 0.2);
-  world.store().faults().stale_read = *rc::gen::element(0.0, 0.3);
+  world.store().faults().reply_loss_rate = *rc::gen::element(0.0, 0.2);
+  world.store().faults().request_loss_rate = *rc::gen::element(0.0, 0.1);
+  world.store().faults().busy_rate = *rc::gen::element(0.0, 0.2);
+  world.store().faults().stale_read_rate = *rc::gen::element(0.0, 0.3);
   world.store().faults().max_delay =
       Duration::Millis(*rc::gen::element(5, 1500));
   const auto faults = *rc::gen::container<std::vector<Fault>>(AnyFault());
--- a/tests/coordination/configuration/config_property_test.cc
+++ b/tests/coordination/configuration/config_property_test.cc
@@ -43,7 +43,7 @@
     for (int round = 0; round < 50; ++round) {
       bool open = false;
       for (const ConfigChange& change : changes_) {
-        if (!IsFinal(change.change) && !IsForgotten(change)) {
+        if (!IsFinal(change.id) && !IsForgotten(change)) {
           open = true;
           ProposeAgain(0, change);
         }
@@ -65,17 +65,18 @@
     }
     std::set<std::pair<std::string, Revision>> accepted_versions;
     for (const ConfigChange& change : changes_) {
-      const auto it = cluster_.outcomes().find(change.change);
+      const auto it = cluster_.outcomes().find(change.id);
       if (it == cluster_.outcomes().end()) {
         continue;
       }
-      const auto& revisions = written[change.change];
+      const auto& revisions = written[change.id];
       RC_ASSERT(revisions.size() <= 1U);
       if (const auto* accepted = std::get_if<ChangeAccepted>(&it->second)) {
         RC_ASSERT(revisions == std::vector<Revision>{accepted->revision});
         // At most one change is accepted for each version of a key.
         RC_ASSERT(
-            accepted_versions.emplace(change.key, change.expected).second);
+            accepted_versions.emplace(change.key, change.expected_revision)
+                .second);
       } else if (std::holds_alternative<ChangeConflict>(it->second)) {
         RC_ASSERT(revisions.empty());
       }
@@ -94,9 +95,10 @@
   bool IsForgotten(const ConfigChange& change) const {
     std::size_t later = 0;
     for (const FakeStore::Change& write : cluster_.link().store().changes()) {
-      later += write.key == change.key && write.revision > change.expected;
+      later +=
+          write.key == change.key && write.revision > change.expected_revision;
     }
-    const auto it = cluster_.outcomes().find(change.change);
+    const auto it = cluster_.outcomes().find(change.id);
     return later >= ConfigRecord::kHistoryLimit &&
            it != cluster_.outcomes().end() &&
            std::get<ChangeUnavailable>(it->second).kind ==
@@ -104,7 +106,7 @@
   }
 
   void ProposeAgain(std::size_t node, const ConfigChange& change) {
-    if (!IsFinal(change.change)) {
+    if (!IsFinal(change.id)) {
       cluster_.Propose(node, change);
     }
   }
@@ -130,21 +132,21 @@
       cluster.link().SetOutage(cluster.now(), !faults.outage);
       break;
     case 3:
-      faults.reply_lost = DrawUnit(random) / 2;
-      faults.request_lost = DrawUnit(random) / 4;
+      faults.reply_loss_rate = DrawUnit(random) / 2;
+      faults.request_loss_rate = DrawUnit(random) / 4;
       break;
     case 4:
-      faults.busy = DrawUnit(random) / 2;
+      faults.busy_rate = DrawUnit(random) / 2;
       faults.max_delay = Duration::Millis(
           static_cast<std::int64_t>(DrawBelow(random, 5000)) + 1);
       break;
     case 5:
       cluster.link().Snapshot();
-      faults.stale_read = DrawUnit(random) / 4;
+      faults.stale_read_rate = DrawUnit(random) / 4;
       break;
     case 6:
-      network.lost = DrawUnit(random) / 2;
-      network.doubled = DrawUnit(random) / 2;
+      network.loss_rate = DrawUnit(random) / 2;
+      network.duplication_rate = DrawUnit(random) / 2;
       network.max_delay = Duration::Millis(
           static_cast<std::int64_t>(DrawBelow(random, 20000)) + 1);
       break;
--- a/tests/coordination/configuration/config_sync_test.cc
+++ b/tests/coordination/configuration/config_sync_test.cc
@@ -24,7 +24,7 @@
   cluster.network().SetConnected([nodes](const NodeId& a, const NodeId& b) {
     return nodes.contains(a) == nodes.contains(b);
   });
-  cluster.link().SetReaches([nodes](const std::string& caller) {
+  cluster.link().SetReachable([nodes](const std::string& caller) {
     return !nodes.contains(NodeId("n" + caller.substr(0, caller.find('/'))));
   });
 }
@@ -88,12 +88,12 @@
 TEST(ConfigSyncTest, LostAnswerIsSettledAfterAnotherChangeFollowed) {
   ConfigCluster cluster(2, 4);
   cluster.Run(Duration::Seconds(5));
-  cluster.link().faults().reply_lost = 1;
+  cluster.link().faults().reply_loss_rate = 1;
   const ChangeId first = cluster.Propose(0, kKey, "a", Revision());
   cluster.Run(Duration::Millis(100));
   ASSERT_EQ(cluster.link().store().entries().count(kKey), 1U);
   const Revision written = cluster.link().store().entries().at(kKey).revision;
-  cluster.link().faults().reply_lost = 0;
+  cluster.link().faults().reply_loss_rate = 0;
   EXPECT_GT(AcceptedRevision(cluster.Settle(1, kKey, "b", written)), written);
   cluster.Run(Duration::Seconds(10));
   EXPECT_EQ(AcceptedRevision(cluster.outcomes().at(first)), written);
@@ -105,7 +105,7 @@
 TEST(ConfigSyncTest, RepeatingAChangeThroughAnotherNodeSettlesIt) {
   ConfigCluster cluster(3, 5);
   cluster.Run(Duration::Seconds(5));
-  cluster.link().faults().reply_lost = 1;
+  cluster.link().faults().reply_loss_rate = 1;
   const ChangeId change = cluster.Propose(0, kKey, "a", Revision());
   cluster.Run(Duration::Millis(100));
   cluster.link().SetOutage(cluster.now(), true);
@@ -115,7 +115,7 @@
   ASSERT_NE(unavailable, nullptr);
   EXPECT_EQ(unavailable->kind, ChangeUnavailableKind::kOutcomeUnknown);
   cluster.link().SetOutage(cluster.now(), false);
-  cluster.link().faults().reply_lost = 0;
+  cluster.link().faults().reply_loss_rate = 0;
   cluster.Propose(1, {kKey, "a", Revision(), change, true});
   cluster.Run(Duration::Seconds(5));
   EXPECT_EQ(AcceptedRevision(cluster.outcomes().at(change)),
@@ -128,11 +128,11 @@
 TEST(ConfigSyncTest, ChangeOutsideTheHistoryHasUnknownOutcome) {
   ConfigCluster cluster(3, 14);
   cluster.Run(Duration::Seconds(5));
-  cluster.link().faults().reply_lost = 1;
+  cluster.link().faults().reply_loss_rate = 1;
   const ChangeId change = cluster.Propose(0, kKey, "a", Revision());
   cluster.Run(Duration::Millis(100));
   cluster.Restart(0);
-  cluster.link().faults().reply_lost = 0;
+  cluster.link().faults().reply_loss_rate = 0;
   Revision at = cluster.link().store().entries().at(kKey).revision;
   for (int i = 0; i < 9; ++i) {
     at = AcceptedRevision(cluster.Settle(1, kKey, "v" + std::to_string(i), at));
@@ -231,7 +231,7 @@
 // and from a current one only after a pause and lost messages.
 TEST_F(EmptyStartTest, IsNotReadyBeforeItHoldsTheNewestReachableVersion) {
   ConnectOnly({NodeId("n0"), NodeId("n1"), NodeId("n2")});
-  cluster_.network().faults().lost = 0.1;
+  cluster_.network().faults().loss_rate = 0.1;
   for (int round = 0; round < 50; ++round) {
     cluster_.Restart(0);
     cluster_.nodes()[2].paused = true;
@@ -332,9 +332,9 @@
   cluster.Run(Duration::Seconds(5));
   cluster.link().Snapshot();
   cluster.Settle(0, kKey, "a", Revision());
-  cluster.link().faults().stale_read = 0.3;
+  cluster.link().faults().stale_read_rate = 0.3;
   cluster.Run(Duration::Seconds(300));
-  cluster.link().faults().stale_read = 1;
+  cluster.link().faults().stale_read_rate = 1;
   cluster.Run(Duration::Seconds(60));
   EXPECT_EQ(cluster.events(EventKind::kStoreRolledBack), 0);
   EXPECT_TRUE(cluster.Converged());
--- a/tests/coordination/groups/group_controller_test.cc
+++ b/tests/coordination/groups/group_controller_test.cc
@@ -154,9 +154,9 @@
 // read back shows that the write took effect.
 TEST(GroupControllerTest, ReadsBackAfterLostWriteReplies) {
   GroupsWorld world(3, true);
-  world.link().faults().reply_lost = 0.5;
+  world.link().faults().reply_loss_rate = 0.5;
   ASSERT_EQ(RunChecked(world, Duration::Seconds(60)), "");
-  world.link().faults().reply_lost = 0;
+  world.link().faults().reply_loss_rate = 0;
   ASSERT_EQ(RunChecked(world, Duration::Seconds(30)), "");
   EXPECT_EQ(CountServing(world), 3);
 }
@@ -192,9 +192,9 @@
       vms_.push_back(vm);
     }
     auto& faults = world.link().faults();
-    faults.request_lost = 0.05;
-    faults.reply_lost = 0.05;
-    faults.busy = 0.05;
+    faults.request_loss_rate = 0.05;
+    faults.reply_loss_rate = 0.05;
+    faults.busy_rate = 0.05;
   }
 
   void InjectFault() {
@@ -236,7 +236,7 @@
         return;
       default:
         world_.link().Snapshot();
-        world_.link().faults().stale_read = 0.3;
+        world_.link().faults().stale_read_rate = 0.3;
     }
   }
 
@@ -254,7 +254,7 @@
     }
     world_.unlisted().clear();
     world_.link().SetOutage(world_.now(), false);
-    world_.link().faults().stale_read = 0;
+    world_.link().faults().stale_read_rate = 0;
   }
 
  private:
--- a/tests/coordination/groups/serving_gate_test.cc
+++ b/tests/coordination/groups/serving_gate_test.cc
@@ -203,8 +203,8 @@
   GroupsWorld world(seed, true);
   GateMonitor monitor(world);
   const Random random = SeededRandom(seed + 5);
-  world.network().faults().lost = 0.1;
-  world.network().faults().doubled = 0.1;
+  world.network().faults().loss_rate = 0.1;
+  world.network().faults().duplication_rate = 0.1;
   world.network().faults().max_delay = Duration::Millis(800);
   std::string violation = monitor.Run(Duration::Seconds(25));
   std::vector<VmId> vms;
--- a/tests/coordination/limits/limit_relay_test.cc
+++ b/tests/coordination/limits/limit_relay_test.cc
@@ -19,7 +19,7 @@
   static LimitSettings Settings() {
     LimitSettings settings;
     settings.shards = 1;
-    settings.relay_above_nodes = 1;
+    settings.max_direct_nodes = 1;
     return settings;
   }
 
@@ -29,10 +29,10 @@
             .shard = shard_,
             .sequence = LimitSequence(sequence),
             .sent_at = now_,
-            .applied = LimitSequence(sequence - 1),
+            .applied_sequence = LimitSequence(sequence - 1),
             .echo = {},
-            .ceding = {},
-            .ceded_for = {},
+            .ceding_nodes = {},
+            .cession_duration = {},
             .weight = 1,
             .demands = {{contract_, LimitVector::Uniform(1), 0}}};
   }
@@ -78,19 +78,19 @@
   GrantToRelay(NextReport(), 0.8);
   relay_.OnReport(now_, LeafReport(2));
   const LimitReport second = NextReport();
-  EXPECT_EQ(second.applied, LimitSequence(1));
+  EXPECT_EQ(second.applied_sequence, LimitSequence(1));
   GrantToRelay(second, 0.3);
   const LimitReport third = NextReport();
-  EXPECT_EQ(third.applied, LimitSequence(1));
+  EXPECT_EQ(third.applied_sequence, LimitSequence(1));
   GrantToRelay(third, 0.3);
   relay_.OnReport(now_, LeafReport(3));
   relay_.OnReport(now_, LeafReport(4));
-  EXPECT_EQ(NextReport().applied, LimitSequence(3));
+  EXPECT_EQ(NextReport().applied_sequence, LimitSequence(3));
 }
 
 TEST(LimitRelayTest, SharesFollowDemandThroughRelays) {
   LimitSettings settings;
-  settings.relay_above_nodes = 4;
+  settings.max_direct_nodes = 4;
   settings.max_nodes_per_relay = 3;
   LimitsFleet fleet(12, settings, TestContract("team", 80, 8000, 16), 5);
   fleet.AssignRole(0, Duration::Seconds(3600));
--- a/tests/coordination/limits/limits_property_test.cc
+++ b/tests/coordination/limits/limits_property_test.cc
@@ -19,8 +19,8 @@
 LimitSettings SettingsFor(std::size_t nodes, bool relays) {
   LimitSettings settings;
   settings.shards = 2;
-  settings.floor_nodes = static_cast<std::int64_t>(nodes);
-  settings.relay_above_nodes = relays ? 1 : 100;
+  settings.min_floor_nodes = static_cast<std::int64_t>(nodes);
+  settings.max_direct_nodes = relays ? 1 : 100;
   settings.max_nodes_per_relay = 2;
   return settings;
 }
@@ -38,8 +38,8 @@
         settings_(SettingsFor(nodes, relays)),
         fleet_(nodes, settings_, TestContract("c", 40, 900, 7), seed) {
     auto& faults = fleet_.network().faults();
-    faults.lost = 0.3 * DrawUnit(fleet_.random());
-    faults.doubled = 0.3 * DrawUnit(fleet_.random());
+    faults.loss_rate = 0.3 * DrawUnit(fleet_.random());
+    faults.duplication_rate = 0.3 * DrawUnit(fleet_.random());
     // Long delays make grants expire in transit; short ones let shares settle
     // between faults.
     const std::uint64_t delays = DrawUnit(fleet_.random()) < 0.3 ? 1500 : 60;
