--- a/tests/coordination/membership/membership_test.cc
+++ b/tests/coordination/membership/membership_test.cc
@@ -31,7 +31,7 @@
 TEST(MembershipTest, NodesFindEachOtherThroughTheStore) {
   MemberCluster cluster(10, 1);
   cluster.Run(Duration::Seconds(5));
-  EXPECT_TRUE(cluster.Agrees());
+  EXPECT_TRUE(cluster.HasConverged());
   EXPECT_EQ(cluster.changes(MemberState::kSuspect), 0);
 }
 
@@ -48,7 +48,7 @@
     cluster.RestartUnregistered(i);
   }
   RegisterLate(cluster);
-  EXPECT_TRUE(cluster.Agrees());
+  EXPECT_TRUE(cluster.HasConverged());
 }
 
 // The same with nodes that restart under their old ids, while the keys of their
@@ -64,7 +64,7 @@
     cluster.RestartUnregistered(i);
   }
   RegisterLate(cluster);
-  EXPECT_TRUE(cluster.Agrees());
+  EXPECT_TRUE(cluster.HasConverged());
 }
 
 // Guards against callers and work being sent to a dead node because no node
@@ -74,7 +74,7 @@
   cluster.Run(Duration::Seconds(10));
   cluster.nodes()[7].up = false;
   cluster.Run(Duration::Seconds(25));
-  EXPECT_EQ(cluster.Seeing(7, MemberState::kDead), 19U);
+  EXPECT_EQ(cluster.CountNodesSeeing(7, MemberState::kDead), 19U);
   EXPECT_EQ(cluster.changes(MemberState::kDead), 19);
 }
 
@@ -96,10 +96,10 @@
 TEST(MembershipTest, LossyNetworkMarksNoNodeDead) {
   MemberCluster cluster(20, 4);
   cluster.Run(Duration::Seconds(5));
-  cluster.network().faults().lost = 0.1;
+  cluster.network().faults().loss_rate = 0.1;
   cluster.Run(Duration::Seconds(600));
   EXPECT_EQ(cluster.changes(MemberState::kDead), 0);
-  EXPECT_TRUE(cluster.Agrees());
+  EXPECT_TRUE(cluster.HasConverged());
 }
 
 // Guards against a node that reports healthy nodes as dead when it resumes
@@ -128,10 +128,10 @@
   cluster.Run(Duration::Seconds(10));
   cluster.nodes()[3].paused = true;
   cluster.Run(Duration::Seconds(60));
-  EXPECT_EQ(cluster.Seeing(3, MemberState::kDead), 9U);
+  EXPECT_EQ(cluster.CountNodesSeeing(3, MemberState::kDead), 9U);
   cluster.nodes()[3].paused = false;
   cluster.Run(Duration::Seconds(20));
-  EXPECT_TRUE(cluster.Agrees());
+  EXPECT_TRUE(cluster.HasConverged());
 }
 
 // Guards against the halves of a healed partition never seeing each other
@@ -146,10 +146,10 @@
   }
   SetPartition(cluster, half);
   cluster.Run(Duration::Seconds(3600));
-  EXPECT_EQ(cluster.Seeing(0, MemberState::kDead), 10U);
+  EXPECT_EQ(cluster.CountNodesSeeing(0, MemberState::kDead), 10U);
   SetPartition(cluster, {});
   cluster.Run(Duration::Seconds(60));
-  EXPECT_TRUE(cluster.Agrees());
+  EXPECT_TRUE(cluster.HasConverged());
 }
 
 // Guards against a node that is alone or rejected as outdated when it restarts
@@ -161,13 +161,13 @@
   cluster.link().SetOutage(cluster.now(), true);
   cluster.nodes()[9].up = false;
   cluster.Run(Duration::Seconds(30));
-  ASSERT_EQ(cluster.Seeing(9, MemberState::kDead), 9U);
+  ASSERT_EQ(cluster.CountNodesSeeing(9, MemberState::kDead), 9U);
   cluster.nodes()[9].record.caller_address = Address("10.0.0.9:8000");
   cluster.Restart(9, {cluster.nodes()[2].record});
   cluster.Run(Duration::Seconds(6));
   EXPECT_EQ(cluster.nodes()[9].members->view().Owners().size(), 10U);
   cluster.Run(Duration::Seconds(30));
-  EXPECT_TRUE(cluster.Agrees());
+  EXPECT_TRUE(cluster.HasConverged());
   EXPECT_EQ(cluster.nodes()[0]
                 .members->view()
                 .Find(NodeId("n9"))
@@ -183,7 +183,7 @@
   cluster.Leave(5);
   const EntryDirectory directory({}, NodeId("n0"), SeededRandom(1));
   cluster.Run(Duration::Seconds(2));
-  EXPECT_EQ(cluster.Seeing(5, MemberState::kLeaving), 59U);
+  EXPECT_EQ(cluster.CountNodesSeeing(5, MemberState::kLeaving), 59U);
   for (int i = 0; i < 20; ++i) {
     const View& view = cluster.nodes()[0].members->view();
     for (const EntryAddress& entry : directory.SelectEntries(view).entries) {
@@ -198,8 +198,8 @@
 TEST(MembershipTest, DeltaReachesEveryNodeOnce) {
   MemberCluster cluster(40, 10);
   cluster.Run(Duration::Seconds(10));
-  cluster.network().faults().lost = 0.1;
-  cluster.network().faults().doubled = 0.2;
+  cluster.network().faults().loss_rate = 0.1;
+  cluster.network().faults().duplication_rate = 0.2;
   const FingerprintDelta block{.fingerprint = Fingerprint(42),
                                .blocked = true,
                                .losses = 2,
@@ -250,8 +250,8 @@
         node.paused ^= true;
         break;
       case 3:
-        faults.lost = DrawUnit(random) / 2;
-        faults.doubled = DrawUnit(random) / 2;
+        faults.loss_rate = DrawUnit(random) / 2;
+        faults.duplication_rate = DrawUnit(random) / 2;
         faults.max_delay = Duration::Millis(
             static_cast<std::int64_t>(DrawBelow(random, 3000)) + 1);
         break;
@@ -275,7 +275,7 @@
     }
   }
   cluster.Run(Duration::Seconds(90));
-  RC_ASSERT(cluster.Agrees());
+  RC_ASSERT(cluster.HasConverged());
 }
 
 }  // namespace
--- a/tests/coordination/node/node_core_test.cc
+++ b/tests/coordination/node/node_core_test.cc
@@ -145,7 +145,7 @@
   const GroupId group = victim->loaded.group;
   victim->alive = false;
   fleet_.RunFor(Duration::Seconds(5));
-  for (const EndpointView& endpoint :
+  for (const EndpointStatus& endpoint :
        fleet_.core("n1").Endpoints(fleet_.now())) {
     EXPECT_NE(endpoint.id, ServingGate::EndpointOf(group));
   }
@@ -165,7 +165,7 @@
     fleet_.RunFor(Duration::Seconds(3));
     ASSERT_TRUE(fleet_.final_actions.contains(again)) << node;
     EXPECT_TRUE(
-        std::holds_alternative<TellReplay>(fleet_.final_actions.at(again)));
+        std::holds_alternative<RespondReplay>(fleet_.final_actions.at(again)));
   }
   EXPECT_EQ(executions(), before);
 }
@@ -184,7 +184,7 @@
     fleet_.RunFor(Duration::Millis(200));
     ASSERT_TRUE(fleet_.final_actions.contains(request));
     const auto* refused =
-        std::get_if<TellRefused>(&fleet_.final_actions.at(request));
+        std::get_if<RespondRefused>(&fleet_.final_actions.at(request));
     ASSERT_NE(refused, nullptr);
     EXPECT_EQ(refused->refusal.kind, RefusalKind::kUnknownKey);
   }
@@ -194,10 +194,11 @@
   StartFleet();
   const RequestId request =
       SendRequest("n3", ModelTarget{ModelId("notes"), {}});
-  fleet_.Deliver(NodeId("n3"), StopAsked{});
+  fleet_.Deliver(NodeId("n3"), StopRequested{});
   fleet_.RunFor(Duration::Seconds(1));
   EXPECT_TRUE(fleet_.answered.contains(request));
-  for (const EntryAddress& entry : fleet_.core("n1").Entries().entries) {
+  for (const EntryAddress& entry :
+       fleet_.core("n1").AdvertisedAddresses().entries) {
     EXPECT_NE(entry.address, Address("n3:caller"));
   }
   // Callers that have the address cached are still served until the cached copy
--- a/tests/coordination/requests/fingerprint_guard_test.cc
+++ b/tests/coordination/requests/fingerprint_guard_test.cc
@@ -172,7 +172,7 @@
                        }
                      },
                      [&](const GuardRefuse& refuse) { Refuse(refuse.attempt); },
-                     [&](const GuardSpread& spread) {
+                     [&](const GuardBroadcast& spread) {
                        for (const NodeId& to : ids_) {
                          network_.Send(now_, ids_[node], to, spread.delta);
                        }
@@ -207,7 +207,7 @@
 // equal. Deltas arrive late and duplicated.
 RC_GTEST_PROP(FingerprintGuardTest, CrasherTakesDownTwoEndpoints, ()) {
   GuardWorld world(5, 12, *rc::gen::arbitrary<std::uint64_t>());
-  world.network().faults().doubled = *rc::gen::element(0.0, 0.3);
+  world.network().faults().duplication_rate = *rc::gen::element(0.0, 0.3);
   int sent = 0;
   for (int step = 0; step < 60; ++step) {
     const auto node = *rc::gen::inRange<std::size_t>(0, 5);
@@ -248,10 +248,10 @@
 TEST(FingerprintGuardTest, BlockEndsByOverrideOrExpiry) {
   SuspectTable table(SuspectSettings{});
   const Time start = Time::FromMillis(1000);
-  table.AddLossInCompany(start, kCrasher);
-  table.AddLossInCompany(start, kCrasher);
+  table.AddSharedLoss(start, kCrasher);
+  table.AddSharedLoss(start, kCrasher);
   EXPECT_EQ(table.Level(start, kCrasher), SuspectLevel::kSuspect);
-  table.AddLossAlone(start, kCrasher);
+  table.AddSoleSuspectLoss(start, kCrasher);
   table.Clear(start, kCrasher);
   EXPECT_EQ(table.Level(start, kCrasher), SuspectLevel::kBlocked);
   table.SetAllowed({kCrasher});
--- a/tests/coordination/requests/retry_test.cc
+++ b/tests/coordination/requests/retry_test.cc
@@ -26,7 +26,8 @@
   for (int i = 0; i < 4000; ++i) {
     const RequestProfile profile = RequestOf("c" + std::to_string(i % 20));
     budget.OnFirstAttempt(Millis(0), profile.contract);
-    retries += budget.Spend(Millis(0), profile, {}) == RetryVerdict::kAllowed;
+    retries +=
+        budget.TrySpend(Millis(0), profile, {}) == RetryVerdict::kAllowed;
   }
   // A tenth of the attempts, plus the initial budget.
   EXPECT_LE(retries, 4000 / 10 + 50);
@@ -40,10 +41,10 @@
   const RequestProfile flood = RequestOf("flood");
   RetryVerdict last = RetryVerdict::kAllowed;
   for (int i = 0; i < 30; ++i) {
-    last = budget.Spend(Millis(0), flood, {});
+    last = budget.TrySpend(Millis(0), flood, {});
   }
   EXPECT_EQ(last, RetryVerdict::kContractBudget);
-  EXPECT_EQ(budget.Spend(Millis(0), RequestOf("other"), {}),
+  EXPECT_EQ(budget.TrySpend(Millis(0), RequestOf("other"), {}),
             RetryVerdict::kAllowed);
 }
 
@@ -53,9 +54,9 @@
   RetryBudget budget{RetryBudgetSettings()};
   RequestProfile profile = RequestOf("team");
   profile.repeatable = false;
-  EXPECT_EQ(budget.Spend(Millis(0), profile, {.was_not_run = false}),
+  EXPECT_EQ(budget.TrySpend(Millis(0), profile, {.was_not_run = false}),
             RetryVerdict::kNotRepeatable);
-  EXPECT_EQ(budget.Spend(Millis(0), profile, {.was_not_run = true}),
+  EXPECT_EQ(budget.TrySpend(Millis(0), profile, {.was_not_run = true}),
             RetryVerdict::kAllowed);
 }
 
@@ -63,10 +64,10 @@
   RetryBudget budget{RetryBudgetSettings()};
   RequestProfile profile = RequestOf("team");
   profile.deadline = Millis(1000);
-  EXPECT_EQ(budget.Spend(Millis(800), profile,
-                         {.expected_first_byte = Duration::Millis(300)}),
+  EXPECT_EQ(budget.TrySpend(Millis(800), profile,
+                            {.expected_first_byte = Duration::Millis(300)}),
             RetryVerdict::kDeadline);
-  EXPECT_EQ(budget.Spend(Millis(0), profile, {.attempts = 3}),
+  EXPECT_EQ(budget.TrySpend(Millis(0), profile, {.attempts = 3}),
             RetryVerdict::kTooManyAttempts);
 }
 
--- a/tests/coordination/roles/node_lease_test.cc
+++ b/tests/coordination/roles/node_lease_test.cc
@@ -54,7 +54,7 @@
   cluster.Run(Duration::Seconds(6));
   EXPECT_FALSE(cluster.nodes()[0].lease->store_reachable());
   cluster.link().SetOutage(cluster.now(), false);
-  cluster.link().faults().busy = 0.5;
+  cluster.link().faults().busy_rate = 0.5;
   cluster.Run(Duration::Seconds(60));
   EXPECT_TRUE(cluster.nodes()[0].lease->Held(cluster.now()));
   EXPECT_EQ(cluster.nodes()[0].lease->incarnation(), first);
--- a/tests/coordination/roles/role_leases_test.cc
+++ b/tests/coordination/roles/role_leases_test.cc
@@ -28,13 +28,13 @@
       cluster.link().SetOutage(cluster.now(), !faults.outage);
       break;
     case 3:
-      faults.reply_lost = DrawUnit(random) / 2;
+      faults.reply_loss_rate = DrawUnit(random) / 2;
       break;
     case 4:
-      faults.request_lost = DrawUnit(random) / 2;
+      faults.request_loss_rate = DrawUnit(random) / 2;
       break;
     case 5:
-      faults.busy = DrawUnit(random) / 2;
+      faults.busy_rate = DrawUnit(random) / 2;
       break;
     case 6:
       // Calls overtake each other by more than their timeout.
@@ -43,7 +43,7 @@
       break;
     case 7:
       cluster.link().Snapshot();
-      faults.stale_read = DrawUnit(random) / 2;
+      faults.stale_read_rate = DrawUnit(random) / 2;
       break;
     default:
       // A view change: any node may want any role.
@@ -131,10 +131,10 @@
 TEST(RoleLeasesTest, LostReplyToAPutIsResolved) {
   LeaseCluster cluster(1, 2);
   cluster.Run(Duration::Seconds(2));
-  cluster.link().faults().reply_lost = 1;
+  cluster.link().faults().reply_loss_rate = 1;
   cluster.SetDesired(0, {kRole});
   cluster.Run(Duration::Seconds(1));
-  cluster.link().faults().reply_lost = 0;
+  cluster.link().faults().reply_loss_rate = 0;
   cluster.Run(Duration::Seconds(5));
   EXPECT_EQ(cluster.FindHolds(kRole).size(), 1U);
   EXPECT_TRUE(cluster.HoldsMatchStore({kRole}));
@@ -223,7 +223,7 @@
 // its assigned node looks alive to its peers but cannot reach the service.
 TEST(RoleLeasesTest, UnassignedNodeTakesARoleThatStaysFree) {
   LeaseCluster cluster(2, 4);
-  cluster.link().SetReaches(
+  cluster.link().SetReachable(
       [](const std::string& caller) { return !caller.starts_with("0/"); });
   cluster.SetDesired(0, {kRole});
   cluster.nodes()[1].roles->SetFleet({kRole}, 2);
--- a/tests/coordination/routing/router_test.cc
+++ b/tests/coordination/routing/router_test.cc
@@ -118,7 +118,7 @@
   EXPECT_EQ(router->Endpoints(Millis(10))[0].own_in_flight, 0);
   router->OnFailed(Millis(20), ticket);
   router->OnLoadReport(Millis(20), Report("a", 15, 40, 1));
-  const EndpointView view = router->Endpoints(Millis(20))[0];
+  const EndpointStatus view = router->Endpoints(Millis(20))[0];
   EXPECT_EQ(view.own_in_flight, 0);
   EXPECT_FALSE(view.has_report);
   EXPECT_EQ(view.backing_off_until, Time());
@@ -269,7 +269,7 @@
   for (const DispatchTicket ticket : tickets) {
     router->OnCancelled(Millis(now), ticket);
   }
-  for (const EndpointView& view : router->Endpoints(Millis(now))) {
+  for (const EndpointStatus& view : router->Endpoints(Millis(now))) {
     RC_ASSERT(view.own_in_flight == 0);
   }
 }
--- a/tests/platform/platform_wire_test.cc
+++ b/tests/platform/platform_wire_test.cc
@@ -221,19 +221,19 @@
                      {"X-Replica-Load", "3,0,8"}},
                     ""};
   const AnswerHead good = ReadEndpointAnswer(head, RequestId("q1"));
-  EXPECT_TRUE(good.is_ours && good.is_signed && !good.is_not_run);
+  EXPECT_TRUE(good.matches_request && good.has_proof && !good.is_not_executed);
   EXPECT_EQ(good.load->slots, 8);
-  EXPECT_FALSE(ReadEndpointAnswer(head, RequestId("q2")).is_ours);
+  EXPECT_FALSE(ReadEndpointAnswer(head, RequestId("q2")).matches_request);
   head.headers.push_back({"Content-Encoding", "gzip"});
-  EXPECT_TRUE(ReadEndpointAnswer(head, RequestId("q1")).is_altered);
+  EXPECT_TRUE(ReadEndpointAnswer(head, RequestId("q1")).has_content_coding);
   const HttpResponse shed{
       503, {{"X-Not-Executed", "1"}, {"At-Server", "i-9"}}, ""};
-  EXPECT_TRUE(ReadEndpointAnswer(shed, RequestId("q1")).is_not_run);
+  EXPECT_TRUE(ReadEndpointAnswer(shed, RequestId("q1")).is_not_executed);
   EXPECT_EQ(ReadEndpointAnswer(shed, RequestId("q1")).at_fault, VmId("i-9"));
   const HttpResponse other{421, {}, ""};
-  EXPECT_TRUE(ReadEndpointAnswer(other, RequestId("q1")).is_other_vm);
+  EXPECT_TRUE(ReadEndpointAnswer(other, RequestId("q1")).is_misdirected);
   const HttpResponse failed{503, {}, ""};
-  EXPECT_FALSE(ReadEndpointAnswer(failed, RequestId("q1")).is_not_run);
+  EXPECT_FALSE(ReadEndpointAnswer(failed, RequestId("q1")).is_not_executed);
 }
 
 TEST(EndpointWireTest, AMalformedLoadIsAbsent) {
--- a/tests/programs/gateway_explained_test.cc
+++ b/tests/programs/gateway_explained_test.cc
@@ -81,10 +81,10 @@
 TEST_F(GatewayExplainedTest, ExplainsRefusalDuringRepair) {
   ASSERT_TRUE(ServesBothModels());
   KillVms(0, 2);
-  ASSERT_TRUE(fleet_.Until(
-      [this] { return Ask(first_.callers, "large").status == 503; }));
+  ASSERT_TRUE(fleet_.WaitUntil(
+      [this] { return SendRequest(first_.callers, "large").status == 503; }));
   ASSERT_TRUE(ServesBothModels());
-  ASSERT_TRUE(fleet_.Until([this] {
+  ASSERT_TRUE(fleet_.WaitUntil([this] {
     return HasLogged(EventKind::kGroupServing) &&
            HasLogged(EventKind::kRequestRefused);
   }));
@@ -107,14 +107,14 @@
   for (int i = 0; i < 4; ++i) {
     callers.emplace_back([&] {
       while (!stop) {
-        answered += Ask(first_.callers, "large").status == 200 ? 1 : 0;
+        answered += SendRequest(first_.callers, "large").status == 200 ? 1 : 0;
       }
     });
   }
   // Ensures that streams are running, even if the callers start slowly.
-  EXPECT_TRUE(fleet_.Until([&] { return answered >= 4; }));
+  EXPECT_TRUE(fleet_.WaitUntil([&] { return answered >= 4; }));
   KillVms(0, 11);
-  const bool logged = fleet_.Until(
+  const bool logged = fleet_.WaitUntil(
       [this] { return HasLogged(EventKind::kRequestOutcomeUnknown); });
   stop = true;
   for (std::thread& caller : callers) {
@@ -125,7 +125,7 @@
   EXPECT_FALSE(Field(unknown, "end").empty());
   const std::string vm = Field(unknown, "vm");
   EXPECT_TRUE(vm.starts_with("vm-0-")) << vm;
-  EXPECT_TRUE(fleet_.Until([&] {
+  EXPECT_TRUE(fleet_.WaitUntil([&] {
     ReadLogs();
     const auto context = ContextOf(unknown.draft.subject);
     return Contains(context, EventKind::kVmLost) ||
@@ -141,19 +141,19 @@
 TEST_F(GatewayExplainedTest, ExplainsAnswerFromOlderConfiguration) {
   ASSERT_TRUE(ServesBothModels());
   SetFault("refuse", true);
-  ASSERT_TRUE(
-      fleet_.Until([this] { return HasLogged(EventKind::kStoreUnreachable); }));
+  ASSERT_TRUE(fleet_.WaitUntil(
+      [this] { return HasLogged(EventKind::kStoreUnreachable); }));
   Call(store_, {"POST", "/standin/configure?key=other-key", {}, {}});
-  EXPECT_EQ(Ask(first_.callers, "safe", "other-key").status, 401);
+  EXPECT_EQ(SendRequest(first_.callers, "safe", "other-key").status, 401);
   SetFault("refuse", false);
-  ASSERT_TRUE(fleet_.Until([this] {
-    return Ask(first_.callers, "safe", "other-key").status == 200;
+  ASSERT_TRUE(fleet_.WaitUntil([this] {
+    return SendRequest(first_.callers, "safe", "other-key").status == 200;
   }));
-  ASSERT_TRUE(
-      fleet_.Until([this] { return HasLogged(EventKind::kRequestRefused); }));
+  ASSERT_TRUE(fleet_.WaitUntil(
+      [this] { return HasLogged(EventKind::kRequestRefused); }));
   const TimelineEvent refused = Newest(EventKind::kRequestRefused);
   EXPECT_EQ(Field(refused, "reason"), "unknown_key");
-  EXPECT_TRUE(fleet_.Until([&] {
+  EXPECT_TRUE(fleet_.WaitUntil([&] {
     ReadLogs();
     const auto context = ContextOf(refused.draft.subject);
     return Contains(context, EventKind::kStoreUnreachable) &&
--- a/tests/programs/gateway_path_test.cc
+++ b/tests/programs/gateway_path_test.cc
@@ -12,19 +12,19 @@
 
 TEST_F(GatewayPathTest, FormsGroupsAndServesAllKindsOfRequest) {
   ASSERT_TRUE(ServesBothModels());
-  const HttpResponse stream = Ask(first_.callers, "large");
-  EXPECT_EQ(stream.body, WholeStream());
+  const HttpResponse stream = SendRequest(first_.callers, "large");
+  EXPECT_EQ(stream.body, ExpectedStream());
   EXPECT_TRUE(stream.Header(kProofHeader).starts_with("proof-vm-"));
-  const HttpResponse safe = Ask(second_.callers, "safe");
+  const HttpResponse safe = SendRequest(second_.callers, "safe");
   EXPECT_EQ(safe.status, 200);
   EXPECT_EQ(safe.body, "done: body");
-  EXPECT_EQ(Ask(second_.callers, "once").status, 200);
-  EXPECT_EQ(Ask(first_.callers, "none").status, 404);
-  EXPECT_EQ(Ask(first_.callers, "once", "wrong").status, 401);
+  EXPECT_EQ(SendRequest(second_.callers, "once").status, 200);
+  EXPECT_EQ(SendRequest(first_.callers, "none").status, 404);
+  EXPECT_EQ(SendRequest(first_.callers, "once", "wrong").status, 401);
   EXPECT_EQ(Get(first_.readiness, "/readyz").status, 200);
   EXPECT_NE(Get(first_.metrics, "/metrics").body.find("gcw_requests_total"),
             std::string::npos);
-  ASSERT_TRUE(fleet_.Until([this] {
+  ASSERT_TRUE(fleet_.WaitUntil([this] {
     const std::string body = Get(first_.entries, "/resolve?zone=zone-1").body;
     return body.find(first_.callers.value()) != std::string::npos &&
            body.find(second_.callers.value()) != std::string::npos;
@@ -43,9 +43,10 @@
   for (int i = 0; i < 2; ++i) {
     callers.emplace_back([&] {
       while (!stop) {
-        const HttpResponse answer = Ask(first_.callers, "small");
+        const HttpResponse answer = SendRequest(first_.callers, "small");
         // Complete, or recognizably incomplete.
-        wrong += answer.status == 200 && answer.body != WholeStream() ? 1 : 0;
+        wrong +=
+            answer.status == 200 && answer.body != ExpectedStream() ? 1 : 0;
       }
     });
   }
@@ -70,10 +71,10 @@
       Call(store_, {"POST", "/standin/kill?vm=desk-0", {}, {}});
     }
     ++sent;
-    answered += Ask(first_.callers, "once").status == 200 ? 1 : 0;
+    answered += SendRequest(first_.callers, "once").status == 200 ? 1 : 0;
   }
-  EXPECT_GE(RunsOf("desk"), answered);
-  EXPECT_LE(RunsOf("desk"), sent);
+  EXPECT_GE(CountRuns("desk"), answered);
+  EXPECT_LE(CountRuns("desk"), sent);
   EXPECT_GE(answered, 20);
 }
 
@@ -83,8 +84,8 @@
   ASSERT_TRUE(ServesBothModels());
   SetFault("silent", true);
   std::this_thread::sleep_for(std::chrono::seconds(3));
-  EXPECT_EQ(Ask(first_.callers, "large").status, 200);
-  EXPECT_EQ(Ask(second_.callers, "once").status, 200);
+  EXPECT_EQ(SendRequest(first_.callers, "large").status, 200);
+  EXPECT_EQ(SendRequest(second_.callers, "once").status, 200);
   SetFault("silent", false);
   EXPECT_TRUE(ServesBothModels());
 }
@@ -94,15 +95,18 @@
 TEST_F(GatewayPathTest, AppliesChangedBodyLimit) {
   ASSERT_TRUE(ServesBothModels());
   const std::string body(5000, 'b');
-  EXPECT_EQ(Ask(first_.callers, "safe", "standin-key", body).status, 200);
+  EXPECT_EQ(SendRequest(first_.callers, "safe", "standin-key", body).status,
+            200);
   Call(store_, {"POST", "/standin/configure?max_body_bytes=4999", {}, {}});
-  EXPECT_TRUE(fleet_.Until([&] {
-    return Ask(first_.callers, "safe", "standin-key", body).status == 413;
+  EXPECT_TRUE(fleet_.WaitUntil([&] {
+    return SendRequest(first_.callers, "safe", "standin-key", body).status ==
+           413;
   }));
-  EXPECT_EQ(Ask(first_.callers, "safe").status, 200);
+  EXPECT_EQ(SendRequest(first_.callers, "safe").status, 200);
   Call(store_, {"POST", "/standin/configure?max_body_bytes=5000", {}, {}});
-  EXPECT_TRUE(fleet_.Until([&] {
-    return Ask(first_.callers, "safe", "standin-key", body).status == 200;
+  EXPECT_TRUE(fleet_.WaitUntil([&] {
+    return SendRequest(first_.callers, "safe", "standin-key", body).status ==
+           200;
   }));
 }
 
@@ -114,7 +118,7 @@
   fleet_.Signal("gw-1", SIGHUP);
   std::this_thread::sleep_for(std::chrono::milliseconds(300));
   EXPECT_FALSE(fleet_.HasEnded("gw-1"));
-  EXPECT_EQ(Ask(first_.callers, "large").status, 200);
+  EXPECT_EQ(SendRequest(first_.callers, "large").status, 200);
 }
 
 // Guards against lost answers after SIGTERM: callers still use the addresses
@@ -122,17 +126,17 @@
 TEST_F(GatewayPathTest, LeavesEntryListAndDrainsOnSigterm) {
   ASSERT_TRUE(ServesBothModels());
   fleet_.Signal("gw-1", SIGTERM);
-  ASSERT_TRUE(fleet_.Until(
+  ASSERT_TRUE(fleet_.WaitUntil(
       [this] { return Get(first_.readiness, "/readyz").status == 503; }));
-  const HttpResponse answer = Ask(first_.callers, "large");
+  const HttpResponse answer = SendRequest(first_.callers, "large");
   EXPECT_EQ(answer.status, 200);
-  EXPECT_EQ(answer.body, WholeStream());
-  ASSERT_TRUE(fleet_.Until([this] {
+  EXPECT_EQ(answer.body, ExpectedStream());
+  ASSERT_TRUE(fleet_.WaitUntil([this] {
     return Get(second_.entries, "/resolve").body.find(first_.callers.value()) ==
            std::string::npos;
   }));
-  EXPECT_TRUE(fleet_.Until([this] { return fleet_.HasEnded("gw-1"); }));
-  EXPECT_EQ(Ask(second_.callers, "large").status, 200);
+  EXPECT_TRUE(fleet_.WaitUntil([this] { return fleet_.HasEnded("gw-1"); }));
+  EXPECT_EQ(SendRequest(second_.callers, "large").status, 200);
 }
 
 }  // namespace
--- a/tests/programs/load_run_test.cc
+++ b/tests/programs/load_run_test.cc
@@ -58,7 +58,7 @@
   }
 
   void HandleChat(const ChatRequest& chat, HttpResponder& responder) const {
-    const std::string prompt = PromptOf(chat);
+    const std::string prompt = BuildPrompt(chat);
     if (!chat.stream) {
       ChatAnswer answer;
       answer.text = ReferenceAnswer(prompt, chat.max_tokens);
--- a/tests/programs/standin_engine_test.cc
+++ b/tests/programs/standin_engine_test.cc
@@ -102,7 +102,7 @@
   }
   EXPECT_EQ(text, ReferenceAnswer("user:hello\n", TokenCount(3)));
   EXPECT_EQ(Only<FinishAnswer>(actions).size(), 1U);
-  EXPECT_EQ(engine_.executions().OfName("hello"), 1);
+  EXPECT_EQ(engine_.executions().CountByName("hello"), 1);
 }
 
 TEST_F(StandinEngineTest, ResumedStreamContinuesAfterGivenTokens) {
@@ -173,17 +173,17 @@
 TEST_F(StandinEngineTest, MissingMemberBreaksAnswersAndEndsServing) {
   Load(2);
   const auto refused = engine_.OnChat(At(0), Ticket(1), Call("early", 9));
-  EXPECT_EQ(Only<RefuseCall>(refused).size(), 1U);
+  EXPECT_EQ(Only<RejectCall>(refused).size(), 1U);
   engine_.OnMemberStatus(At(10), MemberStatus(1));
   RunUntil(At(20));
   EXPECT_EQ(engine_.Status(At(20)).state, EngineState::kReady);
   engine_.OnChat(At(20), Ticket(2), Call("long", 100000));
   const auto actions = RunUntil(At(710));
-  EXPECT_EQ(Only<BreakAnswer>(actions).size(), 1U);
+  EXPECT_EQ(Only<AbortAnswer>(actions).size(), 1U);
   EXPECT_EQ(engine_.Status(At(710)).state, EngineState::kFailed);
   EXPECT_EQ(engine_.Status(At(710)).members_seen.size(), 1U);
   EXPECT_EQ(
-      Only<RefuseCall>(engine_.OnChat(At(720), Ticket(3), Call("x", 1))).size(),
+      Only<RejectCall>(engine_.OnChat(At(720), Ticket(3), Call("x", 1))).size(),
       1U);
 }
 
@@ -214,7 +214,7 @@
   Load(1);
   engine_.OnChat(At(10), Ticket(1), Call("kept", 3));
   engine_.OnOrder(At(10), Order(EngineOrderKind::kDrain, 1, 1, 1));
-  EXPECT_EQ(Only<RefuseCall>(engine_.OnChat(At(10), Ticket(2), Call("new", 1)))
+  EXPECT_EQ(Only<RejectCall>(engine_.OnChat(At(10), Ticket(2), Call("new", 1)))
                 .size(),
             1U);
   EXPECT_EQ(Only<FinishAnswer>(RunUntil(At(200))).size(), 1U);
@@ -226,12 +226,12 @@
   EngineCall other = Call("generation", 1);
   other.generation = Generation(7);
   const auto refused =
-      Only<RefuseCall>(engine_.OnChat(At(10), Ticket(1), std::move(other)));
+      Only<RejectCall>(engine_.OnChat(At(10), Ticket(1), std::move(other)));
   EXPECT_EQ(refused.at(0).reason, NotRunReason::kOtherGeneration);
   EngineCall late = Call("late", 1);
   late.deadline = At(15);
   engine_.OnChat(At(10), Ticket(2), std::move(late));
-  EXPECT_EQ(Only<RefuseCall>(RunUntil(At(100))).at(0).reason,
+  EXPECT_EQ(Only<RejectCall>(RunUntil(At(100))).at(0).reason,
             NotRunReason::kDeadline);
   EXPECT_EQ(engine_.executions().total(), 0);
 }
@@ -242,11 +242,11 @@
   engine_.OnChat(At(10), Ticket(1), Call("cut", 5));
   const auto actions = RunUntil(At(200));
   EXPECT_EQ(Only<SendToken>(actions).size(), 2U);
-  EXPECT_EQ(Only<BreakAnswer>(actions).size(), 1U);
+  EXPECT_EQ(Only<AbortAnswer>(actions).size(), 1U);
   engine_.OnChat(At(200), Ticket(2), Call("cancelled", 5));
   std::vector<EngineAction> cancelled;
   EXPECT_TRUE(engine_.OnCancel(AttemptId("cancelled"), cancelled));
-  EXPECT_EQ(Only<BreakAnswer>(cancelled).size(), 1U);
+  EXPECT_EQ(Only<AbortAnswer>(cancelled).size(), 1U);
   EXPECT_FALSE(engine_.OnCancel(AttemptId("cancelled"), cancelled));
   EXPECT_EQ(engine_.Status(At(200)).active, 0);
 }
@@ -257,10 +257,10 @@
     engine_.OnChat(At(100), Ticket(i), Call("p" + std::to_string(i), 1000));
   }
   RunUntil(At(300));
-  EXPECT_EQ(engine_.Load(At(300)).running_requests, 2);
-  EXPECT_EQ(engine_.Load(At(300)).queued_requests, 1);
+  EXPECT_EQ(engine_.DelayedLoadReport(At(300)).running_requests, 2);
+  EXPECT_EQ(engine_.DelayedLoadReport(At(300)).queued_requests, 1);
   faults_.lag = Duration::Millis(250);
-  EXPECT_EQ(engine_.Load(At(300)).running_requests, 0);
+  EXPECT_EQ(engine_.DelayedLoadReport(At(300)).running_requests, 0);
 }
 
 }  // namespace
--- a/tests/programs/standin_parts_test.cc
+++ b/tests/programs/standin_parts_test.cc
@@ -4,7 +4,7 @@
 #include "programs/gcw_standin/http_answers.h"
 #include "programs/gcw_standin/standin_service.h"
 #include "programs/gcw_standin/standin_vm_list.h"
-#include "programs/gcw_standin/standin_weights.h"
+#include "programs/gcw_standin/standin_weight_store.h"
 
 namespace gcw {
 namespace {
@@ -25,7 +25,7 @@
 }
 
 TEST(StandinWeightsTest, FetchesAreQueued) {
-  StandinWeights weights(1000);
+  StandinWeightStore weights(1000);
   EXPECT_EQ(weights.Enqueue(At(0), 500), At(500));
   EXPECT_EQ(weights.Enqueue(At(100), 500), At(1000));
   EXPECT_EQ(weights.Status(At(400)).queue_bytes, 600);
@@ -35,18 +35,18 @@
 TEST(StandinServiceTest, CountsEachExecution) {
   StandinService service({.endpoint = EndpointId("shelf")});
   const ServiceCall call{"POST", "/reservations", "key", "puzzle"};
-  const std::string first = service.Begin(call);
-  EXPECT_NE(service.Begin(call), first);
-  EXPECT_EQ(service.executions().OfName("key"), 2);
-  EXPECT_EQ(service.Load(At(0)).running_requests, 2);
-  service.End();
-  EXPECT_EQ(service.Load(At(0)).running_requests, 1);
+  const std::string first = service.BeginCall(call);
+  EXPECT_NE(service.BeginCall(call), first);
+  EXPECT_EQ(service.executions().CountByName("key"), 2);
+  EXPECT_EQ(service.CurrentLoadReport(At(0)).running_requests, 2);
+  service.EndCall();
+  EXPECT_EQ(service.CurrentLoadReport(At(0)).running_requests, 1);
 }
 
 TEST(FaultsTest, AreSetByNameAndType) {
   const auto slow = ApplyFault(Faults{}, R"({"name":"slow_ms","value":20})");
   ASSERT_TRUE(IsOk(slow));
-  EXPECT_EQ(ValueOf(slow).slow, Duration::Millis(20));
+  EXPECT_EQ(ValueOf(slow).request_delay, Duration::Millis(20));
   const auto wrong = ApplyFault(Faults{}, R"({"name":"silent","value":1})");
   ASSERT_FALSE(IsOk(wrong));
   EXPECT_EQ(ErrorOf(wrong), (CodecError{CodecErrorKind::kWrongType, "value"}));
@@ -83,7 +83,7 @@
 // the rest of the stream must not be passed on.
 TEST(FaultyResponderTest, SilencedExchangeStaysSilent) {
   Faults faults;
-  FaultyResponder::Silenced silenced;
+  FaultyResponder::SilencedResponders silenced;
   const auto inner = std::make_shared<RecordingResponder>();
   const auto responder = FaultyResponder::Wrap(inner, faults, silenced, false);
   responder->StartStream(200, {});
@@ -101,7 +101,7 @@
 
 TEST(FaultyResponderTest, OnlyOpenExchangesGoSilent) {
   Faults faults;
-  FaultyResponder::Silenced silenced;
+  FaultyResponder::SilencedResponders silenced;
   const auto open = std::make_shared<RecordingResponder>();
   const auto old = FaultyResponder::Wrap(open, faults, silenced, false);
   ++faults.silenced_epoch;
@@ -114,7 +114,7 @@
 
 TEST(FaultyResponderTest, LostAnswerClosesConnection) {
   const Faults faults;
-  FaultyResponder::Silenced silenced;
+  FaultyResponder::SilencedResponders silenced;
   const auto inner = std::make_shared<RecordingResponder>();
   FaultyResponder::Wrap(inner, faults, silenced, true)->Respond({});
   EXPECT_EQ(inner->sent, "abort ");
--- a/tests/programs/standin_shell_test.cc
+++ b/tests/programs/standin_shell_test.cc
@@ -3,8 +3,8 @@
 #include <memory>
 #include <optional>
 
-#include "programs/gcw_standin/engine_shell.h"
-#include "programs/gcw_standin/store_shell.h"
+#include "programs/gcw_standin/engine_http_frontend.h"
+#include "programs/gcw_standin/store_http_frontend.h"
 
 namespace gcw {
 namespace {
@@ -21,7 +21,8 @@
   }
 
   void ListenAsStore() {
-    store_ = std::make_unique<StoreShell>(server_, StandinStore::Settings{});
+    store_ =
+        std::make_unique<StoreHttpFrontend>(server_, StandinStore::Settings{});
     Listen(store_->MakeHooks());
   }
 
@@ -57,8 +58,8 @@
   boost::asio::io_context context_;
   StandinServer server_{context_, Faults{}};
   // The shells must outlive the connections, which the destructor closes.
-  std::unique_ptr<StoreShell> store_;
-  std::unique_ptr<EngineShell> engine_;
+  std::unique_ptr<StoreHttpFrontend> store_;
+  std::unique_ptr<EngineHttpFrontend> engine_;
   HttpClient client_{context_};
   Address address_;
 };
@@ -91,13 +92,13 @@
   const auto result = Fetch("/kv/range", R"({"prefix":""})",
                             {.progress_timeout = Duration::Millis(50)});
   ASSERT_FALSE(IsOk(result));
-  EXPECT_EQ(ErrorOf(result).kind, HttpFailureKind::kSilent);
+  EXPECT_EQ(ErrorOf(result).kind, HttpFailureKind::kProgressTimeout);
 }
 
 TEST_F(StandinShellTest, EngineStreamsTokensAndRefusesBeforeServing) {
-  EngineShell::Settings settings;
+  EngineHttpFrontend::Settings settings;
   settings.engine.member.vm = VmId("vm");
-  engine_ = std::make_unique<EngineShell>(server_, settings);
+  engine_ = std::make_unique<EngineHttpFrontend>(server_, settings);
   Listen(engine_->MakeHooks());
   const ChatRequest chat{.model = ModelId("m"),
                          .adapter = AdapterId(),
@@ -116,7 +117,7 @@
   EXPECT_EQ(Text("/orders", EncodeEngineOrder(order)), "200 {}");
   while (Text("/status", "").find("\"ready\"") == std::string::npos) {
   }
-  const std::string prompt = PromptOf(chat);
+  const std::string prompt = BuildPrompt(chat);
   std::string expected = "200 ";
   for (std::int64_t index = 0; index < 2; ++index) {
     expected += EncodeChatTokenEvent(
--- a/tests/programs/whole_path_test.cc
+++ b/tests/programs/whole_path_test.cc
@@ -100,7 +100,7 @@
 Outcome ClassifyAnswer(const ChatRequest& chat, const Received& received) {
   const HttpResponse& answer = received.answer;
   const ExpectedAnswer expected{
-      ReferenceAnswer(PromptOf(chat), chat.max_tokens), AttemptId()};
+      ReferenceAnswer(BuildPrompt(chat), chat.max_tokens), AttemptId()};
   if (answer.status == kStatusOk && chat.stream) {
     StreamChecker checker(expected);
     checker.OnBytes(answer.body);
@@ -208,7 +208,7 @@
     contract.requests_per_second = 1000;
     contract.tokens_per_second = 1e6;
     contract.concurrency = 100;
-    contract.keys = {DigestOfKey(kCallerKey)};
+    contract.keys = {ComputeKeyDigest(kCallerKey)};
     return contract;
   }
 
@@ -219,7 +219,7 @@
     model.targets[ZoneId("lj-1")] = {1, 1};
     return CallOperatorApi(node, "PUT",
                            "/v1/models/notes?expected=0&change=model",
-                           EncodeWantedModel(model))
+                           EncodeDesiredModel(model))
                .status == kStatusOk;
   }
 
@@ -233,8 +233,8 @@
   // Writes model and contract, and waits until they are in force on this node
   // and it answers requests.
   void WaitUntilServing(const Node& node) {
-    ASSERT_TRUE(fleet_.Until([&] { return PutModel(node); }));
-    ASSERT_TRUE(fleet_.Until([&] { return PutContract(node); }));
+    ASSERT_TRUE(fleet_.WaitUntil([&] { return PutModel(node); }));
+    ASSERT_TRUE(fleet_.WaitUntil([&] { return PutContract(node); }));
     ASSERT_TRUE(AnswersEventually(node));
   }
 
@@ -247,7 +247,7 @@
   // Sends streamed and non-streamed requests until one of each is answered.
   // Every earlier answer must report an error.
   bool AnswersEventually(const Node& node) {
-    return fleet_.Until([&] {
+    return fleet_.WaitUntil([&] {
       const Outcome streamed = SendNextChat(node, true);
       const Outcome whole = SendNextChat(node, false);
       return streamed == Outcome::kComplete && whole == Outcome::kComplete;
@@ -376,7 +376,7 @@
 
   HttpResponse SendUntilAnswered(const Address& node) const {
     Received received;
-    EXPECT_TRUE(fleet_.Until([&] {
+    EXPECT_TRUE(fleet_.WaitUntil([&] {
       HttpRequest request = CallerRequest(
           "POST", "/services/reservations/seats", R"({"seat":"12A"})");
       request.headers.push_back({"Idempotency-Key", "seat-12A"});
@@ -429,9 +429,9 @@
   const int closings = CountClosings(node, group);
   const ChatRequest chat = Chat("a long question", true, 100);
   LongAnswer answer(node.callers, chat);
-  ASSERT_TRUE(fleet_.Until([&] { return answer.has_begun(); }));
+  ASSERT_TRUE(fleet_.WaitUntil([&] { return answer.has_begun(); }));
   fleet_.Signal(lost, SIGKILL);
-  EXPECT_TRUE(fleet_.Until([&] {
+  EXPECT_TRUE(fleet_.WaitUntil([&] {
     SendNextChat(node, true);
     SendNextChat(node, false);
     return !HasMember(node, lost) && !Group(node).empty();
@@ -446,7 +446,7 @@
 TEST_F(WholePathTest, SurvivesReload) {
   StartNode("n1");
   fleet_.Signal("n1", SIGHUP);
-  EXPECT_TRUE(fleet_.Until([&] {
+  EXPECT_TRUE(fleet_.WaitUntil([&] {
     return fleet_.HasEnded("n1") ||
            fleet_.folder().Read("n1.log").find("settings_checked") !=
                std::string::npos;
@@ -462,9 +462,9 @@
 TEST_F(WholePathTest, ServesDuringStoreOutage) {
   const Node node = StartNode("n1");
   ASSERT_NO_FATAL_FAILURE(WaitUntilServing(node));
-  ASSERT_TRUE(fleet_.Until([&] { return HoldsRoles(node); }));
+  ASSERT_TRUE(fleet_.WaitUntil([&] { return HoldsRoles(node); }));
   SetFault(store_, "outage", true);
-  ASSERT_TRUE(fleet_.Until([&] {
+  ASSERT_TRUE(fleet_.WaitUntil([&] {
     SendNextChat(node, true);
     return !HoldsRoles(node);
   }));
@@ -475,9 +475,10 @@
   EXPECT_TRUE(AnswersEventually(node));
 
   SetFault(store_, "outage", false);
-  EXPECT_TRUE(fleet_.Until(
+  EXPECT_TRUE(fleet_.WaitUntil(
       [&] { return PutSecondContract(node, revision) == kStatusOk; }));
-  EXPECT_TRUE(fleet_.Until([&] { return ContractRevision(node) > revision; }));
+  EXPECT_TRUE(
+      fleet_.WaitUntil([&] { return ContractRevision(node) > revision; }));
   EXPECT_TRUE(AnswersEventually(node));
 }
 
@@ -492,7 +493,7 @@
   const std::string stopped = Member(node, 0);
   const ChatRequest chat = Chat("a long question", true, 100);
   LongAnswer answer(node.callers, chat);
-  ASSERT_TRUE(fleet_.Until([&] { return answer.has_begun(); }));
+  ASSERT_TRUE(fleet_.WaitUntil([&] { return answer.has_begun(); }));
   fleet_.Signal(stopped, SIGSTOP);
   ExpectCompleteOrError(ClassifyAnswer(chat, answer.Wait()));
   EXPECT_TRUE(AnswersEventually(node));
--- a/tests/protocol/chat_test.cc
+++ b/tests/protocol/chat_test.cc
@@ -58,8 +58,8 @@
   const std::string prompt(130, 'x');
   const auto blocks = PrefixBlocks(prompt);
   ASSERT_EQ(blocks.size(), 2U);
-  EXPECT_EQ(blocks[0], HashOf(prompt.substr(0, 64)));
-  EXPECT_EQ(blocks[1], HashOf(prompt.substr(0, 128)));
+  EXPECT_EQ(blocks[0], Xxh3Hash(prompt.substr(0, 64)));
+  EXPECT_EQ(blocks[1], Xxh3Hash(prompt.substr(0, 128)));
 }
 
 TEST(ChatTest, ReferenceAnswersDifferByPrompt) {
--- a/tests/protocol/peer_codec_test.cc
+++ b/tests/protocol/peer_codec_test.cc
@@ -65,7 +65,7 @@
   report.sender = {NodeId("n"), Incarnation(1)};
   report.kind = LimitReporter::kRelay;
   report.echo = LimitEcho{Incarnation(2), Time::FromMillis(3)};
-  report.ceding = {NodeId("m")};
+  report.ceding_nodes = {NodeId("m")};
   report.demands = {{ContractId("c"), {0.1, 0.2, 0.3}, 0.4}};
   LimitGrants grants;
   grants.fence = FencingToken(5);
@@ -116,9 +116,9 @@
     messages.emplace_back(GuardMessage(PermitReply{AttemptId("a"), verdict}));
   }
   for (const OnceVerdict& verdict : std::vector<OnceVerdict>{
-           OnceGranted{}, OnceReplayed{SampleAnswer()}, OnceAnswerGone{},
+           OnceGranted{}, OnceReplayed{SampleAnswer()}, OnceAnswerEvicted{},
            OnceEarlierUnknown{}, OnceStillRunning{}, OnceMismatch{},
-           OnceUndecided{}, OnceElsewhere{NodeId("o")}}) {
+           OnceUndecided{}, OnceRedirect{NodeId("o")}}) {
     messages.emplace_back(
         OnceMessage(OnceClaimReply{OnceClaimId("c"), verdict, Revision(1)}));
   }
--- a/tests/support/config_cluster.h
+++ b/tests/support/config_cluster.h
@@ -206,7 +206,7 @@
 
   void RecordOutcome(const ProposalFinished& finished) {
     const auto [it, inserted] =
-        outcomes_.emplace(finished.change.change, finished.outcome);
+        outcomes_.emplace(finished.change.id, finished.outcome);
     if (inserted) {
       return;
     }
--- a/tests/support/core_fleet.h
+++ b/tests/support/core_fleet.h
@@ -321,9 +321,9 @@
             [&](CancelAttempt& cancel) {
               Reply(from, Duration::Millis(10),
                     AttemptEnded{cancel.request, cancel.attempt,
-                                 AttemptBroke{AttemptBreakKind::kWithheld,
-                                              AttemptProgress::kMaybeSent,
-                                              TokenCount()}});
+                                 AttemptFailed{AttemptFailureKind::kWithheld,
+                                               AttemptProgress::kMaybeSent,
+                                               TokenCount()}});
             },
             [&](auto& other) { RecordFinalAction(std::move(other)); }},
         action);
@@ -359,19 +359,19 @@
     if (on_dispatch) {
       on_dispatch(from, dispatch);
     }
-    const auto fail = [&](AttemptBreakKind kind, AttemptProgress progress) {
+    const auto fail = [&](AttemptFailureKind kind, AttemptProgress progress) {
       Reply(from, Duration::Millis(10),
             AttemptEnded{dispatch.request, dispatch.attempt,
-                         AttemptBroke{kind, progress, TokenCount()}});
+                         AttemptFailed{kind, progress, TokenCount()}});
     };
     FleetEngine* engine = FindEngine(dispatch.endpoint.address);
     if (engine == nullptr || !engine->alive ||
         !can_reach(from, engine->vm.id)) {
-      fail(AttemptBreakKind::kConnectRefused, AttemptProgress::kNothingSent);
+      fail(AttemptFailureKind::kConnectRefused, AttemptProgress::kNothingSent);
       return;
     }
     if (now_ >= dispatch.send_before) {
-      fail(AttemptBreakKind::kWithheld, AttemptProgress::kNothingSent);
+      fail(AttemptFailureKind::kWithheld, AttemptProgress::kNothingSent);
       return;
     }
     const bool is_model = dispatch.endpoint.service.empty();
@@ -389,8 +389,8 @@
       const bool is_complete =
           engine->alive &&
           (!dispatch.endpoint.service.empty() || HasAllMembers(*engine));
-      AttemptEnd end = AttemptBroke{AttemptBreakKind::kReset,
-                                    AttemptProgress::kMaybeSent, TokenCount()};
+      AttemptEnd end = AttemptFailed{AttemptFailureKind::kReset,
+                                     AttemptProgress::kMaybeSent, TokenCount()};
       if (is_complete) {
         AttemptAnswered done;
         done.generated = TokenCount(8);
--- a/tests/support/fake_network.h
+++ b/tests/support/fake_network.h
@@ -16,8 +16,8 @@
   Duration min_delay = Duration::Millis(1);
   // Delays vary, so that messages can overtake each other.
   Duration max_delay = Duration::Millis(3);
-  double lost = 0;
-  double doubled = 0;
+  double loss_rate = 0;
+  double duplication_rate = 0;
 };
 
 // Delivers messages between nodes in virtual time.
@@ -45,10 +45,10 @@
     if (!connected_(from, to)) {
       return;
     }
-    if (Chance(faults_.doubled)) {
+    if (Chance(faults_.duplication_rate)) {
       Enqueue(now, from, to, message);
     }
-    if (!Chance(faults_.lost)) {
+    if (!Chance(faults_.loss_rate)) {
       Enqueue(now, from, to, std::move(message));
     }
   }
--- a/tests/support/fake_store.h
+++ b/tests/support/fake_store.h
@@ -25,7 +25,7 @@
 
   // Returns nothing if a watch has nothing to report yet.
   std::optional<StoreReply> Execute(Time now, const StoreCall& call) {
-    DropLapsed(now);
+    ExpireLeases(now);
     return std::visit(
         [&](const auto& typed) -> std::optional<StoreReply> {
           return Run(now, typed);
@@ -36,7 +36,7 @@
   // Reads the current state without expiring leases first.
   StoreReply Read(const StoreRange& range) const { return Run(Time(), range); }
 
-  void DropLapsed(Time now) {
+  void ExpireLeases(Time now) {
     for (auto it = leases_.begin(); it != leases_.end();) {
       const auto current = it++;
       if (current->second.expires <= now) {
--- a/tests/support/fake_store_link.h
+++ b/tests/support/fake_store_link.h
@@ -19,14 +19,14 @@
   Duration max_delay = Duration::Millis(5);
   // While set, calls do not arrive and replies are not sent.
   bool outage = false;
-  double request_lost = 0;
-  double reply_lost = 0;
-  double busy = 0;
+  double request_loss_rate = 0;
+  double reply_loss_rate = 0;
+  double busy_rate = 0;
   // Each call is answered as if its lease had expired, without reaching the
   // store.
   bool lease_unknown = false;
   // Fraction of reads that are answered from the last snapshot.
-  double stale_read = 0;
+  double stale_read_rate = 0;
 };
 
 // Delivers calls to a `FakeStore` and replies back in virtual time. Lost calls
@@ -45,7 +45,7 @@
   const FakeStore& store() const { return store_; }
   FakeStoreFaults& faults() { return faults_; }
   // Sets the predicate for callers that reach the service; initially all do.
-  void SetReaches(std::function<bool(const std::string& caller)> reaches) {
+  void SetReachable(std::function<bool(const std::string& caller)> reaches) {
     reaches_ = std::move(reaches);
   }
 
@@ -62,7 +62,8 @@
 
   void Send(Time now, std::string caller, StoreCallId id, StoreCall call) {
     ++calls_;
-    if (faults_.outage || !reaches_(caller) || Chance(faults_.request_lost)) {
+    if (faults_.outage || !reaches_(caller) ||
+        Chance(faults_.request_loss_rate)) {
       return;
     }
     if (faults_.lease_unknown) {
@@ -82,7 +83,7 @@
   // have come back.
   std::vector<Delivery> Deliver(Time now) {
     if (!faults_.outage) {
-      store_.DropLapsed(now);
+      store_.ExpireLeases(now);
       RunArrived(now);
     }
     std::vector<Delivery> due;
@@ -147,7 +148,7 @@
     if (!reply) {
       return false;
     }
-    if (!Chance(faults_.reply_lost) && reaches_(pending.caller)) {
+    if (!Chance(faults_.reply_loss_rate) && reaches_(pending.caller)) {
       replies_.push_back(
           {now + Delay(), {pending.caller, pending.id, *std::move(reply)}});
     }
@@ -155,11 +156,11 @@
   }
 
   std::optional<StoreReply> Answer(Time now, const PendingCall& pending) {
-    if (Chance(faults_.busy)) {
+    if (Chance(faults_.busy_rate)) {
       return StoreRefused{Duration::Millis(200)};
     }
     if (const auto* range = std::get_if<StoreRange>(&pending.call);
-        range != nullptr && Chance(faults_.stale_read)) {
+        range != nullptr && Chance(faults_.stale_read_rate)) {
       return snapshot_.Read(*range);
     }
     auto reply = store_.Execute(now, pending.call);
--- a/tests/support/gateway_path.h
+++ b/tests/support/gateway_path.h
@@ -51,10 +51,10 @@
     return IsOk(answer) ? ValueOf(answer) : HttpResponse{0, {}, {}};
   }
 
-  HttpResponse Ask(const Address& address,
-                   const std::string& route,
-                   const std::string& key = "standin-key",
-                   const std::string& body = "body") {
+  HttpResponse SendRequest(const Address& address,
+                           const std::string& route,
+                           const std::string& key = "standin-key",
+                           const std::string& body = "body") {
     const int request = ++last_request_;
     const auto answer =
         Call(address,
@@ -70,7 +70,7 @@
     return IsOk(answer) ? ValueOf(answer) : HttpResponse{0, {}, {}};
   }
 
-  static std::string WholeStream() {
+  static std::string ExpectedStream() {
     std::string all;
     for (int i = 1; i <= 20; ++i) {
       all += "id: " + std::to_string(i) + "\ndata: piece " + std::to_string(i) +
@@ -91,13 +91,13 @@
   }
 
   bool ServesBothModels() {
-    return fleet_.Until([this] {
-      return Ask(first_.callers, "large").status == 200 &&
-             Ask(second_.callers, "small").status == 200;
+    return fleet_.WaitUntil([this] {
+      return SendRequest(first_.callers, "large").status == 200 &&
+             SendRequest(second_.callers, "small").status == 200;
     });
   }
 
-  std::int64_t RunsOf(const std::string& prefix) {
+  std::int64_t CountRuns(const std::string& prefix) {
     const auto runs = boost::json::parse(Get(store_, "/standin/runs").body);
     std::int64_t total = 0;
     for (const auto& [vm, count] : runs.as_object()) {
--- a/tests/support/gateway_world.h
+++ b/tests/support/gateway_world.h
@@ -69,7 +69,7 @@
       now_ = now_ + kStep;
       RunDueEvents();
       if (!store_down) {
-        store_.DropLapsed(now_);
+        store_.ExpireLeases(now_);
         AnswerWatches();
       } else {
         TimeOutWatches();
--- a/tests/support/groups_world.h
+++ b/tests/support/groups_world.h
@@ -57,7 +57,7 @@
     network_.SetConnected([this](const NodeId& a, const NodeId& b) {
       return !nodes_.at(a).is_cut_off && !nodes_.at(b).is_cut_off;
     });
-    link_.SetReaches([this](const std::string& caller) {
+    link_.SetReachable([this](const std::string& caller) {
       return ReachesStore(nodes_.at(NodeId(caller)));
     });
     for (const char* domain : {"d1", "d2"}) {
@@ -258,7 +258,7 @@
       return;
     }
     FakeStore& store = link_.store();
-    store.DropLapsed(now_);
+    store.ExpireLeases(now_);
     if (!store.HasLease(node.lease)) {
       DropRoles(node);
       const auto reply = store.Execute(now_, StoreLeaseGrant{kLease});
--- a/tests/support/lease_cluster.h
+++ b/tests/support/lease_cluster.h
@@ -114,7 +114,7 @@
   // are never two holds of a role, and endpoints see only increasing fencing
   // tokens.
   bool HoldsMatchStore(const std::set<RoleName>& roles) {
-    link_.store().DropLapsed(now_);
+    link_.store().ExpireLeases(now_);
     const auto& entries = link_.store().entries();
     for (const RoleName& role : roles) {
       for (const HeldRole& held : FindHolds(role)) {
--- a/tests/support/member_cluster.h
+++ b/tests/support/member_cluster.h
@@ -138,7 +138,7 @@
   }
 
   // Returns how many running nodes other than `index` see it in `state`.
-  std::size_t Seeing(std::size_t index, MemberState state) const {
+  std::size_t CountNodesSeeing(std::size_t index, MemberState state) const {
     std::size_t count = 0;
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       count +=
@@ -150,7 +150,7 @@
 
   // Returns true if every running node sees exactly the running nodes as
   // owners, each with the version that it last announced.
-  bool Agrees() const {
+  bool HasConverged() const {
     std::size_t running = 0;
     for (const Node& node : nodes_) {
       running += node.up ? 1 : 0;
--- a/tests/support/once_world.h
+++ b/tests/support/once_world.h
@@ -26,11 +26,11 @@
   // Sends per second of all callers, and the probability that a send repeats an
   // earlier key.
   double sends_per_second = 20;
-  double repeated = 0.5;
+  double repeat_probability = 0.5;
   // Number of recent keys from which repeated sends are drawn.
   std::size_t recent_key_count = 50;
   // Probability that a new key is issued by the system.
-  double issued_keys = 0.25;
+  double issued_key_probability = 0.25;
   // Probabilities of these ends of an attempt.
   double refusal_probability = 0.05;
   double answer_loss_probability = 0.05;
@@ -39,7 +39,14 @@
 };
 
 // What the caller of a send was told.
-enum class Told { kNothing, kAnswered, kReplayed, kNotRun, kUnknown, kEarlier };
+enum class SendOutcome {
+  kNothing,
+  kAnswered,
+  kReplayed,
+  kNotRun,
+  kUnknown,
+  kEarlier
+};
 
 // Simulates in virtual time several nodes, the key-value service, callers that
 // send again, and a service that counts how often each key ran.
@@ -52,7 +59,7 @@
     // Time at which the node was allowed to run the request.
     std::optional<Time> run_at;
     Time told_at;
-    Told told = Told::kNothing;
+    SendOutcome outcome = SendOutcome::kNothing;
     RefusalKind refusal = RefusalKind::kNoCapacity;
     bool executed = false;
   };
@@ -64,7 +71,7 @@
         random_(SeededRandom(settings.seed)),
         store_(random_),
         network_(random_) {
-    store_.SetReaches([this](const std::string& caller) {
+    store_.SetReachable([this](const std::string& caller) {
       return !store_cut_.contains(caller.substr(0, caller.find('/')));
     });
     network_.SetConnected([this](const NodeId& from, const NodeId& to) {
@@ -97,11 +104,11 @@
   void Pause(std::int64_t index, Duration length) {
     NodeAt(index).paused_until = now_ + length;
   }
-  void Cut(std::int64_t index, Duration length) {
+  void Partition(std::int64_t index, Duration length) {
     cut_.insert(NodeAt(index).id);
     After(length, [this, id = NodeAt(index).id] { cut_.erase(id); });
   }
-  void CutFromStore(std::int64_t index, Duration length) {
+  void PartitionFromStore(std::int64_t index, Duration length) {
     const std::string id = NodeAt(index).id.value();
     store_cut_.insert(id);
     After(length, [this, id] { store_cut_.erase(id); });
@@ -368,7 +375,7 @@
               [&](const OnceReplay& replay) { OnReplay(replay); },
               [&](const OnceRefuse& refuse) {
                 sends_.at(refuse.request).refusal = refuse.refusal.kind;
-                Tell(refuse.request, Told::kNotRun);
+                Tell(refuse.request, SendOutcome::kNotRun);
               },
               [&](const OnceReportEarlier& earlier) { OnEarlier(earlier); },
           },
@@ -391,7 +398,7 @@
   void Write(Node& node, const RequestId& request) {
     if (!node.client->MayWrite(LocalTime(node), request) ||
         DrawUnit(random_) < settings_.refusal_probability) {
-      Tell(request, Told::kNotRun);
+      Tell(request, SendOutcome::kNotRun);
       ApplyActions(node,
                    node.client->Finish(LocalTime(node), request, OnceNotRun{}));
       return;
@@ -414,11 +421,11 @@
     send.executed = true;
     executed_by_[send.key].push_back(request);
     Require(executed_by_[send.key].size() == 1, "key ran twice", request);
-    Require(send.told != Told::kNotRun, "ran after being told not run",
-            request);
+    Require(send.outcome != SendOutcome::kNotRun,
+            "ran after being told not run", request);
   }
   void OnServiceEnd(Node& node, const RequestId& request, bool lost) {
-    Tell(request, lost ? Told::kUnknown : Told::kAnswered);
+    Tell(request, lost ? SendOutcome::kUnknown : SendOutcome::kAnswered);
     OnceOutcome outcome = OnceMayHaveRun{};
     if (!lost) {
       outcome = OnceAnswered{OnceAnswer{200, {}, request.value()}};
@@ -432,9 +439,9 @@
     const auto index = static_cast<std::int64_t>(
         DrawBelow(random_, static_cast<std::uint64_t>(settings_.nodes)));
     std::string key;
-    if (!recent_.empty() && DrawUnit(random_) < settings_.repeated) {
+    if (!recent_.empty() && DrawUnit(random_) < settings_.repeat_probability) {
       key = recent_[DrawBelow(random_, recent_.size())];
-    } else if (DrawUnit(random_) < settings_.issued_keys) {
+    } else if (DrawUnit(random_) < settings_.issued_key_probability) {
       key = IssueKey(index);
     }
     if (key.empty()) {
@@ -448,22 +455,23 @@
   }
   void OnReplay(const OnceReplay& replay) {
     const std::string& key = sends_.at(replay.request).key;
-    Tell(replay.request, Told::kReplayed);
+    Tell(replay.request, SendOutcome::kReplayed);
     Require(Executions(key) == 1 &&
                 executed_by_.at(key).front().value() == replay.answer.body,
             "replayed another request's answer", replay.request);
   }
   void OnEarlier(const OnceReportEarlier& earlier) {
-    Tell(earlier.request, Told::kEarlier);
+    Tell(earlier.request, SendOutcome::kEarlier);
     Require(!earlier.certain || Executions(sends_.at(earlier.request).key) == 1,
             "told that an earlier send ran, but none did", earlier.request);
   }
-  void Tell(const RequestId& request, Told told) {
+  void Tell(const RequestId& request, SendOutcome outcome) {
     Send& send = sends_.at(request);
-    Require(send.told == Told::kNothing, "told twice", request);
-    Require(told == Told::kAnswered || told == Told::kUnknown || !send.executed,
+    Require(send.outcome == SendOutcome::kNothing, "told twice", request);
+    Require(outcome == SendOutcome::kAnswered ||
+                outcome == SendOutcome::kUnknown || !send.executed,
             "ran, but was told that this send did not", request);
-    send.told = told;
+    send.outcome = outcome;
     send.told_at = now_;
   }
   void Require(bool holds, const std::string& what, const RequestId& request) {
--- a/tests/support/process_fleet.h
+++ b/tests/support/process_fleet.h
@@ -247,7 +247,7 @@
   // Polls until the condition holds; returns false if it does not hold in time.
   // All waits of a test end before CTest's own timeout, which would leave the
   // processes running.
-  bool Until(const std::function<bool()>& condition) const {
+  bool WaitUntil(const std::function<bool()>& condition) const {
     const auto end = std::min(Now() + kMaxWait, started_ + kMaxTestTime);
     while (!condition()) {
       if (Now() > end) {
--- a/tests/transport/http_client_test.cc
+++ b/tests/transport/http_client_test.cc
@@ -234,14 +234,14 @@
 TEST_F(HttpClientTest, DistinguishesSilentPeerFromDeadline) {
   options_.progress_timeout = Duration::Millis(50);
   ExpectFailure(FetchFrom([](RawPeer& peer, int) { peer.ReadToEnd(); }),
-                HttpFailureKind::kSilent, HttpProgress::kMaybeSent);
+                HttpFailureKind::kProgressTimeout, HttpProgress::kMaybeSent);
   options_.progress_timeout = Duration::Seconds(60);
   options_.deadline = Duration::Millis(100);
   ExpectFailure(FetchFrom([](RawPeer& peer, int) {
                   peer.Send("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok");
                   peer.ReadToEnd();
                 }),
-                HttpFailureKind::kDeadline, HttpProgress::kAnswerBegun);
+                HttpFailureKind::kDeadlineExceeded, HttpProgress::kAnswerBegun);
 }
 
 TEST_F(HttpClientTest, PausedCallStopsReading) {
@@ -294,9 +294,9 @@
     options_.reuse_connection = false;
     EXPECT_EQ(ValueOf(Fetch(server.port())).body, "1");
     options_.reuse_connection = true;
-    client_.ForgetConnections(LoopbackAt(server.port()));
+    client_.CloseIdleConnections(LoopbackAt(server.port()));
     EXPECT_EQ(ValueOf(Fetch(server.port())).body, "2");
-    client_.ForgetConnections(LoopbackAt(server.port()));
+    client_.CloseIdleConnections(LoopbackAt(server.port()));
   }
 }
 
--- a/tests/transport/line_writer_test.cc
+++ b/tests/transport/line_writer_test.cc
@@ -43,15 +43,15 @@
   const std::string line = std::string(999, 'x') + "\n";
   for (int i = 0; i < 2000; ++i) {
     writer.Write(line);
-    ASSERT_LE(writer.held_bytes(), kBound);
+    ASSERT_LE(writer.buffered_bytes(), kBound);
   }
   EXPECT_GT(writer.dropped(), 0);
   // When the reader reads again, the held lines are written first.
-  while (writer.held_bytes() > 0) {
+  while (writer.buffered_bytes() > 0) {
     EXPECT_FALSE(ReadSome().empty());
     writer.Flush();
   }
-  EXPECT_EQ(writer.held_bytes(), 0U);
+  EXPECT_EQ(writer.buffered_bytes(), 0U);
 }
 
 TEST_F(LineWriterTest, TruncatesTooLongLines) {
--- a/tests/transport/log_budget_test.cc
+++ b/tests/transport/log_rate_limiter_test.cc
@@ -1,4 +1,4 @@
-#include "transport/log_budget.h"
+#include "transport/log_rate_limiter.h"
 
 #include <gtest/gtest.h>
 
@@ -17,33 +17,33 @@
 // Guards against losing the one refusal that would explain a complaint because
 // thousands of requests succeed in the same second: each log class has its own
 // limit.
-TEST(LogBudgetTest, SuccessesDoNotUseTheBudgetOfOtherClasses) {
+TEST(LogRateLimiterTest, SuccessesDoNotUseTheBudgetOfOtherClasses) {
   std::map<EventKind, int> written;
-  std::map<LogClass, std::int64_t> left_out;
-  LogBudget budget(
+  std::map<LogClass, std::int64_t> dropped;
+  LogRateLimiter log_limiter(
       {2, 3, 5},
       [&](const TimelineEvent& event) { ++written[event.draft.kind]; },
       [&](LogClass log_class, std::int64_t lines) {
-        left_out[log_class] += lines;
+        dropped[log_class] += lines;
       });
   for (int i = 0; i < 100; ++i) {
-    budget.Take(Event(1000 + i, EventKind::kRequestFinished));
+    log_limiter.Write(Event(1000 + i, EventKind::kRequestFinished));
   }
   for (int i = 0; i < 10; ++i) {
-    budget.Take(Event(1500, EventKind::kRequestRefused));
-    budget.Take(Event(1500, EventKind::kGroupClosed));
+    log_limiter.Write(Event(1500, EventKind::kRequestRefused));
+    log_limiter.Write(Event(1500, EventKind::kGroupClosed));
   }
   EXPECT_EQ(written[EventKind::kRequestFinished], 5);
   EXPECT_EQ(written[EventKind::kRequestRefused], 3);
   EXPECT_EQ(written[EventKind::kGroupClosed], 2);
-  EXPECT_TRUE(left_out.empty());
+  EXPECT_TRUE(dropped.empty());
   // The next second reports the lines left out and starts with a new budget.
-  budget.Take(Event(2000, EventKind::kRequestRefused));
-  EXPECT_EQ(left_out[LogClass::kSuccess], 95);
-  EXPECT_EQ(left_out[LogClass::kTrouble], 7);
-  EXPECT_EQ(left_out[LogClass::kBelief], 8);
+  log_limiter.Write(Event(2000, EventKind::kRequestRefused));
+  EXPECT_EQ(dropped[LogClass::kRequestProgress], 95);
+  EXPECT_EQ(dropped[LogClass::kRequestFailure], 7);
+  EXPECT_EQ(dropped[LogClass::kStateChange], 8);
   EXPECT_EQ(written[EventKind::kRequestRefused], 4);
-  EXPECT_EQ(budget.left_out(), 110);
+  EXPECT_EQ(log_limiter.dropped(), 110);
 }
 
 }  // namespace
--- a/tests/transport/peer_test.cc
+++ b/tests/transport/peer_test.cc
@@ -156,7 +156,7 @@
 
 TEST_F(PeerTest, DropsOldestMessagesIfQueueIsFull) {
   Listen();
-  settings_.max_waiting_messages = 10;
+  settings_.max_queued_messages = 10;
   Connect(server_->port());
   Send(1, 100);
   AwaitPing(100);
--- a/tests/transport/platform_clients_test.cc
+++ b/tests/transport/platform_clients_test.cc
@@ -15,12 +15,12 @@
 namespace {
 
 TEST(KeyDigestTest, IsSha256InHexadecimal) {
-  const KeyDigest digest = DigestOfKey("abc");
+  const KeyDigest digest = ComputeKeyDigest("abc");
   EXPECT_EQ(digest.value(),
             "ba7816bf8f01cfea414140de5dae2223"
             "b00361a396177a9cb410ff61f20015ad");
-  EXPECT_TRUE(EqualInConstantTime(digest, DigestOfKey("abc")));
-  EXPECT_FALSE(EqualInConstantTime(digest, DigestOfKey("abd")));
+  EXPECT_TRUE(EqualInConstantTime(digest, ComputeKeyDigest("abc")));
+  EXPECT_FALSE(EqualInConstantTime(digest, ComputeKeyDigest("abd")));
   EXPECT_FALSE(EqualInConstantTime(digest, KeyDigest("ba")));
 }
 
--- a/tests/transport/settings_reader_test.cc
+++ b/tests/transport/settings_reader_test.cc
@@ -30,7 +30,7 @@
  protected:
   SettingsReaderTest() {
     reader_.Add("node", &settings_.node, TextRange{1, 8}, "Its id.",
-                SettingNeed::kRequired);
+                SettingPresence::kRequired);
     reader_.Add("callers.port", &settings_.port, IntegerRange{0, 65535},
                 "Port for callers.");
     reader_.Add("limits.headroom", &settings_.headroom, NumberRange{0, 1},
--- a/tests/transport/store_belief_test.cc
+++ b/tests/transport/store_health_test.cc
@@ -1,4 +1,4 @@
-#include "transport/store_belief.h"
+#include "transport/store_health.h"
 
 #include <gtest/gtest.h>
 
@@ -7,7 +7,7 @@
 namespace gcw {
 namespace {
 
-class StoreBeliefTest : public testing::Test {
+class StoreHealthTest : public testing::Test {
  protected:
   void Observe(const StoreReply& reply, int times) {
     for (int i = 0; i < times; ++i) {
@@ -15,26 +15,27 @@
     }
   }
 
-  std::vector<StoreBelief> changes_;
-  StoreBeliefObserver observer_{
-      [this](StoreBelief belief) { changes_.push_back(belief); }};
+  std::vector<StoreHealth> changes_;
+  StoreHealthMonitor observer_{
+      [this](StoreHealth health) { changes_.push_back(health); }};
 };
 
-TEST_F(StoreBeliefTest, DistinguishesServiceStates) {
+TEST_F(StoreHealthTest, DistinguishesServiceStates) {
   Observe(StoreWritten{}, 5);
   EXPECT_TRUE(changes_.empty());
   Observe(StoreNoAnswer{}, 50);
   Observe(StoreRefused{Duration::Millis(100)}, 50);
   Observe(StoreRefused{Duration::Seconds(5), StoreRefusal::kUnknownCall}, 50);
   Observe(StoreConflict{}, 50);
-  EXPECT_EQ(changes_, (std::vector<StoreBelief>{
-                          StoreBelief::kSilent, StoreBelief::kRefuses,
-                          StoreBelief::kKnowsNoCall, StoreBelief::kAnswers}));
+  EXPECT_EQ(changes_,
+            (std::vector<StoreHealth>{
+                StoreHealth::kUnreachable, StoreHealth::kRejectingCalls,
+                StoreHealth::kIncompatible, StoreHealth::kAvailable}));
 }
 
 // Guards against a log line for each call if the service refuses every second
 // call: a single answer is not yet a change of its state.
-TEST_F(StoreBeliefTest, OccasionalRefusalsAreNoChange) {
+TEST_F(StoreHealthTest, OccasionalRefusalsAreNoChange) {
   for (int i = 0; i < 100; ++i) {
     Observe(StoreRefused{}, 1);
     Observe(StoreWritten{}, 1);
--- a/transport/action_executor.cc
+++ b/transport/action_executor.cc
@@ -169,8 +169,8 @@
 }
 
 void ActionExecutor::Execute(const DropConnections& action) {
-  clients_.endpoints->ForgetConnections(action.address);
-  clients_.engines->ForgetConnections(action.address);
+  clients_.endpoints->CloseIdleConnections(action.address);
+  clients_.engines->CloseIdleConnections(action.address);
 }
 
 }  // namespace gcw
--- a/transport/caller_exchange.cc
+++ b/transport/caller_exchange.cc
@@ -13,26 +13,26 @@
 
 constexpr int kStatusBadGateway = 502;
 
-AttemptBreakKind ToBreakKind(HttpFailureKind kind) {
+AttemptFailureKind ToBreakKind(HttpFailureKind kind) {
   switch (kind) {
     case HttpFailureKind::kConnectRefused:
-      return AttemptBreakKind::kConnectRefused;
+      return AttemptFailureKind::kConnectRefused;
     case HttpFailureKind::kConnectTimeout:
-      return AttemptBreakKind::kConnectTimeout;
+      return AttemptFailureKind::kConnectTimeout;
     case HttpFailureKind::kConnectionReset:
-      return AttemptBreakKind::kReset;
-    case HttpFailureKind::kSilent:
-      return AttemptBreakKind::kSilent;
-    case HttpFailureKind::kDeadline:
-      return AttemptBreakKind::kDeadline;
+      return AttemptFailureKind::kReset;
+    case HttpFailureKind::kProgressTimeout:
+      return AttemptFailureKind::kStalled;
+    case HttpFailureKind::kDeadlineExceeded:
+      return AttemptFailureKind::kDeadline;
     case HttpFailureKind::kMalformedAnswer:
-      return AttemptBreakKind::kMalformed;
+      return AttemptFailureKind::kMalformed;
     case HttpFailureKind::kTruncated:
-      return AttemptBreakKind::kTruncated;
+      return AttemptFailureKind::kTruncated;
     case HttpFailureKind::kCancelled:
-      return AttemptBreakKind::kWithheld;
+      return AttemptFailureKind::kWithheld;
   }
-  return AttemptBreakKind::kReset;
+  return AttemptFailureKind::kReset;
 }
 
 AttemptProgress ToAttemptProgress(HttpProgress progress) {
@@ -92,7 +92,7 @@
     if (self->finished_) {
       return;
     }
-    self->hooks_.post(CallerGone{self->id_});
+    self->hooks_.post(CallerDisconnected{self->id_});
     self->finished_ = true;
   });
 }
@@ -158,7 +158,7 @@
   }
   if (responder_->unsent_bytes() > kMaxUnsentBytes) {
     responder_->Abort();
-    hooks_.post(CallerGone{id_});
+    hooks_.post(CallerDisconnected{id_});
     finished_ = true;
   }
 }
@@ -173,11 +173,11 @@
     EndAttempt(attempt, receiver_->OnEnd());
     return;
   }
-  AttemptEnd end = malformed_
-                       ? AttemptEnd(AttemptBroke{AttemptBreakKind::kMalformed,
-                                                 AttemptProgress::kAnswerBegun,
-                                                 receiver_->delivered()})
-                       : receiver_->OnEnd();
+  AttemptEnd end =
+      malformed_ ? AttemptEnd(AttemptFailed{AttemptFailureKind::kMalformed,
+                                            AttemptProgress::kAnswerBegun,
+                                            receiver_->delivered()})
+                 : receiver_->OnEnd();
   const bool answered = std::holds_alternative<AttemptAnswered>(end);
   EndAttempt(attempt, std::move(end));
   if (answered) {
@@ -190,12 +190,12 @@
   if (attempt_ != attempt) {
     return;
   }
-  AttemptBroke broke;
-  broke.kind =
-      malformed_ ? AttemptBreakKind::kMalformed : ToBreakKind(failure.kind);
-  broke.progress = ToAttemptProgress(failure.progress);
-  broke.delivered = receiver_->delivered();
-  EndAttempt(attempt, broke);
+  AttemptFailed failed;
+  failed.kind =
+      malformed_ ? AttemptFailureKind::kMalformed : ToBreakKind(failure.kind);
+  failed.progress = ToAttemptProgress(failure.progress);
+  failed.delivered = receiver_->delivered();
+  EndAttempt(attempt, failed);
 }
 
 void CallerExchange::EndAttempt(const AttemptId& attempt, AttemptEnd end) {
@@ -210,7 +210,7 @@
   }
   std::visit(
       Overloaded{
-          [this](const TellRefused& outcome) {
+          [this](const RespondRefused& outcome) {
             if (receiver_->begun()) {
               FailResponse(RefusalKindName(outcome.refusal.kind),
                            RefusalMessage(outcome.refusal.kind),
@@ -223,23 +223,23 @@
                                outcome.refusal.retry_after),
                     outcome.refusal.retry_after);
           },
-          [this](const TellUnknown&) {
+          [this](const RespondOutcomeUnknown&) {
             FailResponse("outcome_unknown",
                          "The request may have run; its answer was lost.",
                          Duration());
           },
-          [this](const TellStreamBroken&) {
+          [this](const RespondStreamBroken&) {
             FailResponse("answer_broken",
                          "The answer broke off and could not be continued.",
                          Duration());
           },
-          [this](const TellPreempted& outcome) {
+          [this](const RespondPreempted& outcome) {
             FailResponse(
                 "trial_preempted",
                 "Trial work was stopped to make room; come back later.",
                 outcome.retry_after);
           },
-          [this](const TellReplay& outcome) {
+          [this](const RespondReplay& outcome) {
             HttpResponse response;
             response.status = outcome.answer.status;
             response.body = outcome.answer.body;
@@ -251,10 +251,10 @@
                 HttpHeader{"X-Gcw-Request", id_.value()});
             responder_->Respond(std::move(response));
           },
-          [this](const TellEarlierSend& outcome) {
+          [this](const RespondDuplicate& outcome) {
             FailResponse(
-                outcome.certain ? "ran_earlier" : "outcome_unknown",
-                outcome.certain
+                outcome.earlier_ran ? "ran_earlier" : "outcome_unknown",
+                outcome.earlier_ran
                     ? "An earlier send with this key ran; its answer is no "
                       "longer held. This send was not run."
                     : "An earlier send with this key may have run. This send "
--- a/transport/caller_exchange.h
+++ b/transport/caller_exchange.h
@@ -15,12 +15,12 @@
 namespace gcw {
 
 // The final responses that the core can give to a caller.
-using FinalResponse = std::variant<TellRefused,
-                                   TellUnknown,
-                                   TellStreamBroken,
-                                   TellPreempted,
-                                   TellReplay,
-                                   TellEarlierSend>;
+using FinalResponse = std::variant<RespondRefused,
+                                   RespondOutcomeUnknown,
+                                   RespondStreamBroken,
+                                   RespondPreempted,
+                                   RespondReplay,
+                                   RespondDuplicate>;
 
 // One caller's request on the traffic threads: runs the attempts that the core
 // decides on and ensures that the caller gets exactly one response.
--- a/transport/caller_service.cc
+++ b/transport/caller_service.cc
@@ -47,7 +47,8 @@
   if (!authorization.starts_with(kBearer)) {
     return KeyDigest();
   }
-  return DigestOfKey(std::string_view(authorization).substr(kBearer.size()));
+  return ComputeKeyDigest(
+      std::string_view(authorization).substr(kBearer.size()));
 }
 
 // Returns nullopt if the header is not a positive number.
@@ -80,7 +81,7 @@
   // Keeps the value positive and within the 53 bits that the codecs can
   // represent.
   constexpr std::uint64_t kMask = (std::uint64_t{1} << 52) - 1;
-  return Fingerprint(static_cast<std::int64_t>(HashOf(text) & kMask));
+  return Fingerprint(static_cast<std::int64_t>(Xxh3Hash(text) & kMask));
 }
 
 }  // namespace
@@ -135,11 +136,11 @@
                         arrived)) {
     return;
   }
-  const std::string prompt = PromptOf(chat);
+  const std::string prompt = BuildPrompt(chat);
   RequestProfile& profile = arrived.profile;
   const ModelTarget target{chat.model, chat.adapter};
   profile.target = target;
-  profile.prompt_tokens = PromptTokens(prompt);
+  profile.prompt_tokens = EstimatePromptTokens(prompt);
   profile.max_generated_tokens = chat.max_tokens;
   profile.prefix_blocks = PrefixBlocks(prompt);
   profile.fingerprint = ComputeFingerprint(chat.model.value(), prompt);
@@ -153,7 +154,7 @@
         if (last == Time()) {
           metrics_.OnFirstToken(now - arrival);
         } else {
-          metrics_.OnNextToken(now - last);
+          metrics_.OnTokenGap(now - last);
         }
         last = now;
       });
@@ -199,7 +200,7 @@
 
 void CallerService::HandleEntries(const Responder& responder) {
   runtime_.RunOnControlThread([responder](NodeCore& core, EventLog&, Time) {
-    const EntryAnswer answer = core.Entries();
+    const AdvertisedNodes answer = core.AdvertisedAddresses();
     boost::json::array entries;
     for (const EntryAddress& entry : answer.entries) {
       entries.emplace_back(
@@ -210,7 +211,7 @@
     }
     RespondJson(responder, kStatusOk,
                 boost::json::serialize(boost::json::object{
-                    {"entries", entries}, {"keep_ms", answer.keep.millis()}}));
+                    {"entries", entries}, {"keep_ms", answer.ttl.millis()}}));
   });
 }
 
--- a/transport/chat_receiver.cc
+++ b/transport/chat_receiver.cc
@@ -12,9 +12,9 @@
 constexpr std::size_t kMaxErrorBodyBytes = 64UL * 1024;
 constexpr std::string_view kEndOfStream = "[DONE]";
 
-AttemptBroke Malformed(TokenCount delivered) {
-  return AttemptBroke{AttemptBreakKind::kMalformed,
-                      AttemptProgress::kAnswerBegun, delivered};
+AttemptFailed Malformed(TokenCount delivered) {
+  return AttemptFailed{AttemptFailureKind::kMalformed,
+                       AttemptProgress::kAnswerBegun, delivered};
 }
 
 }  // namespace
@@ -132,8 +132,8 @@
     if (!stream_ended_) {
       // The engine ended its stream without the last event: the answer is
       // truncated although the HTTP response ended properly.
-      return AttemptBroke{AttemptBreakKind::kTruncated,
-                          AttemptProgress::kAnswerBegun, delivered()};
+      return AttemptFailed{AttemptFailureKind::kTruncated,
+                           AttemptProgress::kAnswerBegun, delivered()};
     }
     return FinishAnswer();
   }
@@ -163,9 +163,9 @@
   std::string completion;
   if (!request_.stream || keep_answer_) {
     completion =
-        WriteWholeAnswer(request_.id, request_.target, text_,
-                         finish_reason_.empty() ? "stop" : finish_reason_,
-                         request_.prompt_tokens, answered.generated);
+        WriteChatCompletion(request_.id, request_.target, text_,
+                            finish_reason_.empty() ? "stop" : finish_reason_,
+                            request_.prompt_tokens, answered.generated);
   }
   if (keep_answer_) {
     answered.answer = OnceAnswer{
--- a/transport/engine_client.cc
+++ b/transport/engine_client.cc
@@ -92,8 +92,8 @@
                      std::move(done));
 }
 
-void EngineClient::ForgetConnections(const Address& engine) {
-  client_.ForgetConnections(engine);
+void EngineClient::CloseIdleConnections(const Address& engine) {
+  client_.CloseIdleConnections(engine);
 }
 
 }  // namespace gcw
--- a/transport/engine_client.h
+++ b/transport/engine_client.h
@@ -45,7 +45,7 @@
                      CallDone<bool> done);
 
   // Closes pooled connections to the engine, for example after one stalled.
-  void ForgetConnections(const Address& engine);
+  void CloseIdleConnections(const Address& engine);
 
  private:
   HttpClient client_;
--- a/transport/gateway/forward_exchange.cc
+++ b/transport/gateway/forward_exchange.cc
@@ -67,9 +67,11 @@
   } else if (std::holds_alternative<PassAnswer>(step)) {
     RespondWithAnswer();
   } else if (const auto* refused = std::get_if<ForwardRefused>(&step)) {
-    Respond(parts_.dialect->make_refusal(*refused), ForwardOutcome::kRefused);
+    Respond(parts_.dialect->make_refused_response(*refused),
+            ForwardOutcome::kRefused);
   } else if (const auto* unknown = std::get_if<ForwardOutcomeUnknown>(&step)) {
-    Respond(parts_.dialect->make_unknown(*unknown), ForwardOutcome::kUnknown);
+    Respond(parts_.dialect->make_unknown_outcome_response(*unknown),
+            ForwardOutcome::kUnknown);
   } else {
     responder_->Abort();
     Finish(ForwardOutcome::kTruncated, attempt_.head.status);
@@ -109,8 +111,8 @@
     if_current([&](ForwardExchange& self) { self.OnFailure(failure); });
   };
   attempt_.call = parts_.endpoints->Send(
-      send.address, parts_.dialect->make_attempt(request_, send), options,
-      std::move(handlers));
+      send.address, parts_.dialect->make_attempt_request(request_, send),
+      options, std::move(handlers));
 }
 
 void ForwardExchange::OnHead(const HttpResponse& head) {
@@ -120,18 +122,19 @@
   if (attempt_.answer.load) {
     parts_.core->OnLoad(parts_.clock(), id_, *attempt_.answer.load);
   }
-  const bool is_good = attempt_.answer.is_ours && attempt_.answer.is_signed &&
-                       !attempt_.answer.is_altered && IsSuccess(head.status);
+  const bool is_good =
+      attempt_.answer.matches_request && attempt_.answer.has_proof &&
+      !attempt_.answer.has_content_coding && IsSuccess(head.status);
   // A stream that has begun can be continued only with the events of another
   // run of the request. Any other answer that may come from a run breaks it.
-  if (stream_started_ && !is_good && !attempt_.answer.is_not_run &&
-      !attempt_.answer.is_other_vm) {
+  if (stream_started_ && !is_good && !attempt_.answer.is_not_executed &&
+      !attempt_.answer.is_misdirected) {
     EndAttempt(ForwardEndKind::kConnectionBroken);
     return;
   }
   if (is_good && attempt_.send.streams) {
     attempt_.streams_events = true;
-    attempt_.cutter.emplace(attempt_.send.resume_after);
+    attempt_.splitter.emplace(attempt_.send.resume_after);
   }
 }
 
@@ -143,7 +146,7 @@
     }
     return;
   }
-  const std::optional<std::string_view> events = attempt_.cutter->Feed(chunk);
+  const std::optional<std::string_view> events = attempt_.splitter->Feed(chunk);
   if (!events) {
     EndAttempt(ForwardEndKind::kConnectionBroken);
     return;
@@ -161,23 +164,24 @@
     responder_->StartStream(attempt_.head.status, attempt_.head.headers);
   }
   responder_->Write(std::string(events));
-  last_event_ = attempt_.cutter->last_id();
+  last_event_ = attempt_.splitter->last_id();
 }
 
 void ForwardExchange::OnEnd() {
   const AnswerHead& answer = attempt_.answer;
-  if (answer.is_other_vm) {
+  if (answer.is_misdirected) {
     EndAttempt(ForwardEndKind::kOtherVm);
     return;
   }
-  if (answer.is_not_run) {
+  if (answer.is_not_executed) {
     EndAttempt(ForwardEndKind::kNotRun);
     return;
   }
   // A complete answer that has no proof or belongs to another attempt says
   // nothing about this request, which may have run.
-  if (!answer.is_ours || !answer.is_signed || answer.is_altered ||
-      (attempt_.streams_events && attempt_.cutter->has_rest())) {
+  if (!answer.matches_request || !answer.has_proof ||
+      answer.has_content_coding ||
+      (attempt_.streams_events && attempt_.splitter->has_partial_event())) {
     EndAttempt(ForwardEndKind::kConnectionBroken);
     return;
   }
@@ -186,7 +190,7 @@
 }
 
 void ForwardExchange::OnFailure(const HttpFailure& failure) {
-  if (failure.kind == HttpFailureKind::kDeadline) {
+  if (failure.kind == HttpFailureKind::kDeadlineExceeded) {
     EndAttempt(ForwardEndKind::kDeadlineExceeded);
     return;
   }
@@ -194,7 +198,7 @@
     EndAttempt(ForwardEndKind::kNothingSent);
     return;
   }
-  EndAttempt(failure.kind == HttpFailureKind::kSilent
+  EndAttempt(failure.kind == HttpFailureKind::kProgressTimeout
                  ? ForwardEndKind::kSilent
                  : ForwardEndKind::kConnectionBroken);
 }
--- a/transport/gateway/forward_exchange.h
+++ b/transport/gateway/forward_exchange.h
@@ -90,7 +90,7 @@
     // The answer is an event stream that is forwarded as it arrives.
     bool streams_events = false;
     std::string buffered_body;
-    std::optional<EventCutter> cutter;
+    std::optional<SseEventSplitter> splitter;
   };
 
   void PerformStep(const ForwardStep& step);
--- a/transport/gateway/gateway_dialect.h
+++ b/transport/gateway/gateway_dialect.h
@@ -16,16 +16,16 @@
 struct AnswerHead {
   // The answer echoes the request id, so it does not belong to another request.
   // Always true if the request has no id.
-  bool is_ours = false;
+  bool matches_request = false;
   // The answer carries the endpoint's proof that it produced the answer.
-  bool is_signed = false;
+  bool has_proof = false;
   // The endpoint did not execute the request.
-  bool is_not_run = false;
+  bool is_not_executed = false;
   // The address belongs to another VM.
-  bool is_other_vm = false;
+  bool is_misdirected = false;
   // The body is not as the endpoint's application produced it, for example
   // because it has a content coding.
-  bool is_altered = false;
+  bool has_content_coding = false;
   // The VM that the endpoint names as the cause of a failure; may be empty.
   VmId at_fault;
   std::optional<LoadReading> load;
@@ -36,23 +36,24 @@
 struct GatewayDialect {
   // Messages exchanged with callers.
   std::function<ForwardRequest(const HttpRequest&)> read_request;
-  std::function<HttpResponse(const ForwardRefused&)> make_refusal;
-  std::function<HttpResponse(const ForwardOutcomeUnknown&)> make_unknown;
+  std::function<HttpResponse(const ForwardRefused&)> make_refused_response;
+  std::function<HttpResponse(const ForwardOutcomeUnknown&)>
+      make_unknown_outcome_response;
   std::function<HttpResponse(const std::vector<Address>&, Duration keep)>
-      make_entries;
+      make_address_list;
 
   // Messages exchanged with endpoints.
   std::function<HttpRequest(const HttpRequest& original, const SendForward&)>
-      make_attempt;
+      make_attempt_request;
   std::function<AnswerHead(const HttpResponse& head, const RequestId&)>
       read_answer;
-  std::function<HttpRequest(const VmId&, const GroupOrder&)> make_order;
-  std::function<GroupOrderResult(int status)> read_order;
-  std::function<HttpRequest(const VmId&)> make_probe;
-  std::function<ProbeReport(const HttpResponse&)> read_probe;
+  std::function<HttpRequest(const VmId&, const GroupOrder&)> make_order_request;
+  std::function<GroupOrderResult(int status)> read_order_verdict;
+  std::function<HttpRequest(const VmId&)> make_probe_request;
+  std::function<ProbeReport(const HttpResponse&)> read_probe_report;
 
   // Messages exchanged with the key-value service.
-  std::function<HttpRequest(const StoreCall&)> make_store_call;
+  std::function<HttpRequest(const StoreCall&)> make_store_request;
   std::function<StoreReply(const StoreCall&, const HttpResponse&)>
       read_store_reply;
 };
--- a/transport/gateway/gateway_runtime.cc
+++ b/transport/gateway/gateway_runtime.cc
@@ -208,7 +208,7 @@
     responder->Respond({kUnavailable, {}, {}});
     return;
   }
-  responder->Respond(parts_.dialect.make_entries(
+  responder->Respond(parts_.dialect.make_address_list(
       addresses, parts_.core->advertised_addresses_ttl()));
 }
 
@@ -234,7 +234,7 @@
   HttpClient& client = watch != nullptr ? watch_client_ : store_client_;
   parts_.metrics->store_calls.Add();
   client.Fetch(
-      settings_.store, parts_.dialect.make_store_call(action.request.call),
+      settings_.store, parts_.dialect.make_store_request(action.request.call),
       OptionsWithTimeout(timeout),
       [this, action, &client](const Result<HttpResponse, HttpFailure>& answer) {
         StoreReply reply = StoreNoAnswer{};
@@ -243,7 +243,7 @@
                                                   ValueOf(answer));
         } else {
           // Other idle connections may be dead too.
-          client.ForgetConnections(settings_.store);
+          client.CloseIdleConnections(settings_.store);
           parts_.metrics->store_failures.Add();
         }
         store_health_.Observe(reply);
@@ -255,12 +255,13 @@
 void GatewayRuntime::Execute(const SendGroupOrder& action) {
   parts_.metrics->orders.Add();
   engine_client_.Fetch(
-      action.address, parts_.dialect.make_order(action.vm, action.order),
+      action.address,
+      parts_.dialect.make_order_request(action.vm, action.order),
       OptionsWithTimeout(action.timeout),
       [this, id = action.id](const Result<HttpResponse, HttpFailure>& answer) {
         GroupOrderResult result = GroupOrderResult::kNoAnswer;
         if (IsOk(answer)) {
-          result = parts_.dialect.read_order(ValueOf(answer).status);
+          result = parts_.dialect.read_order_verdict(ValueOf(answer).status);
         } else if (ErrorOf(answer).progress == HttpProgress::kNothingSent) {
           result = GroupOrderResult::kUnreachable;
         }
@@ -271,19 +272,19 @@
 void GatewayRuntime::Execute(const ProbeEngine& action) {
   parts_.metrics->probes.Add();
   engine_client_.Fetch(
-      action.address, parts_.dialect.make_probe(action.vm),
+      action.address, parts_.dialect.make_probe_request(action.vm),
       OptionsWithTimeout(action.timeout),
       [this, vm = action.vm](const Result<HttpResponse, HttpFailure>& answer) {
         const ProbeReport report =
-            IsOk(answer) ? parts_.dialect.read_probe(ValueOf(answer))
+            IsOk(answer) ? parts_.dialect.read_probe_report(ValueOf(answer))
                          : ProbeReport{ProbeVerdictFor(ErrorOf(answer)), 1};
         Execute(parts_.core->OnProbeReply(Now(), vm, report));
       });
 }
 
 void GatewayRuntime::Execute(const DropPooledConnections& action) {
-  endpoint_client_.ForgetConnections(action.address);
-  engine_client_.ForgetConnections(action.address);
+  endpoint_client_.CloseIdleConnections(action.address);
+  engine_client_.CloseIdleConnections(action.address);
 }
 
 void GatewayRuntime::Execute(const FailOverForward& action) {
--- a/transport/gateway/gateway_runtime.h
+++ b/transport/gateway/gateway_runtime.h
@@ -16,7 +16,7 @@
 #include "transport/gateway/gateway_metrics.h"
 #include "transport/http_client.h"
 #include "transport/http_server.h"
-#include "transport/store_belief.h"
+#include "transport/store_health.h"
 
 namespace gcw {
 
@@ -138,7 +138,7 @@
   ChangesRequestId last_change_request_id_;
   // The configuration version of the caller limits in force.
   ConfigurationVersion caller_limits_version_;
-  StoreBeliefObserver store_health_{LogStoreBelief};
+  StoreHealthMonitor store_health_{LogStoreHealth};
   // When a planned stop was first seen complete; unset while it is not.
   std::optional<Time> stop_completed_at_;
   bool stopped_ = false;
--- a/transport/gateway/gateway_runtime_peers.cc
+++ b/transport/gateway/gateway_runtime_peers.cc
@@ -153,7 +153,7 @@
         std::optional<MirrorChanges> changes;
         if (!IsOk(answer)) {
           // Other idle connections may be dead too.
-          peer_client_.ForgetConnections(action.address);
+          peer_client_.CloseIdleConnections(action.address);
         } else if (ValueOf(answer).status == kOk) {
           auto decoded = DecodeMirrorChanges(ValueOf(answer).body);
           if (IsOk(decoded)) {
--- a/transport/http_client.cc
+++ b/transport/http_client.cc
@@ -58,7 +58,7 @@
   return Send(address, std::move(request), options, std::move(handlers));
 }
 
-void HttpClient::ForgetConnections(const Address& address) {
+void HttpClient::CloseIdleConnections(const Address& address) {
   state_->pool->CloseConnections(address);
 }
 
--- a/transport/http_client.h
+++ b/transport/http_client.h
@@ -52,7 +52,7 @@
                                   FetchDone done);
 
   // Closes pooled connections to the address, for example after one stalled.
-  void ForgetConnections(const Address& address);
+  void CloseIdleConnections(const Address& address);
 
  private:
   struct State;
--- a/transport/http_client_call.cc
+++ b/transport/http_client_call.cc
@@ -32,7 +32,7 @@
   // The kernel reports a peer that acknowledges nothing with this error
   // (TCP_USER_TIMEOUT).
   return error == boost::asio::error::timed_out
-             ? HttpFailureKind::kSilent
+             ? HttpFailureKind::kProgressTimeout
              : HttpFailureKind::kConnectionReset;
 }
 
@@ -90,7 +90,8 @@
   boost::asio::post(strand_, [self = shared_from_this()] {
     self->paused_ = true;
     if (!self->done_) {
-      self->SetStepTimeout(self->options_.deadline, HttpFailureKind::kDeadline);
+      self->SetStepTimeout(self->options_.deadline,
+                           HttpFailureKind::kDeadlineExceeded);
     }
   });
 }
@@ -185,14 +186,16 @@
 
 void HttpClientCall::ResetProgressTimeout() {
   if (!paused_) {
-    SetStepTimeout(options_.progress_timeout, HttpFailureKind::kSilent);
+    SetStepTimeout(options_.progress_timeout,
+                   HttpFailureKind::kProgressTimeout);
   }
 }
 
 void HttpClientCall::OnTimeout() {
   // The timer has millisecond resolution, so it may fire up to 1 ms early.
   const auto rounded_now = SteadyClock::now() + std::chrono::milliseconds(1);
-  Fail(rounded_now >= deadline_ ? HttpFailureKind::kDeadline : timeout_kind_);
+  Fail(rounded_now >= deadline_ ? HttpFailureKind::kDeadlineExceeded
+                                : timeout_kind_);
 }
 
 void HttpClientCall::Write() {
--- a/transport/http_types.cc
+++ b/transport/http_types.cc
@@ -35,9 +35,9 @@
       return "connect_timeout";
     case HttpFailureKind::kConnectionReset:
       return "connection_reset";
-    case HttpFailureKind::kSilent:
+    case HttpFailureKind::kProgressTimeout:
       return "silent";
-    case HttpFailureKind::kDeadline:
+    case HttpFailureKind::kDeadlineExceeded:
       return "deadline";
     case HttpFailureKind::kMalformedAnswer:
       return "malformed_answer";
--- a/transport/http_types.h
+++ b/transport/http_types.h
@@ -112,8 +112,8 @@
   kConnectTimeout,
   kConnectionReset,
   // No progress was made for the progress timeout.
-  kSilent,
-  kDeadline,
+  kProgressTimeout,
+  kDeadlineExceeded,
   // The response violates the protocol or a limit, or announces no length: it
   // would end when its connection closes, and a truncated one would look
   // complete.
--- a/transport/key_digest.cc
+++ b/transport/key_digest.cc
@@ -9,7 +9,7 @@
 
 namespace gcw {
 
-KeyDigest DigestOfKey(std::string_view key) {
+KeyDigest ComputeKeyDigest(std::string_view key) {
   std::array<unsigned char, EVP_MAX_MD_SIZE> digest;
   unsigned int size = 0;
   const int success = EVP_Digest(key.data(), key.size(), digest.data(), &size,
--- a/transport/key_digest.h
+++ b/transport/key_digest.h
@@ -8,7 +8,7 @@
 namespace gcw {
 
 // Returns the digest by which contracts identify a caller's bearer key.
-KeyDigest DigestOfKey(std::string_view key);
+KeyDigest ComputeKeyDigest(std::string_view key);
 
 // Takes the same time wherever the digests differ, so that the time reveals
 // nothing about them. Their lengths are not secret.
--- a/transport/line_writer.h
+++ b/transport/line_writer.h
@@ -27,7 +27,7 @@
   void Flush();
 
   std::int64_t dropped() const { return dropped_; }
-  std::size_t held_bytes() const { return buffered_bytes_; }
+  std::size_t buffered_bytes() const { return buffered_bytes_; }
 
  private:
   bool IsWritable() const;
--- a/transport/log_budget.cc
+++ b/transport/log_rate_limiter.cc
@@ -1,4 +1,4 @@
-#include "transport/log_budget.h"
+#include "transport/log_rate_limiter.h"
 
 #include <utility>
 
@@ -16,7 +16,7 @@
     case EventKind::kRequestOutcomeUnknown:
     case EventKind::kTrialPreempted:
     case EventKind::kOnceRefused:
-      return LogClass::kTrouble;
+      return LogClass::kRequestFailure;
     case EventKind::kRequestAdmitted:
     case EventKind::kRequestQueued:
     case EventKind::kRequestDispatched:
@@ -24,25 +24,25 @@
     case EventKind::kRequestCancelled:
     case EventKind::kOnceClaimed:
     case EventKind::kOnceReplayed:
-      return LogClass::kSuccess;
+      return LogClass::kRequestProgress;
     default:
-      return LogClass::kBelief;
+      return LogClass::kStateChange;
   }
 }
 
-LogBudget::LogBudget(const LogBudgetSettings& settings,
-                     Write write,
-                     ReportDropped report_dropped)
+LogRateLimiter::LogRateLimiter(const LogRateLimiterSettings& settings,
+                               WriteFunction write,
+                               ReportDropped report_dropped)
     : write_(std::move(write)), report_dropped_(std::move(report_dropped)) {
-  usages_[static_cast<std::size_t>(LogClass::kBelief)].limit =
+  usages_[static_cast<std::size_t>(LogClass::kStateChange)].limit =
       settings.state_change_lines;
-  usages_[static_cast<std::size_t>(LogClass::kTrouble)].limit =
+  usages_[static_cast<std::size_t>(LogClass::kRequestFailure)].limit =
       settings.request_failure_lines;
-  usages_[static_cast<std::size_t>(LogClass::kSuccess)].limit =
+  usages_[static_cast<std::size_t>(LogClass::kRequestProgress)].limit =
       settings.request_progress_lines;
 }
 
-void LogBudget::Take(const TimelineEvent& event) {
+void LogRateLimiter::Write(const TimelineEvent& event) {
   const std::int64_t second = event.time.physical.millis() / kMillisPerSecond;
   if (second != second_) {
     BeginSecond(second);
@@ -50,23 +50,23 @@
   ClassUsage& usage =
       usages_[static_cast<std::size_t>(LogClassOf(event.draft.kind))];
   if (usage.written >= usage.limit) {
-    ++usage.left_out;
-    ++left_out_;
+    ++usage.dropped;
+    ++dropped_;
     return;
   }
   ++usage.written;
   write_(event);
 }
 
-void LogBudget::BeginSecond(std::int64_t second) {
+void LogRateLimiter::BeginSecond(std::int64_t second) {
   second_ = second;
   for (std::size_t i = 0; i < kClassCount; ++i) {
     ClassUsage& usage = usages_[i];
-    if (usage.left_out > 0) {
-      report_dropped_(static_cast<LogClass>(i), usage.left_out);
+    if (usage.dropped > 0) {
+      report_dropped_(static_cast<LogClass>(i), usage.dropped);
     }
     usage.written = 0;
-    usage.left_out = 0;
+    usage.dropped = 0;
   }
 }
 
--- a/transport/node_metrics.cc
+++ b/transport/node_metrics.cc
@@ -66,15 +66,15 @@
               retries_.Add();
             }
           },
-          [this](const TellRefused& told) {
+          [this](const RespondRefused& told) {
             CountOutcome("refused", RefusalKindName(told.refusal.kind));
           },
-          [this](const TellUnknown&) { CountOutcome("unknown", ""); },
-          [this](const TellStreamBroken&) { CountOutcome("broken", ""); },
-          [this](const TellPreempted&) { CountOutcome("preempted", ""); },
-          [this](const TellReplay&) { CountOutcome("replayed", ""); },
-          [this](const TellEarlierSend& told) {
-            CountOutcome("earlier_send", told.certain ? "ran" : "unknown");
+          [this](const RespondOutcomeUnknown&) { CountOutcome("unknown", ""); },
+          [this](const RespondStreamBroken&) { CountOutcome("broken", ""); },
+          [this](const RespondPreempted&) { CountOutcome("preempted", ""); },
+          [this](const RespondReplay&) { CountOutcome("replayed", ""); },
+          [this](const RespondDuplicate& told) {
+            CountOutcome("earlier_send", told.earlier_ran ? "ran" : "unknown");
           },
           [this](const CallStore& call) {
             store_calls_.With({ModuleName(call.module)}).Add();
@@ -86,7 +86,7 @@
 void NodeMetrics::OnEvent(const NodeEvent& event) {
   if (const auto* ended = std::get_if<AttemptEnded>(&event)) {
     OnAttemptEnd(ended->end);
-  } else if (std::holds_alternative<CallerGone>(event)) {
+  } else if (std::holds_alternative<CallerDisconnected>(event)) {
     CountOutcome("caller_gone", "");
   }
 }
@@ -99,8 +99,8 @@
             attempts_.With({"answered"}).Add();
           },
           [this](const AttemptRefused&) { attempts_.With({"refused"}).Add(); },
-          [this](const AttemptBroke& broke) {
-            attempts_.With({std::string(AttemptBreakKindName(broke.kind))})
+          [this](const AttemptFailed& failed) {
+            attempts_.With({std::string(AttemptFailureKindName(failed.kind))})
                 .Add();
           }},
       end);
--- a/transport/node_metrics.h
+++ b/transport/node_metrics.h
@@ -18,14 +18,16 @@
   void OnAction(const NodeAction& action);
   void OnEvent(const NodeEvent& event);
   // Drops the state of a finished request.
-  void Forget(const RequestId& request) { dispatch_counts_.erase(request); }
+  void ForgetRequest(const RequestId& request) {
+    dispatch_counts_.erase(request);
+  }
 
   // These are called on traffic threads. `since_arrival` is the time since the
   // arrival of the request.
   void OnFirstToken(Duration since_arrival) {
     first_token_.Record(static_cast<double>(since_arrival.millis()));
   }
-  void OnNextToken(Duration since_last) {
+  void OnTokenGap(Duration since_last) {
     token_gap_.Record(static_cast<double>(since_last.millis()));
   }
 
--- a/transport/node_runtime.cc
+++ b/transport/node_runtime.cc
@@ -14,7 +14,7 @@
   if (const auto* ended = std::get_if<AttemptEnded>(&event)) {
     return ended->request;
   }
-  if (const auto* gone = std::get_if<CallerGone>(&event)) {
+  if (const auto* gone = std::get_if<CallerDisconnected>(&event)) {
     return gone->request;
   }
   return std::nullopt;
@@ -103,7 +103,7 @@
   const std::optional<RequestId> request = PossiblyEndedRequest(event);
   if (request && !core_.HasRequest(*request)) {
     exchanges_.erase(*request);
-    metrics_.Forget(*request);
+    metrics_.ForgetRequest(*request);
   }
 }
 
@@ -133,12 +133,16 @@
               exchange->second->Cancel(cancel.attempt);
             }
           },
-          [this](TellRefused& response) { SendFinalResponse(response); },
-          [this](TellUnknown& response) { SendFinalResponse(response); },
-          [this](TellStreamBroken& response) { SendFinalResponse(response); },
-          [this](TellPreempted& response) { SendFinalResponse(response); },
-          [this](TellReplay& response) { SendFinalResponse(response); },
-          [this](TellEarlierSend& response) { SendFinalResponse(response); },
+          [this](RespondRefused& response) { SendFinalResponse(response); },
+          [this](RespondOutcomeUnknown& response) {
+            SendFinalResponse(response);
+          },
+          [this](RespondStreamBroken& response) {
+            SendFinalResponse(response);
+          },
+          [this](RespondPreempted& response) { SendFinalResponse(response); },
+          [this](RespondReplay& response) { SendFinalResponse(response); },
+          [this](RespondDuplicate& response) { SendFinalResponse(response); },
           [this](AnswerOperator& answer) {
             const auto call = operator_calls_.find(answer.call);
             if (call != operator_calls_.end()) {
--- a/transport/operator_pages.cc
+++ b/transport/operator_pages.cc
@@ -34,7 +34,7 @@
                       {"members", IdsToJson(group.members)}};
 }
 
-json::object EndpointToJson(const EndpointView& endpoint, Time now) {
+json::object EndpointToJson(const EndpointStatus& endpoint, Time now) {
   json::object page{{"endpoint", endpoint.id.value()},
                     {"generation", endpoint.generation.value()},
                     {"zone", endpoint.zone.value()},
@@ -98,7 +98,7 @@
     }
   }
   json::array endpoints;
-  for (const EndpointView& endpoint : core.Endpoints(now)) {
+  for (const EndpointStatus& endpoint : core.Endpoints(now)) {
     endpoints.emplace_back(EndpointToJson(endpoint, now));
   }
   return json::object{{"groups", groups}, {"open_endpoints", endpoints}};
@@ -110,7 +110,7 @@
     limits.emplace_back(json::object{{"contract", share.contract.value()},
                                      {"limit", LimitsToJson(share.limit)},
                                      {"share", LimitsToJson(share.share)},
-                                     {"is_floor", share.floor},
+                                     {"is_floor", share.is_floor},
                                      {"running", share.running}});
   }
   return json::object{{"limits", limits}};
--- a/transport/operator_service.cc
+++ b/transport/operator_service.cc
@@ -81,7 +81,7 @@
 
 Result<std::string, HttpResponse> NormalizeModel(const std::string& id,
                                                  std::string_view text) {
-  const Decoded<DesiredModel> decoded = DecodeWantedModel(text);
+  const Decoded<DesiredModel> decoded = DecodeDesiredModel(text);
   if (!IsOk(decoded)) {
     return ErrorResponse(kStatusBadRequest, "invalid_model",
                          DescribeError(ErrorOf(decoded)));
@@ -90,7 +90,7 @@
     return ErrorResponse(kStatusBadRequest, "invalid_model",
                          "model: differs from the path");
   }
-  return EncodeWantedModel(ValueOf(decoded));
+  return EncodeDesiredModel(ValueOf(decoded));
 }
 
 HttpResponse OutcomeResponse(const ChangeOutcome& outcome) {
@@ -165,7 +165,7 @@
 
 bool OperatorService::HandlePage(const HttpRequest& request,
                                  const Responder& responder) {
-  const std::string path = PathOf(request.target);
+  const std::string path = ExtractPath(request.target);
   if (request.method != "GET") {
     return false;
   }
@@ -216,9 +216,9 @@
   if (request.method != "POST") {
     return false;
   }
-  const std::string path = PathOf(request.target);
+  const std::string path = ExtractPath(request.target);
   if (path == "/v1/drain") {
-    runtime_.Post(StopAsked{});
+    runtime_.Post(StopRequested{});
     responder->Respond(JsonResponse(
         kStatusAccepted, json::serialize(json::object{{"draining", true}})));
     return true;
@@ -233,7 +233,7 @@
 bool OperatorService::HandleConfigFamily(const ConfigFamily& family,
                                          const HttpRequest& request,
                                          const Responder& responder) {
-  const std::string path = PathOf(request.target);
+  const std::string path = ExtractPath(request.target);
   const std::string root = "/v1/" + std::string(family.name);
   if (path == root && request.method == "GET") {
     runtime_.RunOnControlThread(
@@ -280,15 +280,15 @@
       ParseNumber(QueryValue(request.target, "expected"));
   ConfigChange change;
   change.key = std::string(family.prefix) + id;
-  change.change = ChangeId(QueryValue(request.target, "change"));
-  if (!expected || change.change.empty()) {
+  change.id = ChangeId(QueryValue(request.target, "change"));
+  if (!expected || change.id.empty()) {
     responder->Respond(ErrorResponse(
         kStatusBadRequest, "invalid_change",
         "Give `expected`, the revision to change from (0: none yet), and "
         "`change`, an id of your own for this change."));
     return;
   }
-  change.expected = Revision(*expected);
+  change.expected_revision = Revision(*expected);
   if (request.method == "PUT") {
     Result<std::string, HttpResponse> value =
         family.normalize(id, request.body);
@@ -353,7 +353,7 @@
                                      "The revision is no number."));
     return;
   }
-  runtime_.Post(OperatorAskRevision{Revision(*revision)});
+  runtime_.Post(OperatorQueryRevision{Revision(*revision)});
   runtime_.RunOnControlThread(
       [responder, revision](NodeCore& core, EventLog&, Time) {
         responder->Respond(PageResponse(ConfirmationPage(
--- a/transport/peer_channel.cc
+++ b/transport/peer_channel.cc
@@ -80,8 +80,8 @@
   }
   queue_.push_back(std::move(body));
   queued_bytes_ += size;
-  while (queue_.size() > settings.max_waiting_messages ||
-         queued_bytes_ > settings.max_waiting_bytes) {
+  while (queue_.size() > settings.max_queued_messages ||
+         queued_bytes_ > settings.max_queued_bytes) {
     queued_bytes_ -= queue_.front().ByteSizeLong() + kBodyOverhead;
     queue_.pop_front();
     ++context_->stats.dropped_messages;
--- a/transport/peer_client.h
+++ b/transport/peer_client.h
@@ -27,8 +27,8 @@
   Duration call_timeout = Duration::Seconds(1);
   // Limits of the queue for one node. Beyond them the oldest messages are
   // dropped, because newer messages replace what they say.
-  std::size_t max_waiting_messages = 4096;
-  std::size_t max_waiting_bytes = 4UL * 1024 * 1024;
+  std::size_t max_queued_messages = 4096;
+  std::size_t max_queued_bytes = 4UL * 1024 * 1024;
   // Maximum number of unacknowledged frames to one node.
   std::size_t max_calls = 4;
   // A connection is replaced after this many lost frames in a row.
--- a/transport/query_string.cc
+++ b/transport/query_string.cc
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-std::string PathOf(std::string_view target) {
+std::string ExtractPath(std::string_view target) {
   return std::string(target.substr(0, target.find('?')));
 }
 
--- a/transport/query_string.h
+++ b/transport/query_string.h
@@ -7,7 +7,7 @@
 namespace gcw {
 
 // Returns the path of a request target, without the query.
-std::string PathOf(std::string_view target);
+std::string ExtractPath(std::string_view target);
 
 // Returns the decoded value of a query parameter, or an empty string if it is
 // missing.
--- a/transport/service_receiver.cc
+++ b/transport/service_receiver.cc
@@ -75,8 +75,8 @@
 
 AttemptEnd ServiceReceiver::OnEnd() {
   if (!attempt_echoed_) {
-    return AttemptBroke{AttemptBreakKind::kMalformed,
-                        AttemptProgress::kAnswerBegun, TokenCount()};
+    return AttemptFailed{AttemptFailureKind::kMalformed,
+                         AttemptProgress::kAnswerBegun, TokenCount()};
   }
   if (answer_.status == kStatusUnavailable &&
       answer_.Header(kNotRunHeader) == "1") {
--- a/transport/settings_reader.cc
+++ b/transport/settings_reader.cc
@@ -107,8 +107,8 @@
                          std::int64_t* target,
                          IntegerRange range,
                          std::string_view doc,
-                         SettingNeed need) {
-  AddInteger(key, *target, range, doc, need,
+                         SettingPresence presence) {
+  AddInteger(key, *target, range, doc, presence,
              [target](std::int64_t number) { *target = number; });
 }
 
@@ -116,11 +116,11 @@
                          int* target,
                          IntegerRange range,
                          std::string_view doc,
-                         SettingNeed need) {
+                         SettingPresence presence) {
   using Limits = std::numeric_limits<int>;
   range.min = std::max<std::int64_t>(range.min, Limits::min());
   range.max = std::min<std::int64_t>(range.max, Limits::max());
-  AddInteger(key, *target, range, doc, need, [target](std::int64_t number) {
+  AddInteger(key, *target, range, doc, presence, [target](std::int64_t number) {
     *target = static_cast<int>(number);
   });
 }
@@ -129,11 +129,11 @@
                          double* target,
                          NumberRange range,
                          std::string_view doc,
-                         SettingNeed need) {
+                         SettingPresence presence) {
   std::ostringstream default_value;
   default_value << *target;
   Declare({std::string(key), "number", DescribeRange(range.min, range.max),
-           default_value.str(), std::string(doc), need, false,
+           default_value.str(), std::string(doc), presence, false,
            [target, range](const SettingValue& value,
                            const std::string&) -> Result<Apply, CheckFailure> {
              const auto* integer = std::get_if<std::int64_t>(&value);
@@ -156,9 +156,9 @@
 void SettingsReader::Add(std::string_view key,
                          bool* target,
                          std::string_view doc,
-                         SettingNeed need) {
+                         SettingPresence presence) {
   Declare({std::string(key), "boolean", "true or false",
-           *target ? "true" : "false", std::string(doc), need, false,
+           *target ? "true" : "false", std::string(doc), presence, false,
            [target](const SettingValue& value,
                     const std::string&) -> Result<Apply, CheckFailure> {
              const auto* flag = std::get_if<bool>(&value);
@@ -173,8 +173,8 @@
                          std::string* target,
                          TextRange range,
                          std::string_view doc,
-                         SettingNeed need) {
-  AddText(key, *target, range, doc, need,
+                         SettingPresence presence) {
+  AddText(key, *target, range, doc, presence,
           [target](std::string text) { *target = std::move(text); });
 }
 
@@ -182,12 +182,12 @@
                          Duration* target,
                          DurationRange range,
                          std::string_view doc,
-                         SettingNeed need) {
+                         SettingPresence presence) {
   if (!key.ends_with(kDurationSuffix)) {
     AddDeclarationError(key, "the key of a duration must end in _ms");
   }
   AddInteger(key, target->millis(), {range.min.millis(), range.max.millis()},
-             doc, need, [target](std::int64_t number) {
+             doc, presence, [target](std::int64_t number) {
                *target = Duration::Millis(number);
              });
 }
@@ -196,13 +196,14 @@
                          std::vector<std::string>* target,
                          ListRange range,
                          std::string_view doc,
-                         SettingNeed need) {
+                         SettingPresence presence) {
   std::vector<std::string> defaults;
   std::transform(target->begin(), target->end(), std::back_inserter(defaults),
                  Quote);
   Declare({std::string(key), "list of texts",
            DescribeRange(range.min, range.max, " items"),
-           '[' + JoinWithCommas(defaults) + ']', std::string(doc), need, false,
+           '[' + JoinWithCommas(defaults) + ']', std::string(doc), presence,
+           false,
            [target, range](const SettingValue& value,
                            const std::string&) -> Result<Apply, CheckFailure> {
              const auto* items = std::get_if<std::vector<std::string>>(&value);
@@ -220,14 +221,14 @@
                                Secret* target,
                                TextRange range,
                                std::string_view doc,
-                               SettingNeed need) {
+                               SettingPresence presence) {
   if (!key.ends_with(kSecretSuffix)) {
     AddDeclarationError(key, "the key of a secret must end in _file");
   }
   Declare({std::string(key), "path of a file",
            "a file whose first line has " +
                DescribeRange(range.min, range.max, " bytes"),
-           "none", std::string(doc), need, true,
+           "none", std::string(doc), presence, true,
            [target, range](const SettingValue& value, const std::string& file)
                -> Result<Apply, CheckFailure> {
              const auto* name = std::get_if<std::string>(&value);
@@ -256,10 +257,10 @@
                                 std::int64_t default_value,
                                 IntegerRange range,
                                 std::string_view doc,
-                                SettingNeed need,
+                                SettingPresence presence,
                                 std::function<void(std::int64_t)> apply) {
   Declare({std::string(key), "integer", DescribeRange(range.min, range.max),
-           std::to_string(default_value), std::string(doc), need, false,
+           std::to_string(default_value), std::string(doc), presence, false,
            [apply = std::move(apply), range](
                const SettingValue& value,
                const std::string&) -> Result<Apply, CheckFailure> {
@@ -278,11 +279,11 @@
                              const std::string& default_value,
                              TextRange range,
                              std::string_view doc,
-                             SettingNeed need,
+                             SettingPresence presence,
                              std::function<void(std::string)> apply) {
   Declare({std::string(key), "text",
            DescribeRange(range.min, range.max, " bytes"), Quote(default_value),
-           std::string(doc), need, false,
+           std::string(doc), presence, false,
            [apply = std::move(apply), range](
                const SettingValue& value,
                const std::string&) -> Result<Apply, CheckFailure> {
@@ -301,11 +302,11 @@
                                     const std::string& default_name,
                                     std::vector<std::string> names,
                                     std::string_view doc,
-                                    SettingNeed need,
+                                    SettingPresence presence,
                                     std::function<void(std::size_t)> apply) {
   const std::string allowed = JoinWithCommas(names);
   Declare({std::string(key), "choice", allowed, Quote(default_name),
-           std::string(doc), need, false,
+           std::string(doc), presence, false,
            [apply = std::move(apply), names = std::move(names)](
                const SettingValue& value,
                const std::string&) -> Result<Apply, CheckFailure> {
@@ -458,7 +459,7 @@
     const SettingsDocument& document,
     std::vector<SettingError>& errors) const {
   for (const Declaration& declaration : declarations_) {
-    if (declaration.need == SettingNeed::kRequired &&
+    if (declaration.presence == SettingPresence::kRequired &&
         !document.entries().contains(declaration.key)) {
       errors.push_back({SettingErrorKind::kMissing, document.file(), 0,
                         declaration.key, "",
@@ -471,7 +472,7 @@
   out << "| key | type | allowed | default | meaning |\n"
       << "|---|---|---|---|---|\n";
   for (const Declaration& each : declarations_) {
-    const bool is_required = each.need == SettingNeed::kRequired;
+    const bool is_required = each.presence == SettingPresence::kRequired;
     out << "| `" << each.key << "` | " << each.type << " | " << each.allowed
         << " | " << (is_required ? "required" : '`' + each.default_value + '`')
         << " | " << each.doc << " |\n";
--- a/transport/settings_reader.h
+++ b/transport/settings_reader.h
@@ -18,7 +18,7 @@
 
 namespace gcw {
 
-enum class SettingNeed { kOptional, kRequired };
+enum class SettingPresence { kOptional, kRequired };
 
 // Both ends are included.
 struct IntegerRange {
@@ -58,56 +58,57 @@
            std::int64_t* target,
            IntegerRange range,
            std::string_view doc,
-           SettingNeed need = SettingNeed::kOptional);
+           SettingPresence presence = SettingPresence::kOptional);
   void Add(std::string_view key,
            int* target,
            IntegerRange range,
            std::string_view doc,
-           SettingNeed need = SettingNeed::kOptional);
+           SettingPresence presence = SettingPresence::kOptional);
   void Add(std::string_view key,
            double* target,
            NumberRange range,
            std::string_view doc,
-           SettingNeed need = SettingNeed::kOptional);
+           SettingPresence presence = SettingPresence::kOptional);
   void Add(std::string_view key,
            bool* target,
            std::string_view doc,
-           SettingNeed need = SettingNeed::kOptional);
+           SettingPresence presence = SettingPresence::kOptional);
   void Add(std::string_view key,
            std::string* target,
            TextRange range,
            std::string_view doc,
-           SettingNeed need = SettingNeed::kOptional);
+           SettingPresence presence = SettingPresence::kOptional);
   // A duration in milliseconds; the key must end in `_ms`.
   void Add(std::string_view key,
            Duration* target,
            DurationRange range,
            std::string_view doc,
-           SettingNeed need = SettingNeed::kOptional);
+           SettingPresence presence = SettingPresence::kOptional);
   // A list of strings.
   void Add(std::string_view key,
            std::vector<std::string>* target,
            ListRange range,
            std::string_view doc,
-           SettingNeed need = SettingNeed::kOptional);
+           SettingPresence presence = SettingPresence::kOptional);
   template <typename Tag>
   void Add(std::string_view key,
            StrongId<Tag>* target,
            TextRange range,
            std::string_view doc,
-           SettingNeed need = SettingNeed::kOptional) {
-    AddText(key, target->value(), range, doc, need, [target](std::string text) {
-      *target = StrongId<Tag>(std::move(text));
-    });
+           SettingPresence presence = SettingPresence::kOptional) {
+    AddText(key, target->value(), range, doc, presence,
+            [target](std::string text) {
+              *target = StrongId<Tag>(std::move(text));
+            });
   }
   template <typename Tag>
   void Add(std::string_view key,
            StrongNumber<Tag>* target,
            IntegerRange range,
            std::string_view doc,
-           SettingNeed need = SettingNeed::kOptional) {
+           SettingPresence presence = SettingPresence::kOptional) {
     AddInteger(
-        key, target->value(), range, doc, need,
+        key, target->value(), range, doc, presence,
         [target](std::int64_t number) { *target = StrongNumber<Tag>(number); });
   }
   // One of the named choices.
@@ -116,7 +117,7 @@
                  Choice* target,
                  std::vector<std::pair<std::string, Choice>> choices,
                  std::string_view doc,
-                 SettingNeed need = SettingNeed::kOptional) {
+                 SettingPresence presence = SettingPresence::kOptional) {
     std::vector<std::string> names;
     std::string default_name;
     for (const auto& [name, choice] : choices) {
@@ -125,7 +126,7 @@
         default_name = name;
       }
     }
-    AddNamedChoice(key, default_name, std::move(names), doc, need,
+    AddNamedChoice(key, default_name, std::move(names), doc, presence,
                    [target, choices = std::move(choices)](std::size_t index) {
                      *target = choices[index].second;
                    });
@@ -137,7 +138,7 @@
                  Secret* target,
                  TextRange range,
                  std::string_view doc,
-                 SettingNeed need = SettingNeed::kOptional);
+                 SettingPresence presence = SettingPresence::kOptional);
 
   // Returns all errors, or nothing on success. On error, no variable is
   // changed.
@@ -165,7 +166,7 @@
     std::string allowed;
     std::string default_value;
     std::string doc;
-    SettingNeed need;
+    SettingPresence presence;
     bool is_secret = false;
     Check check;
   };
@@ -174,19 +175,19 @@
                   std::int64_t default_value,
                   IntegerRange range,
                   std::string_view doc,
-                  SettingNeed need,
+                  SettingPresence presence,
                   std::function<void(std::int64_t)> apply);
   void AddText(std::string_view key,
                const std::string& default_value,
                TextRange range,
                std::string_view doc,
-               SettingNeed need,
+               SettingPresence presence,
                std::function<void(std::string)> apply);
   void AddNamedChoice(std::string_view key,
                       const std::string& default_name,
                       std::vector<std::string> names,
                       std::string_view doc,
-                      SettingNeed need,
+                      SettingPresence presence,
                       std::function<void(std::size_t)> apply);
   void Declare(Declaration declaration);
   void AddDeclarationError(std::string_view key, std::string allowed);
--- a/transport/store_client.cc
+++ b/transport/store_client.cc
@@ -28,7 +28,7 @@
 StoreClient::StoreClient(boost::asio::io_context& context,
                          StoreClientSettings settings)
     : settings_(std::move(settings)),
-      health_monitor_(std::make_shared<StoreBeliefObserver>(LogStoreBelief)),
+      health_monitor_(std::make_shared<StoreHealthMonitor>(LogStoreHealth)),
       calls_(context),
       watches_(context) {}
 
--- a/transport/store_client.h
+++ b/transport/store_client.h
@@ -8,7 +8,7 @@
 
 #include "state/state.h"
 #include "transport/http_client.h"
-#include "transport/store_belief.h"
+#include "transport/store_health.h"
 
 namespace gcw {
 
@@ -36,7 +36,7 @@
   const StoreClientSettings settings_;
   // Shared with calls in progress, which may end after this client is
   // destroyed.
-  std::shared_ptr<StoreBeliefObserver> health_monitor_;
+  std::shared_ptr<StoreHealthMonitor> health_monitor_;
   HttpClient calls_;
   HttpClient watches_;
 };
--- a/transport/store_belief.h
+++ b/transport/store_health.h
@@ -1,5 +1,5 @@
-#ifndef TRANSPORT_STORE_BELIEF_H_
-#define TRANSPORT_STORE_BELIEF_H_
+#ifndef TRANSPORT_STORE_HEALTH_H_
+#define TRANSPORT_STORE_HEALTH_H_
 
 #include <functional>
 #include <mutex>
@@ -10,29 +10,29 @@
 namespace gcw {
 
 // State of the key-value service, as its replies show it.
-enum class StoreBelief {
-  kAnswers,
+enum class StoreHealth {
+  kAvailable,
   // The service refuses calls because their rate is used up, or refuses this
   // node only.
-  kRefuses,
+  kRejectingCalls,
   // The service is of another kind or version.
-  kKnowsNoCall,
+  kIncompatible,
   // No reply arrives, or none that can be decoded.
-  kSilent,
+  kUnreachable,
 };
 
-std::string_view StoreBeliefName(StoreBelief belief);
+std::string_view StoreHealthName(StoreHealth health);
 
 // Writes a log line.
-void LogStoreBelief(StoreBelief belief);
+void LogStoreHealth(StoreHealth health);
 
 // Reports changes of the state instead of each reply, so that an outage is one
 // log line, not one for each failed call. Safe for use from any thread.
-class StoreBeliefObserver {
+class StoreHealthMonitor {
  public:
-  using OnChange = std::function<void(StoreBelief)>;
+  using OnChange = std::function<void(StoreHealth)>;
 
-  explicit StoreBeliefObserver(OnChange on_change);
+  explicit StoreHealthMonitor(OnChange on_change);
 
   void Observe(const StoreReply& reply);
 
@@ -43,11 +43,11 @@
 
   const OnChange on_change_;
   std::mutex mutex_;
-  StoreBelief reported_ = StoreBelief::kAnswers;
-  StoreBelief last_observed_ = StoreBelief::kAnswers;
+  StoreHealth reported_ = StoreHealth::kAvailable;
+  StoreHealth last_observed_ = StoreHealth::kAvailable;
   int consecutive_replies_ = 0;
 };
 
 }  // namespace gcw
 
-#endif  // TRANSPORT_STORE_BELIEF_H_
+#endif  // TRANSPORT_STORE_HEALTH_H_
--- a/transport/transport.h
+++ b/transport/transport.h
@@ -20,7 +20,7 @@
 #include "transport/json_log.h"
 #include "transport/key_digest.h"
 #include "transport/line_writer.h"
-#include "transport/log_budget.h"
+#include "transport/log_rate_limiter.h"
 #include "transport/metrics.h"
 #include "transport/node_metrics.h"
 #include "transport/node_runtime.h"
