--- a/tests/scripts/scripts_test.py
+++ b/tests/scripts/scripts_test.py
@@ -1,4 +1,4 @@
-"""Tests of the checks that CI relies on: each must find what it is for."""
+"""Tests that the checks that CI relies on find the faults that they look for."""
 
 import importlib.machinery
 import importlib.util
@@ -49,7 +49,7 @@
         (self.root / path).unlink()
         return found
 
-    def test_names_of_the_platform_stay_in_their_folder(self):
+    def test_platform_names_are_found_outside_their_folder(self):
         line = 'constexpr auto kName = "X-Attempt-Id";\n'
         for path, faults in [
             ("transport/a.cc", 1),
@@ -62,7 +62,7 @@
             (self.root / path).unlink()
             self.assertEqual(len(found), faults, path)
 
-    def test_sound_includes_pass(self):
+    def test_allowed_includes_pass(self):
         for path, include in [
             ("state/a.cc", '"state/b.h"'),
             ("protocol/a.cc", '"core/core.h"'),
@@ -105,10 +105,10 @@
             "check_bounds", "--build", self.root / "build", "--bounds", path
         ).returncode
 
-    def test_within(self):
+    def test_a_figure_within_bounds_passes(self):
         self.assertEqual(self.check([{"figure": "ratio", "max": 1.5}]), 0)
 
-    def test_faults(self):
+    def test_bad_figures_and_failed_programs_fail(self):
         self.assertEqual(self.check([{"figure": "ratio", "max": 1.4}]), 1)
         self.assertEqual(self.check([{"figure": "ratio", "min": 1.6}]), 1)
         self.assertEqual(self.check([{"figure": "other", "max": 9}]), 1)
@@ -148,22 +148,21 @@
                       "(issue 7)", run.stdout)
         self.assertEqual(summary, "100% tests passed, 0 tests failed out of 1\n")
 
-    # Symptom: a phase that leaves some tests out runs them after all, or fails
-    # since a listed one is not among its tests. Sequence: the phase leaves tests
-    # out by -E, and KNOWN-RED.txt has a line. Cause: CTest heeds only the last
-    # -E, and a listed test that is left out passed for one that does not exist.
-    def test_a_listed_test_may_be_left_out(self):
+    # A CI phase that excludes tests with -E while KNOWN-RED.txt has a line must
+    # not run the excluded tests, since CTest uses only the last -E, nor fail
+    # because an excluded listed test is taken for one that does not exist.
+    def test_a_listed_test_may_be_excluded(self):
         run, summary = self.run_tests("A.Bad, cause, issue 7\n",
                                       "-E", "^A.Bad$")
         self.assertEqual(run.returncode, 0)
         self.assertIn("KNOWN RED A.Bad: left out by the options", run.stdout)
         self.assertEqual(summary, "100% tests passed, 0 tests failed out of 1\n")
 
-    def test_what_is_left_out_stays_out_beside_a_listed_test(self):
+    def test_excluded_tests_stay_excluded_beside_a_listed_test(self):
         run, _ = self.run_tests("A.Good, cause, issue 7\n", "-E", "^A.Bad$")
         self.assertNotIn("A.Bad", run.stdout)
 
-    def test_a_line_of_no_test_is_a_fault(self):
+    def test_a_listed_test_that_does_not_exist_fails(self):
         run, _ = self.run_tests("A.Gone, cause, issue 7\n", "-E", "^A.Bad$")
         self.assertEqual(run.returncode, 1)
         self.assertIn("KNOWN RED A.Gone: there is no such test", run.stdout)
@@ -172,7 +171,7 @@
         run, _ = self.run_tests("A.Bad, cause, issue 7\nA.Good, cause, issue 8\n")
         self.assertIn("KNOWN RED A.Good: passes now", run.stdout)
 
-    def test_bad_lists_fail(self):
+    def test_invalid_lists_fail(self):
         for listed in ["A.Gone, cause, issue 7\nA.Bad, cause, issue 7\n",
                        "A.Bad, cause\n",
                        "".join(f"A.Bad{n}, c, issue 7\n" for n in range(4))]:
@@ -187,7 +186,7 @@
     FOLDERS = ["core", "state", "coordination", "protocol", "platform",
                "transport", "programs", "deploy", "docs/examples"]
 
-    def test_each_listed_name_stands_in_the_source(self):
+    def test_each_listed_name_occurs_in_the_source(self):
         literals = []
         for folder in self.FOLDERS:
             for path in sorted((SCRIPTS.parent / folder).rglob("*")):
